--- a/internal/fleet/carry/carry.go
+++ b/internal/fleet/carry/carry.go
@@ -13,49 +13,50 @@
 	"streamrail/internal/fleet/member"
 )
 
-// Terms are what the operator sets of the carrier.
+// Terms is the operator's configuration of the transport.
 type Terms struct {
 	Fleet string
 	Key   []byte // may be empty
 }
 
-// Carrier is one balancer's place in its fleet, on a socket.
+// Carrier is one balancer's UDP transport to the other members of its fleet, together with its membership state.
 type Carrier struct {
-	log   zerolog.Logger
-	conn  *net.UDPConn
-	epoch time.Time
-	nudge chan struct{} // what is due next may have changed
-	ended chan struct{}
-	once  sync.Once
-	done  sync.WaitGroup
+	log         zerolog.Logger
+	conn        *net.UDPConn
+	epoch       time.Time
+	rescheduled chan struct{} // the time of the next Tick may have changed
+	ended       chan struct{}
+	once        sync.Once
+	done        sync.WaitGroup
 
-	// mu guards what follows. Nothing is sent under it.
-	mu      sync.Mutex
-	hears   map[uint8]func(from member.Life, body []byte) // by topic
-	machine *member.Machine
-	codec   *codec
-	counts  Counts
+	// mu guards what follows. No datagram is sent while it is held.
+	mu       sync.Mutex
+	handlers map[uint8]func(from member.Life, body []byte) // by topic
+	machine  *member.Machine
+	codec    *codec
+	counts   Counts
 }
 
-// Counts are datagrams since the start.
+// Counts has the numbers of datagrams since the start.
 type Counts struct {
 	Sent, SentBytes, Heard, HeardBytes int64
 	Dropped                            map[string]int64 // by reason
 }
 
-// keepAhead is more than an older process sends between handing over and falling silent. Only a clock that was set back makes it
-// needed: a count that ran ahead of the time would meet that of the next process (TestMembersUpgrade, on a busy machine).
-const keepAhead = 1 << 16
+// counterHeadroom exceeds the number of datagrams that an older process sends between handing over its state and ending. It is
+// needed only where the clock was set back in between: the datagram counter starts from the time, and the newer process's would
+// otherwise repeat numbers that the older one has used.
+const counterHeadroom = 1 << 16
 
-// bindWait is how long an address that another process holds is waited for: an older process of an upgrade lets go of it at
-// once when it is told, after a few turns of either.
-const bindWait = 2 * time.Second
+// bindTimeout is how long Open waits for an address that another process holds: the older process of an upgrade releases it
+// as soon as it is notified, which takes a few rounds between the two processes.
+const bindTimeout = 2 * time.Second
 
-// Open takes the place: it binds the address and speaks from then on.
+// Open binds the address and starts to take part in the membership protocol. kept is the state handed over by an older process.
 func Open(t Terms, m member.Terms, kept *member.Kept, log zerolog.Logger) (*Carrier, error) {
-	c := &Carrier{log: log, epoch: time.Now(), nudge: make(chan struct{}, 1), ended: make(chan struct{}), codec: newCodec(t.Fleet, t.Key)}
-	c.counts.Dropped, c.hears = map[string]int64{}, map[uint8]func(member.Life, []byte){}
-	until := time.Now().Add(bindWait)
+	c := &Carrier{log: log, epoch: time.Now(), rescheduled: make(chan struct{}, 1), ended: make(chan struct{}), codec: newCodec(t.Fleet, t.Key)}
+	c.counts.Dropped, c.handlers = map[string]int64{}, map[uint8]func(member.Life, []byte){}
+	until := time.Now().Add(bindTimeout)
 	for {
 		var err error
 		if c.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(m.Self.Addr)); err == nil {
@@ -66,55 +67,55 @@
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	if kept != nil && c.codec.n <= kept.Count { // the clock was set back between the two
-		c.codec.n = kept.Count + keepAhead
+	if kept != nil && c.codec.counter <= kept.Count { // the clock was set back between the two processes
+		c.codec.counter = kept.Count + counterHeadroom
 	}
 	c.machine = member.New(m, c.now(), kept)
 	c.done.Add(2)
-	go c.hear()
-	go c.turns()
+	go c.receiveLoop()
+	go c.tickLoop()
 	return c, nil
 }
 
 func (c *Carrier) now() member.Moment { return time.Since(c.epoch) }
 
-// with has the machine take an input, and sends what that brings.
-func (c *Carrier) with(input func(m *member.Machine, now member.Moment)) {
+// apply passes an input to the membership machine and sends the resulting messages.
+func (c *Carrier) apply(input func(m *member.Machine, now member.Moment)) {
 	type datagram struct {
 		to   netip.AddrPort
-		text []byte
+		data []byte
 	}
-	var out []datagram
+	var datagrams []datagram
 	c.mu.Lock()
 	now := c.now()
 	input(c.machine, now)
 	sends, events := c.machine.Out()
 	wall := time.Now()
 	for i := range sends {
-		text, err := c.codec.encode(&sends[i].Msg, letter{}, wall)
+		data, err := c.codec.encode(&sends[i].Msg, payload{}, wall)
 		if err != nil {
 			c.counts.Dropped["unsent"]++
 			continue
 		}
-		out = append(out, datagram{sends[i].To, text})
+		datagrams = append(datagrams, datagram{sends[i].To, data})
 		c.counts.Sent++
-		c.counts.SentBytes += int64(len(text))
+		c.counts.SentBytes += int64(len(data))
 	}
 	c.mu.Unlock()
-	for _, d := range out {
-		c.conn.WriteToUDPAddrPort(d.text, d.to) // one that cannot be sent is one that is lost
+	for _, d := range datagrams {
+		c.conn.WriteToUDPAddrPort(d.data, d.to) // a send error is treated as a lost datagram
 	}
 	for _, e := range events {
-		c.tell(e)
+		c.logEvent(e)
 	}
 	select {
-	case c.nudge <- struct{}{}:
+	case c.rescheduled <- struct{}{}:
 	default:
 	}
 }
 
-// tell logs a change.
-func (c *Carrier) tell(e member.Event) {
+// logEvent logs a membership event.
+func (c *Carrier) logEvent(e member.Event) {
 	line := c.log.Info()
 	if e.What == "name-taken" || e.What == "name-shared" || e.What == "stalled" {
 		line = c.log.Warn()
@@ -126,23 +127,23 @@
 	line.Msg("fleet")
 }
 
-// hear reads datagrams until the socket closes.
-func (c *Carrier) hear() {
+// receiveLoop reads datagrams until the socket is closed.
+func (c *Carrier) receiveLoop() {
 	defer c.done.Done()
-	buf := make([]byte, member.MostDatagram+1) // one byte more tells that a datagram is too long
+	buf := make([]byte, member.MostDatagram+1) // one byte more, to detect datagrams that are too long
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond) // what an unreachable peer brings back on some systems
+			time.Sleep(time.Millisecond) // some systems report an unreachable peer here
 			continue
 		}
-		var l letter
-		var by member.Life
-		var to func(member.Life, []byte)
-		c.with(func(m *member.Machine, now member.Moment) {
+		var received payload
+		var sender member.Life
+		var handler func(member.Life, []byte)
+		c.apply(func(m *member.Machine, now member.Moment) {
 			c.counts.Heard++
 			c.counts.HeardBytes += int64(n)
 			msg, got, err := c.codec.decode(buf[:n], m.Life(), time.Now())
@@ -152,78 +153,78 @@
 			}
 			m.Hear(now, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), msg)
 			if got.topic != 0 && msg.To == m.Life() && m.Holds(msg.From) {
-				l, by, to = got, msg.From, c.hears[got.topic]
+				received, sender, handler = got, msg.From, c.handlers[got.topic]
 			}
 		})
-		if to != nil {
-			to(by, l.body)
+		if handler != nil {
+			handler(sender, received.body)
 		}
 	}
 }
 
-// On has a part hear what its like at other members say to it.
-func (c *Carrier) On(topic uint8, hear func(from member.Life, body []byte)) {
+// On registers the handler for messages on a topic that members send with Tell.
+func (c *Carrier) On(topic uint8, handler func(from member.Life, body []byte)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.hears[topic] = hear
+	c.handlers[topic] = handler
 }
 
-// Tell says something to a member's part of the same topic. It may be lost.
+// Tell sends a message on a topic to a member. It may be lost.
 func (c *Carrier) Tell(to member.Life, topic uint8, body []byte) {
 	c.mu.Lock()
 	s, ok := c.machine.Letter(to)
-	var text []byte
+	var data []byte
 	if ok {
 		var err error
-		if text, err = c.codec.encode(&s.Msg, letter{topic, body}, time.Now()); err != nil {
+		if data, err = c.codec.encode(&s.Msg, payload{topic, body}, time.Now()); err != nil {
 			c.counts.Dropped["unsent"]++
 			ok = false
 		} else {
 			c.counts.Sent++
-			c.counts.SentBytes += int64(len(text))
+			c.counts.SentBytes += int64(len(data))
 		}
 	}
 	c.mu.Unlock()
 	if ok {
-		c.conn.WriteToUDPAddrPort(text, s.To)
+		c.conn.WriteToUDPAddrPort(data, s.To)
 	}
 }
 
-// Members are the lives present in the view, without this one, and the situation.
+// Members returns the processes alive in the view, without this one, and the situation.
 func (c *Carrier) Members() ([]member.Life, member.Situation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Members()
 }
 
-// Self is this process's life; a newer mark may take its place, where another process had a greater one.
+// Self returns this process's identifier. It can change, when another process at this address turns out to have had a greater one.
 func (c *Carrier) Self() member.Life {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.Life()
 }
 
-// turns gives the machine its turn when it is due.
-func (c *Carrier) turns() {
+// tickLoop calls the machine's Tick when it is due.
+func (c *Carrier) tickLoop() {
 	defer c.done.Done()
-	t := time.NewTimer(0)
-	defer t.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for {
 		select {
 		case <-c.ended:
 			return
-		case <-t.C:
-			c.with(func(m *member.Machine, now member.Moment) { m.Tick(now) })
-		case <-c.nudge:
+		case <-timer.C:
+			c.apply(func(m *member.Machine, now member.Moment) { m.Tick(now) })
+		case <-c.rescheduled:
 		}
 		c.mu.Lock()
-		left := c.machine.Due() - c.now()
+		wait := c.machine.Due() - c.now()
 		c.mu.Unlock()
-		t.Reset(max(left, 0))
+		timer.Reset(max(wait, 0))
 	}
 }
 
-// View is the present view.
+// View returns the present view.
 func (c *Carrier) View() member.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,7 +233,7 @@
 	return v
 }
 
-// Counts are the figures since the start.
+// Counts returns the numbers since the start.
 func (c *Carrier) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -241,24 +242,24 @@
 	return n
 }
 
-// Keep is what a newer process of this member takes over.
+// Keep returns the state that a newer process of this member takes over.
 func (c *Carrier) Keep() member.Kept {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.machine.Keep()
-	k.Count = c.codec.n
+	k.Count = c.codec.counter
 	return k
 }
 
-// Leave says that this balancer ends in order. Said twice, as a datagram may be lost.
+// Leave announces that this balancer is ending, twice as a datagram may be lost, and closes the transport.
 func (c *Carrier) Leave() {
 	for range 2 {
-		c.with(func(m *member.Machine, now member.Moment) { m.Leave(now) })
+		c.apply(func(m *member.Machine, now member.Moment) { m.Leave(now) })
 	}
 	c.Close()
 }
 
-// Close ends it without a word.
+// Close stops the transport without announcing it.
 func (c *Carrier) Close() {
 	c.once.Do(func() {
 		close(c.ended)
--- a/internal/fleet/carry/codec_test.go
+++ b/internal/fleet/carry/codec_test.go
@@ -18,10 +18,10 @@
 	"streamrail/internal/fleet/order"
 )
 
-var now = time.UnixMilli(1_800_000_000_000)
+var testTime = time.UnixMilli(1_800_000_000_000)
 
-// full is a message with everything in it, with figures as large as they get.
-func full(kind member.Kind) *member.Message {
+// fullMessage returns a message with every field set and with numbers of their greatest encoded size.
+func fullMessage(kind member.Kind) *member.Message {
 	addr := netip.MustParseAddrPort("[2001:db8:ffff:ffff:ffff:ffff:ffff:fff1]:65535")
 	m := &member.Message{Kind: kind, From: math.MaxUint64 - 9, To: math.MaxUint64, Inc: member.MostInc, Seq: math.MaxUint32,
 		Digest: math.MaxUint64, Target: math.MaxUint64, TargetAddr: addr, Back: true, Full: true, Mask: math.MaxUint64}
@@ -33,10 +33,11 @@
 	return m
 }
 
-// What is sent is what comes, and no datagram is larger than the machine reckons with: else it could not be sent.
+// A message is decoded as it was encoded, and no datagram exceeds the size that Message.Size estimates: one that did might be too
+// large to send.
 func TestRoundTrip(t *testing.T) {
 	for kind := member.Ping; kind <= member.Sums; kind++ {
-		m := full(kind)
+		m := fullMessage(kind)
 		if kind == member.Sums {
 			m.Rumours, m.Records, m.Wants = nil, nil, nil
 			for range 64 {
@@ -44,36 +45,36 @@
 			}
 		}
 		c := newCodec("f", nil)
-		c.n = math.MaxUint64 - 9
-		d, err := c.encode(m, letter{}, now)
+		c.counter = math.MaxUint64 - 9
+		d, err := c.encode(m, payload{}, testTime)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(d) > m.Size() {
-			t.Errorf("kind %d: %d bytes where %d are reckoned with", kind, len(d), m.Size())
+			t.Errorf("kind %d: %d bytes, more than the estimated %d", kind, len(d), m.Size())
 		}
-		got, _, err := newCodec("f", nil).decode(d, 1, now)
+		got, _, err := newCodec("f", nil).decode(d, 1, testTime)
 		if err != nil || !reflect.DeepEqual(got, m) {
-			t.Errorf("kind %d: %v\n%+v\n%+v", kind, err, got, m)
+			t.Errorf("kind %d: error %v, decoded\n%+v, expected\n%+v", kind, err, got, m)
 		}
 	}
 }
 
-// Each datagram that is wrong is dropped for its own reason. A repeated one moves nothing twice, one of another fleet or years
-// old raises nobody.
+// Each kind of invalid datagram is dropped for its own reason: otherwise a repeated datagram would be applied twice, and one of
+// another fleet or from long ago would add or revive members.
 func TestDropped(t *testing.T) {
 	send := func(fleet, key string, at time.Time, change func(*member.Message)) []byte {
-		m := full(member.Ping)
+		m := fullMessage(member.Ping)
 		m.Inc, m.Rumours, m.Records, m.Wants = 3, m.Rumours[:1], m.Records[:1], m.Wants[:1]
 		change(m)
-		d, err := newCodec(fleet, []byte(key)).encode(m, letter{}, at)
+		d, err := newCodec(fleet, []byte(key)).encode(m, payload{}, at)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return d
 	}
 	same := func(*member.Message) {}
-	good := send("f", "", now, same)
+	good := send("f", "", testTime, same)
 	flip := func(at int) []byte {
 		d := bytes.Clone(good)
 		d[at] ^= 0x20
@@ -89,38 +90,38 @@
 		"too long":            {make([]byte, 1201), errLong},
 		"another program":     {flip(0), errForeign},
 		"a newer version":     {flip(1), errVersion},
-		"another fleet":       {send("g", "", now, same), errFleet},
-		"another key":         {send("f", "other key", now, same), errChecksum},
+		"another fleet":       {send("g", "", testTime, same), errFleet},
+		"another key":         {send("f", "other key", testTime, same), errChecksum},
 		"a spoilt byte":       {flip(40), errChecksum},
-		"years old":           {send("f", "", now.AddDate(-3, 0, 0), same), errOld},
-		"from the future":     {send("f", "", now.Add(time.Hour), same), errOld},
-		"from itself":         {send("f", "", now, func(m *member.Message) { m.From = 1 }), errSelf},
-		"from nobody":         {send("f", "", now, func(m *member.Message) { m.From = 0 }), errFields},
-		"no kind":             {send("f", "", now, func(m *member.Message) { m.Kind = 99 }), errFields},
-		"no incarnation":      {send("f", "", now, func(m *member.Message) { m.Inc = member.MostInc + 1 }), errFields},
-		"of no life":          {send("f", "", now, func(m *member.Message) { m.Rumours[0].Life = 0 }), errFields},
-		"no state":            {send("f", "", now, func(m *member.Message) { m.Rumours[0].State = 99 }), errFields},
-		"no name":             {send("f", "", now, func(m *member.Message) { m.Records[0].Name = "" }), errFields},
-		"a letter for nobody": {signed([]byte{0xa4, 1, 0x18, 32, 2, 9, 3, 1, 4, 0}), errFields},
-		"a wildcard":          {send("f", "", now, func(m *member.Message) { m.Records[0].Addr = netip.MustParseAddrPort("0.0.0.0:7") }), errFields},
-		"no CBOR":             {signed([]byte{0xff, 0xff, 0xff}), errForm},
-		"too deep":            {signed(append(bytes.Repeat([]byte{0x81}, 50), 0)), errForm},
-		"a key twice":         {signed([]byte{0xa2, 1, 1, 1, 1}), errForm},
-		"a huge list":         {signed([]byte{0xa1, 14, 0x9a, 0xff, 0xff, 0xff, 0xff}), errForm},
+		"years old":           {send("f", "", testTime.AddDate(-3, 0, 0), same), errOld},
+		"from the future":     {send("f", "", testTime.Add(time.Hour), same), errOld},
+		"from itself":         {send("f", "", testTime, func(m *member.Message) { m.From = 1 }), errSelf},
+		"from nobody":         {send("f", "", testTime, func(m *member.Message) { m.From = 0 }), errFields},
+		"no kind":             {send("f", "", testTime, func(m *member.Message) { m.Kind = 99 }), errFields},
+		"no incarnation":      {send("f", "", testTime, func(m *member.Message) { m.Inc = member.MostInc + 1 }), errFields},
+		"of no life":          {send("f", "", testTime, func(m *member.Message) { m.Rumours[0].Life = 0 }), errFields},
+		"no state":            {send("f", "", testTime, func(m *member.Message) { m.Rumours[0].State = 99 }), errFields},
+		"no name":             {send("f", "", testTime, func(m *member.Message) { m.Records[0].Name = "" }), errFields},
+		"a letter for nobody": {signedDatagram([]byte{0xa4, 1, 0x18, 32, 2, 9, 3, 1, 4, 0}), errFields},
+		"a wildcard":          {send("f", "", testTime, func(m *member.Message) { m.Records[0].Addr = netip.MustParseAddrPort("0.0.0.0:7") }), errFields},
+		"no CBOR":             {signedDatagram([]byte{0xff, 0xff, 0xff}), errForm},
+		"too deep":            {signedDatagram(append(bytes.Repeat([]byte{0x81}, 50), 0)), errForm},
+		"a key twice":         {signedDatagram([]byte{0xa2, 1, 1, 1, 1}), errForm},
+		"a huge list":         {signedDatagram([]byte{0xa1, 14, 0x9a, 0xff, 0xff, 0xff, 0xff}), errForm},
 		"as it should be":     {good, nil},
 	} {
 		c := newCodec("f", nil)
-		if _, _, err := c.decode(row.d, 1, now); !errors.Is(err, row.want) {
+		if _, _, err := c.decode(row.d, 1, testTime); !errors.Is(err, row.want) {
 			t.Errorf("%s: %v, expected %v", name, err, row.want)
 		}
-		if _, _, err := c.decode(row.d, 1, now); row.want == nil && err != errRepeated {
-			t.Errorf("%s again: %v", name, err)
+		if _, _, err := c.decode(row.d, 1, testTime); row.want == nil && err != errRepeated {
+			t.Errorf("%s, received again: %v, expected that it is dropped as repeated", name, err)
 		}
 	}
 }
 
-// signed frames a body as this fleet's.
-func signed(body []byte) []byte {
+// signedDatagram makes a datagram of this fleet with the given body.
+func signedDatagram(body []byte) []byte {
 	c := newCodec("f", nil)
 	d := append([]byte{magic, version, c.fleet[0], c.fleet[1], c.fleet[2], c.fleet[3]}, body...)
 	h := c.mac()
@@ -128,54 +129,55 @@
 	return append(d, h.Sum(nil)[:tagSize]...)
 }
 
-// A newer build adds fields under new keys; this one reads the rest of what it says.
+// A newer version adds fields under new keys; this one reads the rest of the message.
 func TestNewerBuild(t *testing.T) {
-	body, err := cbor.Marshal(map[int]any{1: 1, 2: 77, 3: 1, 4: now.UnixMilli(), 7: 5, 99: "what comes later", 100: []int{1, 2}})
+	body, err := cbor.Marshal(map[int]any{1: 1, 2: 77, 3: 1, 4: testTime.UnixMilli(), 7: 5, 99: "what comes later", 100: []int{1, 2}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m, _, err := newCodec("f", nil).decode(signed(body), 1, now); err != nil || m.From != 77 || m.Seq != 5 {
-		t.Errorf("%+v %v", m, err)
+	if m, _, err := newCodec("f", nil).decode(signedDatagram(body), 1, testTime); err != nil || m.From != 77 || m.Seq != 5 {
+		t.Errorf("decoded %+v, error %v", m, err)
 	}
 }
 
-// Datagrams that overtake each other count once each; one far behind is not taken.
+// Reordered datagrams are accepted once each; one that is far behind is dropped.
 func TestWindow(t *testing.T) {
 	c := newCodec("f", nil)
 	order := rand.New(rand.NewPCG(1, 1)).Perm(60)
 	for _, n := range order {
-		if !c.fresh(9, uint64(1000+n)) {
-			t.Errorf("%d is dropped at first", n)
+		if !c.isNew(9, uint64(1000+n)) {
+			t.Errorf("datagram %d is dropped when first received", n)
 		}
 	}
 	for _, n := range order {
-		if c.fresh(9, uint64(1000+n)) {
-			t.Errorf("%d counts twice", n)
+		if c.isNew(9, uint64(1000+n)) {
+			t.Errorf("datagram %d is accepted twice", n)
 		}
 	}
-	if !c.fresh(9, 5000) || c.fresh(9, 5000-64) || !c.fresh(9, 5000-63) {
-		t.Error("the window's end")
+	if !c.isNew(9, 5000) || c.isNew(9, 5000-64) || !c.isNew(9, 5000-63) {
+		t.Error("wrong result at the end of the window")
 	}
 }
 
 func FuzzDecode(f *testing.F) {
 	for kind := member.Ping; kind <= member.Sums; kind++ {
-		if d, err := newCodec("f", nil).encode(full(kind), letter{}, now); err == nil {
-			f.Add(d[frame : len(d)-tagSize])
+		if d, err := newCodec("f", nil).encode(fullMessage(kind), payload{}, testTime); err == nil {
+			f.Add(d[headerSize : len(d)-tagSize])
 		}
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c := newCodec("f", nil)
-		if m, _, err := c.decode(signed(body), 1, now); err == nil {
-			if m.From == 0 || len(m.Rumours)+len(m.Records)+len(m.Wants)+len(m.Sums) > 4*mostList {
+		if m, _, err := c.decode(signedDatagram(body), 1, testTime); err == nil {
+			if m.From == 0 || len(m.Rumours)+len(m.Records)+len(m.Wants)+len(m.Sums) > 4*maxListEntries {
 				t.Errorf("%+v", m)
 			}
 		}
-		c.decode(body, 1, now)
+		c.decode(body, 1, testTime)
 	})
 }
 
-// An order with all that it may carry comes through as it was: one with a past was dropped, as it lay a list too deep.
+// An order with every field set is decoded as it was encoded. One with a list of earlier orders used to be dropped, as its nesting
+// exceeded the decoder's limit.
 func TestOrdersComeThrough(t *testing.T) {
 	o := order.Order{Host: "h", ID: order.ID{Count: 7, By: 9}, Out: true, Force: true, Door: "n0", Past: []order.ID{{Count: 6, By: 1 << 60}, {Count: 5, By: 2}}}
 	m := &order.Message{Sum: 1 << 63, Answer: true, Orders: []order.Order{o, o}}
@@ -184,7 +186,7 @@
 	}
 	for _, bad := range []order.Order{{ID: o.ID}, {Host: "h", ID: order.ID{By: 1}}, {Host: strings.Repeat("h", 300), ID: o.ID}} {
 		if _, ok := DecodeOrders(EncodeOrders(&order.Message{Orders: []order.Order{bad}})); ok {
-			t.Errorf("%+v is taken", bad)
+			t.Errorf("%+v is accepted", bad)
 		}
 	}
 }
--- a/internal/fleet/carry/evidence.go
+++ b/internal/fleet/carry/evidence.go
@@ -6,36 +6,36 @@
 	"streamrail/internal/fleet/evidence"
 )
 
-// TopicEvidence is how attempts at hosts ended.
+// TopicEvidence is the topic of the messages of package evidence: the outcomes of attempts at cache hosts.
 const TopicEvidence = 3
 
-// seen is evidence.Message as it is sent.
-type seen struct {
-	N    uint64    `cbor:"1,keyasint"`
-	At   int64     `cbor:"2,keyasint"`
-	Rows []seenRow `cbor:"3,keyasint,omitempty"`
+// observations is the encoded form of evidence.Message.
+type observations struct {
+	N    uint64           `cbor:"1,keyasint"`
+	At   int64            `cbor:"2,keyasint"`
+	Rows []observationRow `cbor:"3,keyasint,omitempty"`
 }
 
-type seenRow struct {
+type observationRow struct {
 	_         struct{} `cbor:",toarray"`
 	Host      string
 	Good, Bad uint32
 }
 
-// EncodeEvidence writes what one balancer tells another of hosts.
+// EncodeEvidence encodes a message of package evidence.
 func EncodeEvidence(m *evidence.Message) []byte {
-	to := seen{N: m.N, At: int64(m.At)}
+	out := observations{N: m.N, At: int64(m.At)}
 	for _, r := range m.Rows {
-		to.Rows = append(to.Rows, seenRow{Host: r.Host, Good: uint32(r.Good), Bad: uint32(r.Bad)})
+		out.Rows = append(out.Rows, observationRow{Host: r.Host, Good: uint32(r.Good), Bad: uint32(r.Bad)})
 	}
-	text, _ := cbor.Marshal(&to) // numbers and strings: it cannot fail
-	return text
+	data, _ := cbor.Marshal(&out) // cannot fail for numbers and strings
+	return data
 }
 
-// DecodeEvidence reads it; false where it is none.
-func DecodeEvidence(text []byte) (*evidence.Message, bool) {
-	var s seen
-	if decoding.Unmarshal(text, &s) != nil {
+// DecodeEvidence decodes a message of package evidence. It returns false where the data is not a valid one.
+func DecodeEvidence(data []byte) (*evidence.Message, bool) {
+	var s observations
+	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
 	}
 	m := &evidence.Message{N: s.N, At: evidence.Moment(s.At)}
--- a/internal/fleet/carry/orders.go
+++ b/internal/fleet/carry/orders.go
@@ -7,17 +7,17 @@
 	"streamrail/internal/fleet/order"
 )
 
-// TopicOrders is what operators ordered by hand.
+// TopicOrders is the topic of the messages of package order: operators' fleet-wide exclusion orders.
 const TopicOrders = 2
 
-// orders is order.Message as it is sent.
-type orders struct {
-	Sum    uint64 `cbor:"1,keyasint"`
-	Answer bool   `cbor:"2,keyasint,omitempty"`
-	Orders []hand `cbor:"3,keyasint,omitempty"`
+// orderMessage is the encoded form of order.Message.
+type orderMessage struct {
+	Sum    uint64           `cbor:"1,keyasint"`
+	Answer bool             `cbor:"2,keyasint,omitempty"`
+	Orders []exclusionOrder `cbor:"3,keyasint,omitempty"`
 }
 
-type hand struct {
+type exclusionOrder struct {
 	_     struct{} `cbor:",toarray"`
 	Host  string
 	Count uint64
@@ -25,36 +25,36 @@
 	Out   bool
 	Force bool
 	Door  string
-	Past  []uint64 // count and life in turn
+	Past  []uint64 // count and process identifier alternately
 }
 
-// EncodeOrders writes what one balancer tells another of orders by hand.
+// EncodeOrders encodes a message of package order.
 func EncodeOrders(m *order.Message) []byte {
-	to := orders{Sum: m.Sum, Answer: m.Answer}
+	out := orderMessage{Sum: m.Sum, Answer: m.Answer}
 	for _, o := range m.Orders {
-		h := hand{Host: o.Host, Count: o.Count, By: uint64(o.By), Out: o.Out, Force: o.Force, Door: o.Door}
+		row := exclusionOrder{Host: o.Host, Count: o.Count, By: uint64(o.By), Out: o.Out, Force: o.Force, Door: o.Door}
 		for _, p := range o.Past {
-			h.Past = append(h.Past, p.Count, uint64(p.By))
+			row.Past = append(row.Past, p.Count, uint64(p.By))
 		}
-		to.Orders = append(to.Orders, h)
+		out.Orders = append(out.Orders, row)
 	}
-	text, _ := cbor.Marshal(&to) // numbers and strings: it cannot fail
-	return text
+	data, _ := cbor.Marshal(&out) // cannot fail for numbers and strings
+	return data
 }
 
-// DecodeOrders reads it; false where it is none.
-func DecodeOrders(text []byte) (*order.Message, bool) {
-	var s orders
-	if decoding.Unmarshal(text, &s) != nil {
+// DecodeOrders decodes a message of package order. It returns false where the data is not a valid one.
+func DecodeOrders(data []byte) (*order.Message, bool) {
+	var s orderMessage
+	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
 	}
 	m := &order.Message{Sum: s.Sum, Answer: s.Answer}
-	for _, h := range s.Orders {
-		o := order.Order{Host: h.Host, ID: order.ID{Count: h.Count, By: member.Life(h.By)}, Out: h.Out, Force: h.Force, Door: h.Door}
-		for k := 1; k < len(h.Past); k += 2 {
-			o.Past = append(o.Past, order.ID{Count: h.Past[k-1], By: member.Life(h.Past[k])})
+	for _, row := range s.Orders {
+		o := order.Order{Host: row.Host, ID: order.ID{Count: row.Count, By: member.Life(row.By)}, Out: row.Out, Force: row.Force, Door: row.Door}
+		for k := 1; k < len(row.Past); k += 2 {
+			o.Past = append(o.Past, order.ID{Count: row.Past[k-1], By: member.Life(row.Past[k])})
 		}
-		if !o.Usable() || len(h.Past)%2 != 0 {
+		if !o.Usable() || len(row.Past)%2 != 0 {
 			return nil, false
 		}
 		m.Orders = append(m.Orders, o)
--- a/internal/fleet/carry/shares.go
+++ b/internal/fleet/carry/shares.go
@@ -6,39 +6,39 @@
 	"streamrail/internal/fleet/share"
 )
 
-// TopicShares is carried over datagrams for package share.
+// TopicShares is the topic of the messages of package share: quota shares and leases.
 const TopicShares = 1
 
-// shares is share.Message as it is sent.
-type shares struct {
-	Kind  uint8   `cbor:"1,keyasint"`
-	N     uint64  `cbor:"2,keyasint"`
-	Among int     `cbor:"3,keyasint"`
-	Sum   uint64  `cbor:"4,keyasint"`
-	Wants []wants `cbor:"5,keyasint,omitempty"`
+// shareMessage is the encoded form of share.Message.
+type shareMessage struct {
+	Kind  uint8         `cbor:"1,keyasint"`
+	N     uint64        `cbor:"2,keyasint"`
+	Among int           `cbor:"3,keyasint"`
+	Sum   uint64        `cbor:"4,keyasint"`
+	Wants []shareDemand `cbor:"5,keyasint,omitempty"`
 }
 
-type wants struct {
+type shareDemand struct {
 	_     struct{} `cbor:",toarray"`
 	Name  uint16
 	Part  int64
 	Bound float64
 }
 
-// EncodeShares writes what one balancer's parts say to another's.
+// EncodeShares encodes a message of package share.
 func EncodeShares(m *share.Message) []byte {
-	to := shares{Kind: uint8(m.Kind), N: m.N, Among: m.Among, Sum: m.Sum}
+	out := shareMessage{Kind: uint8(m.Kind), N: m.N, Among: m.Among, Sum: m.Sum}
 	for _, w := range m.Wants {
-		to.Wants = append(to.Wants, wants{Name: w.Name, Part: int64(w.Part), Bound: w.Bound})
+		out.Wants = append(out.Wants, shareDemand{Name: w.Name, Part: int64(w.Part), Bound: w.Bound})
 	}
-	text, _ := cbor.Marshal(&to) // numbers only: it cannot fail
-	return text
+	data, _ := cbor.Marshal(&out) // cannot fail for numbers
+	return data
 }
 
-// DecodeShares reads it; false where it is none.
-func DecodeShares(text []byte) (*share.Message, bool) {
-	var s shares
-	if decoding.Unmarshal(text, &s) != nil || s.Kind < uint8(share.Ask) || s.Kind > uint8(share.Back) {
+// DecodeShares decodes a message of package share. It returns false where the data is not a valid one.
+func DecodeShares(data []byte) (*share.Message, bool) {
+	var s shareMessage
+	if decodeMode.Unmarshal(data, &s) != nil || s.Kind < uint8(share.Ask) || s.Kind > uint8(share.Back) {
 		return nil, false
 	}
 	m := &share.Message{Kind: share.Kind(s.Kind), N: s.N, Among: s.Among, Sum: s.Sum}
--- a/internal/fleet/member/explore_test.go
+++ b/internal/fleet/member/explore_test.go
@@ -14,8 +14,8 @@
 	"streamrail/internal/fleet/explore"
 )
 
-// depth is how many steps the explorer goes: 5 takes a second, 8 some minutes.
-var depth = flag.Int("explore", 5, "steps to explore")
+// exploreDepth is how many steps the exploration goes: 5 takes a second, 8 some minutes.
+var exploreDepth = flag.Int("explore", 5, "number of steps to explore")
 
 const (
 	testPeriod  = 100 * time.Millisecond
@@ -26,30 +26,30 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7946)
 }
 
-func testTerms(i, n int, start uint64) Terms {
-	t := Terms{Expected: n, Period: testPeriod, Suspect: testSuspect, Budget: 3000, Most: 64, Seed: start,
-		Self: Record{Life: Life(start<<chanceBits | uint64(i+1)), Name: fmt.Sprint("n", i), Addr: testAddr(i)}}
+func testConfig(i, n int, seed uint64) Terms {
+	t := Terms{Expected: n, Period: testPeriod, Suspect: testSuspect, Budget: 3000, Most: 64, Seed: seed,
+		Self: Record{Life: Life(seed<<randomBits | uint64(i+1)), Name: fmt.Sprint("n", i), Addr: testAddr(i)}}
 	for k := range n {
 		t.Seeds = append(t.Seeds, testAddr(k))
 	}
 	return t
 }
 
-// clone copies a machine whole, so that the explorer can go on from it twice.
+// clone makes a deep copy of a machine, so that the exploration can continue from it several times.
 func (m *Machine) clone() *Machine {
 	c := *m
-	source := *m.source
-	c.source, c.chance = &source, rand.New(&source)
-	c.terms.Seeds = slices.Clone(m.terms.Seeds)
-	c.peers, c.names = map[Life]*peer{}, map[string]*peer{}
+	source := *m.rngSource
+	c.rngSource, c.rng = &source, rand.New(&source)
+	c.config.Seeds = slices.Clone(m.config.Seeds)
+	c.peers, c.byName = map[Life]*peer{}, map[string]*peer{}
 	of := map[*peer]*peer{}
 	for l, p := range m.peers {
 		q := *p
-		q.witnesses = slices.Clone(p.witnesses)
+		q.suspectedBy = slices.Clone(p.suspectedBy)
 		of[p], c.peers[l] = &q, &q
 	}
-	for n, p := range m.names {
-		c.names[n] = of[p]
+	for n, p := range m.byName {
+		c.byName[n] = of[p]
 	}
 	each := func(list []*peer) (to []*peer) {
 		for _, p := range list {
@@ -57,283 +57,284 @@
 		}
 		return to
 	}
-	c.order, c.dead, c.suspected = each(m.order), each(m.dead), each(m.suspected)
-	c.looks = slices.Clone(m.looks)
-	for i := range c.looks {
-		c.looks[i].nacks = slices.Clone(c.looks[i].nacks)
+	c.present, c.absent, c.suspected = each(m.present), each(m.absent), each(m.suspected)
+	c.probes = slices.Clone(m.probes)
+	for i := range c.probes {
+		c.probes[i].nacks = slices.Clone(c.probes[i].nacks)
 	}
-	c.favours, c.urgent = slices.Clone(m.favours), slices.Clone(m.urgent)
-	c.talk, c.talks, c.asked = nil, map[Life]*item{}, map[Life]Moment{}
-	for _, it := range m.talk {
+	c.relayedProbes, c.urgentProbes = slices.Clone(m.relayedProbes), slices.Clone(m.urgentProbes)
+	c.gossipQueue, c.gossipByLife, c.recordRequestedAt = nil, map[Life]*gossipItem{}, map[Life]Moment{}
+	for _, it := range m.gossipQueue {
 		q := *it
-		c.talk, c.talks[it.Life] = append(c.talk, &q), &q
+		c.gossipQueue, c.gossipByLife[it.Life] = append(c.gossipQueue, &q), &q
 	}
-	for l, at := range m.asked {
-		c.asked[l] = at
+	for l, at := range m.recordRequestedAt {
+		c.recordRequestedAt[l] = at
 	}
-	c.sends, c.spare, c.events = nil, nil, nil
+	c.sends, c.spareSends, c.events = nil, nil, nil
 	return &c
 }
 
-// world is three members and what is on the way between them.
-type world struct {
-	now   Moment
-	at    [3]*Machine // nil: nobody runs there
-	start uint64
-	way   []flight
-	incs  map[Life]Inc               // the highest each life itself has said
-	word  map[[2]Life]Moment         // when a life last heard another itself
-	held  map[[2]Life]Rumour         // what a life last held of another
-	fault func(w *world, i int) bool // a bug that is put in on purpose: what it returns false for is not sent
-	wrong string
+// fleetState is three members and the datagrams in flight between them.
+type fleetState struct {
+	now          Moment
+	machines     [3]*Machine // nil where no process is running
+	startCount   uint64
+	inFlight     []datagram
+	incarnations map[Life]Inc                    // the highest that each process has sent itself
+	lastHeard    map[[2]Life]Moment              // when a process last received a message from another
+	lastView     map[[2]Life]Rumour              // the last state that a process held of another
+	fault        func(w *fleetState, i int) bool // called after each input to inject a bug
+	violation    string
 }
 
-type flight struct {
+type datagram struct {
 	to   int
 	from netip.AddrPort
 	msg  *Message
 }
 
-func newWorld(fault func(*world, int) bool) *world {
-	w := &world{incs: map[Life]Inc{}, word: map[[2]Life]Moment{}, held: map[[2]Life]Rumour{}, fault: fault}
-	for i := range w.at {
-		w.run(i)
+func newWorld(fault func(*fleetState, int) bool) *fleetState {
+	w := &fleetState{incarnations: map[Life]Inc{}, lastHeard: map[[2]Life]Moment{}, lastView: map[[2]Life]Rumour{}, fault: fault}
+	for i := range w.machines {
+		w.startMember(i)
 	}
 	return w
 }
 
-func (w *world) run(i int) {
-	w.start++
-	w.at[i] = New(testTerms(i, len(w.at), w.start), w.now, nil)
-	w.take(i)
+func (w *fleetState) startMember(i int) {
+	w.startCount++
+	w.machines[i] = New(testConfig(i, len(w.machines), w.startCount), w.now, nil)
+	w.collect(i)
 }
 
-func (w *world) clone() *world {
+func (w *fleetState) clone() *fleetState {
 	c := *w
-	for i, m := range w.at {
+	for i, m := range w.machines {
 		if m != nil {
-			c.at[i] = m.clone()
+			c.machines[i] = m.clone()
 		}
 	}
-	c.way = slices.Clone(w.way)
-	c.incs, c.word, c.held = maps.Clone(w.incs), maps.Clone(w.word), maps.Clone(w.held)
+	c.inFlight = slices.Clone(w.inFlight)
+	c.incarnations, c.lastHeard, c.lastView = maps.Clone(w.incarnations), maps.Clone(w.lastHeard), maps.Clone(w.lastView)
 	return &c
 }
 
-// onWay bounds what is on the way: the oldest gets lost.
-const onWay = 4
+// maxInFlight bounds the datagrams in flight: beyond it the oldest are lost.
+const maxInFlight = 4
 
-// take moves what a machine sends onto the way, and checks what it holds.
-func (w *world) take(i int) {
-	m := w.at[i]
+// collect puts the messages of a machine in flight and checks its state.
+func (w *fleetState) collect(i int) {
+	m := w.machines[i]
 	sends, events := m.Out()
-	w.incs[m.self.Life] = max(w.incs[m.self.Life], m.self.Inc)
+	w.incarnations[m.self.Life] = max(w.incarnations[m.self.Life], m.self.Inc)
 	for _, s := range sends {
 		msg := s.Msg
 		if msg.Size() > MostDatagram {
-			w.bad("a datagram of %d bytes", msg.Size())
+			w.violate("a datagram of %d bytes", msg.Size())
 		}
-		for to := range w.at {
+		for to := range w.machines {
 			if s.To == testAddr(to) && to != i {
-				w.way = append(w.way, flight{to, testAddr(i), &msg})
+				w.inFlight = append(w.inFlight, datagram{to, testAddr(i), &msg})
 			}
 		}
 	}
 	if w.fault != nil {
 		w.fault(w, i)
 	}
-	for len(w.way) > onWay {
-		w.way = slices.Delete(w.way, 0, 1)
+	for len(w.inFlight) > maxInFlight {
+		w.inFlight = slices.Delete(w.inFlight, 0, 1)
 	}
 	for _, e := range events {
 		if e.What != "verdict" {
 			continue
 		}
-		if heard, ok := w.word[[2]Life{m.self.Life, e.Life}]; ok && w.now-heard < testSuspect {
-			w.bad("n%d declares %s dead, whom it heard %v ago", i, e.Name, w.now-heard)
+		if heard, ok := w.lastHeard[[2]Life{m.self.Life, e.Life}]; ok && w.now-heard < testSuspect {
+			w.violate("n%d declares %s dead, from which it received a message %v ago", i, e.Name, w.now-heard)
 		}
 	}
 	w.check(i)
 }
 
-func (w *world) bad(form string, args ...any) {
-	if w.wrong == "" {
-		w.wrong = fmt.Sprintf(form, args...)
+func (w *fleetState) violate(format string, args ...any) {
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// check holds one view against the invariants of docs/notes/members.md.
-func (w *world) check(i int) {
-	m := w.at[i]
+// check checks one view against the invariants of docs/notes/members.md.
+func (w *fleetState) check(i int) {
+	m := w.machines[i]
 	self := m.self.Life
-	digest, seen := self.mix(), map[string]Life{}
+	digest, byName := self.hash(), map[string]Life{}
 	if m.peers[self] != nil {
-		w.bad("n%d holds itself", i)
+		w.violate("n%d has itself among its peers", i)
 	}
 	for l, p := range m.peers {
-		if p.Inc > w.incs[l] {
-			w.bad("n%d holds %s at incarnation %d, which itself has said %d", i, p.Name, p.Inc, w.incs[l])
+		if p.Inc > w.incarnations[l] {
+			w.violate("n%d holds %s at incarnation %d, which has itself sent only %d", i, p.Name, p.Inc, w.incarnations[l])
 		}
-		now, key := Rumour{Life: l, Inc: p.Inc, State: p.state}, [2]Life{self, l}
-		if was, ok := w.held[key]; ok && (now.Inc < was.Inc || now.Inc == was.Inc && now.State < was.State) {
-			w.bad("n%d goes back from %v to %v", i, was, now)
+		current, pair := Rumour{Life: l, Inc: p.Inc, State: p.state}, [2]Life{self, l}
+		if previous, ok := w.lastView[pair]; ok && (current.Inc < previous.Inc || current.Inc == previous.Inc && current.State < previous.State) {
+			w.violate("n%d reverts from %v to %v", i, previous, current)
 		}
-		w.held[key] = now
-		if p.state.present() {
-			digest ^= l.mix()
-			if seen[p.Name] != 0 {
-				w.bad("n%d sees two lives of %s", i, p.Name)
+		w.lastView[pair] = current
+		if p.state.isPresent() {
+			digest ^= l.hash()
+			if byName[p.Name] != 0 {
+				w.violate("n%d has two processes of %s present", i, p.Name)
 			}
-			seen[p.Name] = l
-			if m.order[p.place] != p {
-				w.bad("n%d: order is broken", i)
+			byName[p.Name] = l
+			if m.present[p.index] != p {
+				w.violate("n%d: wrong index in the list of members present", i)
 			}
-		} else if m.dead[p.place] != p {
-			w.bad("n%d: the dead are broken", i)
+		} else if m.absent[p.index] != p {
+			w.violate("n%d: wrong index in the list of absent members", i)
 		}
-		for k, r := range w.held { // a newer life of a name ends the older ones
+		for k, r := range w.lastView { // a newer process of a name replaces the older ones
 			if k[0] == self && k[1] > l && m.peers[k[1]] == nil && r.Life&7 == l&7 && w.nameOf(k[1]) == p.Name {
-				w.bad("n%d raises an older life of %s", i, p.Name)
+				w.violate("n%d has added an older process of %s", i, p.Name)
 			}
 		}
 	}
 	if digest != m.digest {
-		w.bad("n%d: the digest is not that of its view", i)
+		w.violate("n%d: the digest does not match the view", i)
 	}
-	if len(m.looks) > mostWait || len(m.favours) > mostWait || len(m.urgent) > mostWait || len(m.peers) > m.terms.Most {
-		w.bad("n%d: a list grows beyond its bound", i)
+	if len(m.probes) > maxPendingProbes || len(m.relayedProbes) > maxPendingProbes || len(m.urgentProbes) > maxPendingProbes || len(m.peers) > m.config.Most {
+		w.violate("n%d: a list exceeds its bound", i)
 	}
 }
 
-func (w *world) nameOf(l Life) string { return fmt.Sprint("n", uint64(l)&7-1) }
+func (w *fleetState) nameOf(l Life) string { return fmt.Sprint("n", uint64(l)&7-1) }
 
-// steps are all that can happen next.
-func (w *world) steps() (all []func(*world)) {
-	for i, m := range w.at {
+// steps returns everything that can happen next.
+func (w *fleetState) steps() (all []func(*fleetState)) {
+	for i, m := range w.machines {
 		if m == nil {
-			all = append(all, func(w *world) { w.run(i) })
+			all = append(all, func(w *fleetState) { w.startMember(i) })
 			continue
 		}
-		all = append(all, func(w *world) {
-			w.now = max(w.now, w.at[i].Due())
-			w.at[i].Tick(w.now)
-			w.take(i)
+		all = append(all, func(w *fleetState) {
+			w.now = max(w.now, w.machines[i].Due())
+			w.machines[i].Tick(w.now)
+			w.collect(i)
 		})
-		if i == 2 { // one of three is enough: they are alike
-			all = append(all, func(w *world) { w.at[i] = nil },
-				func(w *world) {
-					w.at[i].Leave(w.now)
-					w.take(i)
-					w.at[i] = nil
+		if i == 2 { // for one member only, as the three are alike
+			all = append(all, func(w *fleetState) { w.machines[i] = nil },
+				func(w *fleetState) {
+					w.machines[i].Leave(w.now)
+					w.collect(i)
+					w.machines[i] = nil
 				})
 		}
 	}
-	for k := range w.way {
-		all = append(all, func(w *world) { w.deliver(k, false) }, func(w *world) { w.deliver(k, true) },
-			func(w *world) { w.way = slices.Delete(w.way, k, k+1) })
+	for k := range w.inFlight {
+		all = append(all, func(w *fleetState) { w.deliver(k, false) }, func(w *fleetState) { w.deliver(k, true) },
+			func(w *fleetState) { w.inFlight = slices.Delete(w.inFlight, k, k+1) })
 	}
 	return all
 }
 
-// deliver brings a datagram; again keeps it on its way for once more.
-func (w *world) deliver(k int, again bool) {
-	f := w.way[k]
-	if !again {
-		w.way = slices.Delete(w.way, k, k+1)
+// deliver delivers a datagram; with keep it stays in flight and can be delivered again.
+func (w *fleetState) deliver(k int, keep bool) {
+	f := w.inFlight[k]
+	if !keep {
+		w.inFlight = slices.Delete(w.inFlight, k, k+1)
 	}
-	m := w.at[f.to]
+	m := w.machines[f.to]
 	if m == nil {
 		return
 	}
-	w.word[[2]Life{m.self.Life, f.msg.From}] = w.now
+	w.lastHeard[[2]Life{m.self.Life, f.msg.From}] = w.now
 	m.Hear(w.now, f.from, f.msg)
-	w.take(f.to)
+	w.collect(f.to)
 	for _, r := range f.msg.Rumours {
 		if p := m.peers[r.Life]; r.State == Left && p != nil && p.state != Left {
-			w.bad("n%d was told that %s left and holds it %s", f.to, p.Name, p.state)
+			w.violate("n%d received that %s left and holds it %s", f.to, p.Name, p.state)
 		}
 	}
 }
 
-var seed = maphash.MakeSeed()
+var hashSeed = maphash.MakeSeed()
 
-// key tells states apart. Times count from now, in steps of a quarter period: finer ones differ in nothing but waiting.
-func (w *world) key() uint64 {
+// key identifies equal states. Times are relative to now, in quarters of a period: finer differences only change waiting times.
+func (w *fleetState) key() uint64 {
 	var h maphash.Hash
-	h.SetSeed(seed)
+	h.SetSeed(hashSeed)
 	rel := func(at Moment) int64 { return int64((at - w.now) / (testPeriod / 4)) }
-	for i, m := range w.at {
+	for i, m := range w.machines {
 		if m == nil {
 			fmt.Fprint(&h, "|", i)
 			continue
 		}
-		fmt.Fprint(&h, "|", m.self.Life, m.self.Inc, m.aside, m.health, m.silent, m.unproven, m.cursor, rel(m.due), rel(m.nextLook), rel(m.nextContact))
-		for _, list := range [][]*peer{m.order, m.dead} {
+		fmt.Fprint(&h, "|", m.self.Life, m.self.Inc, m.nameTaken, m.localHealth, m.consecutiveUnanswered, m.unansweredSinceStall, m.cursor, rel(m.due), rel(m.nextProbe), rel(m.nextReconnect))
+		for _, list := range [][]*peer{m.present, m.absent} {
 			for _, p := range list {
-				fmt.Fprint(&h, ";", p.Life, p.Inc, p.state, p.own, p.witnesses, rel(p.heard), rel(p.began))
+				fmt.Fprint(&h, ";", p.Life, p.Inc, p.state, p.ownProbeFailed, p.suspectedBy, rel(p.lastHeard), rel(p.startedAt))
 			}
 		}
-		for _, l := range m.looks {
-			fmt.Fprint(&h, "?", l.seq, l.life, l.asked, l.nacks, rel(l.next))
+		for _, l := range m.probes {
+			fmt.Fprint(&h, "?", l.seq, l.target, l.indirect, l.nacks, rel(l.nextStep))
 		}
-		for _, f := range m.favours {
-			fmt.Fprint(&h, "!", f.seq, f.for_, rel(f.until))
+		for _, f := range m.relayedProbes {
+			fmt.Fprint(&h, "!", f.seq, f.requester, rel(f.deadline))
 		}
-		for _, it := range m.talk {
-			fmt.Fprint(&h, "~", it.Rumour, it.told)
+		for _, it := range m.gossipQueue {
+			fmt.Fprint(&h, "~", it.Rumour, it.transmissions)
 		}
 	}
-	for _, f := range w.way {
+	for _, f := range w.inFlight {
 		fmt.Fprint(&h, ">", f.to, f.msg.Kind, f.msg.From, f.msg.Seq, f.msg.Inc, f.msg.Rumours, len(f.msg.Records))
 	}
 	return h.Sum64()
 }
 
-// orders goes through every order of steps from a world and tells how many states it met, and the first that is wrong.
-func orders(w *world, depth int) (states int, wrong string) {
-	return explore.Orders(w, depth, (*world).clone, (*world).steps, (*world).key, func(w *world) string { return w.wrong })
+// exploreOrders goes through every order of steps from a state and returns the number of states and the first violation.
+func exploreOrders(w *fleetState, depth int) (states int, wrong string) {
+	return explore.Orders(w, depth, (*fleetState).clone, (*fleetState).steps, (*fleetState).key, func(w *fleetState) string { return w.violation })
 }
 
-// settled is a world in which all know all, with one of them silent for so many periods already: the interesting part begins there.
-func settled(fault func(*world, int) bool, silent int) *world {
+// settledFleet returns a fleet in which all members know each other and the last one has received nothing for some periods, so
+// that the exploration starts close to a suspicion or a death.
+func settledFleet(fault func(*fleetState, int) bool, silent int) *fleetState {
 	w := newWorld(nil)
-	w.quiet(10*testPeriod, func(int) bool { return true })
-	w.quiet(Moment(silent)*testPeriod, func(i int) bool { return i != 2 })
+	w.runInOrder(10*testPeriod, func(int) bool { return true })
+	w.runInOrder(Moment(silent)*testPeriod, func(i int) bool { return i != 2 })
 	w.fault = fault
 	return w
 }
 
-// quiet goes on in the usual order; those that may not hear get nothing.
-func (w *world) quiet(d time.Duration, hears func(int) bool) {
+// runInOrder runs the members in the order of their due times and delivers at once to those that may receive.
+func (w *fleetState) runInOrder(d time.Duration, receives func(int) bool) {
 	for until := w.now + d; w.now < until; {
 		first := 0
-		for i, m := range w.at {
-			if m.Due() < w.at[first].Due() {
+		for i, m := range w.machines {
+			if m.Due() < w.machines[first].Due() {
 				first = i
 			}
 		}
-		w.now = max(w.now, w.at[first].Due())
-		w.at[first].Tick(w.now)
-		w.take(first)
-		for len(w.way) > 0 {
-			if hears(w.way[0].to) {
+		w.now = max(w.now, w.machines[first].Due())
+		w.machines[first].Tick(w.now)
+		w.collect(first)
+		for len(w.inFlight) > 0 {
+			if receives(w.inFlight[0].to) {
 				w.deliver(0, false)
 			} else {
-				w.way = w.way[1:]
+				w.inFlight = w.inFlight[1:]
 			}
 		}
 	}
 }
 
-// Every order of delivering, losing, repeating, turns, kills, starts and leaves keeps the invariants; from a whole fleet, from
+// Every order of deliveries, losses, repetitions, ticks, kills, starts and leaves keeps the invariants: from a complete fleet, from
 // one in which a member is about to be suspected, and from one in which it is about to be declared dead.
 func TestEveryOrder(t *testing.T) {
 	for _, silent := range []int{0, 2, 6} {
-		w := settled(nil, silent)
-		if w.wrong != "" {
-			t.Fatal(w.wrong)
+		w := settledFleet(nil, silent)
+		if w.violation != "" {
+			t.Fatal(w.violation)
 		}
-		n, wrong := orders(w, *depth-silent/6)
+		n, wrong := exploreOrders(w, *exploreDepth-silent/6)
 		t.Logf("%d periods silent: %d states", silent, n)
 		if wrong != "" {
 			t.Errorf("%d periods silent: %s", silent, wrong)
@@ -341,11 +342,11 @@
 	}
 }
 
-// The explorer finds what is wrong: bugs that are put in on purpose.
+// The exploration finds injected bugs.
 func TestExplorerFindsBugs(t *testing.T) {
-	for name, fault := range map[string]func(w *world, i int) bool{
-		"raises the incarnation of another": func(w *world, i int) bool {
-			for _, f := range w.way {
+	for name, fault := range map[string]func(w *fleetState, i int) bool{
+		"raises the incarnation of another": func(w *fleetState, i int) bool {
+			for _, f := range w.inFlight {
 				for k := range f.msg.Rumours {
 					if r := &f.msg.Rumours[k]; i == 0 && r.Life != f.msg.From && r.State == Suspected {
 						r.Inc = 7
@@ -354,9 +355,9 @@
 			}
 			return true
 		},
-		"declares deaths at once": func(w *world, i int) bool { w.at[0].terms.Suspect = 1; return true },
-		"forgets who left": func(w *world, i int) bool {
-			for _, p := range w.at[i].dead {
+		"declares deaths at once": func(w *fleetState, i int) bool { w.machines[0].config.Suspect = 1; return true },
+		"forgets who left": func(w *fleetState, i int) bool {
+			for _, p := range w.machines[i].absent {
 				if p.state == Left {
 					p.state = Dead
 				}
@@ -366,7 +367,7 @@
 	} {
 		wrong := ""
 		for _, silent := range []int{0, 2, 6} {
-			if _, wrong = orders(settled(fault, silent), 6); wrong != "" {
+			if _, wrong = exploreOrders(settledFleet(fault, silent), 6); wrong != "" {
 				break
 			}
 		}
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -9,246 +9,250 @@
 	"time"
 )
 
-// Machine is one balancer's membership.
+// Machine is the membership state of one balancer.
 type Machine struct {
-	terms  Terms
-	chance *rand.Rand
-	source *rand.PCG
-
-	self   Record
-	now    Moment
-	due    Moment // when Tick is owed; coming much later means that this process stood still
-	peers  map[Life]*peer
-	names  map[string]*peer // the newest life under each name
-	order  []*peer          // those present, in the order of looks
-	cursor int
-	dead   []*peer         // not present
-	digest uint64          // of those present
-	sums   [buckets]uint64 // the same by bucket
+	config    Terms
+	rng       *rand.Rand
+	rngSource *rand.PCG
+
+	self          Record
+	now           Moment
+	due           Moment // when Tick is to be called; a call much later means that this process was stalled
+	peers         map[Life]*peer
+	byName        map[string]*peer // the newest process of each name
+	present       []*peer          // members present, in probe order
+	cursor        int
+	absent        []*peer               // members dead or left
+	digest        uint64                // of the members present, including this one
+	bucketDigests [digestBuckets]uint64 // the same for each bucket
 	suspects
 
-	seq      uint32
-	looks    []look
-	favours  []favour
-	urgent   []Life // to be looked at out of turn
-	talk     []*item
-	talks    map[Life]*item
-	wants    []Life // of the input in hand
-	asked    map[Life]Moment
-	tokens   float64
-	refilled Moment
-
-	nextLook, nextTalk, nextContact, nextExchange Moment
-
-	health   int  // 0 is well
-	silent   int  // looks in a row without any answer at all
-	unproven bool // it stood still, and no look has been answered since
-	unlike   int  // messages in a row that told of another view
-	rival    Record
-	rivalAt  Moment
-	aside    bool // another process has this one's name
-
-	version   uint64
-	situation Situation
-	sends     []Send
-	spare     []Send
-	events    []Event
-}
-
-// peer is another life.
+	seq               uint32
+	probes            []probe
+	relayedProbes     []relayedProbe
+	urgentProbes      []Life // to be probed out of turn
+	gossipQueue       []*gossipItem
+	gossipByLife      map[Life]*gossipItem
+	missingRecords    []Life // records missing for the input being processed
+	recordRequestedAt map[Life]Moment
+	tokens            float64
+	refilledAt        Moment
+
+	nextProbe, nextGossip, nextReconnect, nextExchange Moment
+
+	localHealth           int  // 0 is healthy
+	consecutiveUnanswered int  // probes in a row without any answer, direct or indirect
+	unansweredSinceStall  bool // this process was stalled, and no probe has been answered since
+	digestMismatches      int  // messages in a row whose digest differed
+	nameConflict          Record
+	nameConflictAt        Moment
+	nameTaken             bool // a newer process has this one's name
+
+	version    uint64
+	situation  Situation
+	sends      []Send
+	spareSends []Send
+	events     []Event
+}
+
+// peer is another process.
 type peer struct {
 	Record
-	state     State
-	since     Moment
-	heard     Moment // of it directly; never where 0
-	rtt       time.Duration
-	place     int // in order or in dead
-	witnesses []Life
-	toldDead  bool // by a table: an own look without answer is enough then
+	state        State
+	since        Moment
+	lastHeard    Moment // last direct message from it; 0 means never
+	rtt          time.Duration
+	index        int // in present or in absent
+	suspectedBy  []Life
+	reportedDead bool // by a table or an update: one own probe without an answer is then enough to declare it dead
 	suspicion
 }
 
 type suspicion struct {
-	own   bool // this balancer itself got no answer
-	began Moment
-	again Moment // when it is looked at again
+	ownProbeFailed bool // an own probe got no answer
+	startedAt      Moment
+	nextProbeAt    Moment // when it is probed again
 }
 
-// suspects are those under suspicion, in no order.
+// suspects holds the suspected members in no particular order.
 type suspects struct{ suspected []*peer }
 
-// look is a ping on its way.
-type look struct {
-	seq         uint32
-	at          Moment
-	life        Life
-	asked       bool // others have been asked
-	nacks       []Life
-	contact     bool // to one who is dead here, or to an address: silence says nothing new
-	until, next Moment
+// probe is a ping in progress.
+type probe struct {
+	seq                uint32
+	sentAt             Moment
+	target             Life
+	indirect           bool // other members have been asked to ping the target
+	nacks              []Life
+	reconnect          bool // sent to a member held dead, or to a mere address: no answer says nothing new
+	deadline, nextStep Moment
 }
 
-// favour is a look for another.
-type favour struct {
-	seq    uint32
-	for_   Life
-	theirs uint32
-	target Life
-	until  Moment
+// relayedProbe is an indirect probe made for another member.
+type relayedProbe struct {
+	seq          uint32
+	requester    Life
+	requesterSeq uint32
+	target       Life
+	deadline     Moment
 }
 
-// item is a rumour that is still passed on. Whoever does not know the life asks for its record.
-type item struct {
+// gossipItem is an update that is still being sent. Whoever lacks the process's record requests it.
+type gossipItem struct {
 	Rumour
-	told int // by this balancer, or to it again by others, who then know it too
+	transmissions int // how often this balancer has sent the update, or received it again from members that therefore know it
 }
 
-// New makes the machine of a process at its start. kept is what an older process of the same member hands over.
-func New(t Terms, now Moment, kept *Kept) *Machine {
-	m := &Machine{terms: t, source: rand.NewPCG(t.Seed, uint64(t.Self.Life)), self: t.Self, now: now, refilled: now,
-		peers: map[Life]*peer{}, names: map[string]*peer{}, talks: map[Life]*item{}, asked: map[Life]Moment{},
-		tokens: float64(t.Budget * burstFor)}
-	m.chance = rand.New(m.source)
-	m.terms.Seeds = slices.Clone(t.Seeds) // they are asked in a drawn order
-	m.tally(m.self.Life)
+// New returns the Machine of a process at its start. kept is the state that an older process of the same member hands over.
+func New(c Terms, now Moment, kept *Kept) *Machine {
+	m := &Machine{config: c, rngSource: rand.NewPCG(c.Seed, uint64(c.Self.Life)), self: c.Self, now: now, refilledAt: now,
+		peers: map[Life]*peer{}, byName: map[string]*peer{}, gossipByLife: map[Life]*gossipItem{}, recordRequestedAt: map[Life]Moment{},
+		tokens: float64(c.Budget * burstSeconds)}
+	m.rng = rand.New(m.rngSource)
+	m.config.Seeds = slices.Clone(c.Seeds) // they are shuffled
+	m.toggleDigest(m.self.Life)
 	if kept != nil {
-		m.tally(m.self.Life)
+		m.toggleDigest(m.self.Life)
 		m.self.Life, m.self.Inc = kept.Life, kept.Inc
-		m.tally(m.self.Life)
+		m.toggleDigest(m.self.Life)
 		for _, r := range kept.Members {
-			if p := m.raise(r); p != nil {
-				p.heard = now
+			if p := m.addPeer(r); p != nil {
+				p.lastHeard = now
 			}
 		}
-		m.self.Inc++ // so that what the older process said last is older than what this one says
+		m.self.Inc++ // so that this process's statements supersede the older process's
 	}
-	m.spread(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
-	m.nextLook = now + m.part(m.chance.Float64())
-	m.nextTalk = now
-	m.nextContact = now
-	m.situation = m.judge()
-	m.plan()
+	m.enqueueUpdate(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
+	m.nextProbe = now + m.periods(m.rng.Float64())
+	m.nextGossip = now
+	m.nextReconnect = now
+	m.situation = m.assessSituation()
+	m.schedule()
 	return m
 }
 
-// Kept is what a newer process of the same member takes over.
+// Kept is the state that a newer process of the same member takes over.
 type Kept struct {
 	Life    Life
 	Inc     Inc
 	Members []Record
-	Count   uint64 // of datagrams sent, for the carrier
+	Count   uint64 // of datagrams sent, for the transport
 }
 
-// Keep is what this process hands over.
+// Keep returns the state to hand over.
 func (m *Machine) Keep() Kept {
 	k := Kept{Life: m.self.Life, Inc: m.self.Inc}
-	for _, p := range m.order {
+	for _, p := range m.present {
 		k.Members = append(k.Members, p.Record)
 	}
 	return k
 }
 
-// tally counts a life in among those present, or out.
-func (m *Machine) tally(l Life) {
-	x := l.mix()
-	m.digest ^= x
-	m.sums[x%buckets] ^= x
+// toggleDigest adds a process to the digests of those present, or removes it.
+func (m *Machine) toggleDigest(id Life) {
+	h := id.hash()
+	m.digest ^= h
+	m.bucketDigests[h%digestBuckets] ^= h
 }
 
-// Life is this process's mark.
+// Life returns this process's identifier.
 func (m *Machine) Life() Life { return m.self.Life }
 
-// Due is when Tick is owed.
+// Due returns when Tick is to be called next.
 func (m *Machine) Due() Moment { return m.due }
 
-// Out gives what is to be sent and what has happened since the last time; the list of sends is good until the one after
-// the next call.
+// Out returns the messages to send and the events since its last call. The list of messages stays valid until the call after
+// the next one.
 func (m *Machine) Out() (sends []Send, events []Event) {
 	sends, events = m.sends, m.events
-	m.sends, m.spare = m.spare[:0], m.sends
+	m.sends, m.spareSends = m.spareSends[:0], m.sends
 	m.events = nil
 	return sends, events
 }
 
-func (m *Machine) part(of float64) time.Duration { return time.Duration(of * float64(m.terms.Period)) }
+func (m *Machine) periods(n float64) time.Duration {
+	return time.Duration(n * float64(m.config.Period))
+}
 
-// patience is how much longer this balancer waits for being in doubt of itself.
-func (m *Machine) patience(d time.Duration) time.Duration { return d * time.Duration(1+m.health) }
+// scaleByHealth lengthens a timeout while this balancer has reason to doubt its own links.
+func (m *Machine) scaleByHealth(d time.Duration) time.Duration {
+	return d * time.Duration(1+m.localHealth)
+}
 
-// begin takes the time for an input. A machine that comes to its turn far too late stood still: what it waited for may have
-// been answered and lost, and says nothing about others.
-func (m *Machine) begin(now Moment) {
+// advanceClock sets the time for an input. A call long after the due time means that this process was stalled: the answers it
+// waited for may have come and been lost, and their absence says nothing about other members.
+func (m *Machine) advanceClock(now Moment) {
 	now = max(now, m.now)
 	late := now - max(m.due, m.now)
 	m.now = now
-	if late < m.part(1) {
+	if late < m.periods(1) {
 		return
 	}
-	m.event(Event{What: "stalled", Name: m.self.Name, Life: m.self.Life, Cause: "stood still for " + late.Round(time.Millisecond).String()})
-	m.looks, m.favours = nil, nil
-	m.unproven = len(m.order) > 0
+	m.emit(Event{What: "stalled", Name: m.self.Name, Life: m.self.Life, Cause: "stood still for " + late.Round(time.Millisecond).String()})
+	m.probes, m.relayedProbes = nil, nil
+	m.unansweredSinceStall = len(m.present) > 0
 	for _, p := range m.suspected {
-		p.began += late
-		p.again = now
+		p.startedAt += late
+		p.nextProbeAt = now
 	}
-	m.nextLook, m.nextContact = now, min(m.nextContact, now+m.part(1))
+	m.nextProbe, m.nextReconnect = now, min(m.nextReconnect, now+m.periods(1))
 }
 
-// Tick does what is due.
+// Tick does the work that is due.
 func (m *Machine) Tick(now Moment) {
-	m.begin(now)
-	m.refill()
-	m.endLooks()
-	m.endFavours()
-	m.judgeSuspects()
-	if !m.aside {
-		if m.now >= m.nextLook {
-			m.nextLook = m.now + m.part(0.95+0.1*m.chance.Float64())
-			m.lookOnce()
+	m.advanceClock(now)
+	m.refillTokens()
+	m.advanceProbes()
+	m.expireRelayedProbes()
+	m.checkSuspicions()
+	if !m.nameTaken {
+		if m.now >= m.nextProbe {
+			m.nextProbe = m.now + m.periods(0.95+0.1*m.rng.Float64())
+			m.probeNext()
 		}
-		if m.now >= m.nextTalk {
-			m.nextTalk = m.now + m.part(directPart)
-			m.talkOnce()
+		if m.now >= m.nextGossip {
+			m.nextGossip = m.now + m.periods(directProbePeriods)
+			m.sendGossip()
 		}
 	}
-	if m.now >= m.nextContact {
-		m.nextContact = m.now + m.part(contactTimes*(0.75+0.5*m.chance.Float64()))
-		m.contact()
+	if m.now >= m.nextReconnect {
+		m.nextReconnect = m.now + m.periods(reconnectPeriods*(0.75+0.5*m.rng.Float64()))
+		m.reconnect()
 	}
-	m.plan()
+	m.schedule()
 }
 
-// plan sets when the next turn is owed and says when the situation has changed.
-func (m *Machine) plan() {
-	m.due = m.nextContact
-	if !m.aside {
-		m.due = min(m.due, m.nextLook)
-		if len(m.talk) > 0 {
-			m.due = min(m.due, m.nextTalk)
+// schedule sets the time of the next Tick and emits an event when the situation has changed.
+func (m *Machine) schedule() {
+	m.due = m.nextReconnect
+	if !m.nameTaken {
+		m.due = min(m.due, m.nextProbe)
+		if len(m.gossipQueue) > 0 {
+			m.due = min(m.due, m.nextGossip)
 		}
 	}
-	for i := range m.looks {
-		m.due = min(m.due, m.looks[i].next)
+	for i := range m.probes {
+		m.due = min(m.due, m.probes[i].nextStep)
 	}
-	for i := range m.favours {
-		m.due = min(m.due, m.favours[i].until)
+	for i := range m.relayedProbes {
+		m.due = min(m.due, m.relayedProbes[i].deadline)
 	}
 	for _, p := range m.suspected {
-		m.due = min(m.due, m.verdictAt(p))
+		m.due = min(m.due, m.suspicionEndsAt(p))
 	}
 	m.due = max(m.due, m.now+time.Millisecond)
-	if s := m.judge(); s != m.situation {
-		m.event(Event{What: "situation", Name: m.self.Name, Life: m.self.Life, Cause: m.situation.String() + " to " + s.String()})
+	if s := m.assessSituation(); s != m.situation {
+		m.emit(Event{What: "situation", Name: m.self.Name, Life: m.self.Life, Cause: m.situation.String() + " to " + s.String()})
 		m.situation = s
 		m.version++
 	}
 }
 
-// judge finds the word for the situation.
-func (m *Machine) judge() Situation {
-	seen, expected := len(m.order)+1, m.terms.Expected
+// assessSituation determines the situation from the number of members present and this process's own state.
+func (m *Machine) assessSituation() Situation {
+	seen, expected := len(m.present)+1, m.config.Expected
 	switch {
-	case m.aside, m.unproven, m.silent >= 2 && len(m.order) > 0:
+	case m.nameTaken, m.unansweredSinceStall, m.consecutiveUnanswered >= 2 && len(m.present) > 0:
 		return Unsure
 	case seen >= expected:
 		return Whole
@@ -260,608 +264,612 @@
 	return Minority
 }
 
-func (m *Machine) event(e Event) { m.events = append(m.events, e) }
+func (m *Machine) emit(e Event) { m.events = append(m.events, e) }
 
-// Hear takes a message that has come from an address.
+// Hear processes a message received from an address.
 func (m *Machine) Hear(now Moment, from netip.AddrPort, msg *Message) {
 	if msg.From == m.self.Life || msg.From == 0 {
 		return
 	}
-	m.begin(now)
-	m.refill()
+	m.advanceClock(now)
+	m.refillTokens()
 	for _, r := range msg.Records {
-		m.record(r)
+		m.receiveRecord(r)
 	}
 	p := m.peers[msg.From]
 	switch {
-	case p == nil && m.older(msg):
-		m.plan()
+	case p == nil && m.handleSuperseded(msg):
+		m.schedule()
 		return
 	case p == nil:
-		m.want(msg.From)
-	case msg.Kind == Rival: // below; it is no member
+		m.noteMissingRecord(msg.From)
+	case msg.Kind == Rival: // handled below; the sender is not a member
 	default:
-		m.direct(p, msg.Inc)
+		m.noteDirectContact(p, msg.Inc)
 	}
 	if msg.Kind == Rival {
-		m.rivals(msg)
-		m.plan()
+		m.noteNameConflict(msg)
+		m.schedule()
 		return
 	}
 	for _, r := range msg.Rumours {
-		m.rumour(r, msg.Kind == Table)
+		m.receiveUpdate(r, msg.Kind == Table)
 	}
-	m.answer(from, p, msg)
-	m.askRecords(from, msg.From)
-	if p != nil && p.state.present() {
-		m.compare(p, msg)
+	m.respond(from, p, msg)
+	m.requestRecords(from, msg.From)
+	if p != nil && p.state.isPresent() {
+		m.compareDigest(p, msg)
 	}
-	m.plan()
+	m.schedule()
 }
 
-// older deals with a sender whose name a newer life has: it is told so, and stands aside. What it says is not heard.
-func (m *Machine) older(msg *Message) bool {
+// handleSuperseded deals with a sender whose name belongs to a newer process: it is notified and the rest of its message is
+// ignored. It reports whether this was so.
+func (m *Machine) handleSuperseded(msg *Message) bool {
 	for _, r := range msg.Records {
-		if r.Life != msg.From || !r.sound() {
+		if r.Life != msg.From || !r.isValid() {
 			continue
 		}
 		if r.Name == m.self.Name {
-			m.rivals(msg)
+			m.noteNameConflict(msg)
 			return true
 		}
-		if n := m.names[r.Name]; n != nil && n.Life > r.Life {
-			m.send(m.reach(r), Message{Kind: Gossip, To: r.Life, Records: []Record{n.Record}})
+		if n := m.byName[r.Name]; n != nil && n.Life > r.Life {
+			m.send(m.addressOf(r), Message{Kind: Gossip, To: r.Life, Records: []Record{n.Record}})
 			return true
 		}
 	}
 	return false
 }
 
-// rivals notes that another process speaks under this one's name. Where it has the same address too it is gone: the
-// address is this process's now.
-func (m *Machine) rivals(msg *Message) {
+// noteNameConflict records that another process uses this one's name. Where that process has the same address too it must have
+// ended, as the address now belongs to this process.
+func (m *Machine) noteNameConflict(msg *Message) {
 	for _, r := range msg.Records {
-		if r.Name != m.self.Name || r.Life == m.self.Life || !r.sound() {
+		if r.Name != m.self.Name || r.Life == m.self.Life || !r.isValid() {
 			continue
 		}
 		if r.Addr == m.self.Addr {
 			if r.Life > m.self.Life {
-				m.rename(r.Life)
+				m.renewLife(r.Life)
 			}
 			continue
 		}
-		if m.rival.Life != r.Life {
-			m.event(Event{What: "name-shared", Name: r.Name, Life: r.Life, Cause: "another process has this name, at " + r.Addr.String()})
+		if m.nameConflict.Life != r.Life {
+			m.emit(Event{What: "name-shared", Name: r.Name, Life: r.Life, Cause: "another process has this name, at " + r.Addr.String()})
 		}
-		m.rival, m.rivalAt = r, m.now
-		if r.Life > m.self.Life && !m.aside {
-			m.aside = true
-			m.event(Event{What: "name-taken", Name: r.Name, Life: r.Life, Cause: "the newer process at " + r.Addr.String() + " keeps the name"})
+		m.nameConflict, m.nameConflictAt = r, m.now
+		if r.Life > m.self.Life && !m.nameTaken {
+			m.nameTaken = true
+			m.emit(Event{What: "name-taken", Name: r.Name, Life: r.Life, Cause: "the newer process at " + r.Addr.String() + " keeps the name"})
 			m.version++
-			m.nextContact = m.now
+			m.nextReconnect = m.now
 		}
-		if r.Life < m.self.Life { // it may not know
-			m.send(m.reach(r), Message{Kind: Rival, To: r.Life, Records: []Record{m.self}})
+		if r.Life < m.self.Life { // it may not know of this process
+			m.send(m.addressOf(r), Message{Kind: Rival, To: r.Life, Records: []Record{m.self}})
 		}
 	}
 }
 
-// rename gives this process a newer mark than one that was at its address before, born by a clock that was ahead.
-func (m *Machine) rename(than Life) {
-	m.tally(m.self.Life)
-	m.self.Life = (than>>chanceBits+1)<<chanceBits | m.self.Life&(1<<chanceBits-1)
-	m.tally(m.self.Life)
-	m.spread(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
+// renewLife gives this process a greater identifier than that of an earlier process at its address, which was started with its
+// clock ahead.
+func (m *Machine) renewLife(older Life) {
+	m.toggleDigest(m.self.Life)
+	m.self.Life = (older>>randomBits+1)<<randomBits | m.self.Life&(1<<randomBits-1)
+	m.toggleDigest(m.self.Life)
+	m.enqueueUpdate(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
 }
 
-// direct notes that a life itself was heard.
-func (m *Machine) direct(p *peer, inc Inc) {
+// noteDirectContact records that a message came from the process itself.
+func (m *Machine) noteDirectContact(p *peer, inc Inc) {
 	if p.state == Left {
 		return
 	}
-	p.heard = m.now
+	p.lastHeard = m.now
 	if inc > p.Inc {
-		m.rumour(Rumour{Life: p.Life, Inc: inc, State: Alive}, false)
+		m.receiveUpdate(Rumour{Life: p.Life, Inc: inc, State: Alive}, false)
 	}
-	p.own, p.toldDead = false, false // it speaks: whatever found it silent is over; a refutation is on its way
+	p.ownProbeFailed, p.reportedDead = false, false // it is running, so the reason for these is past; its refutation is on its way
 }
 
-// answer does what a kind of message owes.
-func (m *Machine) answer(from netip.AddrPort, p *peer, msg *Message) {
-	back := from
+// respond sends the answer that a message requires.
+func (m *Machine) respond(from netip.AddrPort, p *peer, msg *Message) {
+	replyTo := from
 	if p != nil {
-		back = m.reach(p.Record)
+		replyTo = m.addressOf(p.Record)
 	}
 	switch msg.Kind {
 	case Ping:
-		if msg.To != 0 && msg.To != m.self.Life { // for who was here before
-			m.send(back, Message{Kind: Gossip, To: msg.From, Records: []Record{m.self}})
+		if msg.To != 0 && msg.To != m.self.Life { // meant for an earlier process at this address
+			m.send(replyTo, Message{Kind: Gossip, To: msg.From, Records: []Record{m.self}})
 			return
 		}
 		a := Message{Kind: Ack, To: msg.From, Seq: msg.Seq, Target: m.self.Life}
 		if msg.To == 0 || msg.Full || p == nil {
 			a.Records = []Record{m.self}
 		}
-		if msg.Full { // a newcomer: where many come at once these do for each other what this one cannot do for all
-			for _, o := range m.draw(referred, msg.From) {
+		if msg.Full { // from a newcomer: referring it to others spreads the load when many start at once
+			for _, o := range m.randomAlive(newcomerReferrals, msg.From) {
 				a.Records = append(a.Records, o.Record)
 			}
 		}
-		if p != nil && p.state != Alive { // it has to hear what is held against it to contradict that
+		if p != nil && p.state != Alive { // it can refute a suspicion or death only once it knows of it
 			a.Rumours = append(a.Rumours, Rumour{Life: p.Life, Inc: p.Inc, State: p.state})
 		}
-		m.send(back, a)
+		m.send(replyTo, a)
 		if msg.Back {
-			m.table(back, msg.From, allBuckets, msg.Full, false)
+			m.sendTable(replyTo, msg.From, allBucketsMask, msg.Full, false)
 		}
 	case Ask:
-		if len(m.favours) >= mostWait {
+		if len(m.relayedProbes) >= maxPendingProbes {
 			return
 		}
 		if t := m.peers[msg.Target]; t != nil {
 			m.seq++
-			m.favours = append(m.favours, favour{seq: m.seq, for_: msg.From, theirs: msg.Seq, target: msg.Target, until: m.now + m.part(directPart)})
+			m.relayedProbes = append(m.relayedProbes, relayedProbe{seq: m.seq, requester: msg.From, requesterSeq: msg.Seq, target: msg.Target, deadline: m.now + m.periods(directProbePeriods)})
 			m.ping(t, m.seq)
 		}
 	case Ack:
-		m.acked(msg)
+		m.handleAck(msg)
 	case Nack:
-		for i := range m.looks {
-			if l := &m.looks[i]; l.seq == msg.Seq && !slices.Contains(l.nacks, msg.From) && len(l.nacks) < relays+worstHealth {
+		for i := range m.probes {
+			if l := &m.probes[i]; l.seq == msg.Seq && !slices.Contains(l.nacks, msg.From) && len(l.nacks) < indirectProbeRelays+maxLocalHealth {
 				l.nacks = append(l.nacks, msg.From)
-				m.silent, m.unproven = 0, false
+				m.consecutiveUnanswered, m.unansweredSinceStall = 0, false
 			}
 		}
 	case Table:
 		if msg.Back {
-			m.table(back, msg.From, msg.Mask, false, false)
+			m.sendTable(replyTo, msg.From, msg.Mask, false, false)
 		}
 	case Sums:
-		if mask := m.differ(msg.Sums); mask != 0 {
-			m.table(back, msg.From, mask, false, true)
+		if mask := m.differingBuckets(msg.Sums); mask != 0 {
+			m.sendTable(replyTo, msg.From, mask, false, true)
 		}
 	}
 	for i, w := range msg.Wants {
-		if i >= wantsOnce {
+		if i >= maxWantsPerDatagram {
 			break
 		}
 		if p := m.peers[w]; p != nil {
-			m.recordTo(back, msg.From, p.Record)
+			m.sendRecord(replyTo, msg.From, p.Record)
 		} else if w == m.self.Life {
-			m.recordTo(back, msg.From, m.self)
+			m.sendRecord(replyTo, msg.From, m.self)
 		}
 	}
 }
 
-// acked ends the look or the favour that an Ack answers.
-func (m *Machine) acked(msg *Message) {
-	m.silent, m.unproven = 0, false
-	for i := range m.looks {
-		l := m.looks[i]
-		if l.seq != msg.Seq || l.life != msg.Target && l.life != 0 {
+// handleAck ends the probe or the relayed probe that an Ack answers.
+func (m *Machine) handleAck(msg *Message) {
+	m.consecutiveUnanswered, m.unansweredSinceStall = 0, false
+	for i := range m.probes {
+		l := m.probes[i]
+		if l.seq != msg.Seq || l.target != msg.Target && l.target != 0 {
 			continue
 		}
-		m.looks = slices.Delete(m.looks, i, i+1)
-		if m.health > 0 {
-			m.health--
+		m.probes = slices.Delete(m.probes, i, i+1)
+		if m.localHealth > 0 {
+			m.localHealth--
 		}
-		if p := m.peers[msg.Target]; p != nil && !l.asked && msg.From == msg.Target {
-			if took := m.now - l.at; p.rtt == 0 {
+		if p := m.peers[msg.Target]; p != nil && !l.indirect && msg.From == msg.Target {
+			if took := m.now - l.sentAt; p.rtt == 0 {
 				p.rtt = took
 			} else {
-				p.rtt += (took - p.rtt) / 8 // as TCP smooths it
+				p.rtt += (took - p.rtt) / 8 // smoothed as in TCP
 			}
 		}
 		if p := m.peers[msg.Target]; p != nil {
-			p.own = false
+			p.ownProbeFailed = false
 		}
 		return
 	}
-	for i, f := range m.favours {
+	for i, f := range m.relayedProbes {
 		if f.seq == msg.Seq && f.target == msg.Target {
-			m.favours = slices.Delete(m.favours, i, i+1)
-			if p := m.peers[f.for_]; p != nil {
-				a := Message{Kind: Ack, To: f.for_, Seq: f.theirs, Target: f.target}
+			m.relayedProbes = slices.Delete(m.relayedProbes, i, i+1)
+			if p := m.peers[f.requester]; p != nil {
+				a := Message{Kind: Ack, To: f.requester, Seq: f.requesterSeq, Target: f.target}
 				if t := m.peers[f.target]; t != nil {
 					a.Rumours = []Rumour{{Life: t.Life, Inc: t.Inc, State: t.state}}
 				}
-				m.send(m.reach(p.Record), a)
+				m.send(m.addressOf(p.Record), a)
 			}
 			return
 		}
 	}
 }
 
-// lookOnce pings the next member in turn, and those suspects whose turn it is.
-func (m *Machine) lookOnce() {
-	if p := m.nextToLook(); p != nil {
-		m.lookAt(p)
+// probeNext pings the next member in turn, and the suspects that are due to be probed again.
+func (m *Machine) probeNext() {
+	if p := m.nextProbeTarget(); p != nil {
+		m.startProbe(p)
 	}
-	again := 0
+	suspectProbes := 0
 	for _, p := range m.suspected {
-		if p.own && p.again <= m.now && again < looksAgain && !m.looking(p.Life) {
-			again++
-			m.lookAt(p)
+		if p.ownProbeFailed && p.nextProbeAt <= m.now && suspectProbes < maxSuspectProbes && !m.isProbing(p.Life) {
+			suspectProbes++
+			m.startProbe(p)
 		}
 	}
 }
 
-func (m *Machine) looking(l Life) bool {
-	return slices.ContainsFunc(m.looks, func(k look) bool { return k.life == l && !k.contact })
+func (m *Machine) isProbing(id Life) bool {
+	return slices.ContainsFunc(m.probes, func(p probe) bool { return p.target == id && !p.reconnect })
 }
 
-func (m *Machine) nextToLook() *peer {
-	for len(m.urgent) > 0 {
-		p := m.peers[m.urgent[0]]
-		m.urgent = m.urgent[1:]
-		if p != nil && p.state.present() && !m.looking(p.Life) {
+func (m *Machine) nextProbeTarget() *peer {
+	for len(m.urgentProbes) > 0 {
+		p := m.peers[m.urgentProbes[0]]
+		m.urgentProbes = m.urgentProbes[1:]
+		if p != nil && p.state.isPresent() && !m.isProbing(p.Life) {
 			return p
 		}
 	}
-	if len(m.order) == 0 {
+	if len(m.present) == 0 {
 		return nil
 	}
-	if m.cursor >= len(m.order) {
+	if m.cursor >= len(m.present) {
 		m.cursor = 0
-		m.chance.Shuffle(len(m.order), func(i, j int) {
-			m.order[i], m.order[j] = m.order[j], m.order[i]
-			m.order[i].place, m.order[j].place = i, j
+		m.rng.Shuffle(len(m.present), func(i, j int) {
+			m.present[i], m.present[j] = m.present[j], m.present[i]
+			m.present[i].index, m.present[j].index = i, j
 		})
 	}
-	p := m.order[m.cursor]
+	p := m.present[m.cursor]
 	m.cursor++
-	if m.looking(p.Life) {
+	if m.isProbing(p.Life) {
 		return nil
 	}
 	return p
 }
 
-func (m *Machine) lookAt(p *peer) {
-	if len(m.looks) >= mostWait {
+func (m *Machine) startProbe(p *peer) {
+	if len(m.probes) >= maxPendingProbes {
 		return
 	}
 	m.seq++
-	p.again = m.now + m.patience(m.part(1))
-	m.looks = append(m.looks, look{seq: m.seq, at: m.now, life: p.Life, until: m.now + m.patience(m.part(1)),
-		next: m.now + m.patience(m.part(directPart))})
+	p.nextProbeAt = m.now + m.scaleByHealth(m.periods(1))
+	m.probes = append(m.probes, probe{seq: m.seq, sentAt: m.now, target: p.Life, deadline: m.now + m.scaleByHealth(m.periods(1)),
+		nextStep: m.now + m.scaleByHealth(m.periods(directProbePeriods))})
 	m.ping(p, m.seq)
 }
 
-// ping asks a member for an answer, and tells it first what this view holds against it.
+// ping sends a Ping to a member, with the state this view holds of it unless that is alive.
 func (m *Machine) ping(p *peer, seq uint32) {
 	msg := Message{Kind: Ping, To: p.Life, Seq: seq}
 	if p.state != Alive {
 		msg.Rumours = append(msg.Rumours, Rumour{Life: p.Life, Inc: p.Inc, State: p.state, By: m.self.Life})
 	}
-	if p.heard == 0 {
+	if p.lastHeard == 0 {
 		msg.Records = append(msg.Records, m.self)
 	}
-	m.send(m.reach(p.Record), msg)
+	m.send(m.addressOf(p.Record), msg)
 }
 
-// endLooks asks others where no answer came, and suspects where none came to them either.
-func (m *Machine) endLooks() {
-	for i := 0; i < len(m.looks); {
-		l := &m.looks[i]
-		if m.now < l.next {
+// advanceProbes asks other members for indirect probes where no answer came, and suspects a member where these brought none either.
+func (m *Machine) advanceProbes() {
+	for i := 0; i < len(m.probes); {
+		l := &m.probes[i]
+		if m.now < l.nextStep {
 			i++
 			continue
 		}
-		p := m.peers[l.life]
-		if l.contact || p == nil || !p.state.present() {
-			m.looks = slices.Delete(m.looks, i, i+1)
+		p := m.peers[l.target]
+		if l.reconnect || p == nil || !p.state.isPresent() {
+			m.probes = slices.Delete(m.probes, i, i+1)
 			continue
 		}
-		if !l.asked && m.now < l.until {
-			l.asked, l.next = true, l.until
-			m.ping(p, l.seq) // again: where datagrams get lost the second one often comes through
-			for _, r := range m.draw(relays+m.health, l.life) {
-				m.send(m.reach(r.Record), Message{Kind: Ask, To: r.Life, Seq: l.seq, Target: p.Life, TargetAddr: p.Addr})
+		if !l.indirect && m.now < l.deadline {
+			l.indirect, l.nextStep = true, l.deadline
+			m.ping(p, l.seq) // on a link that loses packets the second ping often arrives
+			for _, r := range m.randomAlive(indirectProbeRelays+m.localHealth, l.target) {
+				m.send(m.addressOf(r.Record), Message{Kind: Ask, To: r.Life, Seq: l.seq, Target: p.Life, TargetAddr: p.Addr})
 			}
 			i++
 			continue
 		}
-		nacks, at := l.nacks, l.at
-		m.looks = slices.Delete(m.looks, i, i+1)
-		if len(nacks) == 0 { // not even those who were asked: it may be this balancer that hears nothing
-			m.silent++
-			if len(m.order) > 1 {
-				m.health = min(m.health+1, worstHealth)
+		nacks, at := l.nacks, l.sentAt
+		m.probes = slices.Delete(m.probes, i, i+1)
+		if len(nacks) == 0 { // no relay answered either: this balancer itself may be cut off
+			m.consecutiveUnanswered++
+			if len(m.present) > 1 {
+				m.localHealth = min(m.localHealth+1, maxLocalHealth)
 			}
 		}
-		if p.heard > at { // heard since the look began, by another way
+		if p.lastHeard > at { // it sent a message since the probe began
 			continue
 		}
-		if p.toldDead {
-			m.verdict(p)
+		if p.reportedDead {
+			m.declareDead(p)
 			continue
 		}
 		m.suspect(p, nacks)
 	}
 }
 
-func (m *Machine) endFavours() {
-	for i := 0; i < len(m.favours); {
-		f := m.favours[i]
-		if m.now < f.until {
+func (m *Machine) expireRelayedProbes() {
+	for i := 0; i < len(m.relayedProbes); {
+		f := m.relayedProbes[i]
+		if m.now < f.deadline {
 			i++
 			continue
 		}
-		m.favours = slices.Delete(m.favours, i, i+1)
-		if p := m.peers[f.for_]; p != nil {
-			m.send(m.reach(p.Record), Message{Kind: Nack, To: p.Life, Seq: f.theirs, Target: f.target})
+		m.relayedProbes = slices.Delete(m.relayedProbes, i, i+1)
+		if p := m.peers[f.requester]; p != nil {
+			m.send(m.addressOf(p.Record), Message{Kind: Nack, To: p.Life, Seq: f.requesterSeq, Target: f.target})
 		}
 	}
 }
 
-// suspect notes an own look without answer, and who was asked and got none either.
+// suspect records that an own probe got no answer, and which relays got none either.
 func (m *Machine) suspect(p *peer, nacks []Life) {
-	m.rumour(Rumour{Life: p.Life, Inc: p.Inc, State: Suspected, By: m.self.Life}, false)
+	m.receiveUpdate(Rumour{Life: p.Life, Inc: p.Inc, State: Suspected, By: m.self.Life}, false)
 	if p.state != Suspected {
 		return
 	}
-	if !p.own {
-		p.own = true
-		p.began = m.now
-		p.again = m.now
+	if !p.ownProbeFailed {
+		p.ownProbeFailed = true
+		p.startedAt = m.now
+		p.nextProbeAt = m.now
 	}
 	for _, n := range nacks {
-		m.witness(p, n)
+		m.confirmSuspicion(p, n)
 	}
 }
 
-func (m *Machine) witness(p *peer, by Life) bool {
-	if by == 0 || len(p.witnesses) > witnesses || slices.Contains(p.witnesses, by) {
+func (m *Machine) confirmSuspicion(p *peer, by Life) bool {
+	if by == 0 || len(p.suspectedBy) > fullConfirmations || slices.Contains(p.suspectedBy, by) {
 		return false
 	}
-	p.witnesses = append(p.witnesses, by)
+	p.suspectedBy = append(p.suspectedBy, by)
 	return true
 }
 
-// span is how long a suspicion lasts before a death: the shorter, the more witnesses bear it out (as Lifeguard has it).
-func (m *Machine) span(p *peer) time.Duration {
-	others := len(p.witnesses)
-	if slices.Contains(p.witnesses, m.self.Life) {
-		others--
+// suspicionTimeout returns how long a suspicion lasts before the member is declared dead. As in Lifeguard it gets shorter with
+// each member that confirms the suspicion.
+func (m *Machine) suspicionTimeout(p *peer) time.Duration {
+	confirmations := len(p.suspectedBy)
+	if slices.Contains(p.suspectedBy, m.self.Life) {
+		confirmations--
 	}
-	least, most := float64(m.terms.Suspect), float64(m.terms.Suspect)*aloneTimes
-	done := math.Log(float64(min(max(others, 0), witnesses)+1)) / math.Log(witnesses+1)
-	return m.patience(time.Duration(most - (most-least)*done))
+	shortest, longest := float64(m.config.Suspect), float64(m.config.Suspect)*unconfirmedSuspicionFactor
+	progress := math.Log(float64(min(max(confirmations, 0), fullConfirmations)+1)) / math.Log(fullConfirmations+1)
+	return m.scaleByHealth(time.Duration(longest - (longest-shortest)*progress))
 }
 
-// verdictAt is when a suspicion ends in a death, or, where this balancer has not looked itself, in a look of its own.
-func (m *Machine) verdictAt(p *peer) Moment {
-	if p.own {
-		return p.began + m.span(p)
+// suspicionEndsAt returns when a suspicion ends: in a declaration of death, or in an own probe where this balancer has not made one.
+func (m *Machine) suspicionEndsAt(p *peer) Moment {
+	if p.ownProbeFailed {
+		return p.startedAt + m.suspicionTimeout(p)
 	}
-	return p.since + 2*aloneTimes*m.terms.Suspect
+	return p.since + 2*unconfirmedSuspicionFactor*m.config.Suspect
 }
 
-func (m *Machine) judgeSuspects() {
+func (m *Machine) checkSuspicions() {
 	for _, p := range slices.Clone(m.suspected) {
-		if m.now < m.verdictAt(p) {
+		if m.now < m.suspicionEndsAt(p) {
 			continue
 		}
-		if !p.own { // it was told, and nobody brought it to an end
+		if !p.ownProbeFailed { // reported by others, and neither confirmed nor refuted
 			p.since = m.now
-			m.look(p.Life)
+			m.probeSoon(p.Life)
 			continue
 		}
-		m.verdict(p)
+		m.declareDead(p)
 	}
 }
 
-// verdict declares a death by own looks.
-func (m *Machine) verdict(p *peer) {
-	if !m.lately(p) { // until then it is a reason to look, as any death that is told: a line a turn said nothing new
-		m.event(Event{What: "verdict", Name: p.Name, Life: p.Life, Cause: "no answer to own looks"})
+// declareDead declares a member dead after own probes without an answer.
+func (m *Machine) declareDead(p *peer) {
+	if !m.heardRecently(p) { // a member heard recently is not set dead but probed again, and an event each time would say nothing new
+		m.emit(Event{What: "verdict", Name: p.Name, Life: p.Life, Cause: "no answer to own probes"})
 	}
-	m.rumour(Rumour{Life: p.Life, Inc: p.Inc, State: Dead, By: m.self.Life}, false)
+	m.receiveUpdate(Rumour{Life: p.Life, Inc: p.Inc, State: Dead, By: m.self.Life}, false)
 }
 
-// look looks at a life now, or puts it among those that are looked at out of turn where some looks are on their way.
-func (m *Machine) look(l Life) {
-	if p := m.peers[l]; p != nil && p.state.present() && len(m.looks) < looksAgain && !m.looking(l) {
-		m.lookAt(p)
+// probeSoon probes a member now, or queues it to be probed out of turn if some probes are in progress.
+func (m *Machine) probeSoon(id Life) {
+	if p := m.peers[id]; p != nil && p.state.isPresent() && len(m.probes) < maxSuspectProbes && !m.isProbing(id) {
+		m.startProbe(p)
 		return
 	}
-	if len(m.urgent) < mostWait && !slices.Contains(m.urgent, l) {
-		m.urgent = append(m.urgent, l)
+	if len(m.urgentProbes) < maxPendingProbes && !slices.Contains(m.urgentProbes, id) {
+		m.urgentProbes = append(m.urgentProbes, id)
 	}
 }
 
-// contact tries to reach one who is dead here, or an address to ask first; two sides that were apart find each other so.
-func (m *Machine) contact() {
-	if m.aside {
-		m.send(m.reach(m.rival), Message{Kind: Rival, To: m.rival.Life, Records: []Record{m.self}})
+// reconnect tries to reach a member held dead, or a seed address, so that two sides of a past partition find each other again.
+func (m *Machine) reconnect() {
+	if m.nameTaken {
+		m.send(m.addressOf(m.nameConflict), Message{Kind: Rival, To: m.nameConflict.Life, Records: []Record{m.self}})
 		return
 	}
-	if m.rival.Life != 0 && m.now-m.rivalAt > time.Minute {
-		m.rival = Record{}
+	if m.nameConflict.Life != 0 && m.now-m.nameConflictAt > time.Minute {
+		m.nameConflict = Record{}
 	}
-	m.forget()
-	lost := slices.DeleteFunc(slices.Clone(m.dead), func(p *peer) bool { return p.state != Dead })
-	if len(lost) == 0 && len(m.order)+1 >= m.terms.Expected {
+	m.forgetLongAbsent()
+	deadPeers := slices.DeleteFunc(slices.Clone(m.absent), func(p *peer) bool { return p.state != Dead })
+	if len(deadPeers) == 0 && len(m.present)+1 >= m.config.Expected {
 		return
 	}
-	m.chance.Shuffle(len(m.terms.Seeds), func(i, j int) {
-		m.terms.Seeds[i], m.terms.Seeds[j] = m.terms.Seeds[j], m.terms.Seeds[i]
+	m.rng.Shuffle(len(m.config.Seeds), func(i, j int) {
+		m.config.Seeds[i], m.config.Seeds[j] = m.config.Seeds[j], m.config.Seeds[i]
 	})
-	seeds := slices.DeleteFunc(slices.Clone(m.terms.Seeds), m.known)
-	if len(m.order) == 0 { // a newcomer asks some of all that it was given, soon again
-		for _, s := range seeds[:min(len(seeds), relays)] {
-			m.knock(s, 0, true)
+	seeds := slices.DeleteFunc(slices.Clone(m.config.Seeds), m.isPresentAddress)
+	if len(m.present) == 0 { // a newcomer tries several seeds, and again soon
+		for _, s := range seeds[:min(len(seeds), indirectProbeRelays)] {
+			m.pingAddress(s, 0, true)
 		}
-		m.nextContact = min(m.nextContact, m.now+m.part(1))
+		m.nextReconnect = min(m.nextReconnect, m.now+m.periods(1))
 	}
 	switch {
-	case len(lost) > 0:
-		p := lost[m.chance.IntN(len(lost))]
-		m.knock(m.reach(p.Record), p.Life, false)
-	case len(m.order) > 0 && len(seeds) > 0:
-		m.knock(seeds[0], 0, false)
+	case len(deadPeers) > 0:
+		p := deadPeers[m.rng.IntN(len(deadPeers))]
+		m.pingAddress(m.addressOf(p.Record), p.Life, false)
+	case len(m.present) > 0 && len(seeds) > 0:
+		m.pingAddress(seeds[0], 0, false)
 	}
 }
 
-// knock pings an address; of one that is dead here it says so.
-func (m *Machine) knock(to netip.AddrPort, l Life, full bool) {
-	if len(m.looks) >= mostWait {
+// pingAddress pings an address; a member held dead there is notified of that.
+func (m *Machine) pingAddress(to netip.AddrPort, id Life, full bool) {
+	if len(m.probes) >= maxPendingProbes {
 		return
 	}
 	m.seq++
-	m.looks = append(m.looks, look{seq: m.seq, at: m.now, life: l, contact: true, next: m.now + m.part(1), until: m.now + m.part(1)})
-	msg := Message{Kind: Ping, To: l, Seq: m.seq, Records: []Record{m.self}, Back: full, Full: full}
-	if p := m.peers[l]; p != nil {
-		msg.Rumours = []Rumour{{Life: l, Inc: p.Inc, State: p.state, By: m.self.Life}}
+	m.probes = append(m.probes, probe{seq: m.seq, sentAt: m.now, target: id, reconnect: true, nextStep: m.now + m.periods(1), deadline: m.now + m.periods(1)})
+	msg := Message{Kind: Ping, To: id, Seq: m.seq, Records: []Record{m.self}, Back: full, Full: full}
+	if p := m.peers[id]; p != nil {
+		msg.Rumours = []Rumour{{Life: id, Inc: p.Inc, State: p.state, By: m.self.Life}}
 	}
 	m.send(to, msg)
 }
 
-// known tells that an address is this balancer's own or that of a member present.
-func (m *Machine) known(a netip.AddrPort) bool {
-	if a == m.self.Addr {
+// isPresentAddress reports whether an address is this balancer's own or that of a member present.
+func (m *Machine) isPresentAddress(addr netip.AddrPort) bool {
+	if addr == m.self.Addr {
 		return true
 	}
-	return slices.ContainsFunc(m.order, func(p *peer) bool { return p.Addr == a || m.reach(p.Record) == a })
+	return slices.ContainsFunc(m.present, func(p *peer) bool { return p.Addr == addr || m.addressOf(p.Record) == addr })
 }
 
-func (m *Machine) reach(r Record) netip.AddrPort {
-	if via, ok := m.terms.Via[r.Name]; ok {
+func (m *Machine) addressOf(r Record) netip.AddrPort {
+	if via, ok := m.config.Via[r.Name]; ok {
 		return via
 	}
 	return r.Addr
 }
 
-// draw gives some members that are alive here, all others than one.
-func (m *Machine) draw(n int, but Life) (some []*peer) {
-	for tries := 0; len(some) < n && tries < 4*n && len(m.order) > 0; tries++ {
-		p := m.order[m.chance.IntN(len(m.order))]
-		if p.Life != but && p.state == Alive && !slices.Contains(some, p) {
-			some = append(some, p)
+// randomAlive returns up to n randomly drawn members that are alive, other than the one excepted.
+func (m *Machine) randomAlive(n int, except Life) (chosen []*peer) {
+	for tries := 0; len(chosen) < n && tries < 4*n && len(m.present) > 0; tries++ {
+		p := m.present[m.rng.IntN(len(m.present))]
+		if p.Life != except && p.state == Alive && !slices.Contains(chosen, p) {
+			chosen = append(chosen, p)
 		}
 	}
-	return some
+	return chosen
 }
 
-// send passes a message on with what fits of the rumours.
+// send queues a message, filled up with updates as far as they fit.
 func (m *Machine) send(to netip.AddrPort, msg Message) {
 	msg.From, msg.Inc, msg.Digest = m.self.Life, m.self.Inc, m.digest
 	if msg.Kind != Table && msg.Kind != Sums && msg.Kind != Rival {
-		m.fill(&msg)
+		m.attachUpdates(&msg)
 	}
 	m.sends = append(m.sends, Send{to, msg})
 }
 
-func (m *Machine) refill() {
-	m.tokens = min(m.tokens+float64(m.terms.Budget)*(m.now-m.refilled).Seconds(), float64(m.terms.Budget*burstFor))
-	m.refilled = m.now
+func (m *Machine) refillTokens() {
+	m.tokens = min(m.tokens+float64(m.config.Budget)*(m.now-m.refilledAt).Seconds(), float64(m.config.Budget*burstSeconds))
+	m.refilledAt = m.now
 }
 
-// fill adds the rumours that were told least, as long as there is room and budget.
-func (m *Machine) fill(msg *Message) {
-	if len(m.talk) == 0 || m.tokens <= 0 {
+// attachUpdates adds the updates that were sent least often, as long as there is room and budget.
+func (m *Machine) attachUpdates(msg *Message) {
+	if len(m.gossipQueue) == 0 || m.tokens <= 0 {
 		return
 	}
 	room := MostDatagram - msg.Size() - 3*3
-	least := Rumour{}.size()
-	if len(m.talk)*least > room {
-		slices.SortFunc(m.talk, func(a, b *item) int { return cmp.Compare(a.told, b.told) })
-	}
-	most := m.repeats()
-	kept := m.talk[:0]
-	for i, it := range m.talk {
-		if room < least {
-			kept = append(kept, m.talk[i:]...)
+	minSize := Rumour{}.size()
+	if len(m.gossipQueue)*minSize > room {
+		slices.SortFunc(m.gossipQueue, func(a, b *gossipItem) int { return cmp.Compare(a.transmissions, b.transmissions) })
+	}
+	maxSends := m.maxTransmissions()
+	remaining := m.gossipQueue[:0]
+	for i, it := range m.gossipQueue {
+		if room < minSize {
+			remaining = append(remaining, m.gossipQueue[i:]...)
 			break
 		}
-		if size := it.size(); room >= size && it.Life != msg.To && it.told < most {
+		if size := it.size(); room >= size && it.Life != msg.To && it.transmissions < maxSends {
 			room -= size
 			m.tokens -= float64(size)
 			msg.Rumours = append(msg.Rumours, it.Rumour)
-			it.told++
+			it.transmissions++
 		}
-		if it.told < most {
-			kept = append(kept, it)
+		if it.transmissions < maxSends {
+			remaining = append(remaining, it)
 		} else {
-			delete(m.talks, it.Life)
+			delete(m.gossipByLife, it.Life)
 		}
 	}
-	clear(m.talk[len(kept):])
-	m.talk = kept
+	clear(m.gossipQueue[len(remaining):])
+	m.gossipQueue = remaining
 }
 
-// repeats is how often a rumour is passed on. Where very many go about, tables are the cheaper way for the last to hear.
-func (m *Machine) repeats() int {
-	if len(m.talk) > manyRumours {
-		return repeatsBy
+// maxTransmissions returns how often an update is sent. When very many updates are queued, tables are the cheaper way to reach
+// the last members.
+func (m *Machine) maxTransmissions() int {
+	if len(m.gossipQueue) > manyUpdates {
+		return baseTransmissions
 	}
-	return repeatsBy + log2(len(m.order)+1)
+	return baseTransmissions + bitLength(len(m.present)+1)
 }
 
-// spread passes a rumour on from now on, in place of what was said of the life before.
-func (m *Machine) spread(r Rumour) {
-	it := m.talks[r.Life]
+// enqueueUpdate starts sending an update, in place of an earlier one on the same process.
+func (m *Machine) enqueueUpdate(r Rumour) {
+	it := m.gossipByLife[r.Life]
 	if it == nil {
-		it = &item{}
-		m.talks[r.Life] = it
-		m.talk = append(m.talk, it)
+		it = &gossipItem{}
+		m.gossipByLife[r.Life] = it
+		m.gossipQueue = append(m.gossipQueue, it)
 	}
-	*it = item{Rumour: r}
+	*it = gossipItem{Rumour: r}
 }
 
-// talkOnce tells some members what is new, beyond what goes with looks.
-func (m *Machine) talkOnce() {
-	if len(m.talk) == 0 || m.tokens <= 0 {
+// sendGossip sends new updates to some members, in addition to those in probes and answers.
+func (m *Machine) sendGossip() {
+	if len(m.gossipQueue) == 0 || m.tokens <= 0 {
 		return
 	}
-	for _, p := range m.draw(gossipFan, 0) {
-		if len(m.talk) > 0 {
-			m.tokens -= headBytes / 2 // what the datagram itself costs
-			m.send(m.reach(p.Record), Message{Kind: Gossip, To: p.Life})
+	for _, p := range m.randomAlive(gossipFanout, 0) {
+		if len(m.gossipQueue) > 0 {
+			m.tokens -= headerBytes / 2 // the overhead of the datagram
+			m.send(m.addressOf(p.Record), Message{Kind: Gossip, To: p.Life})
 		}
 	}
 }
 
-// table sends what this view holds in some buckets, in parts that stand for themselves: a lost part is made good by the
-// next exchange. With back the hearer's own of these buckets are wanted.
-func (m *Machine) table(to netip.AddrPort, life Life, mask uint64, full, back bool) {
+// sendTable sends this view of some buckets in datagrams that are independent of each other: a lost one is made up for by the
+// next exchange. With wantReply the receiver is asked for its own view of these buckets.
+func (m *Machine) sendTable(to netip.AddrPort, toLife Life, mask uint64, full, wantReply bool) {
 	if m.tokens <= 0 {
 		return
 	}
-	part := Message{Kind: Table, To: life}
+	msg := Message{Kind: Table, To: toLife}
 	flush := func(last bool) {
-		if part.Back = back && last; part.Back {
-			part.Mask = mask
+		if msg.Back = wantReply && last; msg.Back {
+			msg.Mask = mask
 		}
-		if len(part.Rumours)+len(part.Records) > 0 || part.Back {
-			m.tokens -= float64(part.Size())
-			m.send(to, part)
+		if len(msg.Rumours)+len(msg.Records) > 0 || msg.Back {
+			m.tokens -= float64(msg.Size())
+			m.send(to, msg)
 		}
-		part = Message{Kind: Table, To: life}
+		msg = Message{Kind: Table, To: toLife}
 	}
 	add := func(r Record, s State) {
-		if m.tokens <= 0 || mask>>(r.Life.mix()%buckets)&1 == 0 {
+		if m.tokens <= 0 || mask>>(r.Life.hash()%digestBuckets)&1 == 0 {
 			return
 		}
-		if full && s.present() {
-			part.Records = append(part.Records, r)
+		if full && s.isPresent() {
+			msg.Records = append(msg.Records, r)
 		} else {
-			part.Rumours = append(part.Rumours, Rumour{Life: r.Life, Inc: r.Inc, State: s})
+			msg.Rumours = append(msg.Rumours, Rumour{Life: r.Life, Inc: r.Inc, State: s})
 		}
-		if part.Size() > MostDatagram-Record.size(Record{})-2*MostName {
+		if msg.Size() > MostDatagram-Record.size(Record{})-2*MostName {
 			flush(false)
 		}
 	}
 	add(m.self, Alive)
-	from := 0
-	if len(m.order) > 0 {
-		from = m.chance.IntN(len(m.order)) // so that what the budget cuts off is not always the same
+	start := 0
+	if len(m.present) > 0 {
+		start = m.rng.IntN(len(m.present)) // so that the budget does not always cut off the same members
 	}
-	for i := range m.order {
-		p := m.order[(from+i)%len(m.order)]
+	for i := range m.present {
+		p := m.present[(start+i)%len(m.present)]
 		add(p.Record, p.state)
 	}
-	for _, p := range m.dead {
+	for _, p := range m.absent {
 		if !full {
 			add(p.Record, p.state)
 		}
@@ -869,30 +877,30 @@
 	flush(true)
 }
 
-// compare starts an exchange with a member whose view stays another: the sums of the buckets first.
-func (m *Machine) compare(p *peer, msg *Message) {
+// compareDigest starts an exchange with a member whose view keeps differing. The digests of the buckets are sent first.
+func (m *Machine) compareDigest(p *peer, msg *Message) {
 	if msg.Digest == m.digest {
-		m.unlike = 0
+		m.digestMismatches = 0
 		return
 	}
 	if msg.Kind == Table || msg.Kind == Sums {
 		return
 	}
-	if m.unlike++; m.unlike < 2 || m.now < m.nextExchange || m.aside {
+	if m.digestMismatches++; m.digestMismatches < 2 || m.now < m.nextExchange || m.nameTaken {
 		return
 	}
-	m.nextExchange = m.now + m.part(exchangeTimes*(0.75+0.5*m.chance.Float64()))
-	msgOut := Message{Kind: Sums, To: p.Life, Sums: make([]uint32, buckets)}
-	for i, s := range m.sums {
-		msgOut.Sums[i] = uint32(s)
+	m.nextExchange = m.now + m.periods(exchangePeriods*(0.75+0.5*m.rng.Float64()))
+	reply := Message{Kind: Sums, To: p.Life, Sums: make([]uint32, digestBuckets)}
+	for i, s := range m.bucketDigests {
+		reply.Sums[i] = uint32(s)
 	}
-	m.tokens -= float64(msgOut.Size())
-	m.send(m.reach(p.Record), msgOut)
+	m.tokens -= float64(reply.Size())
+	m.send(m.addressOf(p.Record), reply)
 }
 
-// differ gives the buckets in which another's sums are not as here.
-func (m *Machine) differ(sums []uint32) (mask uint64) {
-	for i, s := range m.sums {
+// differingBuckets returns the set of buckets whose digests differ from another member's.
+func (m *Machine) differingBuckets(sums []uint32) (mask uint64) {
+	for i, s := range m.bucketDigests {
 		if i < len(sums) && sums[i] != uint32(s) {
 			mask |= 1 << i
 		}
@@ -900,34 +908,34 @@
 	return mask
 }
 
-// askRecords asks a sender for the records of those that it spoke of.
-func (m *Machine) askRecords(from netip.AddrPort, life Life) {
-	if p := m.peers[life]; p != nil {
-		from = m.reach(p.Record)
+// requestRecords asks a sender for the records of the processes it mentioned without this view knowing them.
+func (m *Machine) requestRecords(from netip.AddrPort, sender Life) {
+	if p := m.peers[sender]; p != nil {
+		from = m.addressOf(p.Record)
 	}
-	for len(m.wants) > 0 {
-		n := min(len(m.wants), wantsOnce)
-		m.tokens -= float64(headBytes + wantBytes*n)
-		m.send(from, Message{Kind: Gossip, To: life, Wants: m.wants[:n:n]})
-		m.wants = m.wants[n:]
+	for len(m.missingRecords) > 0 {
+		n := min(len(m.missingRecords), maxWantsPerDatagram)
+		m.tokens -= float64(headerBytes + wantBytes*n)
+		m.send(from, Message{Kind: Gossip, To: sender, Wants: m.missingRecords[:n:n]})
+		m.missingRecords = m.missingRecords[n:]
 	}
-	m.wants = nil
+	m.missingRecords = nil
 }
 
-// want notes a life whose record is needed of whom this input comes from.
-func (m *Machine) want(l Life) {
-	if at, asked := m.asked[l]; asked && m.now-at < m.part(1) {
+// noteMissingRecord notes that the sender of this input is to be asked for a process's record.
+func (m *Machine) noteMissingRecord(id Life) {
+	if at, requested := m.recordRequestedAt[id]; requested && m.now-at < m.periods(1) {
 		return
 	}
-	if len(m.asked) >= mostAsked {
-		clear(m.asked)
+	if len(m.recordRequestedAt) >= maxRecordRequests {
+		clear(m.recordRequestedAt)
 	}
-	m.asked[l] = m.now
-	m.wants = append(m.wants, l)
+	m.recordRequestedAt[id] = m.now
+	m.missingRecords = append(m.missingRecords, id)
 }
 
-// recordTo sends a record that was wanted, with those before it where they go to the same place.
-func (m *Machine) recordTo(to netip.AddrPort, life Life, r Record) {
+// sendRecord sends a requested record, in the same datagram as the ones before it where they go to the same address.
+func (m *Machine) sendRecord(to netip.AddrPort, toLife Life, r Record) {
 	n := len(m.sends)
 	if n > 0 {
 		if s := &m.sends[n-1]; s.Msg.Kind == Gossip && s.To == to && s.Msg.Size()+r.size() <= MostDatagram {
@@ -936,10 +944,10 @@
 			return
 		}
 	}
-	if m.tokens <= float64(-m.terms.Budget) { // a second's debt: a table is worth little without its records
+	if m.tokens <= float64(-m.config.Budget) { // up to a second's budget may be overdrawn: a table is of little use without its records
 		return
 	}
-	m.tokens -= float64(r.size() + headBytes/2)
-	msg := Message{Kind: Gossip, To: life, From: m.self.Life, Inc: m.self.Inc, Digest: m.digest, Records: []Record{r}}
+	m.tokens -= float64(r.size() + headerBytes/2)
+	msg := Message{Kind: Gossip, To: toLife, From: m.self.Life, Inc: m.self.Inc, Digest: m.digest, Records: []Record{r}}
 	m.sends = append(m.sends, Send{to, msg})
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// A million made-up names take no more room than the bound, and the members that are there stay.
+// A member that reports a million invented names does not exceed the bounds of the view or evict members that are present.
 func TestMadeUpNames(t *testing.T) {
-	m := New(testTerms(0, 3, 1), 0, nil)
-	real := testTerms(1, 3, 1).Self
+	m := New(testConfig(0, 3, 1), 0, nil)
+	real := testConfig(1, 3, 1).Self
 	m.Hear(time.Millisecond, real.Addr, &Message{Kind: Ping, From: real.Life, Seq: 1, Records: []Record{real}})
 	for i := range 1_000_000 {
 		r := Record{Life: Life(1<<40 + i), Name: fmt.Sprint("made-up-", i), Addr: testAddr(9)}
@@ -21,40 +21,40 @@
 		}
 		m.Out()
 	}
-	if len(m.peers) > m.terms.Most || len(m.talk) > m.terms.Most+1 || len(m.asked) > mostAsked || len(m.names) > m.terms.Most {
-		t.Errorf("%d lives, %d rumours, %d asked for, %d names", len(m.peers), len(m.talk), len(m.asked), len(m.names))
+	if len(m.peers) > m.config.Most || len(m.gossipQueue) > m.config.Most+1 || len(m.recordRequestedAt) > maxRecordRequests || len(m.byName) > m.config.Most {
+		t.Errorf("%d peers, %d queued updates, %d requested records, %d names", len(m.peers), len(m.gossipQueue), len(m.recordRequestedAt), len(m.byName))
 	}
 	if !m.Holds(real.Life) {
-		t.Error("a member that was there is not any more")
+		t.Error("a member that was present is no longer in the view")
 	}
 }
 
-// Whatever comes, in whatever order, the lists keep their bounds and the digest is that of the view.
+// Whatever messages arrive in whatever order, the lists stay within their bounds and the digest matches the view.
 func FuzzHear(f *testing.F) {
 	f.Add([]byte("\x01\x02\x03\x04\x05\x06\x07\x08\x09abcdefghijklmnopqrstuvwxyz0123456789"))
 	f.Add(make([]byte, 400))
-	f.Fuzz(func(t *testing.T, text []byte) {
-		m := New(testTerms(0, 3, 1), 0, nil)
+	f.Fuzz(func(t *testing.T, input []byte) {
+		m := New(testConfig(0, 3, 1), 0, nil)
 		at := Moment(0)
 		next := func() (b byte) {
-			if len(text) > 0 {
-				b, text = text[0], text[1:]
+			if len(input) > 0 {
+				b, input = input[0], input[1:]
 			}
 			return b
 		}
 		life := func() Life {
 			if b := next(); b < 4 {
-				return testTerms(int(b), 3, 1).Self.Life
+				return testConfig(int(b), 3, 1).Self.Life
 			} else if b < 200 {
 				return Life(b)
 			}
-			var eight [8]byte
-			for i := range eight {
-				eight[i] = next()
+			var raw [8]byte
+			for i := range raw {
+				raw[i] = next()
 			}
-			return Life(binary.BigEndian.Uint64(eight[:]))
+			return Life(binary.BigEndian.Uint64(raw[:]))
 		}
-		for len(text) > 0 {
+		for len(input) > 0 {
 			at += time.Duration(next()) * 3 * time.Millisecond
 			msg := &Message{Kind: Kind(next() % 12), From: life(), To: life(), Inc: Inc(next()), Seq: uint32(next()), Target: life(), Digest: uint64(next()),
 				Back: next()&1 == 1, Full: next()&1 == 1, Mask: uint64(life())}
@@ -75,16 +75,16 @@
 			sends, _ := m.Out()
 			for _, s := range sends {
 				if s.Msg.Size() > MostDatagram {
-					t.Fatalf("%d bytes", s.Msg.Size())
+					t.Fatalf("a datagram of %d bytes", s.Msg.Size())
 				}
 			}
-			digest := m.self.Life.mix()
-			for _, p := range m.order {
-				digest ^= p.Life.mix()
+			digest := m.self.Life.hash()
+			for _, p := range m.present {
+				digest ^= p.Life.hash()
 			}
-			if digest != m.digest || m.peers[m.self.Life] != nil || len(m.peers) > m.terms.Most || len(m.looks) > mostWait ||
-				len(m.favours) > mostWait || len(m.urgent) > mostWait || len(m.peers) != len(m.order)+len(m.dead) {
-				t.Fatalf("%+v", m.View())
+			if digest != m.digest || m.peers[m.self.Life] != nil || len(m.peers) > m.config.Most || len(m.probes) > maxPendingProbes ||
+				len(m.relayedProbes) > maxPendingProbes || len(m.urgentProbes) > maxPendingProbes || len(m.peers) != len(m.present)+len(m.absent) {
+				t.Fatalf("a list exceeds its bound or the digest does not match the view: %+v", m.View())
 			}
 		}
 	})
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -6,106 +6,107 @@
 	"time"
 )
 
-// record takes the record of a life that may be new here.
-func (m *Machine) record(r Record) {
-	if !r.sound() || r.Life == m.self.Life {
+// receiveRecord processes the record of a process that may be new to this view.
+func (m *Machine) receiveRecord(r Record) {
+	if !r.isValid() || r.Life == m.self.Life {
 		return
 	}
 	if r.Name == m.self.Name {
-		if r.Life > m.self.Life { // of an older one only its own word counts: it may be this name's life before
-			m.rivals(&Message{Records: []Record{r}})
+		if r.Life > m.self.Life { // of an older one only its own messages count: others may still report the name's earlier process
+			m.noteNameConflict(&Message{Records: []Record{r}})
 		}
 		return
 	}
 	if p := m.peers[r.Life]; p != nil {
-		m.rumour(Rumour{Life: r.Life, Inc: r.Inc, State: Alive}, false)
+		m.receiveUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Alive}, false)
 		return
 	}
-	old := m.names[r.Name]
+	old := m.byName[r.Name]
 	if old != nil && old.Life > r.Life {
-		return // an older life of this name: over, however late it is heard of
+		return // an older process of this name has ended, however late its record arrives
 	}
-	p := m.raise(r)
+	p := m.addPeer(r)
 	if p == nil {
 		return
 	}
-	delete(m.asked, r.Life)
+	delete(m.recordRequestedAt, r.Life)
 	cause := "heard of"
 	if old != nil {
 		cause = "started again"
 	}
-	m.event(Event{What: "state", Name: p.Name, Life: p.Life, From: Left, To: Alive, Cause: cause})
-	m.spread(Rumour{Life: r.Life, Inc: r.Inc, State: Alive})
+	m.emit(Event{What: "state", Name: p.Name, Life: p.Life, From: Left, To: Alive, Cause: cause})
+	m.enqueueUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Alive})
 }
 
-// raise enters a life as alive, in place of an older one of its name. Nil where there is no room.
-func (m *Machine) raise(r Record) *peer {
-	if old := m.names[r.Name]; old != nil {
+// addPeer adds a process as alive, in place of an older one of its name. It returns nil where the view is full or holds a newer
+// process of the name.
+func (m *Machine) addPeer(r Record) *peer {
+	if old := m.byName[r.Name]; old != nil {
 		if old.Life >= r.Life {
 			return nil
 		}
-		m.drop(old)
+		m.forgetPeer(old)
 	}
-	if len(m.peers) >= m.terms.Most && !m.makeRoom() {
+	if len(m.peers) >= m.config.Most && !m.evictOldestAbsent() {
 		return nil
 	}
 	p := &peer{Record: r, state: Alive, since: m.now}
 	m.peers[r.Life] = p
-	m.names[r.Name] = p
-	m.enter(p)
+	m.byName[r.Name] = p
+	m.addPresent(p)
 	m.version++
 	return p
 }
 
-// enter puts a life among those present: at a drawn place of the turn, so that newcomers are not all looked at together.
-func (m *Machine) enter(p *peer) {
-	m.tally(p.Life)
-	p.place = len(m.order)
-	m.order = append(m.order, p)
-	if at := m.chance.IntN(len(m.order)); at != p.place {
-		o := m.order[at]
-		m.order[at], m.order[p.place] = p, o
-		o.place, p.place = p.place, at
+// addPresent adds a member to those present, at a random place of the probe order so that newcomers are not all probed together.
+func (m *Machine) addPresent(p *peer) {
+	m.toggleDigest(p.Life)
+	p.index = len(m.present)
+	m.present = append(m.present, p)
+	if slot := m.rng.IntN(len(m.present)); slot != p.index {
+		other := m.present[slot]
+		m.present[slot], m.present[p.index] = p, other
+		other.index, p.index = p.index, slot
 	}
 }
 
-// remove takes a life from those present.
-func (m *Machine) remove(p *peer) {
-	m.tally(p.Life)
-	m.order = swapOut(m.order, p.place)
-	m.unsuspect(p)
+// removePresent removes a member from those present.
+func (m *Machine) removePresent(p *peer) {
+	m.toggleDigest(p.Life)
+	m.present = swapRemove(m.present, p.index)
+	m.clearSuspicion(p)
 }
 
-func swapOut(list []*peer, at int) []*peer {
+func swapRemove(list []*peer, at int) []*peer {
 	last := len(list) - 1
 	list[at] = list[last]
-	list[at].place = at
+	list[at].index = at
 	list[last] = nil
 	return list[:last]
 }
 
-// drop forgets a life.
-func (m *Machine) drop(p *peer) {
-	if p.state.present() {
-		m.remove(p)
+// forgetPeer removes a process from the view.
+func (m *Machine) forgetPeer(p *peer) {
+	if p.state.isPresent() {
+		m.removePresent(p)
 	} else {
-		m.dead = swapOut(m.dead, p.place)
+		m.absent = swapRemove(m.absent, p.index)
 	}
 	delete(m.peers, p.Life)
-	if m.names[p.Name] == p {
-		delete(m.names, p.Name)
+	if m.byName[p.Name] == p {
+		delete(m.byName, p.Name)
 	}
-	if it := m.talks[p.Life]; it != nil {
-		delete(m.talks, p.Life)
-		m.talk = slices.DeleteFunc(m.talk, func(o *item) bool { return o == it })
+	if it := m.gossipByLife[p.Life]; it != nil {
+		delete(m.gossipByLife, p.Life)
+		m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(o *gossipItem) bool { return o == it })
 	}
 	m.version++
 }
 
-// makeRoom forgets the one that has been dead for longest.
-func (m *Machine) makeRoom() bool {
+// evictOldestAbsent forgets the member that has been dead or gone for longest. It returns false where there is none.
+func (m *Machine) evictOldestAbsent() bool {
 	var oldest *peer
-	for _, p := range m.dead {
+	for _, p := range m.absent {
 		if oldest == nil || p.since < oldest.since {
 			oldest = p
 		}
@@ -113,42 +114,42 @@
 	if oldest == nil {
 		return false
 	}
-	m.drop(oldest)
+	m.forgetPeer(oldest)
 	return true
 }
 
-// forget ends the memory of those dead for long.
-func (m *Machine) forget() {
-	for i := 0; i < len(m.dead); {
-		if p := m.dead[i]; m.now-p.since > keepDead {
-			m.drop(p)
+// forgetLongAbsent forgets the members that have been dead or gone for longer than deadRetention.
+func (m *Machine) forgetLongAbsent() {
+	for i := 0; i < len(m.absent); {
+		if p := m.absent[i]; m.now-p.since > deadRetention {
+			m.forgetPeer(p)
 		} else {
 			i++
 		}
 	}
 }
 
-func (m *Machine) unsuspect(p *peer) {
-	p.own, p.witnesses = false, nil
+func (m *Machine) clearSuspicion(p *peer) {
+	p.ownProbeFailed, p.suspectedBy = false, nil
 	if at := slices.Index(m.suspected, p); at >= 0 {
 		m.suspected = slices.Delete(m.suspected, at, at+1)
 	}
 }
 
-// rumour takes what is said of a life. A death in a table, or of one that was heard lately, is a reason to look and to ask
-// the life itself: the side that says it may just have been cut off.
-func (m *Machine) rumour(r Rumour, table bool) {
+// receiveUpdate processes an update. A reported death that came in a table, or that concerns a member heard recently, leads to a
+// probe and to a query to the member itself: the side that reports it may just have been cut off.
+func (m *Machine) receiveUpdate(r Rumour, fromTable bool) {
 	if r.State > Asked || r.Life == 0 {
 		return
 	}
 	if r.Life == m.self.Life {
-		m.ofSelf(r)
+		m.refute(r)
 		return
 	}
 	p := m.peers[r.Life]
 	if p == nil {
-		if r.State.present() {
-			m.want(r.Life)
+		if r.State.isPresent() {
+			m.noteMissingRecord(r.Life)
 		}
 		return
 	}
@@ -157,73 +158,75 @@
 	}
 	switch {
 	case r.State == Left:
-		m.set(p, r, Left, "left in order")
+		m.setState(p, r, Left, "left gracefully")
 	case r.State == Asked:
-		if r.Inc >= p.Inc && p.state.present() && m.asks(r) {
-			m.spread(Rumour{Life: r.Life, Inc: r.Inc, State: Asked})
+		if r.Inc >= p.Inc && p.state.isPresent() && m.queryIsNew(r) {
+			m.enqueueUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Asked})
 		}
-	case (table || m.lately(p)) && r.State == Dead && p.state.present():
+	case (fromTable || m.heardRecently(p)) && r.State == Dead && p.state.isPresent():
 		if r.Inc >= p.Inc {
-			p.toldDead = p.toldDead || m.now-p.heard > m.terms.Suspect
-			m.look(p.Life)
-			if m.asks(r) {
-				m.spread(Rumour{Life: r.Life, Inc: r.Inc, State: Asked})
+			p.reportedDead = p.reportedDead || m.now-p.lastHeard > m.config.Suspect
+			m.probeSoon(p.Life)
+			if m.queryIsNew(r) {
+				m.enqueueUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Asked})
 			}
 		}
-	case table && r.State == Suspected:
+	case fromTable && r.State == Suspected:
 	case r.Inc > p.Inc, r.Inc == p.Inc && r.State > p.state:
-		m.set(p, r, r.State, "")
-	case r.Inc == p.Inc && r.State == Suspected && p.state == Suspected && m.witness(p, r.By): // one more bears it out
-		m.spread(r)
+		m.setState(p, r, r.State, "")
+	case r.Inc == p.Inc && r.State == Suspected && p.state == Suspected && m.confirmSuspicion(p, r.By): // one more member confirms the suspicion
+		m.enqueueUpdate(r)
 	default:
-		if it := m.talks[r.Life]; it != nil && it.Inc == r.Inc && it.State == r.State { // it goes round already
-			it.told++
+		if it := m.gossipByLife[r.Life]; it != nil && it.Inc == r.Inc && it.State == r.State { // it is already being spread
+			it.transmissions++
 		}
 	}
 }
 
-// lately tells that a life itself was heard not long ago. Within the time that any suspicion lasts who declares it dead does not
-// mean its present, but comes from a side that was cut off; up to as long again a look of one's own tells.
-func (m *Machine) lately(p *peer) bool { return p.heard > 0 && m.now-p.heard < 2*m.terms.Suspect }
+// heardRecently reports whether a message came from the process itself not long ago. Within Suspect a report of its death cannot
+// concern its present state and comes from a side that was cut off; within twice that time an own probe decides.
+func (m *Machine) heardRecently(p *peer) bool {
+	return p.lastHeard > 0 && m.now-p.lastHeard < 2*m.config.Suspect
+}
 
-// asks tells that asking a life is not passed on yet, and nothing stronger is.
-func (m *Machine) asks(r Rumour) bool {
-	it := m.talks[r.Life]
+// queryIsNew reports whether no query to a process, and nothing stronger, is being spread at this incarnation yet.
+func (m *Machine) queryIsNew(r Rumour) bool {
+	it := m.gossipByLife[r.Life]
 	return it == nil || it.Inc < r.Inc || it.Inc == r.Inc && it.State == Alive
 }
 
-// ofSelf contradicts what is said of this process.
-func (m *Machine) ofSelf(r Rumour) {
-	if r.State == Alive || r.Inc < m.self.Inc || m.aside {
+// refute contradicts a suspicion or death reported of this process.
+func (m *Machine) refute(r Rumour) {
+	if r.State == Alive || r.Inc < m.self.Inc || m.nameTaken {
 		return
 	}
-	if r.State == Left { // said by nobody but this process itself, which goes on
+	if r.State == Left { // only this process itself could have sent this, and it is still running
 		return
 	}
-	if r.Inc >= MostInc { // nobody gets there by contradicting: a fault, which must not bar this process for good
-		m.rename(m.self.Life)
+	if r.Inc >= MostInc { // no refutation can exceed it: a fault, which must not exclude this process for good
+		m.renewLife(m.self.Life)
 		return
 	}
 	m.self.Inc = r.Inc + 1
-	m.event(Event{What: "refuted", Name: m.self.Name, Life: m.self.Life, From: r.State, To: Alive, Cause: "said to be " + r.State.String() + " by " + m.nameOf(r.By)})
-	m.spread(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
+	m.emit(Event{What: "refuted", Name: m.self.Name, Life: m.self.Life, From: r.State, To: Alive, Cause: "reported " + r.State.String() + " by " + m.nameOf(r.By)})
+	m.enqueueUpdate(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
 }
 
-func (m *Machine) nameOf(l Life) string {
-	if l == m.self.Life {
+func (m *Machine) nameOf(id Life) string {
+	if id == m.self.Life {
 		return m.self.Name
 	}
-	if p := m.peers[l]; p != nil {
+	if p := m.peers[id]; p != nil {
 		return p.Name
 	}
 	return "one unknown"
 }
 
-// set changes what is held of a life and passes it on.
-func (m *Machine) set(p *peer, r Rumour, to State, cause string) {
+// setState changes the state held of a process and spreads it.
+func (m *Machine) setState(p *peer, r Rumour, to State, cause string) {
 	from := p.state
 	if cause == "" {
-		cause = "told by others"
+		cause = "reported by others"
 		switch {
 		case r.By != 0:
 			cause = "no answer to " + m.nameOf(r.By)
@@ -234,107 +237,107 @@
 	p.Inc = max(p.Inc, r.Inc)
 	p.state = to
 	switch {
-	case from.present() && !to.present():
-		m.remove(p)
-		p.place = len(m.dead)
-		m.dead = append(m.dead, p)
-	case !from.present() && to.present():
-		m.dead = swapOut(m.dead, p.place)
-		m.enter(p)
-	}
-	m.unsuspect(p)
-	p.toldDead = false
+	case from.isPresent() && !to.isPresent():
+		m.removePresent(p)
+		p.index = len(m.absent)
+		m.absent = append(m.absent, p)
+	case !from.isPresent() && to.isPresent():
+		m.absent = swapRemove(m.absent, p.index)
+		m.addPresent(p)
+	}
+	m.clearSuspicion(p)
+	p.reportedDead = false
 	if to == Suspected {
-		m.witness(p, r.By)
-		p.began, p.again = m.now, m.now
+		m.confirmSuspicion(p, r.By)
+		p.startedAt, p.nextProbeAt = m.now, m.now
 		m.suspected = append(m.suspected, p)
-		// Some of those who hear of it look for themselves: what they find comes sooner than their turn, and brings the life
-		// to contradict it.
-		if r.By != m.self.Life && m.chance.IntN(len(m.order)) < witnesses {
-			m.look(p.Life)
+		// Some of the members that learn of a suspicion probe for themselves: this comes sooner than their turn and makes the
+		// process refute it.
+		if r.By != m.self.Life && m.rng.IntN(len(m.present)) < fullConfirmations {
+			m.probeSoon(p.Life)
 		}
 	}
 	if from != to {
 		p.since = m.now
 		m.version++
-		m.event(Event{What: "state", Name: p.Name, Life: p.Life, From: from, To: to, Cause: cause})
+		m.emit(Event{What: "state", Name: p.Name, Life: p.Life, From: from, To: to, Cause: cause})
 	}
-	m.spread(Rumour{Life: p.Life, Inc: p.Inc, State: to, By: r.By})
+	m.enqueueUpdate(Rumour{Life: p.Life, Inc: p.Inc, State: to, By: r.By})
 }
 
-// Leave says that this process ends in order: to some members now, who pass it on.
+// Leave announces to some members, which spread it, that this process is ending gracefully.
 func (m *Machine) Leave(now Moment) {
-	m.begin(now)
-	m.refill()
-	if m.aside {
+	m.advanceClock(now)
+	m.refillTokens()
+	if m.nameTaken {
 		return
 	}
-	for _, p := range m.draw(2*witnesses, 0) {
-		m.send(m.reach(p.Record), Message{Kind: Gossip, To: p.Life, Rumours: []Rumour{{Life: m.self.Life, Inc: m.self.Inc, State: Left}}})
+	for _, p := range m.randomAlive(2*fullConfirmations, 0) {
+		m.send(m.addressOf(p.Record), Message{Kind: Gossip, To: p.Life, Rumours: []Rumour{{Life: m.self.Life, Inc: m.self.Inc, State: Left}}})
 	}
 }
 
-// Member is what a view holds of one life.
+// Member is what a view holds of one process.
 type Member struct {
 	Record
 	State      State
 	Since      Moment
-	Heard      Moment // directly; 0 where never
+	Heard      Moment // directly; 0 means never
 	RoundTrip  time.Duration
 	Suspecting []string
 }
 
-// View is what other parts may know. It is always late.
+// View is a snapshot of the membership. It always lags behind the true state.
 type View struct {
 	Self      Record
 	Situation Situation
 	Expected  int
-	Seen      int // alive and suspected ones, this one too
+	Seen      int // members alive and suspected, including this one
 	Version   uint64
 	Digest    uint64
-	Rival     Record // another process under this one's name, where there is one
+	Rival     Record // another process under this one's name, if any
 	Now       Moment
-	Members   []Member // all others, dead ones too
+	Members   []Member // all others, including dead ones
 }
 
-// View gives the present view; the situation is that of the last input.
+// View returns the present view; the situation is that of the last input.
 func (m *Machine) View() View {
-	v := View{Self: m.self, Situation: m.situation, Expected: m.terms.Expected, Seen: len(m.order) + 1, Version: m.version,
-		Digest: m.digest, Rival: m.rival, Now: m.now}
-	for _, list := range [][]*peer{m.order, m.dead} {
+	v := View{Self: m.self, Situation: m.situation, Expected: m.config.Expected, Seen: len(m.present) + 1, Version: m.version,
+		Digest: m.digest, Rival: m.nameConflict, Now: m.now}
+	for _, list := range [][]*peer{m.present, m.absent} {
 		for _, p := range list {
-			one := Member{Record: p.Record, State: p.state, Since: p.since, Heard: p.heard, RoundTrip: p.rtt}
-			for _, w := range p.witnesses {
-				one.Suspecting = append(one.Suspecting, m.nameOf(w))
+			member := Member{Record: p.Record, State: p.state, Since: p.since, Heard: p.lastHeard, RoundTrip: p.rtt}
+			for _, w := range p.suspectedBy {
+				member.Suspecting = append(member.Suspecting, m.nameOf(w))
 			}
-			v.Members = append(v.Members, one)
+			v.Members = append(v.Members, member)
 		}
 	}
 	slices.SortFunc(v.Members, func(a, b Member) int { return cmp.Compare(a.Name, b.Name) })
 	return v
 }
 
-// Holds tells whether a life is present in this view.
-func (m *Machine) Holds(l Life) bool {
-	p := m.peers[l]
-	return l == m.self.Life || p != nil && p.state.present()
+// Holds reports whether a process is present in this view.
+func (m *Machine) Holds(id Life) bool {
+	p := m.peers[id]
+	return id == m.self.Life || p != nil && p.state.isPresent()
 }
 
-// Seen is how many are present, this one too, and the digest of their lives.
-func (m *Machine) Seen() (n int, digest uint64) { return len(m.order) + 1, m.digest }
+// Seen returns how many members are present, including this one, and their digest.
+func (m *Machine) Seen() (n int, digest uint64) { return len(m.present) + 1, m.digest }
 
-// Letter is the envelope of what another part has to say to a member that is present; false where it is not.
+// Letter returns the address and header for another package's message to a member, and false where the member is not present.
 func (m *Machine) Letter(to Life) (Send, bool) {
 	p := m.peers[to]
-	if p == nil || !p.state.present() || m.aside {
+	if p == nil || !p.state.isPresent() || m.nameTaken {
 		return Send{}, false
 	}
-	return Send{m.reach(p.Record), Message{Kind: Gossip, From: m.self.Life, To: to, Inc: m.self.Inc, Digest: m.digest}}, true
+	return Send{m.addressOf(p.Record), Message{Kind: Gossip, From: m.self.Life, To: to, Inc: m.self.Inc, Digest: m.digest}}, true
 }
 
-// Members are the lives that are alive in this view, without this one, and the situation.
+// Members returns the processes that are alive in this view, without this one, and the situation.
 func (m *Machine) Members() (all []Life, s Situation) {
-	for _, p := range m.order {
+	for _, p := range m.present {
 		if p.state == Alive {
 			all = append(all, p.Life)
 		}
