--- a/internal/fleet/carry/carry.go
+++ b/internal/fleet/carry/carry.go
@@ -44,8 +44,8 @@
 }
 
 // counterHeadroom exceeds the number of datagrams that an older process sends between handing over its state and ending. It is
-// needed only where the clock was set back in between: the datagram counter starts from the time, and the newer process's would
-// otherwise repeat numbers that the older one has used.
+// added only where the clock was set back in between: added always, it would make the counter run ahead of the time from which
+// the counter of the next process starts, and the two could collide (TestMembersUpgrade, on a busy machine).
 const counterHeadroom = 1 << 16
 
 // bindTimeout is how long Open waits for an address that another process holds: the older process of an upgrade releases it
--- a/internal/fleet/member/explore_test.go
+++ b/internal/fleet/member/explore_test.go
@@ -94,7 +94,7 @@
 	msg  *Message
 }
 
-func newWorld(fault func(*fleetState, int) bool) *fleetState {
+func newFleetState(fault func(*fleetState, int) bool) *fleetState {
 	w := &fleetState{incarnations: map[Life]Inc{}, lastHeard: map[[2]Life]Moment{}, lastView: map[[2]Life]Rumour{}, fault: fault}
 	for i := range w.machines {
 		w.startMember(i)
@@ -297,7 +297,7 @@
 // settledFleet returns a fleet in which all members know each other and the last one has received nothing for some periods, so
 // that the exploration starts close to a suspicion or a death.
 func settledFleet(fault func(*fleetState, int) bool, silent int) *fleetState {
-	w := newWorld(nil)
+	w := newFleetState(nil)
 	w.runInOrder(10*testPeriod, func(int) bool { return true })
 	w.runInOrder(Moment(silent)*testPeriod, func(i int) bool { return i != 2 })
 	w.fault = fault
