--- a/policy/chance.go
+++ b/policy/chance.go
@@ -43,10 +43,10 @@
 	return hashPrefix(string(buf[:]))
 }
 
-func (b *Balancer) chance() float64 {
-	b.draws++
-	return part(b.seed.with(b.draws))
+func (b *Balancer) randomFloat() float64 {
+	b.drawCount++
+	return hashFraction(b.seed.with(b.drawCount))
 }
 
-// part maps a hash to a number from 0 to under 1.
-func part(h uint64) float64 { return float64(h>>11) / (1 << 53) }
+// hashFraction maps a hash to a number from 0 to under 1.
+func hashFraction(h uint64) float64 { return float64(h>>11) / (1 << 53) }
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -10,10 +10,10 @@
 func TestBansBounded(t *testing.T) {
 	s := &stage{T: t, owed: map[CallID]*debt{}, hosts: map[CacheID]*seen{}}
 	b := New(s, Terms{Balancers: 1, OriginKind: -1}, 1)
-	for i := range mostExcluded + 1 {
+	for i := range maxExcluded + 1 {
 		id := CacheID(fmt.Sprint("h", i))
 		b.Listed(ListReplace, []Entry{{Cache: id, Size: 1}})
-		if known, held := b.Exclude(id); !known || held != (i < mostExcluded) {
+		if known, held := b.Exclude(id); !known || held != (i < maxExcluded) {
 			t.Fatalf("host %d: known %v, held %v", i, known, held)
 		}
 	}
@@ -24,24 +24,24 @@
 	if _, held := b.Exclude("h0"); !held {
 		t.Error("twice out is no")
 	}
-	if !b.Include("h0") || len(b.out) != mostExcluded-1 {
-		t.Errorf("after one was put back %d are out", len(b.out))
+	if !b.Include("h0") || len(b.excluded) != maxExcluded-1 {
+		t.Errorf("after one was put back %d are out", len(b.excluded))
 	}
 }
 
 // A flood of keys wanted once fills the key table and puts out none: keys that matter stay, and there is room again once some have gone.
 func TestKeyTableIsBounded(t *testing.T) {
-	table := keyTable{at: map[Key]int{}}
-	for i := range tableSize {
-		if table.admit(Key(strconv.Itoa(i))) == nil {
+	table := keyTable{index: map[Key]int{}}
+	for i := range maxTrackedKeys {
+		if table.add(Key(strconv.Itoa(i))) == nil {
 			t.Fatalf("no room for key %d", i)
 		}
 	}
-	if table.admit("flood") != nil || table.find("flood") != nil || table.find("0") == nil {
+	if table.add("flood") != nil || table.find("flood") != nil || table.find("0") == nil {
 		t.Error("a full table took one up, or lost one")
 	}
 	table.remove(0)
-	if u := table.admit("next"); u == nil || u != table.find("next") || table.find(Key(strconv.Itoa(tableSize-1))) == nil {
+	if u := table.add("next"); u == nil || u != table.find("next") || table.find(Key(strconv.Itoa(maxTrackedKeys-1))) == nil {
 		t.Error("no room after one has gone, or the one moved is lost")
 	}
 }
@@ -57,9 +57,9 @@
 		return b
 	}
 	older := made(4, 0)
-	older.caches["a"].limit, older.fleetBears, older.origin.limit = 17, 23, 31
-	older.caches["a"].health.add(1000*Second, 2, 40)
-	older.pace.add(1000*Second, 0.06, 2)
+	older.hosts["a"].concurrencyLimit, older.fleetLimitPerHost, older.origin.concurrencyLimit = 17, 23, 31
+	older.hosts["a"].outcomes.add(1000*Second, 2, 40)
+	older.attemptTime.add(1000*Second, 0.06, 2)
 	learnt := older.Tell()
 	for _, row := range []struct {
 		name        string
@@ -69,15 +69,15 @@
 		fleet, pace float64
 	}{
 		{"the same settings", 4, 0, 17, 40, 23, 0.03},
-		{"a balancer for each client", 400, 0, made(400, 0).caches["a"].limit, 40, made(400, 0).fleetBears, 0.03},
-		{"started again since", 4, 900 * Second, made(4, 0).caches["a"].limit, 0, 23, 0.03},
+		{"a balancer for each client", 400, 0, made(400, 0).hosts["a"].concurrencyLimit, 40, made(400, 0).fleetLimitPerHost, 0.03},
+		{"started again since", 4, 900 * Second, made(4, 0).hosts["a"].concurrencyLimit, 0, 23, 0.03},
 	} {
 		b := made(row.balancers, row.born)
 		b.TakeOver(learnt)
-		_, bad := b.caches["a"].health.faded(1000 * Second)
-		took, n := b.pace.faded(1000 * Second)
-		if b.caches["a"].limit != row.limit || bad != row.bad || b.fleetBears != row.fleet || took/n != row.pace {
-			t.Errorf("%s: limit %v, bad %v, fleet %v, pace %v", row.name, b.caches["a"].limit, bad, b.fleetBears, took/n)
+		_, bad := b.hosts["a"].outcomes.decayed(1000 * Second)
+		took, n := b.attemptTime.decayed(1000 * Second)
+		if b.hosts["a"].concurrencyLimit != row.limit || bad != row.bad || b.fleetLimitPerHost != row.fleet || took/n != row.pace {
+			t.Errorf("%s: limit %v, bad %v, fleet %v, pace %v", row.name, b.hosts["a"].concurrencyLimit, bad, b.fleetLimitPerHost, took/n)
 		}
 	}
 	b := made(4, 0)
@@ -96,7 +96,7 @@
 	above := func() (n int) {
 		for range 500 { // ten seconds at half of the allowance, all of it here
 			s.now += 20 * Millisecond
-			if b.beyondAllowance(&call{Call: Call{Customer: 0}}) {
+			if b.exceedsQuota(&request{Call: Call{Customer: 0}}) {
 				n++
 			}
 		}
@@ -131,7 +131,7 @@
 			s.now += 10 * Millisecond
 			for c := range owed {
 				for owed[c] += perS[c] / 100; owed[c] >= 1; owed[c]-- {
-					if b.beyondAllowance(&call{Call: Call{Customer: Customer(c)}}) {
+					if b.exceedsQuota(&request{Call: Call{Customer: Customer(c)}}) {
 						n[c]++
 					}
 				}
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -19,11 +19,11 @@
 	for _, e := range entries {
 		named[e.Cache] = true
 	}
-	for id, h := range b.caches {
+	for id, h := range b.hosts {
 		if !named[id] {
 			h.Condition = Gone
-			b.settle(h)
-			b.forget(h)
+			b.updateAvailability(h)
+			b.dropIfGone(h)
 		}
 	}
 }
@@ -33,19 +33,19 @@
 func (b *Balancer) ListBegins(kind ListKind, entries []Entry) {
 	switch kind {
 	case ListUnavailable:
-		b.follow(false)
+		b.scheduleListRequest(false)
 		return
 	case ListRestored:
-		b.follow(len(entries) == 0)
+		b.scheduleListRequest(len(entries) == 0)
 	}
-	if b.unit == 0 {
-		b.unitOf(entries)
+	if b.nominalSize == 0 {
+		b.fixNominalSizes(entries)
 	}
 	if kind != ListUpdate {
-		b.listed = 0
+		b.listedUpCount = 0
 		for i := range entries {
-			if entries[i].Condition == Up && entries[i].Kind != b.terms.OriginKind {
-				b.listed++
+			if entries[i].Condition == Up && entries[i].Kind != b.config.OriginKind {
+				b.listedUpCount++
 			}
 		}
 	}
@@ -55,60 +55,60 @@
 func (b *Balancer) Changed(entries []Entry) {
 	origin := b.origin
 	for _, e := range entries {
-		h := b.note(e)
-		b.settle(h)
-		b.forget(h)
+		h := b.applyEntry(e)
+		b.updateAvailability(h)
+		b.dropIfGone(h)
 	}
 	if b.origin != origin {
 		// What a tenth of the caches may have out: at the limit of a single one a balancer that had just started
 		// turned away misses that all others sent on.
-		b.origin.limit = b.firstLimit() * max(1, float64(max(b.listed, len(b.available)))/10)
+		b.origin.concurrencyLimit = b.initialLimit() * max(1, float64(max(b.listedUpCount, len(b.available)))/10)
 	}
 }
 
-// settle puts a cache among those that attempts may go to, or takes it from them, as its condition now is.
-func (b *Balancer) settle(h *cache) {
-	available := h != b.origin && b.up(h) && b.caches[h.Cache] == h
+// updateAvailability puts a cache among those that attempts may go to, or takes it from them, as its condition now is.
+func (b *Balancer) updateAvailability(h *cacheHost) {
+	available := h != b.origin && b.isUp(h) && b.hosts[h.Cache] == h
 	switch {
-	case available && h.place == 0:
+	case available && h.availablePos == 0:
 		b.available = append(b.available, h)
-		h.place = len(b.available)
-		h.counted = h.weight * b.warmth(h)
-		b.ring.add(h, b.pointsOf(h))
-		b.tallyOf(h, 1)
-	case !available && h.place > 0:
+		h.availablePos = len(b.available)
+		h.countedCapacity = h.weight * b.warmShare(h)
+		b.ring.add(h, b.virtualNodesOf(h))
+		b.adjustSums(h, 1)
+	case !available && h.availablePos > 0:
 		last := b.available[len(b.available)-1]
-		b.available[h.place-1], last.place = last, h.place
+		b.available[h.availablePos-1], last.availablePos = last, h.availablePos
 		b.available[len(b.available)-1] = nil
 		b.available = b.available[:len(b.available)-1]
-		h.place = 0
+		h.availablePos = 0
 		b.ring.remove(h)
-		b.tallyOf(h, -1)
+		b.adjustSums(h, -1)
 	}
 }
 
-// tallyOf adds a cache to the sums over all that are available, or takes it out of them.
-func (b *Balancer) tallyOf(h *cache, sign int) {
-	b.attemptsOut += sign * h.out
-	b.able += float64(sign) * h.counted
-	b.held += float64(sign) * h.held
-	if h.Zone == b.terms.Zone {
-		b.nearby += sign
+// adjustSums adds a cache to the sums over all that are available, or takes it out of them.
+func (b *Balancer) adjustSums(h *cacheHost, sign int) {
+	b.attemptsInFlight += sign * h.inFlight
+	b.warmCapacity += float64(sign) * h.countedCapacity
+	b.loadSum += float64(sign) * h.listedLoad
+	if h.Zone == b.config.Zone {
+		b.availableInZone += sign
 	}
 	if len(b.available) == 0 { // sums of many parts are not exact
-		b.able, b.held = 0, 0
+		b.warmCapacity, b.loadSum = 0, 0
 	}
 }
 
-// meanHeld is what the available caches hold a core, in the mean, as listed.
-func (b *Balancer) meanHeld() float64 { return max(0, b.held) / float64(max(1, len(b.available))) }
+// meanLoad is what the available caches hold a core, in the mean, as listed.
+func (b *Balancer) meanLoad() float64 { return max(0, b.loadSum) / float64(max(1, len(b.available))) }
 
-// up tells that a host may be sent to: the list names it so and nobody has taken it out.
-func (b *Balancer) up(h *cache) bool { return h.Condition == Up && !b.out[h.Cache] }
+// isUp tells that a host may be sent to: the list names it so and nobody has taken it out.
+func (b *Balancer) isUp(h *cacheHost) bool { return h.Condition == Up && !b.excluded[h.Cache] }
 
 // Exclude takes a cache out by hand until Include: no list lifts that, nor its leaving the list.
-func (b *Balancer) Exclude(id CacheID) (known, held bool) {
-	if known = b.Knows(id); !known || len(b.out) >= mostExcluded && !b.out[id] {
+func (b *Balancer) Exclude(id CacheID) (known, excluded bool) {
+	if known = b.Knows(id); !known || len(b.excluded) >= maxExcluded && !b.excluded[id] {
 		return known, false
 	}
 	b.Bar(id)
@@ -117,129 +117,129 @@
 
 // Bar is Exclude for what another process has been told, or this one before its start.
 func (b *Balancer) Bar(id CacheID) {
-	b.out[id] = true
-	if h := b.caches[id]; h != nil {
-		b.settle(h)
+	b.excluded[id] = true
+	if h := b.hosts[id]; h != nil {
+		b.updateAvailability(h)
 	}
 }
 
-// mostExcluded bounds the caches out by hand: those that no list names any more stay out. Many times a fleet.
-const mostExcluded = 4096
+// maxExcluded bounds the caches out by hand: those that no list names any more stay out. Many times a fleet.
+const maxExcluded = 4096
 
 // Include puts a cache back. Operators restart it meanwhile: it comes back as one that starts now, whatever
 // the list knows of its start, and nothing learnt of it before holds. One that was not out stays as it is.
 func (b *Balancer) Include(id CacheID) (known bool) {
-	if known = b.Knows(id); !b.out[id] {
+	if known = b.Knows(id); !b.excluded[id] {
 		return known
 	}
-	delete(b.out, id)
-	if old := b.caches[id]; old != nil {
-		delete(b.caches, id)
-		h, now := b.note(old.Entry), b.host.Now()
-		h.out, h.busySince, h.lastEnded, h.back = old.out, old.busySince, old.lastEnded, now
-		h.owed, b.owing = now+Nanos(float64(backWithin)*b.chance()), true
-		b.settle(h)
+	delete(b.excluded, id)
+	if old := b.hosts[id]; old != nil {
+		delete(b.hosts, id)
+		h, now := b.applyEntry(old.Entry), b.env.Now()
+		h.inFlight, h.busySince, h.lastEnded, h.includedAt = old.inFlight, old.busySince, old.lastEnded, now
+		h.firstUseDue, b.firstUsePending = now+Nanos(float64(firstUseWithin)*b.randomFloat()), true
+		b.updateAvailability(h)
 	}
 	return known
 }
 
-// backWithin is when a cache that was put back is used at the latest, by each balancer at its own moment:
+// firstUseWithin is when a cache that was put back is used at the latest, by each balancer at its own moment:
 // with few requests its budget gives each balancer one in minutes, and nobody could tell that it is back.
-const backWithin = 4 * Second
+const firstUseWithin = 4 * Second
 
-// returned is a cache that was put back by hand and is due to be used.
-func (b *Balancer) returned(c *call) *cache {
-	if !b.owing || c.Write || len(c.attempts) > 0 || c.terms.Effect != Idempotent {
+// dueFirstUse is a cache that was put back by hand and is due to be used.
+func (b *Balancer) dueFirstUse(r *request) *cacheHost {
+	if !b.firstUsePending || r.Write || len(r.attempts) > 0 || r.product.Effect != Idempotent {
 		return nil
 	}
-	b.owing = false
+	b.firstUsePending = false
 	for _, h := range b.available {
-		b.owing = b.owing || h.owed > 0
-		if h.owed > 0 && b.host.Now() >= h.owed {
-			h.budget = max(0, h.budget-1)
+		b.firstUsePending = b.firstUsePending || h.firstUseDue > 0
+		if h.firstUseDue > 0 && b.env.Now() >= h.firstUseDue {
+			h.coldBudget = max(0, h.coldBudget-1)
 			return h
 		}
 	}
 	return nil
 }
 
-// forget drops a host that is gone once nothing is out there: others come under new ids all day.
-func (b *Balancer) forget(h *cache) {
-	if h.Condition == Gone && h.out == 0 && h != b.origin && b.caches[h.Cache] == h {
-		delete(b.caches, h.Cache)
+// dropIfGone drops a host that is gone once nothing is out there: others come under new ids all day.
+func (b *Balancer) dropIfGone(h *cacheHost) {
+	if h.Condition == Gone && h.inFlight == 0 && h != b.origin && b.hosts[h.Cache] == h {
+		delete(b.hosts, h.Cache)
 	}
 }
 
-// follow asks for the list, at a start or after a call for it that failed, at once or within againWithin.
+// scheduleListRequest asks for the list, at a start or after a call for it that failed, at once or within maxListRetryDelay.
 // With a list from before a start can wait: a release starts most balancers at once, and all their calls
 // together held discovery up for so long that none was answered in time. So did calls that failed, after 250
 // ms, doubled.
-func (b *Balancer) follow(atOnce bool) {
-	if !b.terms.MustSubscribe || b.retrying {
+func (b *Balancer) scheduleListRequest(immediately bool) {
+	if !b.config.MustSubscribe || b.listRequestPending {
 		return
 	}
-	b.retrying = true
-	wait := Nanos(0)
-	if !atOnce {
-		wait = Nanos(float64(min(b.terms.AskEvery/2, againWithin)) * b.chance())
+	b.listRequestPending = true
+	delay := Nanos(0)
+	if !immediately {
+		delay = Nanos(float64(min(b.config.AskEvery/2, maxListRetryDelay)) * b.randomFloat())
 	}
-	b.host.SetTimer(wait, "list")
+	b.env.SetTimer(delay, "list")
 }
 
-// againWithin is of the six seconds after which news counts as told once discovery can be reached, whatever
+// maxListRetryDelay is of the six seconds after which news counts as told once discovery can be reached, whatever
 // came of earlier calls: one is left for the call itself.
-const againWithin = 5 * Second
+const maxListRetryDelay = 5 * Second
 
-// unitOf fixes once what a listed size counts for: units of a power of two, and by kind where sizes follow
+// fixNominalSizes fixes once what a listed size counts for: units of a power of two, and by kind where sizes follow
 // the load, so that balancers that start at other times lay the same ring and no load report moves a key.
-func (b *Balancer) unitOf(entries []Entry) {
-	top := 0.0
+func (b *Balancer) fixNominalSizes(entries []Entry) {
+	largest := 0.0
 	for _, e := range entries {
-		if e.Kind != b.terms.OriginKind {
-			top = max(top, e.Size)
-			b.ofKind[e.Kind] = max(b.ofKind[e.Kind], e.Size)
+		if e.Kind != b.config.OriginKind {
+			largest = max(largest, e.Size)
+			b.sizeByKind[e.Kind] = max(b.sizeByKind[e.Kind], e.Size)
 		}
 	}
-	if top > 0 {
-		b.unit = math.Exp2(math.Floor(math.Log2(top)))
+	if largest > 0 {
+		b.nominalSize = math.Exp2(math.Floor(math.Log2(largest)))
 	}
 }
 
-// note takes one entry.
-func (b *Balancer) note(e Entry) *cache {
-	old := b.caches[e.Cache]
+// applyEntry takes one entry.
+func (b *Balancer) applyEntry(e Entry) *cacheHost {
+	old := b.hosts[e.Cache]
 	if old != nil && (old.Born == e.Born || old == b.origin) {
 		old.Condition = e.Condition
-		if size := b.ofKind[e.Kind]; b.terms.LiveSizes && e.Size > 0 && e.Size <= size {
-			held := max(size/e.Size-1, 0.6*old.held)
-			if old.place > 0 {
-				b.held += held - old.held
+		if size := b.sizeByKind[e.Kind]; b.config.LiveSizes && e.Size > 0 && e.Size <= size {
+			load := max(size/e.Size-1, 0.6*old.listedLoad)
+			if old.availablePos > 0 {
+				b.loadSum += load - old.listedLoad
 			}
-			old.held = held
+			old.listedLoad = load
 		}
 		return old
 	}
 	// A restart under the same name is a new process: cold, and nothing learnt of the old one holds.
-	h := &cache{Entry: e, limit: b.firstLimit(), weight: e.Size}
-	h.delay.width, h.budgetAt = delaySlot, b.host.Now()
+	h := &cacheHost{Entry: e, concurrencyLimit: b.initialLimit(), weight: e.Size}
+	h.excessDelay.width, h.coldBudgetAt = delaySlot, b.env.Now()
 	if old != nil {
-		h.out, h.busySince, h.lastEnded, h.back, h.owed = old.out, old.busySince, old.lastEnded, old.back, old.owed
+		h.inFlight, h.busySince, h.lastEnded, h.includedAt, h.firstUseDue = old.inFlight, old.busySince, old.lastEnded, old.includedAt, old.firstUseDue
 	}
-	if size := b.ofKind[e.Kind]; b.terms.LiveSizes && size > 0 {
+	if size := b.sizeByKind[e.Kind]; b.config.LiveSizes && size > 0 {
 		h.weight = math.Exp2(math.Round(2*math.Log2(size)) / 2)
 	}
-	if b.terms.SizesEqual || !(h.weight > 0) {
-		h.weight = b.unit
+	if b.config.SizesEqual || !(h.weight > 0) {
+		h.weight = b.nominalSize
 	}
-	if b.terms.Aside && e.Kind == b.terms.OriginKind {
+	if b.config.Aside && e.Kind == b.config.OriginKind {
 		b.origin = h
 	}
-	b.caches[e.Cache] = h
+	b.hosts[e.Cache] = h
 	if old != nil {
-		b.settle(old)
+		b.updateAvailability(old)
 	}
-	if b.zones[e.Zone] == nil {
-		b.zones[e.Zone] = &meter{}
+	if b.zoneOutcomes[e.Zone] == nil {
+		b.zoneOutcomes[e.Zone] = &meter{}
 	}
 	return h
 }
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -8,140 +8,140 @@
 package policy
 
 // New makes a balancer that starts with nothing; its list follows by Listed.
-func New(host Host, terms Terms, seed uint64) *Balancer {
-	b := &Balancer{host: host, terms: terms, seed: seedHash(seed), began: host.Now(), caches: map[CacheID]*cache{},
-		out: map[CacheID]bool{}, ofKind: map[Kind]float64{}, zones: map[Zone]*meter{}, calls: map[CallID]*call{},
-		table: keyTable{at: map[Key]int{}}, allowances: make([]allowance, len(terms.Customers)),
-		tempos: make([]meter, 2*len(terms.Products)), origin: &cache{limit: mostOut / 4},
-		fleetBears: sparseOut / float64(terms.Balancers)}
-	for i, p := range terms.Products {
-		b.topValue = max(b.topValue, p.BilledValue)
-		b.tempos[2*i].width, b.tempos[2*i+1].width = calmSlot, calmSlot
-	}
-	host.SetTimer(beatEvery, "beat")
+func New(env Host, config Terms, seed uint64) *Balancer {
+	b := &Balancer{env: env, config: config, seed: seedHash(seed), startedAt: env.Now(), hosts: map[CacheID]*cacheHost{},
+		excluded: map[CacheID]bool{}, sizeByKind: map[Kind]float64{}, zoneOutcomes: map[Zone]*meter{}, requests: map[CallID]*request{},
+		keys: keyTable{index: map[Key]int{}}, quotas: make([]quota, len(config.Customers)),
+		attemptTimes: make([]meter, 2*len(config.Products)), origin: &cacheHost{concurrencyLimit: maxInFlight / 4},
+		fleetLimitPerHost: largeFleetInitialInFlight / float64(config.Balancers)}
+	for i, p := range config.Products {
+		b.maxBilledValue = max(b.maxBilledValue, p.BilledValue)
+		b.attemptTimes[2*i].width, b.attemptTimes[2*i+1].width = baselineSlot, baselineSlot
+	}
+	env.SetTimer(maintenanceInterval, "beat")
 	return b
 }
 
 // Arrived takes a request; from here on it is owed one final answer.
 func (b *Balancer) Arrived(in Call) {
-	now := b.host.Now()
+	now := b.env.Now()
 	if in.Key == "" {
 		in.Key = Key(in.ID)
 	}
-	c := &call{Call: in, terms: &b.terms.Products[in.Product], began: now}
+	r := &request{Call: in, product: &b.config.Products[in.Product], arrivedAt: now}
 	// Two ticks before the client leaves: a timer fires up to one tick late, and its answer must still count.
-	b.host.SetTimer(max(0, in.Deadline-now-2*b.terms.Tick), TimerID("e"+in.ID))
-	b.calls[in.ID] = c
-	b.count(c)
-	c.above = b.beyondAllowance(c)
+	b.env.SetTimer(max(0, in.Deadline-now-2*b.config.Tick), TimerID("e"+in.ID))
+	b.requests[in.ID] = r
+	b.countKeyUse(r)
+	r.overQuota = b.exceedsQuota(r)
 	switch {
-	case c.Work > c.terms.LatencySLO && c.terms.OverdueValue == 0,
-		c.above && b.chance() < max(b.squeeze, b.meanHeld()/4):
-		b.giveUp(c)
-	case b.terms.Aside && c.Write: // caches do not take writes here
-		b.askOrigin(c)
+	case r.Work > r.product.LatencySLO && r.product.OverdueValue == 0,
+		r.overQuota && b.randomFloat() < max(b.shedProbability, b.meanLoad()/4):
+		b.giveUp(r)
+	case b.config.Aside && r.Write: // caches do not take writes here
+		b.sendToOrigin(r)
 	default:
-		b.toCache(c)
+		b.sendToHost(r)
 	}
 }
 
 // Ended takes the outcome of an attempt.
 func (b *Balancer) Ended(e Ending) {
-	now := b.host.Now()
-	h, c := b.caches[e.Cache], b.calls[e.Call]
+	now := b.env.Now()
+	h, r := b.hosts[e.Cache], b.requests[e.Call]
 	if h != nil {
-		if h.out > 0 {
-			h.out--
-			if h.place > 0 {
-				b.attemptsOut--
+		if h.inFlight > 0 {
+			h.inFlight--
+			if h.availablePos > 0 {
+				b.attemptsInFlight--
 			}
 		}
-		h.lastEnded, h.took = now, e.Took.seconds()
-		b.forget(h)
+		h.lastEnded, h.lastAttemptSeconds = now, e.Took.seconds()
+		b.dropIfGone(h)
 	}
-	if c == nil || e.Attempt < 0 || e.Attempt >= len(c.attempts) || !c.attempts[e.Attempt].out {
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
 		return
 	}
-	s := &c.attempts[e.Attempt]
-	s.out, s.ran, s.nobody = false, MayHaveRun(e.Outcome), e.Outcome == ConnectFailed
+	a := &r.attempts[e.Attempt]
+	a.inFlight, a.mayHaveRun, a.noConnection = false, MayHaveRun(e.Outcome), e.Outcome == ConnectFailed
 	if h != nil && h != b.origin && e.Outcome != NeverSent {
-		b.met.tell(now, !s.nobody, s.nobody)
-		if !s.nobody {
-			h.metAt = now
+		b.connectOutcomes.record(now, !a.noConnection, a.noConnection)
+		if !a.noConnection {
+			h.lastConnectedAt = now
 		}
 	}
-	c.out--
+	r.inFlight--
 	if h != nil {
-		b.learn(h, c, e, s)
+		b.recordOutcome(h, r, e, a)
 	}
-	if e.Attempt > 0 && s.at != b.origin && !c.missed && e.Outcome != NeverSent && e.Outcome != Missed &&
+	if e.Attempt > 0 && a.host != b.origin && !r.cacheMissed && e.Outcome != NeverSent && e.Outcome != Missed &&
 		e.Outcome != ConnectFailed {
-		b.further.tell(now, e.Outcome == Fulfilled, e.Outcome != Fulfilled)
+		b.retryOutcomes.record(now, e.Outcome == Fulfilled, e.Outcome != Fulfilled)
 	}
 	switch {
-	case e.Final || e.Outcome == Fulfilled || c.over:
-		b.finish(c)
-	case e.Outcome == Missed && b.terms.Aside: // elsewhere there is no origin to ask
-		c.missed = true
-		b.askOrigin(c)
-	case c.out == 0:
-		b.again(c, s.at)
+	case e.Final || e.Outcome == Fulfilled || r.finished:
+		b.finish(r)
+	case e.Outcome == Missed && b.config.Aside: // elsewhere there is no origin to ask
+		r.cacheMissed = true
+		b.sendToOrigin(r)
+	case r.inFlight == 0:
+		b.retry(r, a.host)
 	}
 }
 
 // giveUp ends a request that gets no answer: at once, so that the client can act.
-func (b *Balancer) giveUp(c *call) {
-	if b.mayRateLimit(c) {
-		b.host.RateLimit(c.ID, b.comeBack(c))
+func (b *Balancer) giveUp(r *request) {
+	if b.mayRateLimit(r) {
+		b.env.RateLimit(r.ID, b.retryAfter(r))
 	} else {
-		b.host.Error(c.ID)
+		b.env.Error(r.ID)
 	}
-	b.finish(c)
+	b.finish(r)
 }
 
-// comeBack spreads returning clients: within the SLO if there is time, else as late as they will honour.
-func (b *Balancer) comeBack(c *call) Nanos {
-	left := c.began + c.terms.LatencySLO - b.host.Now()
-	if left <= 0 || c.Repeat || c.above {
-		left = b.terms.MaxComeBack
+// retryAfter spreads returning clients: within the SLO if there is time, else as late as they will honour.
+func (b *Balancer) retryAfter(r *request) Nanos {
+	left := r.arrivedAt + r.product.LatencySLO - b.env.Now()
+	if left <= 0 || r.Repeat || r.overQuota {
+		left = b.config.MaxComeBack
 	}
-	return min(b.terms.MaxComeBack, Nanos(float64(left)*(0.3+0.4*b.chance())))
+	return min(b.config.MaxComeBack, Nanos(float64(left)*(0.3+0.4*b.randomFloat())))
 }
 
 // finish forgets a request once all of its attempts have ended; until then they still teach.
-func (b *Balancer) finish(c *call) {
-	if !c.over {
-		c.over = true
-		for i, s := range c.attempts {
-			if s.out && b.terms.MayCancel && !c.stream {
-				b.host.Cancel(c.ID, i)
+func (b *Balancer) finish(r *request) {
+	if !r.finished {
+		r.finished = true
+		for i, a := range r.attempts {
+			if a.inFlight && b.config.MayCancel && !r.streaming {
+				b.env.Cancel(r.ID, i)
 			}
 		}
 	}
-	if c.out == 0 {
-		delete(b.calls, c.ID)
+	if r.inFlight == 0 {
+		delete(b.requests, r.ID)
 	}
 }
 
 // Abandoned hears that the client has left.
 func (b *Balancer) Abandoned(id CallID) {
-	if c := b.calls[id]; c != nil && !c.over {
-		b.finish(c)
+	if r := b.requests[id]; r != nil && !r.finished {
+		b.finish(r)
 	}
 }
 
 // Streaming hears that an answer has begun; it has no client timeout any more.
 func (b *Balancer) Streaming(id CallID) {
-	if c := b.calls[id]; c != nil {
-		c.stream = true
+	if r := b.requests[id]; r != nil {
+		r.streaming = true
 	}
 }
 
 // Came hears that the last byte of a long write has come, which fixes the client's deadline.
 func (b *Balancer) Came(id CallID, deadline Nanos) {
-	if c := b.calls[id]; c != nil && !c.over {
-		c.Deadline = deadline
-		b.host.SetTimer(max(0, deadline-b.host.Now()-2*b.terms.Tick), TimerID("e"+id))
+	if r := b.requests[id]; r != nil && !r.finished {
+		r.Deadline = deadline
+		b.env.SetTimer(max(0, deadline-b.env.Now()-2*b.config.Tick), TimerID("e"+id))
 	}
 }
 
@@ -149,18 +149,18 @@
 func (b *Balancer) TimerFired(id TimerID) {
 	switch id {
 	case "beat":
-		b.host.SetTimer(beatEvery, "beat")
-		b.weigh()
-		if slot := int(b.host.Now() / keySlot % keySlots); slot != b.table.slot {
-			b.rotate(slot)
+		b.env.SetTimer(maintenanceInterval, "beat")
+		b.recomputeSums()
+		if slot := int(b.env.Now() / keySlotLength % keySlotCount); slot != b.keys.slot {
+			b.rotateKeySlots(slot)
 		}
 		return
 	case "list":
-		b.retrying = false
-		b.host.Subscribe()
+		b.listRequestPending = false
+		b.env.Subscribe()
 		return
 	}
-	if c := b.calls[CallID(id[1:])]; c != nil && !c.over && !c.stream {
-		b.giveUp(c)
+	if r := b.requests[CallID(id[1:])]; r != nil && !r.finished && !r.streaming {
+		b.giveUp(r)
 	}
 }
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -11,54 +11,54 @@
 // arc is sorted when it is next walked. Points hold no pointers: there are hundreds of thousands on a large fleet's ring, and
 // the garbage collector has not to look at them.
 type ring struct {
-	arcs  []arc
-	hosts []*cache // by number; nil: the number is free
-	free  []uint32
-	count int // caches on the ring
+	segments    []segment
+	hosts       []*cacheHost // by number; nil: the number is free
+	freeNumbers []uint32
+	hostCount   int // caches on the ring
 }
 
 const (
-	arcBits = 12
-	arcsAll = 1 << arcBits
+	segmentBits  = 12
+	segmentCount = 1 << segmentBits
 )
 
-type arc struct {
-	points []point
+type segment struct {
+	nodes  []virtualNode
 	sorted bool
 }
 
-// point is a virtual node of a cache. Points at one position stand in the order of their caches' ids.
-type point struct {
-	position uint32 // the bits of its hash behind those that tell the arc
-	host     uint32 // number of the cache
+// virtualNode is a virtual node of a cache. Points at one position stand in the order of their caches' ids.
+type virtualNode struct {
+	position   uint32 // the bits of its hash behind those that tell the arc
+	hostNumber uint32 // number of the cache
 }
 
-// arcOf and positionOf place a hash on the ring.
-func arcOf(hash uint64) int         { return int(hash >> (64 - arcBits)) }
-func positionOf(hash uint64) uint32 { return uint32(hash >> (32 - arcBits)) }
+// segmentOf and positionOf place a hash on the ring.
+func segmentOf(hash uint64) int     { return int(hash >> (64 - segmentBits)) }
+func positionOf(hash uint64) uint32 { return uint32(hash >> (32 - segmentBits)) }
 
 // add puts a cache on the ring with so many points.
-func (r *ring) add(h *cache, points int) {
-	if r.arcs == nil {
-		r.arcs = make([]arc, arcsAll)
+func (r *ring) add(h *cacheHost, virtualNodes int) {
+	if r.segments == nil {
+		r.segments = make([]segment, segmentCount)
 	}
-	h.number = r.numberFor(h)
-	h.points = points
-	r.count++
+	h.ringNumber = r.allocateNumber(h)
+	h.virtualNodes = virtualNodes
+	r.hostCount++
 	id := hashPrefix(string(h.Cache))
-	for n := range points {
-		at := id.with(uint64(n))
-		a := &r.arcs[arcOf(at)]
-		a.points = append(a.points, point{positionOf(at), h.number})
-		a.sorted = false
+	for n := range virtualNodes {
+		position := id.with(uint64(n))
+		segment := &r.segments[segmentOf(position)]
+		segment.nodes = append(segment.nodes, virtualNode{positionOf(position), h.ringNumber})
+		segment.sorted = false
 	}
 }
 
-// numberFor gives a cache a number.
-func (r *ring) numberFor(h *cache) uint32 {
-	if last := len(r.free) - 1; last >= 0 {
-		number := r.free[last]
-		r.free = r.free[:last]
+// allocateNumber gives a cache a number.
+func (r *ring) allocateNumber(h *cacheHost) uint32 {
+	if last := len(r.freeNumbers) - 1; last >= 0 {
+		number := r.freeNumbers[last]
+		r.freeNumbers = r.freeNumbers[:last]
 		r.hosts[number] = h
 		return number
 	}
@@ -67,80 +67,80 @@
 }
 
 // remove takes a cache from the ring.
-func (r *ring) remove(h *cache) {
+func (r *ring) remove(h *cacheHost) {
 	id := hashPrefix(string(h.Cache))
-	for n := range h.points {
-		at := id.with(uint64(n))
-		a := &r.arcs[arcOf(at)]
-		i := slices.Index(a.points, point{positionOf(at), h.number})
-		a.points = slices.Delete(a.points, i, i+1) // in order: a sorted arc stays sorted
+	for n := range h.virtualNodes {
+		position := id.with(uint64(n))
+		segment := &r.segments[segmentOf(position)]
+		i := slices.Index(segment.nodes, virtualNode{positionOf(position), h.ringNumber})
+		segment.nodes = slices.Delete(segment.nodes, i, i+1) // in order: a sorted arc stays sorted
 	}
-	r.hosts[h.number] = nil
-	r.free = append(r.free, h.number)
-	r.count--
-	h.points = 0
+	r.hosts[h.ringNumber] = nil
+	r.freeNumbers = append(r.freeNumbers, h.ringNumber)
+	r.hostCount--
+	h.virtualNodes = 0
 }
 
-// walked is an arc's points in order.
-func (r *ring) walked(i int) []point {
-	a := &r.arcs[i]
-	if !a.sorted {
-		slices.SortFunc(a.points, func(x, y point) int {
+// sortedSegment is an arc's points in order.
+func (r *ring) sortedSegment(i int) []virtualNode {
+	segment := &r.segments[i]
+	if !segment.sorted {
+		slices.SortFunc(segment.nodes, func(x, y virtualNode) int {
 			if c := cmp.Compare(x.position, y.position); c != 0 { // two are hardly ever equal
 				return c
 			}
-			return cmp.Compare(r.hosts[x.host].Cache, r.hosts[y.host].Cache)
+			return cmp.Compare(r.hosts[x.hostNumber].Cache, r.hosts[y.hostNumber].Cache)
 		})
-		a.sorted = true
+		segment.sorted = true
 	}
-	return a.points
+	return segment.nodes
 }
 
 // home is the first cache from the key on, nil where the ring is empty.
-func (r *ring) home(k Key) *cache {
-	for h := range r.from(k) {
+func (r *ring) home(k Key) *cacheHost {
+	for h := range r.hostsFrom(k) {
 		return h
 	}
 	return nil
 }
 
-// from meets all caches in the order of the ring, from the key on; the first is its home. The ring must not change meanwhile.
-func (r *ring) from(k Key) iter.Seq[*cache] {
-	return func(yield func(*cache) bool) {
-		if r.count == 0 {
+// hostsFrom meets all caches in the order of the ring, from the key on; the first is its home. The ring must not change meanwhile.
+func (r *ring) hostsFrom(k Key) iter.Seq[*cacheHost] {
+	return func(yield func(*cacheHost) bool) {
+		if r.hostCount == 0 {
 			return
 		}
-		at := hash(string(k), 0)
-		start, met := arcOf(at), hostSet{}
-		points := r.walked(start)
-		first, _ := slices.BinarySearchFunc(points, positionOf(at),
-			func(p point, position uint32) int { return cmp.Compare(p.position, position) })
-		points = points[first:]
+		keyHash := hash(string(k), 0)
+		start, visited := segmentOf(keyHash), hostSet{}
+		nodes := r.sortedSegment(start)
+		first, _ := slices.BinarySearchFunc(nodes, positionOf(keyHash),
+			func(p virtualNode, position uint32) int { return cmp.Compare(p.position, position) })
+		nodes = nodes[first:]
 		for i := start + 1; ; i++ {
-			for _, p := range points {
-				if !met.add(p.host, len(r.hosts)) {
+			for _, p := range nodes {
+				if !visited.add(p.hostNumber, len(r.hosts)) {
 					continue
 				}
-				if !yield(r.hosts[p.host]) || met.count == r.count {
+				if !yield(r.hosts[p.hostNumber]) || visited.count == r.hostCount {
 					return
 				}
 			}
-			points = r.walked(i % arcsAll)
+			nodes = r.sortedSegment(i % segmentCount)
 		}
 	}
 }
 
 // hostSet holds the numbers of the caches that a walk has met. Nearly all walks end within the first few.
 type hostSet struct {
-	few   [16]uint32
-	many  []uint64 // one bit for each number, once few is full
+	small [16]uint32
+	bits  []uint64 // one bit for each number, once few is full
 	count int
 }
 
 // add tells whether a number of so many is new.
-func (s *hostSet) add(number uint32, of int) bool {
-	if s.many != nil {
-		word, bit := &s.many[number/64], uint64(1)<<(number%64)
+func (s *hostSet) add(number uint32, total int) bool {
+	if s.bits != nil {
+		word, bit := &s.bits[number/64], uint64(1)<<(number%64)
 		if *word&bit != 0 {
 			return false
 		}
@@ -148,18 +148,18 @@
 		s.count++
 		return true
 	}
-	if slices.Contains(s.few[:s.count], number) {
+	if slices.Contains(s.small[:s.count], number) {
 		return false
 	}
-	if s.count == len(s.few) {
-		s.many = make([]uint64, (of+63)/64)
+	if s.count == len(s.small) {
+		s.bits = make([]uint64, (total+63)/64)
 		s.count = 0
-		for _, known := range s.few {
-			s.add(known, of)
+		for _, known := range s.small {
+			s.add(known, total)
 		}
-		return s.add(number, of)
+		return s.add(number, total)
 	}
-	s.few[s.count] = number
+	s.small[s.count] = number
 	s.count++
 	return true
 }
--- a/policy/ring_test.go
+++ b/policy/ring_test.go
@@ -46,7 +46,7 @@
 	chance := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		var r ring
-		hosts, caches := map[CacheID]int{}, map[CacheID]*cache{}
+		hosts, caches := map[CacheID]int{}, map[CacheID]*cacheHost{}
 		for range 10 + chance.IntN(200) {
 			id := CacheID(fmt.Sprint("s-", chance.IntN(60)))
 			if h := caches[id]; h != nil {
@@ -54,13 +54,13 @@
 				delete(caches, id)
 				delete(hosts, id)
 			} else {
-				h := &cache{Entry: Entry{Cache: id}}
+				h := &cacheHost{Entry: Entry{Cache: id}}
 				caches[id], hosts[id] = h, 1+chance.IntN(100)
 				r.add(h, hosts[id])
 			}
 			key := Key(fmt.Sprint("key", chance.IntN(1000)))
 			var got []CacheID
-			for h := range r.from(key) {
+			for h := range r.hostsFrom(key) {
 				got = append(got, h.Cache)
 			}
 			if want := ringOrder(hosts, key); !slices.Equal(got, want) {
@@ -80,24 +80,24 @@
 		whole, pieces := New(clock, terms, 1), New(clock, terms, 1)
 		for range 1 + chance.IntN(8) {
 			clock.now += Second
-			whole.weigh() // as each beat does
-			pieces.weigh()
+			whole.recomputeSums() // as each beat does
+			pieces.recomputeSums()
 			var list []Entry
 			for _, n := range chance.Perm(40)[:1+chance.IntN(40)] {
 				list = append(list, Entry{Cache: CacheID(fmt.Sprint("s-", n)), Zone: Zone(n % 3), Condition: Condition(chance.IntN(3)),
 					Size: 1 + chance.Float64(), Born: Nanos(chance.IntN(2)) * 95 * Second})
 			}
 			kind := ListUpdate
-			if chance.IntN(2) == 0 || whole.unit == 0 {
+			if chance.IntN(2) == 0 || whole.nominalSize == 0 {
 				kind = ListReplace
 			}
 			whole.Listed(kind, list)
 			pieces.ListBegins(kind, list)
 			rest := slices.Clone(list)
 			if kind == ListReplace {
-				for id := range pieces.caches {
+				for id := range pieces.hosts {
 					if !slices.ContainsFunc(list, func(e Entry) bool { return e.Cache == id }) {
-						rest = append(rest, Entry{Cache: id, Condition: Gone, Born: pieces.caches[id].Born})
+						rest = append(rest, Entry{Cache: id, Condition: Gone, Born: pieces.hosts[id].Born})
 					}
 				}
 			}
@@ -108,18 +108,18 @@
 				rest = rest[n:]
 			}
 			for _, b := range []*Balancer{whole, pieces} {
-				able, held := b.able, b.held
-				if b.weigh(); math.Abs(able-b.able) > 1e-6 || math.Abs(held-b.held) > 1e-6 || b.ring.count != len(b.available) {
-					t.Fatalf("able %v, held %v, %d on the ring; counted anew %v, %v, %d", able, held, b.ring.count, b.able, b.held, len(b.available))
+				able, held := b.warmCapacity, b.loadSum
+				if b.recomputeSums(); math.Abs(able-b.warmCapacity) > 1e-6 || math.Abs(held-b.loadSum) > 1e-6 || b.ring.hostCount != len(b.available) {
+					t.Fatalf("able %v, held %v, %d on the ring; counted anew %v, %v, %d", able, held, b.ring.hostCount, b.warmCapacity, b.loadSum, len(b.available))
 				}
 			}
 			ids := func(b *Balancer) (all []CacheID) {
-				for h := range b.ring.from("key") {
+				for h := range b.ring.hostsFrom("key") {
 					all = append(all, h.Cache)
 				}
 				return all
 			}
-			if a, b := ids(whole), ids(pieces); !slices.Equal(a, b) || len(whole.caches) != len(pieces.caches) || whole.nearby != pieces.nearby {
+			if a, b := ids(whole), ids(pieces); !slices.Equal(a, b) || len(whole.hosts) != len(pieces.hosts) || whole.availableInZone != pieces.availableInZone {
 				t.Fatalf("in one piece %v, in several %v", a, b)
 			}
 		}
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -117,17 +117,17 @@
 func (s *stage) Cancel(id CallID, n int) {
 	s.act("cancel %s %d", id, n)
 	d := s.owed[id]
-	s.later(Millisecond, func() { s.end(id, n, Cancelled, s.now-d.attempts[n].sent) })
+	s.later(Millisecond, func() { s.end(id, n, Cancelled, s.now-d.attempts[n].sentAt) })
 }
 
 // mayRun is the table of the wire: what an outcome proves.
 func (s *stage) mayRun(d *debt, group func(attempt) bool) bool {
 	for _, x := range d.attempts {
-		if !x.out && !x.ran {
+		if !x.inFlight && !x.mayHaveRun {
 			continue
 		}
 		p := s.terms.Products[d.in.Product]
-		if p.Effect == NonIdempotent || p.Effect == Deduplicated && (s.now-x.sent >= p.Window || !group(x)) {
+		if p.Effect == NonIdempotent || p.Effect == Deduplicated && (s.now-x.sentAt >= p.Window || !group(x)) {
 			return false
 		}
 	}
@@ -142,7 +142,7 @@
 	d, h := s.owed[id], s.hosts[to]
 	out := 0
 	for _, x := range d.attempts {
-		if x.out {
+		if x.inFlight {
 			out++
 		}
 	}
@@ -150,7 +150,7 @@
 	case d.done || s.now > d.until:
 		s.Errorf("%s: rule 1: %s sent after its end", s.where, id)
 	case !s.mayRun(d, func(x attempt) bool {
-		e, p := x.at.Entry, s.terms.Products[d.in.Product]
+		e, p := x.host.Entry, s.terms.Products[d.in.Product]
 		return p.Group == GroupAll || p.Group == GroupZone && e.Zone == h.Zone || p.Group == GroupCell && e.Cell == h.Cell
 	}):
 		s.Errorf("%s: rule 2: %s may run twice", s.where, id)
@@ -158,7 +158,7 @@
 		s.Errorf("%s: too many attempts of %s", s.where, id)
 	case beginBy > deadline || slices.ContainsFunc(d.attempts, func(x attempt) bool {
 		p := s.terms.Products[d.in.Product]
-		return x.ran && p.Effect == Deduplicated && beginBy > x.sent+p.Window
+		return x.mayHaveRun && p.Effect == Deduplicated && beginBy > x.sentAt+p.Window
 	}):
 		s.Errorf("%s: rule 2: %s may still begin when its repeat is not dropped any more", s.where, id)
 	case h.toldAt > 0 && s.now > h.toldAt+drainGrace:
@@ -179,7 +179,7 @@
 		}
 	}
 	n := len(d.attempts)
-	d.attempts = append(d.attempts, attempt{at: &cache{Entry: h.Entry}, sent: s.now, out: true})
+	d.attempts = append(d.attempts, attempt{host: &cacheHost{Entry: h.Entry}, sentAt: s.now, inFlight: true})
 	r, ok := s.auto[to]
 	if o, off := s.off[d.in.Customer]; off && ok {
 		r = reply{outcome: o, took: Millisecond}
@@ -198,13 +198,13 @@
 func (s *stage) end(id CallID, n int, o Outcome, took Nanos) {
 	d := s.owed[id]
 	x := &d.attempts[n]
-	if !x.out { // it was cancelled or answered before
+	if !x.inFlight { // it was cancelled or answered before
 		return
 	}
-	x.out, x.ran = false, o != TurnedAway && o != ConnectFailed && o != NeverSent && o != Missed
+	x.inFlight, x.mayHaveRun = false, o != TurnedAway && o != ConnectFailed && o != NeverSent && o != Missed
 	was := d.done
 	d.done = d.done || o == Fulfilled
-	s.b.Ended(Ending{Call: id, Attempt: n, Final: was || o == Fulfilled, Outcome: o, Took: took, Cache: x.at.Cache, Load: s.told})
+	s.b.Ended(Ending{Call: id, Attempt: n, Final: was || o == Fulfilled, Outcome: o, Took: took, Cache: x.host.Cache, Load: s.told})
 }
 
 func (s *stage) final(id CallID, what string) {
@@ -377,7 +377,7 @@
 		s.did = nil
 	case "end":
 		n, _ := strconv.Atoi(w[2])
-		s.end(CallID(w[1]), n, outcomeWords[w[3]], s.now-s.owed[CallID(w[1])].attempts[n].sent)
+		s.end(CallID(w[1]), n, outcomeWords[w[3]], s.now-s.owed[CallID(w[1])].attempts[n].sentAt)
 	case "abandon":
 		s.owed[CallID(w[1])].done = true
 		s.b.Abandoned(CallID(w[1]))
@@ -388,12 +388,12 @@
 			s.Errorf("%s: it was %d", s.where, n)
 		}
 	case "remembers": // remembers N: so many hosts
-		if n, _ := strconv.Atoi(w[1]); len(s.b.caches) != n {
-			s.Errorf("%s: it remembers %d", s.where, len(s.b.caches))
+		if n, _ := strconv.Atoi(w[1]); len(s.b.hosts) != n {
+			s.Errorf("%s: it remembers %d", s.where, len(s.b.hosts))
 		}
 	case "bears": // bears LEAST: attempts out at a host that the fleet is seen to bear
-		if least, _ := strconv.ParseFloat(w[1], 64); s.b.fleetBears < least {
-			s.Errorf("%s: it is %.3f", s.where, s.b.fleetBears)
+		if least, _ := strconv.ParseFloat(w[1], 64); s.b.fleetLimitPerHost < least {
+			s.Errorf("%s: it is %.3f", s.where, s.b.fleetLimitPerHost)
 		}
 	case "expect": // the next action; * stands for any word; "nothing": no action is left
 		got := []string{"nothing"}
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -75,8 +75,8 @@
 				h.now += 10 * Millisecond
 				id := CallID(fmt.Sprint(i))
 				m.Arrived(Call{ID: id, Key: Key(fmt.Sprint("key", i%1000)), Deadline: h.now + Second})
-				if c := m.calls[id]; c != nil && len(c.attempts) > 0 {
-					m.Ended(Ending{Call: id, Outcome: Fulfilled, Took: 50 * Millisecond, Cache: c.attempts[0].at.Cache})
+				if r := m.requests[id]; r != nil && len(r.attempts) > 0 {
+					m.Ended(Ending{Call: id, Outcome: Fulfilled, Took: 50 * Millisecond, Cache: r.attempts[0].host.Cache})
 				}
 			}
 		})
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,61 +4,61 @@
 
 // Slow start: what a host that has just started may get from all balancers together.
 
-// warmth is the share of its capacity that a host has at the least, by the time since its start.
-func (b *Balancer) warmth(h *cache) float64 {
-	born := max(cmp.Or(h.Started, h.Born), h.back)
-	age := b.host.Now() - born
-	if born == 0 || age >= b.terms.RampTime {
+// warmShare is the share of its capacity that a host has at the least, by the time since its start.
+func (b *Balancer) warmShare(h *cacheHost) float64 {
+	startedAt := max(cmp.Or(h.Started, h.Born), h.includedAt)
+	age := b.env.Now() - startedAt
+	if startedAt == 0 || age >= b.config.RampTime {
 		return 1
 	}
-	return b.terms.ColdFrom + (1-b.terms.ColdFrom)*max(0, float64(age))/float64(b.terms.RampTime)
+	return b.config.ColdFrom + (1-b.config.ColdFrom)*max(0, float64(age))/float64(b.config.RampTime)
 }
 
-// coldMayTake gives a cold host a rising part of its own keys, the same at every balancer, or any key where
+// coldHostMayTake gives a cold host a rising part of its own keys, the same at every balancer, or any key where
 // no other takes the call: half of a fleet, new, stood idle beside hosts that held too much. Below that is a
 // budget: this balancer's part of what would push it over. A part under one is drawn and spent either way: a
 // least of one each, times hundreds of balancers, pushed hosts over. As much is saved up as the window bears:
 // who asks once in seconds had a small chance each time at a quarter of it, and cold hosts stood idle.
-func (b *Balancer) coldMayTake(h *cache, c *call, any bool) bool {
-	w := b.warmth(h)
-	if w == 1 {
+func (b *Balancer) coldHostMayTake(h *cacheHost, r *request, any bool) bool {
+	warm := b.warmShare(h)
+	if warm == 1 {
 		return true
 	}
-	if !any && part(hash(string(h.Cache)+string(c.Key), 1)) >= w {
+	if !any && hashFraction(hash(string(h.Cache)+string(r.Key), 1)) >= warm {
 		return false
 	}
-	perS, now := b.coldRate(h, w), b.host.Now()
-	h.budget = min(perS*b.terms.FallWindow.seconds(), h.budget+perS*(now-h.budgetAt).seconds())
-	h.budgetAt = now
-	t := h.budget
-	h.budget = max(0, t-1)
-	return t >= 1 || b.chance() < t
+	perS, now := b.coldRequestRate(h, warm), b.env.Now()
+	h.coldBudget = min(perS*b.config.FallWindow.seconds(), h.coldBudget+perS*(now-h.coldBudgetAt).seconds())
+	h.coldBudgetAt = now
+	available := h.coldBudget
+	h.coldBudget = max(0, available-1)
+	return available >= 1 || b.randomFloat() < available
 }
 
-// coldSafety halves the guess: requests differ in work, and warm hosts may have done more than their share.
-const coldSafety = 0.5
+// coldSafetyFactor halves the guess: requests differ in work, and warm hosts may have done more than their share.
+const coldSafetyFactor = 0.5
 
-// coldRate guesses what a cold host may get, from what the fleet does for a unit of size, taken as it was
+// coldRequestRate guesses what a cold host may get, from what the fleet does for a unit of size, taken as it was
 // done: held against what is left after most hosts have gone it would look like the work of a few. One that
 // began lately has not a window behind it: over a whole one it took the fleet for a fraction of what it is,
-// just when a release had put cold hosts in place of all. leastOut for all in a window lets a fleet start of
+// just when a release had put cold hosts in place of all. fleetMinInFlight for all in a window lets a fleet start of
 // which nothing is warm.
-func (b *Balancer) coldRate(h *cache, w float64) float64 {
-	span := min(window, max(healthSlot, b.host.Now()-b.began))
-	perS := b.done.total(b.host.Now()) / span.seconds() * h.weight
-	least := leastOut / float64(b.terms.Balancers) / b.terms.FallWindow.seconds()
-	if b.paired { // both have a least; the rest follows what each does
-		least /= 2
+func (b *Balancer) coldRequestRate(h *cacheHost, warm float64) float64 {
+	span := min(outcomeWindow, max(outcomeSlot, b.env.Now()-b.startedAt))
+	perS := b.goodPerCapacity.totalGood(b.env.Now()) / span.seconds() * h.weight
+	minimum := fleetMinInFlight / float64(b.config.Balancers) / b.config.FallWindow.seconds()
+	if b.hasPeer { // both have a least; the rest follows what each does
+		minimum /= 2
 	}
-	return max(coldSafety*b.terms.FallMultiple*w*perS, least)
+	return max(coldSafetyFactor*b.config.FallMultiple*warm*perS, minimum)
 }
 
-// weigh sums the sizes of the caches that are up, as far as they are warm, and what they hold.
-func (b *Balancer) weigh() {
-	b.able, b.held = 0, 0
+// recomputeSums sums the sizes of the caches that are up, as far as they are warm, and what they hold.
+func (b *Balancer) recomputeSums() {
+	b.warmCapacity, b.loadSum = 0, 0
 	for _, h := range b.available {
-		h.counted = h.weight * b.warmth(h)
-		b.able += h.counted
-		b.held += h.held
+		h.countedCapacity = h.weight * b.warmShare(h)
+		b.warmCapacity += h.countedCapacity
+		b.loadSum += h.listedLoad
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -10,143 +10,143 @@
 
 // Balancer holds what one balancer knows.
 type Balancer struct {
-	host               Host
-	terms              Terms
-	seed               prefixHash
-	draws              uint64
-	caches             map[CacheID]*cache
-	available          []*cache // the caches that are up, in no order; never the origin
-	nearby             int      // of them, in this balancer's zone
-	origin             *cache   // never nil
-	ring               ring
-	attemptsOut        int              // at available
-	unit               float64          // listed size that gets the nominal number of points
-	ofKind             map[Kind]float64 // stands for the listed size where that follows the load
-	calls              map[CallID]*call
-	table              keyTable
-	allowances         []allowance
-	tempos             []meter // by product, in the zone and across: seconds that attempts at caches took, and how many
-	topValue, squeeze  float64
-	began              Nanos
-	able               float64          // sizes of available, as far as they are warm
-	pace               meter            // the same of all products
-	all, done, further meter            // attempts at caches, those that were good for a unit of able, further attempts
-	zones              map[Zone]*meter  // as all, by the caches' zones
-	fleetBears         float64          // attempts out at a host that the fleet is seen to bear
-	held               float64          // a core, summed over available, where the list tells
-	listed             int              // caches that the last whole list named as up
-	out                map[CacheID]bool // taken out by hand, whatever the list says
-	retrying           bool             // a try to follow the list is due
-	owing              bool             // some cache's owed may be set
-	told               meter            // as cache.told, of all
-	met                meter            // attempts at caches that found a connection, and that did not
-	beside             int              // attempts out at the origin from the other process of an upgrade
-	paired             bool             // there is one
+	env                                          Host
+	config                                       Terms
+	seed                                         prefixHash
+	drawCount                                    uint64
+	hosts                                        map[CacheID]*cacheHost
+	available                                    []*cacheHost // the caches that are up, in no order; never the origin
+	availableInZone                              int          // of them, in this balancer's zone
+	origin                                       *cacheHost   // never nil
+	ring                                         ring
+	attemptsInFlight                             int              // at available
+	nominalSize                                  float64          // listed size that gets the nominal number of points
+	sizeByKind                                   map[Kind]float64 // stands for the listed size where that follows the load
+	requests                                     map[CallID]*request
+	keys                                         keyTable
+	quotas                                       []quota
+	attemptTimes                                 []meter // by product, in the zone and across: seconds that attempts at caches took, and how many
+	maxBilledValue, shedProbability              float64
+	startedAt                                    Nanos
+	warmCapacity                                 float64          // sizes of available, as far as they are warm
+	attemptTime                                  meter            // the same of all products
+	hostOutcomes, goodPerCapacity, retryOutcomes meter            // attempts at caches, those that were good for a unit of able, further attempts
+	zoneOutcomes                                 map[Zone]*meter  // as all, by the caches' zones
+	fleetLimitPerHost                            float64          // attempts out at a host that the fleet is seen to bear
+	loadSum                                      float64          // a core, summed over available, where the list tells
+	listedUpCount                                int              // caches that the last whole list named as up
+	excluded                                     map[CacheID]bool // taken out by hand, whatever the list says
+	listRequestPending                           bool             // a try to follow the list is due
+	firstUsePending                              bool             // some cache's owed may be set
+	reportedWaits                                meter            // as cache.reportedWait, of all
+	connectOutcomes                              meter            // attempts at caches that found a connection, and that did not
+	peerInFlight                                 int              // attempts out at the origin from the other process of an upgrade
+	hasPeer                                      bool             // there is one
 }
 
-// cache is a cache host, or the origin.
-type cache struct {
+// cacheHost is a cache host, or the origin.
+type cacheHost struct {
 	Entry
-	weight               float64
-	place                int // in Balancer.available, and one; 0: it is not there
-	number               uint32
-	points               int     // on the ring, under that number
-	counted              float64 // its part of Balancer.able
-	out                  int     // this balancer's attempts that have not ended
-	busySince, lastEnded Nanos
-	held                 float64 // requests a core, as listed
-	limit                float64 // attempts out that it is seen to bear
-	cutAt                Nanos
-	well, badAt          int // good endings, and how many there were at the last bad one
-	rest, restUntil      Nanos
-	metAt                Nanos // an attempt last found a connection
-	absentUntil          Nanos // refused a connection: asked only where no other is left
-	health               meter
-	back                 Nanos   // put back by hand: what was known of it before holds no more
-	told                 float64 // by its last report: how long a further request would take there
-	toldAt               Nanos
-	took                 float64 // seconds, by the attempt that ended last
-	owed                 Nanos   // put back by hand and not used since: it is, once this has come
-	budget               float64 // requests that it may still get while cold
-	budgetAt             Nanos
-	delay                meter   // of its attempts beyond calm times, in parts of their SLOs
-	saidGood, saidBad    float64 // endings that it is worth what other balancers say of it
+	weight                        float64
+	availablePos                  int // in Balancer.available, and one; 0: it is not there
+	ringNumber                    uint32
+	virtualNodes                  int     // on the ring, under that number
+	countedCapacity               float64 // its part of Balancer.warmCapacity
+	inFlight                      int     // this balancer's attempts that have not ended
+	busySince, lastEnded          Nanos
+	listedLoad                    float64 // requests a core, as listed
+	concurrencyLimit              float64 // attempts out that it is seen to bear
+	limitCutAt                    Nanos
+	goodCount, goodCountAtLastBad int // good endings, and how many there were at the last bad one
+	backoff, backoffUntil         Nanos
+	lastConnectedAt               Nanos // an attempt last found a connection
+	connectBackoffUntil           Nanos // refused a connection: asked only where no other is left
+	outcomes                      meter
+	includedAt                    Nanos   // put back by hand: what was known of it before holds no more
+	reportedWait                  float64 // by its last report: how long a further request would take there
+	reportedAt                    Nanos
+	lastAttemptSeconds            float64 // seconds, by the attempt that ended last
+	firstUseDue                   Nanos   // put back by hand and not used since: it is, once this has come
+	coldBudget                    float64 // requests that it may still get while cold
+	coldBudgetAt                  Nanos
+	excessDelay                   meter   // of its attempts beyond calm times, in parts of their SLOs
+	peerGood, peerBad             float64 // endings that it is worth what other balancers say of it
 }
 
-type call struct {
+type request struct {
 	Call
-	terms        *ProductTerms
-	began        Nanos
-	attempts     []attempt
-	out          int
-	over, stream bool
-	above        bool // beyond its customer's allowance
-	missed       bool // a cache lacked its key
+	product             *ProductTerms
+	arrivedAt           Nanos
+	attempts            []attempt
+	inFlight            int
+	finished, streaming bool
+	overQuota           bool // beyond its customer's allowance
+	cacheMissed         bool // a cache lacked its key
 }
 
 type attempt struct {
-	at     *cache
-	sent   Nanos
-	out    bool
-	ran    bool // may have run
-	nobody bool // there was no connection
-	well   int  // good endings there when it was sent
+	host            *cacheHost
+	sentAt          Nanos
+	inFlight        bool
+	mayHaveRun      bool // may have run
+	noConnection    bool // there was no connection
+	goodCountAtSend int  // good endings there when it was sent
 }
 
-// allowance is a customer's bucket of requests and its lately seen rate.
-type allowance struct {
-	tokens float64
-	at     Nanos
-	seen   meter   // a second
-	part   float64 // of it that is this balancer's, as told; 0: it is not told
+// quota is a customer's bucket of requests and its lately seen rate.
+type quota struct {
+	tokens      float64
+	refilledAt  Nanos
+	arrivalRate meter   // a second
+	share       float64 // of it that is this balancer's, as told; 0: it is not told
 }
 
-// keyUse counts this balancer's reads and writes of one key.
-type keyUse struct {
-	key    Key
-	read   [keySlots]uint32
-	write  [keySlots]uint32
-	copyAt CacheID
+// keyUsage counts this balancer's reads and writes of one key.
+type keyUsage struct {
+	key         Key
+	reads       [keySlotCount]uint32
+	writes      [keySlotCount]uint32
+	replicaHost CacheID
 }
 
 type keyTable struct {
-	at    map[Key]int
-	use   []keyUse
-	slot  int
-	total [keySlots]float64
+	index      map[Key]int
+	entries    []keyUsage
+	slot       int
+	readTotals [keySlotCount]float64
 }
 
-func (u *keyUse) sum() (reads, writes float64) {
-	for i := range keySlots {
-		reads += float64(u.read[i])
-		writes += float64(u.write[i])
+func (u *keyUsage) sum() (reads, writes float64) {
+	for i := range keySlotCount {
+		reads += float64(u.reads[i])
+		writes += float64(u.writes[i])
 	}
 	return reads, writes
 }
 
-func (t *keyTable) reads() (sum float64) {
-	for _, n := range t.total {
+func (t *keyTable) totalReads() (sum float64) {
+	for _, n := range t.readTotals {
 		sum += n
 	}
 	return sum
 }
 
-func (t *keyTable) find(k Key) *keyUse {
-	if i, ok := t.at[k]; ok {
-		return &t.use[i]
+func (t *keyTable) find(k Key) *keyUsage {
+	if i, ok := t.index[k]; ok {
+		return &t.entries[i]
 	}
 	return nil
 }
 
 // remove forgets the i-th key; the last one takes its place.
 func (t *keyTable) remove(i int) {
-	delete(t.at, t.use[i].key)
-	last := len(t.use) - 1
+	delete(t.index, t.entries[i].key)
+	last := len(t.entries) - 1
 	if i < last {
-		t.use[i] = t.use[last]
-		t.at[t.use[i].key] = i
+		t.entries[i] = t.entries[last]
+		t.index[t.entries[i].key] = i
 	}
-	t.use = t.use[:last]
+	t.entries = t.entries[:last]
 }
 
 // Learnt is what a newer process takes over of what an older one has learnt.
@@ -169,82 +169,82 @@
 
 // Tell gives what there is to take over.
 func (b *Balancer) Tell() Learnt {
-	l := Learnt{Balancers: b.terms.Balancers, FleetBears: b.fleetBears, Origin: b.origin.limit}
-	if took, n := b.pace.faded(b.host.Now()); n > 0 {
-		l.Pace = took / n
+	state := Learnt{Balancers: b.config.Balancers, FleetBears: b.fleetLimitPerHost, Origin: b.origin.concurrencyLimit}
+	if took, n := b.attemptTime.decayed(b.env.Now()); n > 0 {
+		state.Pace = took / n
 	}
-	for _, h := range b.caches {
+	for _, h := range b.hosts {
 		if h == b.origin {
 			continue
 		}
-		good, bad := h.health.faded(b.host.Now())
-		told := LearntOf{Cache: h.Cache, Born: h.Born, Limit: h.limit, Good: good, Bad: bad, Back: h.back}
-		if h.back > 0 {
-			told.BackAgo = max(1, b.host.Now()-h.back)
+		good, bad := h.outcomes.decayed(b.env.Now())
+		learnt := LearntOf{Cache: h.Cache, Born: h.Born, Limit: h.concurrencyLimit, Good: good, Bad: bad, Back: h.includedAt}
+		if h.includedAt > 0 {
+			learnt.BackAgo = max(1, b.env.Now()-h.includedAt)
 		}
-		l.Caches = append(l.Caches, told)
+		state.Caches = append(state.Caches, learnt)
 	}
-	slices.SortFunc(l.Caches, func(x, y LearntOf) int { return cmp.Compare(x.Cache, y.Cache) })
-	return l
+	slices.SortFunc(state.Caches, func(x, y LearntOf) int { return cmp.Compare(x.Cache, y.Cache) })
+	return state
 }
 
 // TakeOver takes it, after the list and before the first request. How attempts at a host ended means the same to any
 // balancer, as long as the same process runs there. Bounds are parts of what all may have out: among another number
 // of balancers they are learnt afresh.
-func (b *Balancer) TakeOver(l Learnt) {
-	now := b.host.Now()
-	sane := func(limit, old float64) float64 {
-		if l.Balancers == b.terms.Balancers && limit > 0 && limit <= mostOut {
-			return limit
+func (b *Balancer) TakeOver(state Learnt) {
+	now := b.env.Now()
+	validLimit := func(taken, current float64) float64 {
+		if state.Balancers == b.config.Balancers && taken > 0 && taken <= maxInFlight {
+			return taken
 		}
-		return old
+		return current
 	}
-	b.fleetBears, b.origin.limit = sane(l.FleetBears, b.fleetBears), sane(l.Origin, b.origin.limit)
-	if l.Pace > 0 && l.Pace < 3600 {
-		b.pace.add(now, l.Pace, 1)
+	b.fleetLimitPerHost, b.origin.concurrencyLimit = validLimit(state.FleetBears, b.fleetLimitPerHost), validLimit(state.Origin, b.origin.concurrencyLimit)
+	if state.Pace > 0 && state.Pace < 3600 {
+		b.attemptTime.add(now, state.Pace, 1)
 	}
-	for _, x := range l.Caches {
-		h := b.caches[x.Cache]
-		if h == nil || h == b.origin || h.Born != x.Born {
+	for _, learnt := range state.Caches {
+		h := b.hosts[learnt.Cache]
+		if h == nil || h == b.origin || h.Born != learnt.Born {
 			continue
 		}
-		h.limit, h.back = sane(x.Limit, h.limit), min(x.Back, now)
-		if x.BackAgo > 0 {
-			h.back = now - x.BackAgo
+		h.concurrencyLimit, h.includedAt = validLimit(learnt.Limit, h.concurrencyLimit), min(learnt.Back, now)
+		if learnt.BackAgo > 0 {
+			h.includedAt = now - learnt.BackAgo
 		}
-		if x.Good >= 0 && x.Bad >= 0 {
-			for _, m := range []*meter{&h.health, b.zones[h.Zone], &b.all} {
-				m.add(now, x.Good, x.Bad)
+		if learnt.Good >= 0 && learnt.Bad >= 0 {
+			for _, m := range []*meter{&h.outcomes, b.zoneOutcomes[h.Zone], &b.hostOutcomes} {
+				m.add(now, learnt.Good, learnt.Bad)
 			}
 		}
 	}
-	b.weigh()
+	b.recomputeSums()
 }
 
 // Excluded are the caches that are out by hand, in order.
-func (b *Balancer) Excluded() []CacheID { return slices.Sorted(maps.Keys(b.out)) }
+func (b *Balancer) Excluded() []CacheID { return slices.Sorted(maps.Keys(b.excluded)) }
 
 // Beside hears what the other process of an upgrade has out at the origin; where paired is false there is none any more.
-func (b *Balancer) Beside(paired bool, atOrigin int) { b.paired, b.beside = paired, atOrigin }
+func (b *Balancer) Beside(paired bool, inFlight int) { b.hasPeer, b.peerInFlight = paired, inFlight }
 
 // AtOrigin is what this process has out there.
-func (b *Balancer) AtOrigin() int { return b.origin.out }
+func (b *Balancer) AtOrigin() int { return b.origin.inFlight }
 
 // Knows tells whether an id is a cache's, listed or out by hand; the origin is none.
 func (b *Balancer) Knows(id CacheID) bool {
-	h := b.caches[id]
-	return b.out[id] || h != nil && h != b.origin
+	h := b.hosts[id]
+	return b.excluded[id] || h != nil && h != b.origin
 }
 
 // Fleet counts the caches that are listed, and those of them that this balancer avoids, by hand or by choice.
 func (b *Balancer) Fleet() (listed, avoided int) {
-	now := b.host.Now()
-	for _, h := range b.caches {
+	now := b.env.Now()
+	for _, h := range b.hosts {
 		if h == b.origin || h.Condition == Gone {
 			continue
 		}
 		listed++
-		if mean, bar, _ := b.standing(h); !b.up(h) || now < h.absentUntil || mean < bar {
+		if mean, minRate, _ := b.successPosterior(h); !b.isUp(h) || now < h.connectBackoffUntil || mean < minRate {
 			avoided++
 		}
 	}
@@ -253,10 +253,10 @@
 
 // Said hears what other balancers say of a cache, as so many endings of each kind; both 0: nothing any more.
 func (b *Balancer) Said(id CacheID, good, bad float64) {
-	if h := b.caches[id]; h != nil && h != b.origin {
-		h.saidGood, h.saidBad = good, bad
+	if h := b.hosts[id]; h != nil && h != b.origin {
+		h.peerGood, h.peerBad = good, bad
 	}
 }
 
 // Part hears which part of a customer's allowance is this balancer's from now on; 0: nothing is told any more.
-func (b *Balancer) Part(c Customer, part float64) { b.allowances[c].part = part }
+func (b *Balancer) Part(c Customer, share float64) { b.quotas[c].share = share }
--- a/policy/types.go
+++ b/policy/types.go
@@ -24,11 +24,11 @@
 type Host interface {
 	Now() Nanos
 	// Send makes an attempt. Both times are instants on the clock of Now: the attempt is over at its deadline, and
-	// nothing of it is sent from beginBy on.
-	Send(call CallID, to CacheID, deadline, beginBy Nanos)
-	Cancel(call CallID, attempt int)
-	RateLimit(call CallID, comeBack Nanos) // final; promises that a retry is harmless
-	Error(call CallID)                     // final; promises nothing
+	// nothing of it is sent from latestStart on.
+	Send(request CallID, to CacheID, deadline, latestStart Nanos)
+	Cancel(request CallID, attempt int)
+	RateLimit(request CallID, retryAfter Nanos) // final; promises that a retry is harmless
+	Error(request CallID)                       // final; promises nothing
 	Subscribe()
 	SetTimer(after Nanos, id TimerID)
 }
