--- a/policy/chance.go
+++ b/policy/chance.go
@@ -8,10 +8,10 @@
 	fnvPrime  = 1099511628211
 )
 
-// prefixHash is the hash of a text that a number follows.
+// prefixHash is an FNV-1a hash of a text, to be continued with a number.
 type prefixHash uint64
 
-// hashPrefix begins a hash by a text, for several numbers behind it.
+// hashPrefix hashes a text, so that several numbers can be appended to it without hashing it again.
 func hashPrefix(s string) prefixHash {
 	h := uint64(fnvOffset)
 	for i := range len(s) {
@@ -20,8 +20,8 @@
 	return prefixHash(h)
 }
 
-// with is the hash of the text and a number, FNV-1a with a finaliser: plain FNV leaves similar short names close together on
-// the ring.
+// with returns the hash of the text followed by a number. A finaliser follows FNV-1a, as plain FNV-1a places
+// similar short names close together on the ring.
 func (p prefixHash) with(n uint64) uint64 {
 	h := uint64(p)
 	for range 8 {
@@ -33,20 +33,21 @@
 	return h ^ h>>33
 }
 
-// hash is that of a text and one number.
+// hash returns the hash of a text and one number.
 func hash(s string, n uint64) uint64 { return hashPrefix(s).with(n) }
 
-// seedHash begins the hashes that chance draws.
+// seedHash returns the prefix of the hashes that serve as random draws.
 func seedHash(seed uint64) prefixHash {
 	var buf [8]byte
 	binary.LittleEndian.PutUint64(buf[:], seed)
 	return hashPrefix(string(buf[:]))
 }
 
+// randomFloat returns the next pseudo-random number in [0, 1). The same seed yields the same sequence.
 func (b *Balancer) randomFloat() float64 {
 	b.drawCount++
 	return hashFraction(b.seed.with(b.drawCount))
 }
 
-// hashFraction maps a hash to a number from 0 to under 1.
+// hashFraction maps a hash to a number in [0, 1).
 func hashFraction(h uint64) float64 { return float64(h>>11) / (1 << 53) }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -1,57 +1,62 @@
 package policy
 
-// Concurrency limits: how many attempts may be out at a host, and over the fleet.
+// Concurrency limits: how many attempts may be in flight at a host, and over the fleet.
 
 const (
-	fleetInitialInFlight      = 12               // all may have out at a host not yet known; 24 crowded small fleets
-	largeFleetInitialInFlight = 40               // the same where that is below two each: 12 turned popular keys away
-	fleetMinInFlight          = 6                // all may have out at the least; of 2, 4, 6 and 8 six did best with overloadDelayRatio
-	maxInFlight               = 256              // more than any host here was seen to need
-	initialBackoff            = 20 * Millisecond // short against most work; doubled while it stays full
-	// A host whose attempts are this part of their SLO later than in calm times holds too many.
+	// Attempts of all balancers together in flight at one host. Each balancer's limit is its equal part.
+	fleetInitialInFlight      = 12               // at a host without history; twice as many overloaded small fleets
+	largeFleetInitialInFlight = 40               // the same where the equal part of 12 is below two; 12 there rejected requests for popular keys
+	fleetMinInFlight          = 6                // the lowest limit
+	maxInFlight               = 256              // upper bound of every limit of a single balancer, more than any known host needs
+	initialBackoff            = 20 * Millisecond // short compared with most requests; doubled while the host stays full
+	// Mean excess delay of a host's attempts, as a fraction of their SLO, above which the host counts as
+	// overloaded.
 	overloadDelayRatio = 0.03
 )
 
+// initialLimit returns this balancer's concurrency limit at a host without history.
 func (b *Balancer) initialLimit() float64 {
 	n := float64(b.config.Balancers)
 	return max(fleetInitialInFlight/n, min(2, largeFleetInitialInFlight/n))
 }
 
+// minLimit returns the lowest concurrency limit of this balancer at a host.
 func (b *Balancer) minLimit() float64 { return min(1, fleetMinInFlight/float64(b.config.Balancers)) }
 
-// adaptLimit moves a limit: sharply down on what failed, slowly down when crowded, slowly up when it was needed.
+// adaptLimit adjusts a concurrency limit: a sharp decrease after a rejection or a failure by overload, a slow
+// decrease while delays are high, a slow increase while the limit is used.
 func (b *Balancer) adaptLimit(h *cacheHost, slo Nanos, good, overloaded, rejected bool, delayRatio float64) {
 	now := b.env.Now()
 	switch {
 	case (overloaded || rejected) && now-h.limitCutAt > slo/4:
-		h.concurrencyLimit, h.limitCutAt = max(b.minLimit(), h.concurrencyLimit*0.6), now // 0.8 and more left hosts crowded, 0.4 won nothing
+		h.concurrencyLimit, h.limitCutAt = max(b.minLimit(), h.concurrencyLimit*0.6), now // from 0.8 on hosts stayed overloaded
 	case good && delayRatio > 1:
 		h.concurrencyLimit = max(b.minLimit(), h.concurrencyLimit-min(0.5, h.concurrencyLimit/2)/max(1, h.concurrencyLimit))
 	case good && float64(h.inFlight+1) >= h.concurrencyLimit/2:
-		// Never more than doubled: steps of one, times hundreds of balancers, made limits that bind nobody.
+		// The limit at most doubles: with hundreds of balancers, steps of one add up to limits without effect.
 		step := 1 / max(1, h.concurrencyLimit)
 		if h == b.origin && h.limitCutAt == 0 {
-			// Nothing tells at first what it bears: it stood idle for seconds while misses were given up. 1 did as
-			// well, but came nearer to what makes an origin stop.
+			// Until the first decrease the origin's capacity is unknown, and the regular step is so slow that misses
+			// were given up for seconds while the origin was idle. A step of 1 risks overloading the origin.
 			step = 0.3
 		}
 		h.concurrencyLimit = min(maxInFlight, h.concurrencyLimit+min(step, h.concurrencyLimit))
 	}
 }
 
-// hostHasCapacity tells whether a host may get this request added. Under pressure traffic beyond an allowance
-// stops at half of what the host bears, and cheap products a little before dear ones.
+// hostHasCapacity reports whether a host may get one more request. Requests beyond a quota are limited to half of
+// the host's limit, and products of low value to slightly less than all of it.
 func (b *Balancer) hostHasCapacity(h *cacheHost, r *request) bool {
 	limit, now := h.concurrencyLimit*b.limitShare(r), b.env.Now()
 	if limit < 1 && h.inFlight == 0 {
-		// Many balancers with one attempt each still crowd a small host: less than one is one with a pause after
-		// it.
+		// Many balancers with one attempt each still overload a small host: a limit below one means one attempt
+		// followed by a pause.
 		return now >= h.backoffUntil && (now-h.lastEnded).seconds() >= max(b.usualAttemptSeconds(), h.lastAttemptSeconds)*(1/limit-1)
 	}
 	return now >= h.backoffUntil && float64(h.inFlight+1) <= max(1, limit)
 }
 
-// limitShare is the part of a limit that is open to this request.
+// limitShare returns the fraction of a concurrency limit that is available to this request.
 func (b *Balancer) limitShare(r *request) float64 {
 	if r.overQuota {
 		return 0.5
@@ -61,8 +66,9 @@
 	return 1
 }
 
-// fleetHasCapacity tells whether the fleet bears one more. One of hundreds of balancers meets a host too seldom to see it
-// crowded, but sees what became of its last attempts: the limit of all falls where a quarter are not in time.
+// fleetHasCapacity reports whether this balancer may have one more attempt in flight over all hosts. One of
+// hundreds of balancers sends to a host too rarely to notice its overload, but sees the outcomes of its recent
+// attempts at all hosts: the common limit falls where about a quarter of them are not in time.
 func (b *Balancer) fleetHasCapacity(r *request) bool {
 	return float64(b.attemptsInFlight)+b.randomFloat() < b.fleetLimitPerHost*float64(len(b.available))*b.limitShare(r)
 }
--- a/policy/fairness.go
+++ b/policy/fairness.go
@@ -6,19 +6,22 @@
 	"slices"
 )
 
-// Fairness: customers are held to their allowances where requests find no room.
+// Fairness: enforces the customers' quotas where there is not enough capacity for all requests.
 
-// raiseShedding notes that a request within its allowance found no room: more of what lies beyond one is then
-// rate-limited on arrival, less again as calls find room; it settles where about one in twenty finds none.
+// raiseShedding notes that a request within its quota found no capacity. A larger share of the requests beyond a
+// quota is then rate-limited on arrival. Requests that find capacity lower the share again; it is stable where
+// about one request in twenty finds none.
 func (b *Balancer) raiseShedding(r *request) {
 	if !r.overQuota {
 		b.shedProbability = min(1, b.shedProbability+0.1)
 	}
 }
 
-// exceedsQuota holds a customer to this balancer's part of its allowance: an equal one where none is told,
-// or more if the median customer here uses more of its part than all, lest a balancer that gets most of the
-// traffic, or a fleet that all press, takes everybody for a glutton (1.25: most stay under it).
+// exceedsQuota counts a request against its customer's quota and reports whether it is beyond this balancer's
+// share. The share is the assigned one, or an equal part of the quota if none is assigned. It is raised where the
+// median customer here uses more than its share: a balancer that gets most of the traffic, or a fleet in which all
+// customers exceed their quotas, would otherwise count every customer as excessive. The factor of 1.25 keeps most
+// customers below the raised limit.
 func (b *Balancer) exceedsQuota(r *request) bool {
 	if int(r.Customer) >= len(b.quotas) || b.config.Customers[r.Customer].AllowancePerS <= 0 {
 		return false
@@ -32,11 +35,12 @@
 	}
 	slices.Sort(usages)
 	usageFactor := 1.25 * usages[len(usages)/2]
-	if q.share > 0 { // a part that is told may be a newborn's floor: the window is not full yet, and all press
+	if q.share > 0 { // may be the minimum of a balancer that has just started: scale usage to the window's filled part
 		usageFactor *= outcomeWindow.seconds() / min(outcomeWindow, max(outcomeSlot, now-b.startedAt)).seconds()
 	}
 	rate := min(1, cmp.Or(q.share, equalShare)*max(1, usageFactor)) * b.config.Customers[r.Customer].AllowancePerS
-	// A second's burst, and the chance deviation of a window: at few calls a second most was else above.
+	// One second of traffic plus the standard deviation of the arrivals in a window: at few requests a second,
+	// ordinary variation would otherwise exceed the quota.
 	burst := max(1, rate+math.Sqrt(rate*outcomeWindow.seconds()))
 	if q.refilledAt == 0 {
 		q.tokens = burst
--- a/policy/health.go
+++ b/policy/health.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// Health: outlier detection by how attempts ended and by how long they take.
+// Health: outlier detection by the outcomes and durations of attempts.
 
 const (
-	outcomeSlot         = 1500 * Millisecond // with eight slots a host's past counts for twelve seconds
+	outcomeSlot         = 1500 * Millisecond // eight slots cover the last twelve seconds
 	outcomeWindow       = meterSlotCount * outcomeSlot
-	delaySlot           = 1000 * Millisecond // crowding comes and goes in seconds
-	maintenanceInterval = 500 * Millisecond  // a quarter of a slot of the key table
+	delaySlot           = 1000 * Millisecond // short, as overload of a host begins and ends within seconds
+	maintenanceInterval = 500 * Millisecond  // a quarter of keySlotLength
 )
 
 const (
-	baselineSlot        = 6 * Second // times eight: an overload must not soon pass for the usual
-	minBaselineAttempts = 24         // endings that a slot needs: work differs by a factor of several
+	baselineSlot        = 6 * Second // eight slots are 48 s: a shorter baseline would soon adapt to an overload
+	minBaselineAttempts = 24         // per slot; the work of requests differs by a factor of several, so fewer give no reliable mean
 )
 
-// excessDelayRatio is the part of its SLO that an attempt took beyond its product's calmest slot lately, at caches as
-// near as its own: the way to another zone is no crowding.
+// excessDelayRatio returns how much longer an attempt took than its product's baseline, as a fraction of the SLO.
+// The baseline is the fastest recent slot mean of hosts at the same distance (same zone or another zone), so that
+// cross-zone latency does not count as overload.
 func (b *Balancer) excessDelayRatio(h *cacheHost, r *request, took Nanos) float64 {
 	m := &b.attemptTimes[2*r.Product]
 	if h.Zone != b.config.Zone {
@@ -31,14 +32,16 @@
 	return (took.seconds() - baseline) / r.product.LatencySLO.seconds()
 }
 
-// recordOutcome takes an attempt's outcome into the host's health and limit and the product's tempo.
+// recordOutcome updates the host's health and concurrency limit and the product's attempt times by the outcome of
+// an attempt.
 func (b *Balancer) recordOutcome(h *cacheHost, r *request, e Ending, a *attempt) {
 	now, slo, rejected := b.env.Now(), r.product.LatencySLO, e.Outcome == TurnedAway
 	good := (e.Outcome == Fulfilled || e.Outcome == Missed) && e.Took <= slo
 	bad := !good && !rejected && e.Outcome != NeverSent && (e.Outcome != Cancelled || e.Took >= slo/2)
-	// Answers come spoilt and connections break on any host, whatever its load: limits cut for it turned calls
-	// away. Nor is a host that is not there crowded, nor one that errs before others answer: with half of the
-	// fleet gone and some of the rest erring, what was left was hardly used.
+	// Only outcomes that indicate overload reduce a limit. Malformed answers and broken connections occur at any
+	// load, and reducing limits for them rejected requests without need. A host that refuses connections, or
+	// returns an error faster than others answer, is not overloaded either: with half of the fleet gone and
+	// errors at some of the remaining hosts, reduced limits left the rest nearly unused.
 	overloaded := bad && e.Outcome != Spoilt && e.Outcome != Reset && e.Outcome != ConnectFailed &&
 		!(e.Outcome == Errored && h != b.origin && e.Took.seconds() < b.usualAttemptSeconds())
 	if good {
@@ -46,10 +49,10 @@
 	} else if overloaded {
 		overloaded, h.goodCountAtLastBad = h.goodCount-min(a.goodCountAtSend, h.goodCountAtLastBad) < isolatedFailureGoods, h.goodCount
 	}
-	if rejected { // a full host answers at once and looks idle: unrested it draws the traffic of all
+	if rejected { // without a backoff a full host, which answers at once, looks idle and attracts all traffic
 		h.backoff = min(max(initialBackoff, 2*h.backoff), Second)
 		h.backoffUntil = now + Nanos(float64(h.backoff)*(0.5+b.randomFloat()))
-	} else if e.Outcome == ConnectFailed { // no one is there until the list tells more: a try costs an attempt
+	} else if e.Outcome == ConnectFailed { // likely unreachable until the host list changes; trying it would waste an attempt
 		h.backoff = min(max(Second, 2*h.backoff), 8*Second)
 		h.connectBackoffUntil = now + Nanos(float64(h.backoff)*(0.5+b.randomFloat()))
 	} else if good {
@@ -82,26 +85,27 @@
 	}
 }
 
-// overdueAttempts tells a hang before the first time-out: how many of the attempts out at a host should have ended
-// since one last did, by the usual pace.
+// overdueAttempts returns how many attempts should have ended at a host since one last did, by the usual duration.
+// It detects a host that hangs before the first timeout.
 func (b *Balancer) overdueAttempts(h *cacheHost) float64 {
 	return float64(h.inFlight) * (b.env.Now() - max(h.lastEnded, h.busySince)).seconds() / b.usualAttemptSeconds()
 }
 
-// usualAttemptSeconds is how long an attempt at a cache takes lately, in seconds; a second while nothing is known.
+// usualAttemptSeconds returns the recent mean duration of attempts at cache hosts, in seconds; one second if none
+// is known.
 func (b *Balancer) usualAttemptSeconds() float64 {
 	took, n := b.attemptTime.decayed(b.env.Now())
 	return (took + 0.01) / (n + 0.01)
 }
 
-// hungThreshold is the number of endings overdue from which a host counts as hanging. Of 5, 6, 7, 9 and 14 it lost
-// least: work differs by a factor of several, and fewer is often just a big piece.
+// hungThreshold is the number of overdue attempts above which a host counts as hanging. Work differs by a factor
+// of several, so lower values also trip on a single large request.
 const hungThreshold = 9
 
-// drawHealthy draws from the posterior of the host's success and holds it against the fleet's, so that what
-// troubles all (a slow origin, an overload) blames none. What the host's zone did lately is the prior: a cut
-// or lost zone would else cost every balancer an attempt at each of its hosts. Work that cannot be repeated
-// takes no draw.
+// drawHealthy draws from the posterior of the host's success rate and compares it with a threshold that follows
+// the whole fleet, so that a common cause (a slow origin, an overload) blames no single host. The recent outcomes
+// of the host's zone are the prior: without it, a zone that is cut off would cost every balancer an attempt at
+// each of its hosts. Non-idempotent requests use the mean without a draw.
 func (b *Balancer) drawHealthy(h *cacheHost, r *request) bool {
 	mean, minRate, n := b.successPosterior(h)
 	if mean == 1 {
@@ -114,11 +118,12 @@
 	return mean+z*math.Sqrt(mean*(1-mean)/(n+1)) >= minRate
 }
 
-// successPosterior is the mean of a host's posterior, the bar that it is held to and how many endings are behind it.
+// successPosterior returns the mean of the posterior of a host's success rate, the lowest acceptable rate and the
+// number of observations.
 func (b *Balancer) successPosterior(h *cacheHost) (mean, minRate, n float64) {
 	now := b.env.Now()
 	good, bad := h.outcomes.decayed(now)
-	good, bad = good+h.peerGood, bad+h.peerBad // a dozen own good ones outweigh the most said
+	good, bad = good+h.peerGood, bad+h.peerBad // a dozen own successes outweigh the strongest report
 	if n := b.overdueAttempts(h); n > hungThreshold {
 		bad += n
 	}
@@ -127,13 +132,13 @@
 		return 1, 0, 0
 	}
 	allGood, allBad := b.hostOutcomes.decayed(now)
-	// Bars of 0.6 and 0.9 made no difference above noise.
 	minRate = 0.75 * (allGood + 4) / (allGood + allBad + 4)
 	prior := (zoneGood + 1) / (zoneGood + zoneBad + 1)
 	n = good + bad + 1
 	return (good + prior) / n, minRate, n
 }
 
-// isolatedFailureGoods is how many good endings, since the last bad one or since the attempt was sent, make a failure a
-// stray: connections fall silent on any host, while crowding and hangs hold up most. 20 left limits low.
+// isolatedFailureGoods is the number of successes, since the last failure or since the attempt was sent, after
+// which a failure counts as isolated and does not reduce limits. Connections stop responding on any host, whereas
+// overload and hangs delay most attempts. A higher number keeps limits too low.
 const isolatedFailureGoods = 10
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -2,17 +2,20 @@
 
 import "math"
 
-// Load reports: hosts that tell of more load than others get fewer requests.
+// Load reports: hosts that report more load than others get fewer requests.
 
-// passByReportedLoad draws whether a host that tells of more than the mean load is passed by, by the square of how much
-// more, as most that send to it have not heard of it; at the second look, whether a call would be late there.
+// passByReportedLoad reports whether to pass by a host that reports more than the mean load. The first pass
+// decides at random and keeps the host with the inverse square of its load ratio as the probability: most
+// balancers that send to the host have not seen its report yet, so those that have must react more strongly. The
+// second pass skips the host only if the request would be late there and a late answer has no value.
 func (b *Balancer) passByReportedLoad(h *cacheHost, r *request, pass int) bool {
 	now := b.env.Now()
 	mean := b.meanReportedWait(now)
 	if mean == 0 || h.reportedWait <= mean {
 		return false
 	}
-	// Where a balancer meets a host once in half a minute, fading within 2 or 6 s forgot most of what was told.
+	// Reports lose weight over a whole outcomeWindow: where a balancer sends to a host only every half minute, decay
+	// within a few seconds would discard most of them.
 	loadRatio := 1 + (h.reportedWait/mean-1)/(1+(now-h.reportedAt).seconds()/outcomeWindow.seconds())
 	if pass > 0 {
 		return r.product.OverdueValue == 0 && loadRatio*b.usualAttemptSeconds() > r.product.LatencySLO.seconds()
@@ -20,13 +23,15 @@
 	return b.randomFloat() > math.Pow(loadRatio, -2)
 }
 
+// meanReportedWait returns the recent mean of the reported waits of all hosts; 0 if none is known.
 func (b *Balancer) meanReportedWait(now Nanos) float64 {
 	sum, n := b.reportedWaits.decayed(now)
 	return sum / max(n, 1)
 }
 
-// recordLoadReport takes what a host tells of its load, or else that it kept an attempt for long, since one that
-// answers nothing tells nothing: how long a request takes there, against others.
+// recordLoadReport updates a host's reported wait by the load report that came with an answer. A host that does
+// not answer does not report either, so without a report an attempt of more than half of the SLO counts as a wait
+// in proportion to its duration.
 func (b *Balancer) recordLoadReport(h *cacheHost, r *request, e Ending) {
 	now := b.env.Now()
 	switch report := e.Load; {
@@ -35,7 +40,7 @@
 		if report.InHand >= 0 {
 			h.reportedWait = (report.InHand + 1) / h.weight
 		} else if report.Busy >= 0 {
-			h.reportedWait = 1 / (1 - min(report.Busy, 0.95)) // as one queue with one server would hold
+			h.reportedWait = 1 / (1 - min(report.Busy, 0.95)) // queue length of a single server at this utilisation
 		}
 		if report.Took > 0 {
 			h.reportedWait *= report.Took
@@ -43,7 +48,7 @@
 		if report.Took != 0 {
 			b.reportedWaits.add(now, h.reportedWait, 1)
 		}
-		if report.Took == 0 || report.InHand >= 0 && report.Busy >= 0 && report.Busy < 0.9 { // nothing was done of late, or waits
+		if report.Took == 0 || report.InHand >= 0 && report.Busy >= 0 && report.Busy < 0.9 { // no recent requests, or no queue
 			h.reportedWait = min(h.reportedWait, b.meanReportedWait(now))
 		}
 	case e.Took > r.product.LatencySLO/2 && b.meanReportedWait(now) > 0:
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Membership: the list of hosts, and those that operators took out by hand.
+// Membership: the host list, and the hosts that operators have excluded.
 
-// Listed takes what discovery tells, in one piece. It costs as much as the list is long: a caller that must not be held for
-// that long calls ListBegins, then Changed for a few entries at a time.
+// Listed applies a host list or an update of it in one call. The cost grows with the length of the list: a caller
+// that must not block for that long calls ListBegins, then Changed for a few entries at a time.
 func (b *Balancer) Listed(kind ListKind, entries []Entry) {
 	b.ListBegins(kind, entries)
 	if kind == ListUnavailable {
@@ -28,8 +28,9 @@
 	}
 }
 
-// ListBegins hears that a list comes, or that none does, and takes what follows from the list as a whole. Its entries follow by
-// Changed, in any order and in pieces of any size; a cache that a whole list does not name any more follows as gone.
+// ListBegins announces a host list or an update, or that discovery is unavailable, and applies what depends on the
+// list as a whole. The entries follow by Changed, in any order and in pieces of any size. If the list is a whole
+// one, the caller also passes the hosts that it no longer names, as Gone.
 func (b *Balancer) ListBegins(kind ListKind, entries []Entry) {
 	switch kind {
 	case ListUnavailable:
@@ -51,7 +52,7 @@
 	}
 }
 
-// Changed takes entries of the list. It costs by their number alone.
+// Changed applies entries of the host list. Its cost depends only on their number.
 func (b *Balancer) Changed(entries []Entry) {
 	origin := b.origin
 	for _, e := range entries {
@@ -60,13 +61,14 @@
 		b.dropIfGone(h)
 	}
 	if b.origin != origin {
-		// What a tenth of the caches may have out: at the limit of a single one a balancer that had just started
-		// turned away misses that all others sent on.
+		// As much as the initial limits of a tenth of the cache hosts: with the limit of a single host, a balancer
+		// that had just started rejected misses that all others sent to the origin.
 		b.origin.concurrencyLimit = b.initialLimit() * max(1, float64(max(b.listedUpCount, len(b.available)))/10)
 	}
 }
 
-// updateAvailability puts a cache among those that attempts may go to, or takes it from them, as its condition now is.
+// updateAvailability adds a host to the available hosts and the ring, or removes it, as its present condition
+// demands.
 func (b *Balancer) updateAvailability(h *cacheHost) {
 	available := h != b.origin && b.isUp(h) && b.hosts[h.Cache] == h
 	switch {
@@ -87,7 +89,7 @@
 	}
 }
 
-// adjustSums adds a cache to the sums over all that are available, or takes it out of them.
+// adjustSums adds a host to the sums over all available hosts (sign 1) or subtracts it (sign -1).
 func (b *Balancer) adjustSums(h *cacheHost, sign int) {
 	b.attemptsInFlight += sign * h.inFlight
 	b.warmCapacity += float64(sign) * h.countedCapacity
@@ -95,18 +97,20 @@
 	if h.Zone == b.config.Zone {
 		b.availableInZone += sign
 	}
-	if len(b.available) == 0 { // sums of many parts are not exact
+	if len(b.available) == 0 { // removes accumulated rounding errors
 		b.warmCapacity, b.loadSum = 0, 0
 	}
 }
 
-// meanLoad is what the available caches hold a core, in the mean, as listed.
+// meanLoad returns the mean listed load of the available hosts, in requests per core.
 func (b *Balancer) meanLoad() float64 { return max(0, b.loadSum) / float64(max(1, len(b.available))) }
 
-// isUp tells that a host may be sent to: the list names it so and nobody has taken it out.
+// isUp reports whether a host may get requests: it is listed as up and not excluded.
 func (b *Balancer) isUp(h *cacheHost) bool { return h.Condition == Up && !b.excluded[h.Cache] }
 
-// Exclude takes a cache out by hand until Include: no list lifts that, nor its leaving the list.
+// Exclude takes a cache host out of use until Include is called; a host list that names it, or no longer does,
+// makes no difference. It reports whether the host is known, and whether it is excluded now: at maxExcluded it is
+// not.
 func (b *Balancer) Exclude(id CacheID) (known, excluded bool) {
 	if known = b.Knows(id); !known || len(b.excluded) >= maxExcluded && !b.excluded[id] {
 		return known, false
@@ -115,7 +119,8 @@
 	return known, true
 }
 
-// Bar is Exclude for what another process has been told, or this one before its start.
+// Bar excludes a host without the checks of Exclude, for exclusions made at another process or before this one
+// started.
 func (b *Balancer) Bar(id CacheID) {
 	b.excluded[id] = true
 	if h := b.hosts[id]; h != nil {
@@ -123,11 +128,13 @@
 	}
 }
 
-// maxExcluded bounds the caches out by hand: those that no list names any more stay out. Many times a fleet.
+// maxExcluded bounds the number of excluded hosts, as exclusions of hosts that no list names any more are kept. It
+// is many times the size of a fleet.
 const maxExcluded = 4096
 
-// Include puts a cache back. Operators restart it meanwhile: it comes back as one that starts now, whatever
-// the list knows of its start, and nothing learnt of it before holds. One that was not out stays as it is.
+// Include ends the exclusion of a host. Operators usually restart an excluded host, so it is treated as one that
+// starts now, whatever start time the list has, and its earlier statistics are dropped. A host that was not
+// excluded is left unchanged.
 func (b *Balancer) Include(id CacheID) (known bool) {
 	if known = b.Knows(id); !b.excluded[id] {
 		return known
@@ -143,11 +150,12 @@
 	return known
 }
 
-// firstUseWithin is when a cache that was put back is used at the latest, by each balancer at its own moment:
-// with few requests its budget gives each balancer one in minutes, and nobody could tell that it is back.
+// firstUseWithin is the longest time until an included host gets its first request; each balancer draws its own
+// moment. With little traffic, the cold-host budget of a balancer would allow one request in minutes, and nobody
+// could see that the host is back.
 const firstUseWithin = 4 * Second
 
-// dueFirstUse is a cache that was put back by hand and is due to be used.
+// dueFirstUse returns an included host whose first request is due, or nil.
 func (b *Balancer) dueFirstUse(r *request) *cacheHost {
 	if !b.firstUsePending || r.Write || len(r.attempts) > 0 || r.product.Effect != Idempotent {
 		return nil
@@ -163,17 +171,18 @@
 	return nil
 }
 
-// dropIfGone drops a host that is gone once nothing is out there: others come under new ids all day.
+// dropIfGone removes a host that is gone once no attempt is in flight there. Without it, state would accumulate,
+// as new hosts arrive under new ids all day.
 func (b *Balancer) dropIfGone(h *cacheHost) {
 	if h.Condition == Gone && h.inFlight == 0 && h != b.origin && b.hosts[h.Cache] == h {
 		delete(b.hosts, h.Cache)
 	}
 }
 
-// scheduleListRequest asks for the list, at a start or after a call for it that failed, at once or within maxListRetryDelay.
-// With a list from before a start can wait: a release starts most balancers at once, and all their calls
-// together held discovery up for so long that none was answered in time. So did calls that failed, after 250
-// ms, doubled.
+// scheduleListRequest schedules a request to discovery, at a start or after a failed one. It is sent at once, or
+// after a random delay if it can wait, as with a restored list. A release starts most balancers at once, and their
+// simultaneous requests delayed discovery so long that none was answered in time; quick retries (from 250 ms,
+// doubled each time) had the same effect.
 func (b *Balancer) scheduleListRequest(immediately bool) {
 	if !b.config.MustSubscribe || b.listRequestPending {
 		return
@@ -186,12 +195,14 @@
 	b.env.SetTimer(delay, "list")
 }
 
-// maxListRetryDelay is of the six seconds after which news counts as told once discovery can be reached, whatever
-// came of earlier calls: one is left for the call itself.
+// maxListRetryDelay bounds the delay of a request to discovery. Changes must be known within six seconds after
+// discovery can be reached again, whatever happened to earlier requests; this leaves one second for the request
+// itself.
 const maxListRetryDelay = 5 * Second
 
-// fixNominalSizes fixes once what a listed size counts for: units of a power of two, and by kind where sizes follow
-// the load, so that balancers that start at other times lay the same ring and no load report moves a key.
+// fixNominalSizes sets, once, the listed size that gets the nominal number of virtual nodes, rounded down to a
+// power of two, and the size of each kind of machine where listed sizes follow the load. Balancers that start at
+// different times thus build the same ring, and no load report moves a key.
 func (b *Balancer) fixNominalSizes(entries []Entry) {
 	largest := 0.0
 	for _, e := range entries {
@@ -205,7 +216,7 @@
 	}
 }
 
-// applyEntry takes one entry.
+// applyEntry applies one entry of the host list and returns its host.
 func (b *Balancer) applyEntry(e Entry) *cacheHost {
 	old := b.hosts[e.Cache]
 	if old != nil && (old.Born == e.Born || old == b.origin) {
@@ -219,7 +230,7 @@
 		}
 		return old
 	}
-	// A restart under the same name is a new process: cold, and nothing learnt of the old one holds.
+	// A restart under the same name is a new process: it is cold, and the statistics of the old one do not apply.
 	h := &cacheHost{Entry: e, concurrencyLimit: b.initialLimit(), weight: e.Size}
 	h.excessDelay.width, h.coldBudgetAt = delaySlot, b.env.Now()
 	if old != nil {
--- a/policy/meter.go
+++ b/policy/meter.go
@@ -2,9 +2,11 @@
 
 import "cmp"
 
+// meterSlotCount is the number of time slots of a meter.
 const meterSlotCount = 8
 
-// meter sums two things in slots of time that are used again in a ring.
+// meter is a sliding window of two sums, in most uses the numbers of good and bad outcomes. It holds the recent
+// time slots in a ring buffer.
 type meter struct {
 	width Nanos // of a slot; 0: outcomeSlot
 	slots [meterSlotCount]struct {
@@ -13,8 +15,10 @@
 	}
 }
 
+// slotWidth returns the length of a slot.
 func (m *meter) slotWidth() Nanos { return cmp.Or(m.width, outcomeSlot) }
 
+// add adds to both sums of the current slot.
 func (m *meter) add(now Nanos, good, bad float64) {
 	index := now / m.slotWidth()
 	s := &m.slots[index%meterSlotCount]
@@ -25,6 +29,7 @@
 	s.bad += bad
 }
 
+// record counts one event as good, bad, both or neither.
 func (m *meter) record(now Nanos, good, bad bool) {
 	var g, b float64
 	if good {
@@ -36,7 +41,7 @@
 	m.add(now, g, b)
 }
 
-// decayed sums the slots, the older the less.
+// decayed returns the sums of the recent slots, where older slots count less.
 func (m *meter) decayed(now Nanos) (good, bad float64) {
 	for _, s := range m.slots {
 		if age := now/m.slotWidth() - s.index; age < meterSlotCount {
@@ -48,7 +53,7 @@
 	return good, bad
 }
 
-// totalGood sums the good of all slots.
+// totalGood returns the sum of good over all recent slots, all with the same weight.
 func (m *meter) totalGood(now Nanos) (good float64) {
 	for _, s := range m.slots {
 		if now/m.slotWidth()-s.index < meterSlotCount {
@@ -58,7 +63,8 @@
 	return good
 }
 
-// minSlotMean is the smallest good for one bad of any slot with so many; ok tells whether there is one.
+// minSlotMean returns the lowest ratio of good to bad among the recent slots whose bad sum is at least minBad; ok
+// reports whether there is such a slot. Used where good is a sum of values and bad their number.
 func (m *meter) minSlotMean(now Nanos, minBad float64) (lowest float64, ok bool) {
 	for _, s := range m.slots {
 		if now/m.slotWidth()-s.index < meterSlotCount && s.bad >= minBad && (!ok || s.good/s.bad < lowest) {
@@ -68,4 +74,5 @@
 	return lowest, ok
 }
 
+// seconds converts a span to seconds.
 func (n Nanos) seconds() float64 { return float64(n) / float64(Second) }
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -1,9 +1,10 @@
 package policy
 
-// The origin: fetches of what caches lack, and writes, up to a concurrency limit.
+// The origin: sends cache misses and writes there, up to a concurrency limit.
 
-// sendToOrigin sends to the origin as much as it is seen to bear; reads leave a quarter of that to writes.
-// What it could not answer in time is rate-limited at once: queued reads would come late and keep it slow.
+// sendToOrigin sends a request to the origin if its concurrency limit allows; reads leave a quarter of the limit
+// to writes. Otherwise the request is given up at once: queued reads would be answered late and keep the origin
+// slow.
 func (b *Balancer) sendToOrigin(r *request) {
 	o, limit := b.origin, b.origin.concurrencyLimit
 	if !r.Write {
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,13 +1,14 @@
-// Package policy decides where each request goes. A Balancer is made by New with the Terms of its
-// deployment; from then on one method is called for each thing that happens (Listed, Arrived, Ended,
-// Streaming, Abandoned, TimerFired), and it acts by calling the Host it was made with, declared in types.go.
-// It is not safe for concurrent use, keeps no clock and shares nothing.
-// Reading order: policy.go, the life of a request; routing.go, ring.go and replication.go, where it goes; retry.go, what may be
-// sent again; origin.go; slowstart.go, health.go, concurrency.go, fairness.go, loadreport.go, what a host and the
-// fleet bear; membership.go, the list. What is remembered stands in state.go, meter.go and chance.go.
+// Package policy decides where each request goes. New makes a Balancer from the Terms of its deployment. After
+// that, the caller reports each event by a method (Listed, Arrived, Ended, Streaming, Abandoned, TimerFired), and
+// the Balancer acts by calling its Host, which is declared in types.go. A Balancer is not safe for concurrent use,
+// has no clock of its own and shares no state.
+// Reading order: policy.go has the life cycle of a request; routing.go, ring.go and replication.go choose the
+// cache host; retry.go decides what may be sent again; origin.go limits traffic to the origin; slowstart.go,
+// health.go, concurrency.go, fairness.go and loadreport.go limit the traffic to each host and to the fleet;
+// membership.go maintains the host list. The state is declared in state.go, meter.go and chance.go.
 package policy
 
-// New makes a balancer that starts with nothing; its list follows by Listed.
+// New returns a balancer without any hosts; Listed supplies the first host list.
 func New(env Host, config Terms, seed uint64) *Balancer {
 	b := &Balancer{env: env, config: config, seed: seedHash(seed), startedAt: env.Now(), hosts: map[CacheID]*cacheHost{},
 		excluded: map[CacheID]bool{}, sizeByKind: map[Kind]float64{}, zoneOutcomes: map[Zone]*meter{}, requests: map[CallID]*request{},
@@ -22,14 +23,15 @@
 	return b
 }
 
-// Arrived takes a request; from here on it is owed one final answer.
+// Arrived takes a new request. The balancer owes it exactly one final answer.
 func (b *Balancer) Arrived(in Call) {
 	now := b.env.Now()
 	if in.Key == "" {
 		in.Key = Key(in.ID)
 	}
 	r := &request{Call: in, product: &b.config.Products[in.Product], arrivedAt: now}
-	// Two ticks before the client leaves: a timer fires up to one tick late, and its answer must still count.
+	// Expires two ticks before the deadline: the timer may fire up to one tick late, and the answer must still
+	// reach the client in time.
 	b.env.SetTimer(max(0, in.Deadline-now-2*b.config.Tick), TimerID("e"+in.ID))
 	b.requests[in.ID] = r
 	b.countKeyUse(r)
@@ -38,7 +40,7 @@
 	case r.Work > r.product.LatencySLO && r.product.OverdueValue == 0,
 		r.overQuota && b.randomFloat() < max(b.shedProbability, b.meanLoad()/4):
 		b.giveUp(r)
-	case b.config.Aside && r.Write: // caches do not take writes here
+	case b.config.Aside && r.Write: // cache hosts do not take writes in this deployment
 		b.sendToOrigin(r)
 	default:
 		b.sendToHost(r)
@@ -81,7 +83,7 @@
 	switch {
 	case e.Final || e.Outcome == Fulfilled || r.finished:
 		b.finish(r)
-	case e.Outcome == Missed && b.config.Aside: // elsewhere there is no origin to ask
+	case e.Outcome == Missed && b.config.Aside: // other deployments have no origin that the balancer could ask
 		r.cacheMissed = true
 		b.sendToOrigin(r)
 	case r.inFlight == 0:
@@ -89,7 +91,8 @@
 	}
 }
 
-// giveUp ends a request that gets no answer: at once, so that the client can act.
+// giveUp answers a request that cannot be fulfilled: rate-limited where a retry is harmless, errored otherwise. It
+// answers at once, so that the client can react early.
 func (b *Balancer) giveUp(r *request) {
 	if b.mayRateLimit(r) {
 		b.env.RateLimit(r.ID, b.retryAfter(r))
@@ -99,7 +102,9 @@
 	b.finish(r)
 }
 
-// retryAfter spreads returning clients: within the SLO if there is time, else as late as they will honour.
+// retryAfter returns how long the client should wait before it retries: a random part of the time left within the
+// SLO, so that returning clients spread out. Where no time is left, for a client's retry and for a request beyond
+// its quota it is a part of the longest wait that clients honour.
 func (b *Balancer) retryAfter(r *request) Nanos {
 	left := r.arrivedAt + r.product.LatencySLO - b.env.Now()
 	if left <= 0 || r.Repeat || r.overQuota {
@@ -108,7 +113,8 @@
 	return min(b.config.MaxComeBack, Nanos(float64(left)*(0.3+0.4*b.randomFloat())))
 }
 
-// finish forgets a request once all of its attempts have ended; until then they still teach.
+// finish ends a request and cancels its open attempts where allowed. The request is kept until all its attempts
+// have ended, as their outcomes still count in the statistics.
 func (b *Balancer) finish(r *request) {
 	if !r.finished {
 		r.finished = true
@@ -123,21 +129,21 @@
 	}
 }
 
-// Abandoned hears that the client has left.
+// Abandoned reports that the client has left.
 func (b *Balancer) Abandoned(id CallID) {
 	if r := b.requests[id]; r != nil && !r.finished {
 		b.finish(r)
 	}
 }
 
-// Streaming hears that an answer has begun; it has no client timeout any more.
+// Streaming reports that an answer has begun; from then on the client timeout does not apply.
 func (b *Balancer) Streaming(id CallID) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
 }
 
-// Came hears that the last byte of a long write has come, which fixes the client's deadline.
+// Came reports that the last byte of a long write has arrived, which fixes the client's deadline.
 func (b *Balancer) Came(id CallID, deadline Nanos) {
 	if r := b.requests[id]; r != nil && !r.finished {
 		r.Deadline = deadline
@@ -145,7 +151,7 @@
 	}
 }
 
-// TimerFired gets back what Host.SetTimer was given.
+// TimerFired reports that a timer set by Host.SetTimer has expired.
 func (b *Balancer) TimerFired(id TimerID) {
 	switch id {
 	case "beat":
--- a/policy/replication.go
+++ b/policy/replication.go
@@ -1,9 +1,10 @@
 package policy
 
-// Replication: a key gets a copy in a zone where its reads there pay for it.
+// Replication: a key gets a replica in a zone whose reads of the key outweigh the cost of the replica.
 
-const sameZoneCost, crossZoneCost = 1.0, 3.0 // the design's hop costs
+const sameZoneCost, crossZoneCost = 1.0, 3.0 // relative costs of a hop to a host
 
+// hopCost returns the cost of an attempt at a host by its zone.
 func (b *Balancer) hopCost(h *cacheHost) float64 {
 	if h.Zone == b.config.Zone {
 		return sameZoneCost
@@ -11,14 +12,17 @@
 	return crossZoneCost
 }
 
-// replicaProfit is Estimate Profit: a write costs the copy one refill.
+// replicaProfit returns the hop costs that a replica at the candidate saves, less one refill for each write.
 func (b *Balancer) replicaProfit(u *keyUsage, current, candidate *cacheHost) float64 {
 	reads, writes := u.sum()
 	return reads*b.hopCost(current) - reads*b.hopCost(candidate) - writes*b.hopCost(candidate)
 }
 
-// replicaThreshold is the design's, and a second read where a fetch has a price above a crossing's: with few reads
-// the design's is under one, and each zone fetched keys read once. Four hops, not two, crowded popular homes.
+// replicaThreshold returns the profit above which a key gets a replica: the mean number of reads per host times
+// the cost difference of a cross-zone hop. Where a fetch from the origin costs more than a crossing, the profit of
+// one more read is added: with few reads the first term is below one read, so that each zone would fetch keys that
+// it reads only once. The addition is a single cost difference, as a higher threshold overloads the homes of
+// popular keys.
 func (b *Balancer) replicaThreshold() float64 {
 	t := b.keys.totalReads() / float64(max(1, len(b.available))) * (crossZoneCost - sameZoneCost)
 	if b.config.FetchPrice > b.config.CrossPrice {
@@ -28,12 +32,13 @@
 }
 
 const (
-	keySlotCount   = 6 // the design's six slots of two seconds
+	keySlotCount   = 6 // key statistics cover the last twelve seconds
 	keySlotLength  = 2 * Second
-	maxTrackedKeys = 4096 // keys; a fraction of a megabyte, and many times the keys that are read twice in the window
+	maxTrackedKeys = 4096 // less than a megabyte, and many times the number of keys that are read twice within the slots
 )
 
-// add takes a key up while there is room: a flood of keys wanted once must not put out those that matter.
+// add starts to track a key, or returns nil if the table is full: a burst of keys that are requested once must not
+// displace those in use.
 func (t *keyTable) add(k Key) *keyUsage {
 	if len(t.entries) == maxTrackedKeys {
 		return nil
@@ -43,6 +48,7 @@
 	return &t.entries[len(t.entries)-1]
 }
 
+// countKeyUse counts a request's read or write of its key.
 func (b *Balancer) countKeyUse(r *request) {
 	t, u := &b.keys, b.keys.find(r.Key)
 	if u == nil {
@@ -58,7 +64,8 @@
 	}
 }
 
-// rotateKeySlots starts the next slot: copies under half the threshold and keys not used any more go.
+// rotateKeySlots starts the next slot. It drops replicas that earn less than half of the threshold and keys
+// without recent use.
 func (b *Balancer) rotateKeySlots(slot int) {
 	t := &b.keys
 	t.slot, t.readTotals[slot] = slot, 0
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -2,8 +2,10 @@
 
 import "slices"
 
-// Retries: when another attempt is made, and when it, or a rate-limit reply, cannot have an effect twice.
+// Retries: decides when another attempt is made, and whether an attempt or a rate-limit reply could cause a second
+// effect.
 
+// send starts an attempt at a cache host or the origin.
 func (b *Balancer) send(r *request, to *cacheHost) {
 	now := b.env.Now()
 	if to.inFlight == 0 {
@@ -19,8 +21,8 @@
 	b.env.Send(r.ID, to.Cache, r.Deadline, r.latestStart())
 }
 
-// latestStart is the instant from which on an attempt may not begin: a repeat is dropped only within the window of
-// what it repeats.
+// latestStart returns the instant from which on an attempt must not begin: the receiver drops a repeat only within
+// the deduplication window of the earlier attempt.
 func (r *request) latestStart() Nanos {
 	limit := r.Deadline
 	for _, a := range r.attempts {
@@ -31,17 +33,18 @@
 	return limit
 }
 
-// maxSendDelay is for how long a balancer may be held up between its look at the clock and what it writes then.
+// maxSendDelay is the longest expected delay (for example by scheduling) between reading the clock for a decision
+// and writing the request that follows from it.
 const maxSendDelay = 150 * Millisecond
 
-// safeRepeatWindow is the part of the window in which a repeat may be decided on and begun: what holds it up then still
-// ends within the window.
+// safeRepeatWindow returns the part of the deduplication window in which a repeat may be decided on and begun.
+// Even if its sending is delayed by maxSendDelay, it still falls within the window.
 func (t *ProductTerms) safeRepeatWindow() Nanos { return t.Window - min(maxSendDelay, t.Window/4) }
 
-// retry makes a further attempt after one that failed, or gives up.
+// retry makes a further attempt after one that failed, or gives the request up.
 func (b *Balancer) retry(r *request, failed *cacheHost) {
 	late := b.env.Now() >= r.arrivedAt+r.product.LatencySLO
-	// No host was given work by an attempt that found nobody there: the next one feeds no overload.
+	// An attempt that got no connection gave no host any work, so a retry after it does not add to an overload.
 	connected := slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.noConnection })
 	switch {
 	case late && r.product.OverdueValue == 0 || connected && !b.drawRetry():
@@ -53,19 +56,22 @@
 	}
 }
 
-// drawRetry draws whether a further attempt is made: as often as recent ones were fulfilled, so that in an
-// overload, where they are not, they stop feeding it. One in twenty is always made, to see it end.
+// drawRetry decides at random whether a retry is made, with the success rate of recent retries as its probability.
+// In an overload, where retries fail, they then stop adding load. At least one in twenty is made, to notice when
+// the overload ends.
 func (b *Balancer) drawRetry() bool {
 	good, bad := b.retryOutcomes.decayed(b.env.Now())
 	return b.randomFloat() < max(0.05, (good+4)/(good+bad+4))
 }
 
-// MayHaveRun tells what an outcome proves; one not known here proves nothing.
+// MayHaveRun reports whether a request may have run at the receiver, given the outcome of the attempt. Any outcome
+// that is no proof of the contrary counts as one that may have run.
 func MayHaveRun(o Outcome) bool {
 	return o != TurnedAway && o != ConnectFailed && o != NeverSent && o != Missed
 }
 
-// maySend is the one place that says whether an attempt may be sent now, given those before it.
+// maySend reports whether an attempt may be sent now, given the attempts before it. No attempt is sent without
+// this check.
 func (b *Balancer) maySend(r *request, to *cacheHost) bool {
 	return len(r.attempts) < b.config.MostAttempts && !r.finished && r.inFlight == 0 &&
 		b.repeatHarmless(r, func(a attempt) bool {
@@ -74,13 +80,15 @@
 		})
 }
 
-// mayRateLimit: the reply promises that a retry is harmless, wherever it goes.
+// mayRateLimit reports whether a request may be answered as rate-limited, which promises that a retry is harmless
+// at whichever host it arrives.
 func (b *Balancer) mayRateLimit(r *request) bool {
 	return b.repeatHarmless(r, func(attempt) bool { return r.product.Group == GroupAll })
 }
 
-// repeatHarmless guards against a second effect: non-idempotent work never runs again, and deduplicated work only
-// where and while every attempt that may have run is remembered.
+// repeatHarmless reports whether a repeat cannot cause a second effect. Non-idempotent work must not run again;
+// deduplicated work may be repeated only within the window and only where every earlier attempt that may have run
+// is recognised.
 func (b *Balancer) repeatHarmless(r *request, deduplicates func(attempt) bool) bool {
 	return r.product.Effect == Idempotent || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		return (a.inFlight || a.mayHaveRun) && (r.product.Effect == NonIdempotent ||
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -6,15 +6,15 @@
 	"slices"
 )
 
-// ring is the consistent-hash ring of the caches that attempts may go to. It is cut into arcs of equal length, each with its
-// points in a slice of its own, so that a cache comes or goes at the cost of its own points, however many others there are. An
-// arc is sorted when it is next walked. Points hold no pointers: there are hundreds of thousands on a large fleet's ring, and
-// the garbage collector has not to look at them.
+// ring is the consistent-hash ring of the available cache hosts. It is divided into segments of equal length, each
+// with its virtual nodes in a slice of its own, so that adding or removing a host costs only as much as its own
+// virtual nodes. A segment is sorted when it is next read. Virtual nodes hold no pointers: a large fleet has
+// hundreds of thousands of them, which the garbage collector then does not have to scan.
 type ring struct {
 	segments    []segment
-	hosts       []*cacheHost // by number; nil: the number is free
+	hosts       []*cacheHost // by ring number; nil: the number is free
 	freeNumbers []uint32
-	hostCount   int // caches on the ring
+	hostCount   int
 }
 
 const (
@@ -22,22 +22,26 @@
 	segmentCount = 1 << segmentBits
 )
 
+// segment is one of the equal parts of the ring.
 type segment struct {
 	nodes  []virtualNode
 	sorted bool
 }
 
-// virtualNode is a virtual node of a cache. Points at one position stand in the order of their caches' ids.
+// virtualNode is one point of a host on the ring. Nodes at the same position are ordered by the ids of their
+// hosts.
 type virtualNode struct {
-	position   uint32 // the bits of its hash behind those that tell the arc
-	hostNumber uint32 // number of the cache
+	position   uint32 // the bits of its hash that follow the segment's bits
+	hostNumber uint32 // ring number of the host
 }
 
-// segmentOf and positionOf place a hash on the ring.
-func segmentOf(hash uint64) int     { return int(hash >> (64 - segmentBits)) }
+// segmentOf returns the segment of a hash.
+func segmentOf(hash uint64) int { return int(hash >> (64 - segmentBits)) }
+
+// positionOf returns the position of a hash within its segment.
 func positionOf(hash uint64) uint32 { return uint32(hash >> (32 - segmentBits)) }
 
-// add puts a cache on the ring with so many points.
+// add adds a host to the ring with the given number of virtual nodes.
 func (r *ring) add(h *cacheHost, virtualNodes int) {
 	if r.segments == nil {
 		r.segments = make([]segment, segmentCount)
@@ -54,7 +58,7 @@
 	}
 }
 
-// allocateNumber gives a cache a number.
+// allocateNumber returns a free ring number and assigns it to the host.
 func (r *ring) allocateNumber(h *cacheHost) uint32 {
 	if last := len(r.freeNumbers) - 1; last >= 0 {
 		number := r.freeNumbers[last]
@@ -66,14 +70,14 @@
 	return uint32(len(r.hosts) - 1)
 }
 
-// remove takes a cache from the ring.
+// remove removes a host from the ring.
 func (r *ring) remove(h *cacheHost) {
 	id := hashPrefix(string(h.Cache))
 	for n := range h.virtualNodes {
 		position := id.with(uint64(n))
 		segment := &r.segments[segmentOf(position)]
 		i := slices.Index(segment.nodes, virtualNode{positionOf(position), h.ringNumber})
-		segment.nodes = slices.Delete(segment.nodes, i, i+1) // in order: a sorted arc stays sorted
+		segment.nodes = slices.Delete(segment.nodes, i, i+1) // keeps the order, so a sorted segment stays sorted
 	}
 	r.hosts[h.ringNumber] = nil
 	r.freeNumbers = append(r.freeNumbers, h.ringNumber)
@@ -81,12 +85,12 @@
 	h.virtualNodes = 0
 }
 
-// sortedSegment is an arc's points in order.
+// sortedSegment returns the virtual nodes of a segment in ring order.
 func (r *ring) sortedSegment(i int) []virtualNode {
 	segment := &r.segments[i]
 	if !segment.sorted {
 		slices.SortFunc(segment.nodes, func(x, y virtualNode) int {
-			if c := cmp.Compare(x.position, y.position); c != 0 { // two are hardly ever equal
+			if c := cmp.Compare(x.position, y.position); c != 0 { // equal positions are rare
 				return c
 			}
 			return cmp.Compare(r.hosts[x.hostNumber].Cache, r.hosts[y.hostNumber].Cache)
@@ -96,7 +100,7 @@
 	return segment.nodes
 }
 
-// home is the first cache from the key on, nil where the ring is empty.
+// home returns the host that owns a key, or nil if the ring is empty.
 func (r *ring) home(k Key) *cacheHost {
 	for h := range r.hostsFrom(k) {
 		return h
@@ -104,7 +108,8 @@
 	return nil
 }
 
-// hostsFrom meets all caches in the order of the ring, from the key on; the first is its home. The ring must not change meanwhile.
+// hostsFrom yields all hosts in ring order from the key on; the first is the key's home. The ring must not change
+// during the iteration.
 func (r *ring) hostsFrom(k Key) iter.Seq[*cacheHost] {
 	return func(yield func(*cacheHost) bool) {
 		if r.hostCount == 0 {
@@ -130,14 +135,15 @@
 	}
 }
 
-// hostSet holds the numbers of the caches that a walk has met. Nearly all walks end within the first few.
+// hostSet is the set of ring numbers that an iteration has visited. Nearly all iterations end within the first few
+// hosts.
 type hostSet struct {
-	small [16]uint32
-	bits  []uint64 // one bit for each number, once few is full
+	small [16]uint32 // used until it is full
+	bits  []uint64   // one bit for each ring number, once small is full
 	count int
 }
 
-// add tells whether a number of so many is new.
+// add adds a ring number, out of total numbers, and reports whether it is new.
 func (s *hostSet) add(number uint32, total int) bool {
 	if s.bits != nil {
 		word, bit := &s.bits[number/64], uint64(1)<<(number%64)
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -6,9 +6,10 @@
 	"slices"
 )
 
-// Routing: which cache gets an attempt. The order is the nearest copy of the key, its home on the hash ring, then the successors.
+// Routing: selects the cache host for an attempt. The order of preference is a replica of the key nearer by, the
+// key's home on the hash ring, then the successors on the ring.
 
-// sendToHost makes the next attempt at a cache, or gives up.
+// sendToHost makes the next attempt at a cache host, or gives the request up.
 func (b *Balancer) sendToHost(r *request) {
 	if to := b.pickHost(r); to != nil && b.fleetHasCapacity(r) && b.maySend(r, to) {
 		b.shedProbability = max(0, b.shedProbability-0.005)
@@ -19,8 +20,10 @@
 	b.giveUp(r)
 }
 
-// pickHost picks the cache for the next attempt: the nearest copy, else the home, else the successors.
-// A later pass drops a wish, never a bound: cold hosts, limits and hosts already asked stay out.
+// pickHost selects the cache host for the next attempt, or nil if none may take it. The first pass also skips
+// hosts that look unhealthy, are in connection backoff or likely have no open connection. The second pass drops
+// these preferences but keeps the limits: cold-host budgets, concurrency limits, and no second attempt at the same
+// host.
 func (b *Balancer) pickHost(r *request) *cacheHost {
 	meanInFlight := float64(b.attemptsInFlight) / float64(max(1, len(b.available)))
 	maxBusy := minBusyHostsPassed + 3*(1-b.shedProbability)
@@ -37,8 +40,8 @@
 			if attempted || pass == 0 && (b.env.Now() < h.connectBackoffUntil || !b.drawHealthy(h, r) || b.connectionUnlikely(h)) {
 				continue
 			}
-			// The design's yield: two or more above this balancer's mean goes to the next. Where the list tells
-			// what hosts hold, so does, by draw, one that holds more than two a core: of 1 to 3 two did best.
+			// A host with two or more attempts above this balancer's mean is passed by for the next successor. Where
+			// the host list shows load, so is, at random, a host with more than two requests per core.
 			passedBy := pass == 0 && float64(h.inFlight) >= meanInFlight+2 || b.passByReportedLoad(h, r, pass)
 			if passedBy || h.listedLoad*b.randomFloat() > 2+2*float64(pass) || !b.hostHasCapacity(h, r) {
 				busy++
@@ -52,8 +55,9 @@
 	return nil
 }
 
-// connectionUnlikely tells to pass a host by to which no connection is likely open, as often as attempts lately found
-// none: hosts take only so many. New ones that come just then wait for the second look.
+// connectionUnlikely reports whether to skip a host because it probably has no open connection. Hosts accept a
+// limited number of connections, so the skip probability follows the share of recent attempts that found none. The
+// second pass may still open new connections.
 func (b *Balancer) connectionUnlikely(h *cacheHost) bool {
 	if b.config.KeepAlive == 0 || h.lastConnectedAt > 0 && b.env.Now()-h.lastConnectedAt < b.config.KeepAlive {
 		return false
@@ -62,23 +66,27 @@
 	return b.randomFloat() < refused/(connected+refused+4)
 }
 
-// minBusyHostsPassed is how many busy hosts a key is carried past under pressure, and three more while nothing presses:
-// in an overload keys spread over all caches and their misses bring the origin down. Of 0 to 6 one did best.
+// minBusyHostsPassed is the number of busy hosts that a request may pass by during overload; without overload it
+// may pass three more. Passing more hosts in an overload spreads the keys over all cache hosts, and the extra
+// misses overload the origin.
 const minBusyHostsPassed = 1
 
-// maxHostsExamined bounds the caches that one pass looks at: with thousands of hosts that are all absent or cold a request would
-// look at each of them, to be given up all the same.
+// maxHostsExamined bounds the hosts that one pass examines. In a fleet of thousands where all hosts are
+// unreachable or cold, a request would otherwise examine every one of them and still be given up.
 const maxHostsExamined = 256
 
-// nominalVirtualNodes is the number of virtual nodes of a host of nominal size: enough that shares stray by a tenth.
+// nominalVirtualNodes is the number of virtual nodes of a host of nominal size. With 100 the hosts' shares of the
+// keys deviate by about a tenth.
 const nominalVirtualNodes = 100
 
-// virtualNodesOf is how many a cache has. The ring is equal at every balancer, so nothing of the instance enters it.
+// virtualNodesOf returns the number of virtual nodes of a host. It depends on nothing local to this balancer, as
+// the ring must be equal at all balancers.
 func (b *Balancer) virtualNodesOf(h *cacheHost) int {
 	return min(max(1, int(nominalVirtualNodes*h.weight/b.nominalSize+0.5)), 8*nominalVirtualNodes)
 }
 
-// candidates is the order in which caches are asked: a read's nearest copy first, then home and successors.
+// candidates yields the hosts in order of preference: for a read its nearer replica if there is one, then the
+// key's home and the successors.
 func (b *Balancer) candidates(r *request) iter.Seq[*cacheHost] {
 	first := b.nearerReplica(r)
 	return func(yield func(*cacheHost) bool) {
@@ -93,8 +101,9 @@
 	}
 }
 
-// nearerReplica is a read's copy where that is nearer than its home, else nil. The candidate is the first successor
-// in this zone; it becomes the copy above the threshold.
+// nearerReplica returns the host with a replica of a read's key if that host is nearer than the key's home,
+// otherwise nil. The candidate for a new replica is the first host of this zone on the ring from the key on; it
+// becomes the replica once its profit exceeds the threshold.
 func (b *Balancer) nearerReplica(r *request) *cacheHost {
 	u := b.keys.find(r.Key)
 	if u == nil || r.Write {
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -2,9 +2,10 @@
 
 import "cmp"
 
-// Slow start: what a host that has just started may get from all balancers together.
+// Slow start: limits the requests that a host that has just started gets from all balancers together.
 
-// warmShare is the share of its capacity that a host has at the least, by the time since its start.
+// warmShare returns the share of its capacity that a host has at least, by the time since its start: ColdFrom at
+// the start, rising evenly to 1 within RampTime.
 func (b *Balancer) warmShare(h *cacheHost) float64 {
 	startedAt := max(cmp.Or(h.Started, h.Born), h.includedAt)
 	age := b.env.Now() - startedAt
@@ -14,11 +15,13 @@
 	return b.config.ColdFrom + (1-b.config.ColdFrom)*max(0, float64(age))/float64(b.config.RampTime)
 }
 
-// coldHostMayTake gives a cold host a rising part of its own keys, the same at every balancer, or any key where
-// no other takes the call: half of a fleet, new, stood idle beside hosts that held too much. Below that is a
-// budget: this balancer's part of what would push it over. A part under one is drawn and spent either way: a
-// least of one each, times hundreds of balancers, pushed hosts over. As much is saved up as the window bears:
-// who asks once in seconds had a small chance each time at a quarter of it, and cold hosts stood idle.
+// coldHostMayTake reports whether a host that is warming up may take a request. The host gets a rising part of its
+// own keys, the same keys at every balancer, or any key where no other host takes the request: without that
+// exception new hosts stayed idle in a half-replaced fleet while the older ones were overloaded.
+// In both cases a budget applies, this balancer's part of the requests that would overload the host. A fraction of
+// a request is drawn at random and spent in any case: a minimum of one request for each of hundreds of balancers
+// would overload the host. The budget accumulates up to a whole FallWindow: with a lower maximum, balancers with
+// one request every few seconds would hardly ever use it, and cold hosts would stay idle.
 func (b *Balancer) coldHostMayTake(h *cacheHost, r *request, any bool) bool {
 	warm := b.warmShare(h)
 	if warm == 1 {
@@ -35,25 +38,27 @@
 	return available >= 1 || b.randomFloat() < available
 }
 
-// coldSafetyFactor halves the guess: requests differ in work, and warm hosts may have done more than their share.
+// coldSafetyFactor halves the estimated rate, as requests differ in work and warm hosts may have done more than
+// their share.
 const coldSafetyFactor = 0.5
 
-// coldRequestRate guesses what a cold host may get, from what the fleet does for a unit of size, taken as it was
-// done: held against what is left after most hosts have gone it would look like the work of a few. One that
-// began lately has not a window behind it: over a whole one it took the fleet for a fraction of what it is,
-// just when a release had put cold hosts in place of all. fleetMinInFlight for all in a window lets a fleet start of
-// which nothing is warm.
+// coldRequestRate estimates how many requests a second a cold host may get, from the rate that the fleet fulfils
+// per unit of warm capacity. Each success is divided by the capacity at its time: divided by what is left after
+// most hosts have gone, it would look like the work of a few hosts. A balancer that started recently divides by
+// its own age instead of a whole window; otherwise it would underestimate the fleet just when a release has
+// replaced all hosts. The minimum, fleetMinInFlight requests of all balancers in a window, lets a fleet start in
+// which no host is warm.
 func (b *Balancer) coldRequestRate(h *cacheHost, warm float64) float64 {
 	span := min(outcomeWindow, max(outcomeSlot, b.env.Now()-b.startedAt))
 	perS := b.goodPerCapacity.totalGood(b.env.Now()) / span.seconds() * h.weight
 	minimum := fleetMinInFlight / float64(b.config.Balancers) / b.config.FallWindow.seconds()
-	if b.hasPeer { // both have a least; the rest follows what each does
+	if b.hasPeer { // both processes of an upgrade have a minimum; the estimate follows their own traffic
 		minimum /= 2
 	}
 	return max(coldSafetyFactor*b.config.FallMultiple*warm*perS, minimum)
 }
 
-// recomputeSums sums the sizes of the caches that are up, as far as they are warm, and what they hold.
+// recomputeSums recomputes the warm capacity and the listed load of the available hosts.
 func (b *Balancer) recomputeSums() {
 	b.warmCapacity, b.loadSum = 0, 0
 	for _, h := range b.available {
--- a/policy/state.go
+++ b/policy/state.go
@@ -6,73 +6,85 @@
 	"slices"
 )
 
-// What a Balancer remembers. How it is used stands in the files that decide, listed at the top of policy.go.
+// State of a Balancer and its transfer to another process. The files that use it are listed at the top of policy.go.
 
-// Balancer holds what one balancer knows.
+// Balancer holds the state of one balancer.
 type Balancer struct {
-	env                                          Host
-	config                                       Terms
-	seed                                         prefixHash
-	drawCount                                    uint64
-	hosts                                        map[CacheID]*cacheHost
-	available                                    []*cacheHost // the caches that are up, in no order; never the origin
-	availableInZone                              int          // of them, in this balancer's zone
-	origin                                       *cacheHost   // never nil
-	ring                                         ring
-	attemptsInFlight                             int              // at available
-	nominalSize                                  float64          // listed size that gets the nominal number of points
-	sizeByKind                                   map[Kind]float64 // stands for the listed size where that follows the load
-	requests                                     map[CallID]*request
-	keys                                         keyTable
-	quotas                                       []quota
-	attemptTimes                                 []meter // by product, in the zone and across: seconds that attempts at caches took, and how many
-	maxBilledValue, shedProbability              float64
-	startedAt                                    Nanos
-	warmCapacity                                 float64          // sizes of available, as far as they are warm
-	attemptTime                                  meter            // the same of all products
-	hostOutcomes, goodPerCapacity, retryOutcomes meter            // attempts at caches, those that were good for a unit of able, further attempts
-	zoneOutcomes                                 map[Zone]*meter  // as all, by the caches' zones
-	fleetLimitPerHost                            float64          // attempts out at a host that the fleet is seen to bear
-	loadSum                                      float64          // a core, summed over available, where the list tells
-	listedUpCount                                int              // caches that the last whole list named as up
-	excluded                                     map[CacheID]bool // taken out by hand, whatever the list says
-	listRequestPending                           bool             // a try to follow the list is due
-	firstUsePending                              bool             // some cache's owed may be set
-	reportedWaits                                meter            // as cache.reportedWait, of all
-	connectOutcomes                              meter            // attempts at caches that found a connection, and that did not
-	peerInFlight                                 int              // attempts out at the origin from the other process of an upgrade
-	hasPeer                                      bool             // there is one
+	env       Host
+	config    Terms
+	seed      prefixHash
+	drawCount uint64 // random numbers drawn so far
+	hosts     map[CacheID]*cacheHost
+	// Cache hosts that are up and not excluded, in no order. The origin is never among them.
+	available       []*cacheHost
+	availableInZone int        // available hosts in this balancer's zone
+	origin          *cacheHost // never nil; without an id until it is listed
+	ring            ring
+	// Attempts in flight at available hosts.
+	attemptsInFlight int
+	nominalSize      float64          // listed size that gets the nominal number of virtual nodes
+	sizeByKind       map[Kind]float64 // replaces the listed size where listed sizes follow the load
+	requests         map[CallID]*request
+	keys             keyTable
+	quotas           []quota // by customer
+	// Durations of attempts at cache hosts in seconds, and their number: two meters for each product, one for
+	// hosts in this balancer's zone and one for hosts in other zones.
+	attemptTimes []meter
+	// Highest value of any product, and the probability with which a request beyond its quota is rate-limited
+	// on arrival.
+	maxBilledValue, shedProbability float64
+	startedAt                       Nanos
+	warmCapacity                    float64 // sum over available hosts of size times warm share
+	attemptTime                     meter   // as attemptTimes, for all products together
+	// Outcomes of all attempts at cache hosts; the successes, each divided by warmCapacity at its time; outcomes
+	// of retries.
+	hostOutcomes, goodPerCapacity, retryOutcomes meter
+	zoneOutcomes                                 map[Zone]*meter // as hostOutcomes, by the hosts' zones
+	// Attempts that this balancer may have in flight over all available hosts, divided by their number.
+	fleetLimitPerHost  float64
+	loadSum            float64          // sum of listedLoad over available hosts
+	listedUpCount      int              // cache hosts that the last whole list named as up
+	excluded           map[CacheID]bool // by operators, whatever the list says
+	listRequestPending bool             // a timer is set for a request to discovery
+	firstUsePending    bool             // some host may have a firstUseDue
+	reportedWaits      meter            // sum and number of the recent reported waits of all hosts
+	connectOutcomes    meter            // attempts at cache hosts that got a connection, and that did not
+	peerInFlight       int              // attempts at the origin by the other process of an upgrade
+	hasPeer            bool             // an upgrade has another process running
 }
 
-// cacheHost is a cache host, or the origin.
+// cacheHost is the state of a cache host, or of the origin.
 type cacheHost struct {
 	Entry
-	weight                        float64
-	availablePos                  int // in Balancer.available, and one; 0: it is not there
+	weight                        float64 // size that counts for the ring and the capacity
+	availablePos                  int     // index in Balancer.available plus one; 0: not there
 	ringNumber                    uint32
-	virtualNodes                  int     // on the ring, under that number
+	virtualNodes                  int     // number of them on the ring
 	countedCapacity               float64 // its part of Balancer.warmCapacity
-	inFlight                      int     // this balancer's attempts that have not ended
-	busySince, lastEnded          Nanos
-	listedLoad                    float64 // requests a core, as listed
-	concurrencyLimit              float64 // attempts out that it is seen to bear
-	limitCutAt                    Nanos
-	goodCount, goodCountAtLastBad int // good endings, and how many there were at the last bad one
-	backoff, backoffUntil         Nanos
-	lastConnectedAt               Nanos // an attempt last found a connection
-	connectBackoffUntil           Nanos // refused a connection: asked only where no other is left
+	inFlight                      int     // attempts of this balancer that have not ended
+	busySince, lastEnded          Nanos   // inFlight last rose from 0; an attempt last ended
+	listedLoad                    float64 // requests per core, by the host list
+	concurrencyLimit              float64 // attempts of this balancer that may be in flight
+	limitCutAt                    Nanos   // last sharp decrease of the limit
+	goodCount, goodCountAtLastBad int     // successes, and their number at the last failure by overload
+	backoff, backoffUntil         Nanos   // after rejections; backoff also counts refused connections
+	lastConnectedAt               Nanos   // an attempt last got a connection
+	connectBackoffUntil           Nanos   // after a refused connection: used only where no other host is left
 	outcomes                      meter
-	includedAt                    Nanos   // put back by hand: what was known of it before holds no more
-	reportedWait                  float64 // by its last report: how long a further request would take there
-	reportedAt                    Nanos
-	lastAttemptSeconds            float64 // seconds, by the attempt that ended last
-	firstUseDue                   Nanos   // put back by hand and not used since: it is, once this has come
-	coldBudget                    float64 // requests that it may still get while cold
-	coldBudgetAt                  Nanos
-	excessDelay                   meter   // of its attempts beyond calm times, in parts of their SLOs
-	peerGood, peerBad             float64 // endings that it is worth what other balancers say of it
+	includedAt                    Nanos // end of an exclusion; the host counts as started then
+	// Time that a further request would take, by the last load report. In seconds if hosts report durations,
+	// otherwise only comparable between hosts.
+	reportedWait       float64
+	reportedAt         Nanos
+	lastAttemptSeconds float64 // duration of the attempt that ended last
+	firstUseDue        Nanos   // an included host gets its first request at this time; 0: none is due
+	coldBudget         float64 // requests that it may still get while cold
+	coldBudgetAt       Nanos
+	excessDelay        meter   // excessDelayRatio of its attempts, and their number
+	peerGood, peerBad  float64 // observations of other balancers, as numbers of outcomes
 }
 
+// request is a request that has no final answer yet or still has attempts in flight.
 type request struct {
 	Call
 	product             *ProductTerms
@@ -80,25 +92,26 @@
 	attempts            []attempt
 	inFlight            int
 	finished, streaming bool
-	overQuota           bool // beyond its customer's allowance
-	cacheMissed         bool // a cache lacked its key
+	overQuota           bool // beyond its customer's quota
+	cacheMissed         bool // a cache host did not have its key
 }
 
+// attempt is one sending of a request to a cache host or the origin.
 type attempt struct {
 	host            *cacheHost
 	sentAt          Nanos
 	inFlight        bool
-	mayHaveRun      bool // may have run
-	noConnection    bool // there was no connection
-	goodCountAtSend int  // good endings there when it was sent
+	mayHaveRun      bool
+	noConnection    bool
+	goodCountAtSend int // goodCount of the host
 }
 
-// quota is a customer's bucket of requests and its lately seen rate.
+// quota is a customer's token bucket and recent request rate.
 type quota struct {
 	tokens      float64
 	refilledAt  Nanos
-	arrivalRate meter   // a second
-	share       float64 // of it that is this balancer's, as told; 0: it is not told
+	arrivalRate meter   // requests per second
+	share       float64 // this balancer's assigned fraction of the quota; 0: none is assigned
 }
 
 // keyUsage counts this balancer's reads and writes of one key.
@@ -106,16 +119,18 @@
 	key         Key
 	reads       [keySlotCount]uint32
 	writes      [keySlotCount]uint32
-	replicaHost CacheID
+	replicaHost CacheID // empty: the key has no replica
 }
 
+// keyTable holds the tracked keys, at most maxTrackedKeys.
 type keyTable struct {
-	index      map[Key]int
+	index      map[Key]int // into entries
 	entries    []keyUsage
-	slot       int
-	readTotals [keySlotCount]float64
+	slot       int                   // the current one
+	readTotals [keySlotCount]float64 // reads of all keys, tracked or not
 }
 
+// sum returns the key's reads and writes over all slots.
 func (u *keyUsage) sum() (reads, writes float64) {
 	for i := range keySlotCount {
 		reads += float64(u.reads[i])
@@ -124,6 +139,7 @@
 	return reads, writes
 }
 
+// totalReads returns the reads of all keys over all slots.
 func (t *keyTable) totalReads() (sum float64) {
 	for _, n := range t.readTotals {
 		sum += n
@@ -131,6 +147,7 @@
 	return sum
 }
 
+// find returns the usage of a key, or nil if it is not tracked.
 func (t *keyTable) find(k Key) *keyUsage {
 	if i, ok := t.index[k]; ok {
 		return &t.entries[i]
@@ -138,7 +155,7 @@
 	return nil
 }
 
-// remove forgets the i-th key; the last one takes its place.
+// remove drops the i-th entry; the last one takes its place.
 func (t *keyTable) remove(i int) {
 	delete(t.index, t.entries[i].key)
 	last := len(t.entries) - 1
@@ -149,25 +166,25 @@
 	t.entries = t.entries[:last]
 }
 
-// Learnt is what a newer process takes over of what an older one has learnt.
+// Learnt is the learnt state that an older process hands over to a newer one. It is serialised.
 type Learnt struct {
-	Balancers          int // among which the older one's bounds were parts of a whole
+	Balancers          int // balancers in the fleet of the older process; its limits are parts for this number
 	FleetBears, Origin float64
-	Pace               float64 // seconds that an attempt at a cache takes; 0: not known
+	Pace               float64 // mean duration of an attempt at a cache host in seconds; 0: not known
 	Caches             []LearntOf
 }
 
-// LearntOf is of one cache.
+// LearntOf is the learnt state of one cache host.
 type LearntOf struct {
 	Cache     CacheID
 	Born      Nanos
 	Limit     float64
 	Good, Bad float64
-	Back      Nanos // on the older one's clock
-	BackAgo   Nanos // goes before it: clocks of two processes may differ
+	Back      Nanos // end of an exclusion, on the clock of the older process
+	BackAgo   Nanos // the same as an age, which takes precedence, as the clocks of two processes may differ
 }
 
-// Tell gives what there is to take over.
+// Tell returns the learnt state for a newer process.
 func (b *Balancer) Tell() Learnt {
 	state := Learnt{Balancers: b.config.Balancers, FleetBears: b.fleetLimitPerHost, Origin: b.origin.concurrencyLimit}
 	if took, n := b.attemptTime.decayed(b.env.Now()); n > 0 {
@@ -188,9 +205,9 @@
 	return state
 }
 
-// TakeOver takes it, after the list and before the first request. How attempts at a host ended means the same to any
-// balancer, as long as the same process runs there. Bounds are parts of what all may have out: among another number
-// of balancers they are learnt afresh.
+// TakeOver applies the learnt state of an older process, after the host list and before the first request.
+// Outcomes at a host are valid at any balancer as long as the same process runs there. Limits are parts of a limit
+// for the whole fleet: with another number of balancers they are learnt afresh.
 func (b *Balancer) TakeOver(state Learnt) {
 	now := b.env.Now()
 	validLimit := func(taken, current float64) float64 {
@@ -221,22 +238,24 @@
 	b.recomputeSums()
 }
 
-// Excluded are the caches that are out by hand, in order.
+// Excluded returns the ids of the excluded hosts in ascending order.
 func (b *Balancer) Excluded() []CacheID { return slices.Sorted(maps.Keys(b.excluded)) }
 
-// Beside hears what the other process of an upgrade has out at the origin; where paired is false there is none any more.
+// Beside sets how many attempts the other process of an upgrade has in flight at the origin, and whether there is
+// such a process.
 func (b *Balancer) Beside(paired bool, inFlight int) { b.hasPeer, b.peerInFlight = paired, inFlight }
 
-// AtOrigin is what this process has out there.
+// AtOrigin returns how many attempts of this process are in flight at the origin.
 func (b *Balancer) AtOrigin() int { return b.origin.inFlight }
 
-// Knows tells whether an id is a cache's, listed or out by hand; the origin is none.
+// Knows reports whether an id belongs to a cache host that is listed or excluded; the origin does not count.
 func (b *Balancer) Knows(id CacheID) bool {
 	h := b.hosts[id]
 	return b.excluded[id] || h != nil && h != b.origin
 }
 
-// Fleet counts the caches that are listed, and those of them that this balancer avoids, by hand or by choice.
+// Fleet returns the number of listed cache hosts, and how many of them this balancer avoids because they are not
+// up, excluded, unreachable or unhealthy.
 func (b *Balancer) Fleet() (listed, avoided int) {
 	now := b.env.Now()
 	for _, h := range b.hosts {
@@ -251,12 +270,13 @@
 	return listed, avoided
 }
 
-// Said hears what other balancers say of a cache, as so many endings of each kind; both 0: nothing any more.
+// Said sets the observations of other balancers at a host, as numbers of good and bad outcomes; zeros withdraw
+// them.
 func (b *Balancer) Said(id CacheID, good, bad float64) {
 	if h := b.hosts[id]; h != nil && h != b.origin {
 		h.peerGood, h.peerBad = good, bad
 	}
 }
 
-// Part hears which part of a customer's allowance is this balancer's from now on; 0: nothing is told any more.
+// Part sets this balancer's share of a customer's quota, as a fraction; 0 means that no share is assigned.
 func (b *Balancer) Part(c Customer, share float64) { b.quotas[c].share = share }
--- a/policy/types.go
+++ b/policy/types.go
@@ -1,6 +1,6 @@
 package policy
 
-// Nanos is a time in whole nanoseconds: a span, or a reading of the host's clock.
+// Nanos is a time in nanoseconds: a span, or an instant on the clock of Host.Now.
 type Nanos int64
 
 const (
@@ -9,10 +9,10 @@
 )
 
 type (
-	CallID   string // one request; a client's next try has a new one
-	CacheID  string // a cache host, or the origin where it is listed
-	Key      string // what a request is about; empty if it names nothing
-	TimerID  string // handed to Host.SetTimer and back to Balancer.SetTimer
+	CallID   string // id of one request; a client retry has a new one
+	CacheID  string // id of a cache host, or of the origin where it is listed
+	Key      string // cache key of a request; empty if it has none
+	TimerID  string // passed to Host.SetTimer and returned by Balancer.TimerFired
 	Product  int    // index in Terms.Products
 	Customer int    // index in Terms.Customers
 	Zone     int
@@ -20,15 +20,15 @@
 	Cell     int
 )
 
-// Host is all that a Balancer can do and ask. A call to it takes effect at once.
+// Host is the environment of a Balancer: its clock, timers and actions. A call to it takes effect at once.
 type Host interface {
 	Now() Nanos
-	// Send makes an attempt. Both times are instants on the clock of Now: the attempt is over at its deadline, and
-	// nothing of it is sent from latestStart on.
+	// Send makes an attempt. Both times are instants on the clock of Now: the attempt ends at its deadline at the
+	// latest, and from latestStart on it must not be sent any more.
 	Send(request CallID, to CacheID, deadline, latestStart Nanos)
 	Cancel(request CallID, attempt int)
-	RateLimit(request CallID, retryAfter Nanos) // final; promises that a retry is harmless
-	Error(request CallID)                       // final; promises nothing
+	RateLimit(request CallID, retryAfter Nanos) // a final answer that promises that a retry is harmless
+	Error(request CallID)                       // a final answer that promises nothing
 	Subscribe()
 	SetTimer(after Nanos, id TimerID)
 }
@@ -46,10 +46,11 @@
 	Cancelled
 	NeverSent
 	Missed
-	Spoilt // something came that is no answer: it may have run
+	Spoilt // the answer is malformed; the request may have run
 	Unknown
 )
 
+// Effect tells whether running a request twice does harm.
 type Effect int
 
 const (
@@ -58,7 +59,7 @@
 	NonIdempotent
 )
 
-// Group names the cache hosts that drop repeats of a deduplicated request.
+// Group is the set of cache hosts that recognise and drop repeats of a deduplicated request.
 type Group int
 
 const (
@@ -67,6 +68,7 @@
 	GroupCell
 )
 
+// Condition is the state of a host in the host list.
 type Condition int
 
 const (
@@ -75,6 +77,7 @@
 	Gone
 )
 
+// ListKind tells how a host list is to be applied.
 type ListKind int
 
 const (
@@ -84,7 +87,7 @@
 	ListUnavailable
 )
 
-// Entry is one line of the list of cache hosts.
+// Entry is one line of the host list.
 type Entry struct {
 	Cache     CacheID
 	Zone      Zone
@@ -92,74 +95,77 @@
 	Cell      Cell
 	Condition Condition
 	Size      float64
-	Born      Nanos // its last start as the list tells it, 0: long ago; another one is another process
-	Started   Nanos // the same on the clock of Host.Now; 0: the list has that clock
+	Born      Nanos // last start by the clock of the list, 0: long ago; a different value means a different process
+	Started   Nanos // the same on the clock of Host.Now; 0: the list uses that clock
 }
 
-// Call is a request as it reaches the balancer.
+// Call is a request as it arrives at the balancer.
 type Call struct {
 	ID       CallID
 	Customer Customer
 	Product  Product
 	Key      Key
 	Write    bool
-	Repeat   bool  // a client's further try, where clients mark them
-	Deadline Nanos // instant on the clock of Host.Now at which the client gives up this try
-	Work     Nanos // what it likely takes on a standard core; 0: not told
+	Repeat   bool  // a client retry, where clients mark them
+	Deadline Nanos // instant on the clock of Host.Now at which the client gives up
+	Work     Nanos // expected processing time on a standard core; 0: not known
 }
 
-// Load is what a cache host tells of itself, late and not exactly. A value that it does not tell is under zero.
+// Load is the load report of a cache host, which is delayed and approximate. Values that are not reported are
+// negative.
 type Load struct {
-	InHand float64 // requests
-	Busy   float64 // share of its cores
-	Took   float64 // seconds that a request took lately, without waiting
+	InHand float64 // requests in progress
+	Busy   float64 // share of its cores in use
+	Took   float64 // recent mean duration of a request without waiting, in seconds
 }
 
-// Ending is the outcome of one attempt.
+// Ending is the result of one attempt.
 type Ending struct {
 	Call    CallID
 	Attempt int
-	Final   bool // the request is over
+	Final   bool // the request has its final answer
 	Outcome Outcome
 	Took    Nanos
 	Cache   CacheID
-	Load    *Load // that came with the answer; nil: none
+	Load    *Load // received with the answer; nil: none
 }
 
+// ProductTerms is the configuration of a product.
 type ProductTerms struct {
 	LatencySLO   Nanos
 	BilledValue  float64
-	OverdueValue float64 // share of the billed value granted after the SLO
+	OverdueValue float64 // share of the billed value that an answer after the SLO still earns
 	Effect       Effect
 	Group        Group
-	Window       Nanos
+	Window       Nanos // in which repeats of a deduplicated request are recognised
 }
 
+// CustomerTerms is the configuration of a customer.
 type CustomerTerms struct {
-	AllowancePerS float64 // over all balancers together
+	AllowancePerS float64 // quota at all balancers together, in requests per second
 }
 
-// Terms is what a deployment fixes for one balancer when it starts.
+// Terms is the configuration of a balancer, fixed at its start.
 type Terms struct {
 	Balancers     int
 	Zone          Zone
 	Products      []ProductTerms
 	Customers     []CustomerTerms
-	MustSubscribe bool
-	Aside         bool // caches answer a miss and take no writes; the balancer asks the origin
-	OriginKind    Kind // -1: the origin is not listed
-	MayCancel     bool
-	MostAttempts  int
-	MaxComeBack   Nanos // 0: clients take no advice
-	LiveSizes     bool  // listed sizes follow the load
-	SizesEqual    bool  // listed sizes say nothing
-	ColdFrom      float64
-	RampTime      Nanos
-	FallMultiple  float64
-	FallWindow    Nanos
-	AskEvery      Nanos
-	KeepAlive     Nanos // an idle connection lasts so long; 0: not told
-	Tick          Nanos
-	CrossPrice    float64 // for an attempt that crosses zones, as a part of a request's billed value
-	FetchPrice    float64 // for a fetch from the origin, likewise
+	MustSubscribe bool    // the balancer has to request the host list by Host.Subscribe
+	Aside         bool    // cache hosts report misses and take no writes; the balancer asks the origin
+	OriginKind    Kind    // -1: the origin is not listed
+	MayCancel     bool    // attempts may be cancelled
+	MostAttempts  int     // for each request
+	MaxComeBack   Nanos   // longest wait that clients honour; 0: they ignore it
+	LiveSizes     bool    // listed sizes follow the load
+	SizesEqual    bool    // listed sizes are ignored, all hosts count as equal
+	ColdFrom      float64 // share of its capacity that a host has right after its start
+	RampTime      Nanos   // from a host's start until it has its full capacity
+	FallMultiple  float64 // a host is overloaded by this multiple of its capacity ...
+	FallWindow    Nanos   // ... within this time
+	AskEvery      Nanos   // interval of requests to discovery
+	KeepAlive     Nanos   // life of an idle connection; 0: not known
+	Tick          Nanos   // granularity of timers
+	CrossPrice    float64 // cost of a cross-zone attempt, as a fraction of the billed value of a request
+	FetchPrice    float64 // cost of a fetch from the origin, likewise
 }
