--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -8,34 +8,36 @@
 	"testing"
 )
 
-// coldFleet plays many balancers on one clock, each with its own traffic, and counts what cold hosts get from all of them together.
-type coldFleet struct {
-	coldPlay
-	now   Nanos
-	queue events
-	order int
-	rand  *rand.Rand
-	hosts map[CacheID]*coldHost
-	turns map[CallID]int
+// coldSimulation runs many balancers on one clock, each with its own traffic, and counts the requests that cold
+// hosts get from all of them together.
+type coldSimulation struct {
+	coldScenario
+	now           Nanos
+	queue         events
+	eventCount    int
+	rand          *rand.Rand
+	hosts         map[CacheID]*simulatedHost
+	attemptCounts map[CallID]int
 }
 
-// coldPlay is one play: so many balancers and hosts, of which some start at once.
-type coldPlay struct {
-	balancers, fleet, cold int
-	perS                   float64                    // what a warm host can do
-	load                   float64                    // of what all hosts could do warm
-	slow                   float64                    // what cold hosts can do beside the others, which no balancer is told
-	uneven                 float64                    // spread of the balancers' traffic
-	restarted              float64                    // share of the balancers that start with the hosts
-	leave                  float64                    // share of the warm hosts that go four seconds later, when budgets have been saved up
-	allowed                func(able float64) float64 // requests in a window that may do so many there; nil: by chance alone
+// coldScenario describes one run: the balancers, the hosts, and the hosts that start cold at the same time.
+type coldScenario struct {
+	balancers, hostCount, coldHosts int
+	capacityPerS                    float64                          // of a warm host, in requests
+	load                            float64                          // of all requests, as a fraction of the capacity of all hosts when warm
+	coldSpeed                       float64                          // capacity of the cold hosts relative to the others; the balancers do not know it
+	trafficSpread                   float64                          // spread of traffic between the balancers (sigma of a log-normal distribution)
+	restartedBalancers              float64                          // fraction of the balancers that start together with the cold hosts
+	leavingHosts                    float64                          // fraction of the warm hosts that leave four seconds later, when budgets have accumulated
+	allowedRequests                 func(overloadAt float64) float64 // requests allowed in a window, by overloadAt; nil: overloadAt plus random variation
 }
 
-type coldHost struct {
+// simulatedHost is a cache host with a queue and a single server.
+type simulatedHost struct {
 	Entry
-	speed float64
-	came  []Nanos
-	free  Nanos // when what it has is done
+	capacityPerS float64
+	arrivals     []Nanos
+	idleFrom     Nanos // when its queued work is done
 }
 
 type event struct {
@@ -59,12 +61,12 @@
 	return x
 }
 
-func (f *coldFleet) later(at Nanos, do func()) {
-	f.order++
-	heap.Push(&f.queue, event{at, f.order, do})
+func (f *coldSimulation) schedule(at Nanos, do func()) {
+	f.eventCount++
+	heap.Push(&f.queue, event{at, f.eventCount, do})
 }
 
-func (f *coldFleet) playTo(until Nanos) {
+func (f *coldSimulation) runUntil(until Nanos) {
 	for len(f.queue) > 0 && f.queue[0].at <= until {
 		e := heap.Pop(&f.queue).(event)
 		f.now = e.at
@@ -73,90 +75,90 @@
 	f.now = until
 }
 
-// coldSide is one balancer of the fleet.
-type coldSide struct {
-	*coldFleet
-	b    *Balancer
-	gone bool
+// simulatedBalancer is the environment of one balancer of the fleet.
+type simulatedBalancer struct {
+	*coldSimulation
+	b       *Balancer
+	stopped bool
 }
 
-func (s *coldSide) Now() Nanos { return s.now }
-func (s *coldSide) SetTimer(after Nanos, id TimerID) {
-	s.later(s.now+after, func() {
-		if !s.gone {
+func (s *simulatedBalancer) Now() Nanos { return s.now }
+func (s *simulatedBalancer) SetTimer(after Nanos, id TimerID) {
+	s.schedule(s.now+after, func() {
+		if !s.stopped {
 			s.b.TimerFired(id)
 		}
 	})
 }
-func (s *coldSide) Subscribe()              {}
-func (s *coldSide) Cancel(CallID, int)      {}
-func (s *coldSide) RateLimit(CallID, Nanos) {}
-func (s *coldSide) Error(CallID)            {}
+func (s *simulatedBalancer) Subscribe()              {}
+func (s *simulatedBalancer) Cancel(CallID, int)      {}
+func (s *simulatedBalancer) RateLimit(CallID, Nanos) {}
+func (s *simulatedBalancer) Error(CallID)            {}
 
-// Send has the host work on it as a queue with one server would, as fast as it is warm.
-func (s *coldSide) Send(id CallID, to CacheID, deadline, _ Nanos) {
+// Send queues the request at the host, whose speed follows its warm-up.
+func (s *simulatedBalancer) Send(id CallID, to CacheID, deadline, _ Nanos) {
 	h := s.hosts[to]
-	h.came = append(h.came, s.now)
-	n := s.turns[id]
-	s.turns[id]++
-	work := Nanos(s.rand.ExpFloat64() / (h.speed * s.warm(h, s.now)) * float64(Second))
+	h.arrivals = append(h.arrivals, s.now)
+	n := s.attemptCounts[id]
+	s.attemptCounts[id]++
+	work := Nanos(s.rand.ExpFloat64() / (h.capacityPerS * s.warmShare(h, s.now)) * float64(Second))
 	sent := s.now
-	h.free = max(h.free, s.now) + work
-	end, outcome := h.free+Millisecond, Fulfilled
+	h.idleFrom = max(h.idleFrom, s.now) + work
+	end, outcome := h.idleFrom+Millisecond, Fulfilled
 	if end > deadline {
 		end, outcome = deadline, TimedOut
 	}
-	s.later(end, func() {
-		if !s.gone {
+	s.schedule(end, func() {
+		if !s.stopped {
 			s.b.Ended(Ending{Call: id, Attempt: n, Final: outcome == Fulfilled, Outcome: outcome, Took: s.now - sent, Cache: to})
 		}
 	})
 }
 
 const (
-	coldFromTest = 0.2
-	rampTest     = 20 * Second
-	multipleTest = 3.0
-	fallTest     = 2 * Second
+	testColdFrom     = 0.2
+	testRampTime     = 20 * Second
+	testFallMultiple = 3.0
+	testFallWindow   = 2 * Second
 )
 
-func (f *coldFleet) warm(h *coldHost, at Nanos) float64 {
-	if h.Born == 0 || at >= h.Born+rampTest {
+func (f *coldSimulation) warmShare(h *simulatedHost, at Nanos) float64 {
+	if h.Born == 0 || at >= h.Born+testRampTime {
 		return 1
 	}
-	return coldFromTest + (1-coldFromTest)*(at-h.Born).seconds()/rampTest.seconds()
+	return testColdFrom + (1-testColdFrom)*(at-h.Born).seconds()/testRampTime.seconds()
 }
 
-// play has the hosts start at ten seconds and tells, over all windows that begin with a request at a cold one, how many there
-// were, how many were over what is chance, and the largest part of what falls it that any got; and what cold hosts got of what
-// they could do in the first ten seconds.
-func (p coldPlay) play(seed uint64) (windows, over int, most, used float64) {
-	f := &coldFleet{coldPlay: p, rand: rand.New(rand.NewPCG(seed, 9)), hosts: map[CacheID]*coldHost{}, turns: map[CallID]int{}}
-	const born = 10 * Second
+// run starts the cold hosts after ten seconds. Of all windows that begin with a request at a cold host it returns
+// the number, how many exceed the allowed requests, and the highest ratio of requests to allowed ones. used is the
+// fraction of the cold hosts' capacity that was used in their first ten seconds.
+func (p coldScenario) run(seed uint64) (windows, exceeded int, maxRatio, used float64) {
+	f := &coldSimulation{coldScenario: p, rand: rand.New(rand.NewPCG(seed, 9)), hosts: map[CacheID]*simulatedHost{}, attemptCounts: map[CallID]int{}}
+	const coldStart = 10 * Second
 	var list, changed []Entry
-	for i := range p.fleet {
+	for i := range p.hostCount {
 		id := CacheID(fmt.Sprint("h", i))
-		f.hosts[id] = &coldHost{Entry: Entry{Cache: id, Size: 1}, speed: p.perS}
+		f.hosts[id] = &simulatedHost{Entry: Entry{Cache: id, Size: 1}, capacityPerS: p.capacityPerS}
 		list = append(list, f.hosts[id].Entry)
 	}
 	terms := Terms{Balancers: p.balancers, Products: []ProductTerms{{LatencySLO: Second, BilledValue: 1}}, MayCancel: true, MostAttempts: 4,
-		OriginKind: -1, ColdFrom: coldFromTest, RampTime: rampTest, FallMultiple: multipleTest, FallWindow: fallTest, Tick: 5 * Millisecond}
-	var sides []*coldSide
-	start := func(i int) *coldSide {
-		s := &coldSide{coldFleet: f}
+		OriginKind: -1, ColdFrom: testColdFrom, RampTime: testRampTime, FallMultiple: testFallMultiple, FallWindow: testFallWindow, Tick: 5 * Millisecond}
+	var balancers []*simulatedBalancer
+	start := func(i int) *simulatedBalancer {
+		s := &simulatedBalancer{coldSimulation: f}
 		s.b = New(s, terms, seed*1000+uint64(i))
 		return s
 	}
-	total := p.load * p.perS * float64(p.fleet)
+	total := p.load * p.capacityPerS * float64(p.hostCount)
 	weights, sum := make([]float64, p.balancers), 0.0
 	for i := range p.balancers {
-		weights[i] = math.Exp(p.uneven * f.rand.NormFloat64())
+		weights[i] = math.Exp(p.trafficSpread * f.rand.NormFloat64())
 		sum += weights[i]
 	}
 	for i := range p.balancers {
 		s := start(i)
 		s.b.Listed(ListReplace, list)
-		sides = append(sides, s)
+		balancers = append(balancers, s)
 		mean := Second.seconds() / (total * weights[i] / sum)
 		n := 0
 		var arrive func()
@@ -164,120 +166,121 @@
 			n++
 			id := CallID(fmt.Sprint(i, "-", n))
 			key := Key(fmt.Sprint("k", int(math.Pow(f.rand.Float64(), 3)*2000)))
-			sides[i].b.Arrived(Call{ID: id, Key: key, Deadline: f.now + 2*Second})
-			f.later(f.now+Nanos(f.rand.ExpFloat64()*mean*float64(Second)), arrive)
+			balancers[i].b.Arrived(Call{ID: id, Key: key, Deadline: f.now + 2*Second})
+			f.schedule(f.now+Nanos(f.rand.ExpFloat64()*mean*float64(Second)), arrive)
 		}
-		f.later(Nanos(f.rand.ExpFloat64()*mean*float64(Second)), arrive)
+		f.schedule(Nanos(f.rand.ExpFloat64()*mean*float64(Second)), arrive)
 	}
-	f.playTo(born)
-	for i := range p.cold {
+	f.runUntil(coldStart)
+	for i := range p.coldHosts {
 		h := f.hosts[CacheID(fmt.Sprint("h", i))]
-		h.Born, h.speed, h.came, h.free = born, p.perS*p.slow, nil, born
+		h.Born, h.capacityPerS, h.arrivals, h.idleFrom = coldStart, p.capacityPerS*p.coldSpeed, nil, coldStart
 		changed = append(changed, h.Entry)
 	}
-	for i, s := range sides {
-		if float64(i) < p.restarted*float64(p.balancers) {
-			s.gone = true
-			sides[i] = start(i)
+	for i, s := range balancers {
+		if float64(i) < p.restartedBalancers*float64(p.balancers) {
+			s.stopped = true
+			balancers[i] = start(i)
 			full := append([]Entry{}, changed...)
-			sides[i].b.Listed(ListReplace, append(full, list[p.cold:]...))
+			balancers[i].b.Listed(ListReplace, append(full, list[p.coldHosts:]...))
 		} else {
 			s.b.Listed(ListUpdate, changed)
 		}
 	}
-	f.playTo(born + 4*Second)
+	f.runUntil(coldStart + 4*Second)
 	var gone []Entry
-	for i := p.cold; i < p.cold+int(p.leave*float64(p.fleet-p.cold)); i++ {
+	for i := p.coldHosts; i < p.coldHosts+int(p.leavingHosts*float64(p.hostCount-p.coldHosts)); i++ {
 		e := list[i]
 		e.Condition = Draining
 		gone = append(gone, e)
 	}
-	for _, s := range sides {
+	for _, s := range balancers {
 		s.b.Listed(ListUpdate, gone)
 	}
-	f.playTo(born + 14*Second)
-	got, could := 0.0, 0.0
-	for i := range p.cold {
+	f.runUntil(coldStart + 14*Second)
+	received, possible := 0.0, 0.0
+	for i := range p.coldHosts {
 		h := f.hosts[CacheID(fmt.Sprint("h", i))]
-		for from, at := range h.came {
+		for from, at := range h.arrivals {
 			n := 0
-			for _, c := range h.came[from:] {
-				if c < at+fallTest {
+			for _, c := range h.arrivals[from:] {
+				if c < at+testFallWindow {
 					n++
 				}
 			}
-			// What it can do in this window, by its middle, as it warms evenly.
-			able := multipleTest * h.speed * f.warm(h, at+fallTest/2) * fallTest.seconds()
+			// Requests in this window that overload the host; the warm share rises evenly, so its middle counts.
+			overloadAt := testFallMultiple * h.capacityPerS * f.warmShare(h, at+testFallWindow/2) * testFallWindow.seconds()
 			windows++
-			allowed := able + 2*math.Sqrt(able) + 2
-			if p.allowed != nil {
-				allowed = p.allowed(able)
+			allowed := overloadAt + 2*math.Sqrt(overloadAt) + 2
+			if p.allowedRequests != nil {
+				allowed = p.allowedRequests(overloadAt)
 			}
 			if float64(n) > allowed {
-				over++
+				exceeded++
 			}
-			most = max(most, float64(n)/allowed)
-			if at < born+10*Second {
-				got++
+			maxRatio = max(maxRatio, float64(n)/allowed)
+			if at < coldStart+10*Second {
+				received++
 			}
 		}
-		could += h.speed * 10 * (coldFromTest + (1-coldFromTest)*10/rampTest.seconds()/2)
+		possible += h.capacityPerS * 10 * (testColdFrom + (1-testColdFrom)*10/testRampTime.seconds()/2)
 	}
-	return windows, over, most, got / could
+	return windows, exceeded, maxRatio, received / possible
 }
 
-// The budget of a cold host holds for the sum of all balancers: beyond what falls it, N calls in any of its windows, only chance
-// is allowed, 2 root(N) + 2; and cold hosts are used. Hosts that are slower than any balancer is told, uneven traffic, most
-// balancers begun anew, all that is warm gone when budgets have been saved up.
-func TestColdHostsUnderAllTogether(t *testing.T) {
+// The budget of a cold host applies to the sum of all balancers. With N the number of requests that overload a
+// host in a window, no window may exceed N by more than random variation, 2*sqrt(N)+2, and the cold hosts must be
+// used. Cases: hosts slower than the balancers assume, uneven traffic, most balancers just restarted, all warm
+// hosts leaving when budgets have accumulated.
+func TestColdHostsWithinTotalBudget(t *testing.T) {
 	for _, row := range []struct {
-		coldPlay
+		coldScenario
 		used float64
 	}{
-		{coldPlay{balancers: 20, fleet: 12, cold: 1, perS: 20, load: 0.6, slow: 1, uneven: 1}, 0.2},
-		{coldPlay{balancers: 20, fleet: 12, cold: 4, perS: 20, load: 0.6, slow: 1, uneven: 1, leave: 0.75}, 0.2},
-		{coldPlay{balancers: 30, fleet: 12, cold: 12, perS: 20, load: 0.6, slow: 1, uneven: 1}, 0.4},
-		{coldPlay{balancers: 30, fleet: 12, cold: 8, perS: 20, load: 1.2, slow: 0.6, uneven: 1, restarted: 0.7}, 0.3},
-		{coldPlay{balancers: 30, fleet: 12, cold: 4, perS: 20, load: 1.2, slow: 0.6, uneven: 1, leave: 1}, 0.3},
-		{coldPlay{balancers: 300, fleet: 30, cold: 10, perS: 20, load: 0.9, slow: 0.6, uneven: 1, restarted: 0.7, leave: 0.75}, 0.05},
+		{coldScenario{balancers: 20, hostCount: 12, coldHosts: 1, capacityPerS: 20, load: 0.6, coldSpeed: 1, trafficSpread: 1}, 0.2},
+		{coldScenario{balancers: 20, hostCount: 12, coldHosts: 4, capacityPerS: 20, load: 0.6, coldSpeed: 1, trafficSpread: 1, leavingHosts: 0.75}, 0.2},
+		{coldScenario{balancers: 30, hostCount: 12, coldHosts: 12, capacityPerS: 20, load: 0.6, coldSpeed: 1, trafficSpread: 1}, 0.4},
+		{coldScenario{balancers: 30, hostCount: 12, coldHosts: 8, capacityPerS: 20, load: 1.2, coldSpeed: 0.6, trafficSpread: 1, restartedBalancers: 0.7}, 0.3},
+		{coldScenario{balancers: 30, hostCount: 12, coldHosts: 4, capacityPerS: 20, load: 1.2, coldSpeed: 0.6, trafficSpread: 1, leavingHosts: 1}, 0.3},
+		{coldScenario{balancers: 300, hostCount: 30, coldHosts: 10, capacityPerS: 20, load: 0.9, coldSpeed: 0.6, trafficSpread: 1, restartedBalancers: 0.7, leavingHosts: 0.75}, 0.05},
 	} {
 		for seed := range uint64(2) {
-			windows, over, most, used := row.play(seed)
-			t.Logf("%+v: %d windows, %d over, most %.2f, used %.2f", row.coldPlay, windows, over, most, used)
-			if over > 0 || used < row.used {
-				t.Errorf("%+v, seed %d: %d of %d windows over what is chance, the most %.2f of it; cold hosts did %.2f of what they could",
-					row.coldPlay, seed, over, windows, most, used)
+			windows, exceeded, maxRatio, used := row.run(seed)
+			t.Logf("%+v: %d windows, %d exceeded, highest ratio %.2f, used %.2f", row.coldScenario, windows, exceeded, maxRatio, used)
+			if exceeded > 0 || used < row.used {
+				t.Errorf("%+v, seed %d: %d of %d windows beyond random variation, highest ratio %.2f; cold hosts used %.2f of their capacity",
+					row.coldScenario, seed, exceeded, windows, maxRatio, used)
 			}
 		}
 	}
 }
 
-// slowStart is what the operators' rule allows of requests in a window that may do so many.
-func slowStart(able float64) float64 {
-	if able < 30 {
-		return able + 3*math.Sqrt(able) + 3
+// slowStartLimit returns the requests that the operators allow in a window, by the number that overloads the host.
+func slowStartLimit(overloadAt float64) float64 {
+	if overloadAt < 30 {
+		return overloadAt + 3*math.Sqrt(overloadAt) + 3
 	}
-	return able + 2*math.Sqrt(able) + 2
+	return overloadAt + 2*math.Sqrt(overloadAt) + 2
 }
 
-// TestColdHostsOfAnySize holds the rule in fleets of 1 to 900 balancers and with hosts that may do under one request in a window: the
-// least that each balancer may send adds up there.
+// TestColdHostsOfAnySize checks the slow-start rule in fleets of 1 to 900 balancers and with hosts that may get
+// less than one request in a window, where the minimum rates of all balancers add up.
 func TestColdHostsOfAnySize(t *testing.T) {
-	shapes := []coldPlay{
-		{fleet: 12, cold: 4, load: 0.6, slow: 1, uneven: 1, leave: 1},
-		{fleet: 12, cold: 12, load: 1.2, slow: 1, uneven: 1},
-		{fleet: 12, cold: 8, load: 1.2, slow: 1, uneven: 1, restarted: 0.7, leave: 1},
+	shapes := []coldScenario{
+		{hostCount: 12, coldHosts: 4, load: 0.6, coldSpeed: 1, trafficSpread: 1, leavingHosts: 1},
+		{hostCount: 12, coldHosts: 12, load: 1.2, coldSpeed: 1, trafficSpread: 1},
+		{hostCount: 12, coldHosts: 8, load: 1.2, coldSpeed: 1, trafficSpread: 1, restartedBalancers: 0.7, leavingHosts: 1},
 	}
 	for _, balancers := range []int{1, 2, 5, 20, 30, 300, 900} {
 		t.Run(fmt.Sprint(balancers), func(t *testing.T) {
 			t.Parallel()
-			for _, perS := range []float64{0.5, 1, 4, 20} {
-				for i, play := range shapes {
-					play.balancers, play.perS, play.allowed = balancers, perS, slowStart
-					windows, over, most, used := play.play(0)
-					t.Logf("%v a second, shape %d: %d windows, %d over, most %.2f, used %.2f", perS, i, windows, over, most, used)
-					if over > 0 {
-						t.Errorf("%v a second, shape %d: %d of %d windows over what is allowed, the most %.2f of it", perS, i, over, windows, most)
+			for _, capacityPerS := range []float64{0.5, 1, 4, 20} {
+				for i, scenario := range shapes {
+					scenario.balancers, scenario.capacityPerS, scenario.allowedRequests = balancers, capacityPerS, slowStartLimit
+					windows, exceeded, maxRatio, used := scenario.run(0)
+					t.Logf("%v a second, shape %d: %d windows, %d exceeded, highest ratio %.2f, used %.2f", capacityPerS, i, windows, exceeded, maxRatio, used)
+					if exceeded > 0 {
+						t.Errorf("%v a second, shape %d: %d of %d windows exceed the limit, highest ratio %.2f", capacityPerS, i, exceeded, windows, maxRatio)
 					}
 				}
 			}
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -5,28 +5,29 @@
 	"testing"
 )
 
-// asker is the host of a balancer that only follows the list.
-type asker struct {
-	*crowdAtDiscovery
+// listClient is the environment of a balancer that only follows the host list.
+type listClient struct {
+	*fakeDiscovery
 	b *Balancer
 }
 
-// crowdAtDiscovery is one discovery for many balancers: it answers one call after the other, turns away what would wait
-// for eight seconds, and who waits for over two has gone while it works on for him.
-type crowdAtDiscovery struct {
-	now, free        Nanos
-	queue            []due
-	perCall          Nanos
-	asked, late, got int
+// fakeDiscovery is a single discovery for many balancers. It answers one request after the other and rejects those
+// that would wait for more than eight seconds. A client that waits for more than two seconds gives up, but its
+// request is still worked on.
+type fakeDiscovery struct {
+	now, idleFrom                 Nanos
+	queue                         []timer
+	perRequest                    Nanos
+	received, abandoned, answered int
 }
 
-const hasGone, tooMany = 2 * Second, 8 * Second
+const clientTimeout, maxQueueTime = 2 * Second, 8 * Second
 
-func (d *crowdAtDiscovery) later(at Nanos, do func()) { d.queue = append(d.queue, due{at, do}) }
+func (d *fakeDiscovery) schedule(at Nanos, do func()) { d.queue = append(d.queue, timer{at, do}) }
 
-func (d *crowdAtDiscovery) play(until Nanos) {
+func (d *fakeDiscovery) runUntil(until Nanos) {
 	for {
-		slices.SortStableFunc(d.queue, func(x, y due) int { return int(x.at - y.at) })
+		slices.SortStableFunc(d.queue, func(x, y timer) int { return int(x.at - y.at) })
 		if len(d.queue) == 0 || d.queue[0].at > until {
 			d.now = until
 			return
@@ -37,64 +38,65 @@
 	}
 }
 
-func (a *asker) Now() Nanos { return a.now }
-func (a *asker) SetTimer(after Nanos, id TimerID) {
+func (a *listClient) Now() Nanos { return a.now }
+func (a *listClient) SetTimer(after Nanos, id TimerID) {
 	if id == "list" {
-		a.later(a.now+after, func() { a.b.TimerFired(id) })
+		a.schedule(a.now+after, func() { a.b.TimerFired(id) })
 	}
 }
 
-func (a *asker) Subscribe() {
-	a.asked++
-	none := func() { a.b.Listed(ListUnavailable, nil) }
-	start := max(a.now, a.free)
-	if start-a.now > tooMany {
-		none()
+func (a *listClient) Subscribe() {
+	a.received++
+	unavailable := func() { a.b.Listed(ListUnavailable, nil) }
+	start := max(a.now, a.idleFrom)
+	if start-a.now > maxQueueTime {
+		unavailable()
 		return
 	}
-	a.free = start + a.perCall
-	if a.free-a.now > hasGone {
-		a.late++
-		a.later(a.now+hasGone, none)
+	a.idleFrom = start + a.perRequest
+	if a.idleFrom-a.now > clientTimeout {
+		a.abandoned++
+		a.schedule(a.now+clientTimeout, unavailable)
 		return
 	}
-	a.later(a.free, func() { a.got++; a.b.Listed(ListUpdate, nil) })
+	a.schedule(a.idleFrom, func() { a.answered++; a.b.Listed(ListUpdate, nil) })
 }
 
-func (a *asker) Send(CallID, CacheID, Nanos, Nanos) {}
-func (a *asker) Cancel(CallID, int)                 {}
-func (a *asker) RateLimit(CallID, Nanos)            {}
-func (a *asker) Error(CallID)                       {}
+func (a *listClient) Send(CallID, CacheID, Nanos, Nanos) {}
+func (a *listClient) Cancel(CallID, int)                 {}
+func (a *listClient) RateLimit(CallID, Nanos)            {}
+func (a *listClient) Error(CallID)                       {}
 
-// A release starts most balancers at once. All of them calling discovery together, and again as soon as that failed,
-// kept it at work for callers who had gone: in 25 s nine of 80 got it. Alone a balancer must not wait long either.
-func TestReleaseAtDiscovery(t *testing.T) {
+// A release starts most balancers at once. If all of them request the host list together, and again as soon as
+// that failed, discovery is kept busy with requests whose clients have given up: in 25 s only nine of 80 balancers
+// got the list. A single balancer must not wait long either.
+func TestReleaseDoesNotOverloadDiscovery(t *testing.T) {
 	for _, row := range []struct {
-		balancers   int
-		known       bool
-		perCall, by Nanos
-		leastGot    int
+		balancers      int
+		restored       bool
+		perRequest, by Nanos
+		minAnswered    int
 	}{
 		{80, true, 70 * Millisecond, 8 * Second, 80},
-		{80, true, 100 * Millisecond, 16 * Second, 72}, // one call of each in 8 s is the least that it takes
+		{80, true, 100 * Millisecond, 16 * Second, 72}, // 80 requests of 100 ms take at least 8 s
 		{8, true, 100 * Millisecond, 6 * Second, 8},
 		{1, true, 100 * Millisecond, 6 * Second, 1},
 		{1, false, 100 * Millisecond, Second, 1},
 	} {
-		d := &crowdAtDiscovery{perCall: row.perCall}
+		d := &fakeDiscovery{perRequest: row.perRequest}
 		for i := range row.balancers {
-			a := &asker{crowdAtDiscovery: d}
+			a := &listClient{fakeDiscovery: d}
 			a.b = New(a, Terms{Balancers: row.balancers, MustSubscribe: true, AskEvery: 10 * Second}, uint64(i))
-			var known []Entry
-			if row.known {
-				known = []Entry{{Cache: "a", Size: 1}}
+			var restored []Entry
+			if row.restored {
+				restored = []Entry{{Cache: "a", Size: 1}}
 			}
-			a.b.Listed(ListRestored, known)
+			a.b.Listed(ListRestored, restored)
 		}
-		d.play(row.by)
-		if d.got < row.leastGot {
-			t.Errorf("%d balancers, %d ms a call: %d have the list after %d s; %d calls, %d of them answered too late",
-				row.balancers, row.perCall/Millisecond, d.got, row.by/Second, d.asked, d.late)
+		d.runUntil(row.by)
+		if d.answered < row.minAnswered {
+			t.Errorf("%d balancers, %d ms per request: %d have the list after %d s; %d requests, %d of them answered too late",
+				row.balancers, row.perRequest/Millisecond, d.answered, row.by/Second, d.received, d.abandoned)
 		}
 	}
 }
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -5,72 +5,75 @@
 	"testing"
 )
 
-// still is a host that does nothing and whose clock stands.
-type still struct{ now Nanos }
+// idleEnv is an environment that does nothing and whose clock moves only when a test sets it.
+type idleEnv struct{ now Nanos }
 
-func (s *still) Now() Nanos                         { return s.now }
-func (s *still) Send(CallID, CacheID, Nanos, Nanos) {}
-func (s *still) Cancel(CallID, int)                 {}
-func (s *still) RateLimit(CallID, Nanos)            {}
-func (s *still) Error(CallID)                       {}
-func (s *still) Subscribe()                         {}
-func (s *still) SetTimer(after Nanos, id TimerID)   {}
-func entries(n, from int, up Condition) (all []Entry) {
+func (s *idleEnv) Now() Nanos                         { return s.now }
+func (s *idleEnv) Send(CallID, CacheID, Nanos, Nanos) {}
+func (s *idleEnv) Cancel(CallID, int)                 {}
+func (s *idleEnv) RateLimit(CallID, Nanos)            {}
+func (s *idleEnv) Error(CallID)                       {}
+func (s *idleEnv) Subscribe()                         {}
+func (s *idleEnv) SetTimer(after Nanos, id TimerID)   {}
+
+// makeEntries returns n list entries, numbered from the given number on.
+func makeEntries(n, from int, condition Condition) (all []Entry) {
 	for i := range n {
-		all = append(all, Entry{Cache: CacheID(fmt.Sprint("s-", from+i)), Condition: up, Size: 1})
+		all = append(all, Entry{Cache: CacheID(fmt.Sprint("s-", from+i)), Condition: condition, Size: 1})
 	}
 	return all
 }
 
-var sizes = []int{16, 200, 1024, 3200}
+var fleetSizes = []int{16, 200, 1024, 3200}
 
-// What a changed list costs: half of the hosts leave and as many come, as within seconds of a release.
+// BenchmarkListed measures an update in which half of the hosts leave and as many arrive, as in a release.
 func BenchmarkListed(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := New(&still{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
-			m.Listed(ListReplace, entries(n, 0, Up))
+			m := New(&idleEnv{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
+			m.Listed(ListReplace, makeEntries(n, 0, Up))
 			for i := 0; b.Loop(); i++ {
-				m.Listed(ListUpdate, append(entries(n/2, i*n/2, Gone), entries(n/2, n+i*n/2, Up)...))
+				m.Listed(ListUpdate, append(makeEntries(n/2, i*n/2, Gone), makeEntries(n/2, n+i*n/2, Up)...))
 			}
 		})
 	}
 }
 
-// What the first list costs, and then one that changes a single host.
+// BenchmarkFirstList measures the first list of a balancer.
 func BenchmarkFirstList(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			list := entries(n, 0, Up)
+			list := makeEntries(n, 0, Up)
 			b.ReportAllocs()
 			for b.Loop() {
-				m := New(&still{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
+				m := New(&idleEnv{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
 				m.Listed(ListReplace, list)
 			}
 		})
 	}
 }
 
+// BenchmarkOneReplaced measures an update that replaces a single host.
 func BenchmarkOneReplaced(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := New(&still{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
-			m.Listed(ListReplace, entries(n, 0, Up))
+			m := New(&idleEnv{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
+			m.Listed(ListReplace, makeEntries(n, 0, Up))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				m.Changed(append(entries(1, i, Gone), entries(1, n+i, Up)...))
+				m.Changed(append(makeEntries(1, i, Gone), makeEntries(1, n+i, Up)...))
 			}
 		})
 	}
 }
 
-// What one request costs, from its arrival to its one answer.
+// BenchmarkCall measures a request from its arrival to its final answer.
 func BenchmarkCall(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			h := &still{now: Second}
+			h := &idleEnv{now: Second}
 			m := New(h, Terms{Balancers: 350, MostAttempts: 4, Products: []ProductTerms{{LatencySLO: Second, BilledValue: 1}}, OriginKind: -1, FallWindow: Second}, 1)
-			m.Listed(ListReplace, entries(n, 0, Up))
+			m.Listed(ListReplace, makeEntries(n, 0, Up))
 			for i := 0; b.Loop(); i++ {
 				h.now += 10 * Millisecond
 				id := CallID(fmt.Sprint(i))
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -42,12 +42,12 @@
 // their share.
 const coldSafetyFactor = 0.5
 
-// coldRequestRate estimates how many requests a second a cold host may get, from the rate that the fleet fulfils
-// per unit of warm capacity. Each success is divided by the capacity at its time: divided by what is left after
-// most hosts have gone, it would look like the work of a few hosts. A balancer that started recently divides by
-// its own age instead of a whole window; otherwise it would underestimate the fleet just when a release has
-// replaced all hosts. The minimum, fleetMinInFlight requests of all balancers in a window, lets a fleet start in
-// which no host is warm.
+// coldRequestRate estimates how many requests a second this balancer may send to a cold host, from the rate at
+// which the fleet fulfils this balancer's requests per unit of warm capacity. Each success is divided by the
+// capacity at its time: divided by what is left after most hosts have gone, it would look like the work of a few
+// hosts. A balancer that started recently divides by its own age instead of a whole window; otherwise it would
+// underestimate the fleet just when a release has replaced all hosts. The minimum, fleetMinInFlight requests of
+// all balancers in a window, lets a fleet start in which no host is warm.
 func (b *Balancer) coldRequestRate(h *cacheHost, warm float64) float64 {
 	span := min(outcomeWindow, max(outcomeSlot, b.env.Now()-b.startedAt))
 	perS := b.goodPerCapacity.totalGood(b.env.Now()) / span.seconds() * h.weight
--- a/policy/state.go
+++ b/policy/state.go
@@ -241,8 +241,8 @@
 // Excluded returns the ids of the excluded hosts in ascending order.
 func (b *Balancer) Excluded() []CacheID { return slices.Sorted(maps.Keys(b.excluded)) }
 
-// Beside sets how many attempts the other process of an upgrade has in flight at the origin, and whether there is
-// such a process.
+// Beside records how many attempts the other process of an upgrade has in flight at the origin, and whether there
+// is such a process.
 func (b *Balancer) Beside(paired bool, inFlight int) { b.hasPeer, b.peerInFlight = paired, inFlight }
 
 // AtOrigin returns how many attempts of this process are in flight at the origin.
--- a/policy/types.go
+++ b/policy/types.go
@@ -50,7 +50,7 @@
 	Unknown
 )
 
-// Effect tells whether running a request twice does harm.
+// Effect states whether a request may run twice.
 type Effect int
 
 const (
@@ -77,7 +77,7 @@
 	Gone
 )
 
-// ListKind tells how a host list is to be applied.
+// ListKind is how a host list is applied.
 type ListKind int
 
 const (
