--- a/policy/membership.go
+++ b/policy/membership.go
@@ -2,10 +2,10 @@
 
 import "math"
 
-// Membership: the list of hosts, and those that operators took out by hand.
+// Membership: the host list, and the hosts that operators have excluded.
 
-// Listed takes what discovery tells, in one piece. It costs as much as the list is long: a caller that must not be held for
-// that long calls ListBegins, then Changed for a few entries at a time.
+// Listed applies a host list or an update of it in one call. The cost grows with the length of the list: a caller
+// that must not block for that long calls ListBegins, then Changed for a few entries at a time.
 func (b *Balancer) Listed(kind ListKind, entries []Entry) {
 	b.ListBegins(kind, entries)
 	if kind == ListUnavailable {
@@ -19,227 +19,238 @@
 	for _, e := range entries {
 		named[e.Cache] = true
 	}
-	for id, h := range b.caches {
+	for id, h := range b.hosts {
 		if !named[id] {
 			h.Condition = Gone
-			b.settle(h)
-			b.forget(h)
+			b.updateAvailability(h)
+			b.dropIfGone(h)
 		}
 	}
 }
 
-// ListBegins hears that a list comes, or that none does, and takes what follows from the list as a whole. Its entries follow by
-// Changed, in any order and in pieces of any size; a cache that a whole list does not name any more follows as gone.
+// ListBegins announces a host list or an update, or that discovery is unavailable, and applies what depends on the
+// list as a whole. The entries follow by Changed, in any order and in pieces of any size. If the list is a whole
+// one, the caller also passes the hosts that it no longer names, as Gone.
 func (b *Balancer) ListBegins(kind ListKind, entries []Entry) {
 	switch kind {
 	case ListUnavailable:
-		b.follow(false)
+		b.scheduleListRequest(false)
 		return
 	case ListRestored:
-		b.follow(len(entries) == 0)
+		b.scheduleListRequest(len(entries) == 0)
 	}
-	if b.unit == 0 {
-		b.unitOf(entries)
+	if b.nominalSize == 0 {
+		b.fixNominalSizes(entries)
 	}
 	if kind != ListUpdate {
-		b.listed = 0
+		b.listedUpCount = 0
 		for i := range entries {
-			if entries[i].Condition == Up && entries[i].Kind != b.terms.OriginKind {
-				b.listed++
+			if entries[i].Condition == Up && entries[i].Kind != b.config.OriginKind {
+				b.listedUpCount++
 			}
 		}
 	}
 }
 
-// Changed takes entries of the list. It costs by their number alone.
+// Changed applies entries of the host list. Its cost depends only on their number.
 func (b *Balancer) Changed(entries []Entry) {
 	origin := b.origin
 	for _, e := range entries {
-		h := b.note(e)
-		b.settle(h)
-		b.forget(h)
+		h := b.applyEntry(e)
+		b.updateAvailability(h)
+		b.dropIfGone(h)
 	}
 	if b.origin != origin {
-		// What a tenth of the caches may have out: at the limit of a single one a balancer that had just started
-		// turned away misses that all others sent on.
-		b.origin.limit = b.firstLimit() * max(1, float64(max(b.listed, len(b.available)))/10)
+		// As much as the initial limits of a tenth of the cache hosts: with the limit of a single host, a balancer
+		// that had just started rejected misses that all others sent to the origin.
+		b.origin.concurrencyLimit = b.initialLimit() * max(1, float64(max(b.listedUpCount, len(b.available)))/10)
 	}
 }
 
-// settle puts a cache among those that attempts may go to, or takes it from them, as its condition now is.
-func (b *Balancer) settle(h *cache) {
-	available := h != b.origin && b.up(h) && b.caches[h.Cache] == h
+// updateAvailability adds a host to the available hosts and the ring, or removes it, as its present condition
+// demands.
+func (b *Balancer) updateAvailability(h *cacheHost) {
+	available := h != b.origin && b.isUp(h) && b.hosts[h.Cache] == h
 	switch {
-	case available && h.place == 0:
+	case available && h.availablePos == 0:
 		b.available = append(b.available, h)
-		h.place = len(b.available)
-		h.counted = h.weight * b.warmth(h)
-		b.ring.add(h, b.pointsOf(h))
-		b.tallyOf(h, 1)
-	case !available && h.place > 0:
+		h.availablePos = len(b.available)
+		h.countedCapacity = h.weight * b.warmShare(h)
+		b.ring.add(h, b.virtualNodesOf(h))
+		b.adjustSums(h, 1)
+	case !available && h.availablePos > 0:
 		last := b.available[len(b.available)-1]
-		b.available[h.place-1], last.place = last, h.place
+		b.available[h.availablePos-1], last.availablePos = last, h.availablePos
 		b.available[len(b.available)-1] = nil
 		b.available = b.available[:len(b.available)-1]
-		h.place = 0
+		h.availablePos = 0
 		b.ring.remove(h)
-		b.tallyOf(h, -1)
+		b.adjustSums(h, -1)
 	}
 }
 
-// tallyOf adds a cache to the sums over all that are available, or takes it out of them.
-func (b *Balancer) tallyOf(h *cache, sign int) {
-	b.attemptsOut += sign * h.out
-	b.able += float64(sign) * h.counted
-	b.held += float64(sign) * h.held
-	if h.Zone == b.terms.Zone {
-		b.nearby += sign
+// adjustSums adds a host to the sums over all available hosts (sign 1) or subtracts it (sign -1).
+func (b *Balancer) adjustSums(h *cacheHost, sign int) {
+	b.attemptsInFlight += sign * h.inFlight
+	b.warmCapacity += float64(sign) * h.countedCapacity
+	b.loadSum += float64(sign) * h.listedLoad
+	if h.Zone == b.config.Zone {
+		b.availableInZone += sign
 	}
-	if len(b.available) == 0 { // sums of many parts are not exact
-		b.able, b.held = 0, 0
+	if len(b.available) == 0 { // removes accumulated rounding errors
+		b.warmCapacity, b.loadSum = 0, 0
 	}
 }
 
-// meanHeld is what the available caches hold a core, in the mean, as listed.
-func (b *Balancer) meanHeld() float64 { return max(0, b.held) / float64(max(1, len(b.available))) }
+// meanLoad returns the mean listed load of the available hosts, in requests per core.
+func (b *Balancer) meanLoad() float64 { return max(0, b.loadSum) / float64(max(1, len(b.available))) }
 
-// up tells that a host may be sent to: the list names it so and nobody has taken it out.
-func (b *Balancer) up(h *cache) bool { return h.Condition == Up && !b.out[h.Cache] }
+// isUp reports whether a host may get requests: it is listed as up and not excluded.
+func (b *Balancer) isUp(h *cacheHost) bool { return h.Condition == Up && !b.excluded[h.Cache] }
 
-// Exclude takes a cache out by hand until Include: no list lifts that, nor its leaving the list.
-func (b *Balancer) Exclude(id CacheID) (known, held bool) {
-	if known = b.Knows(id); !known || len(b.out) >= mostExcluded && !b.out[id] {
+// Exclude takes a cache host out of use until Include is called; a host list that names it, or no longer does,
+// makes no difference. It reports whether the host is known, and whether it is excluded now: at maxExcluded it is
+// not.
+func (b *Balancer) Exclude(id CacheID) (known, excluded bool) {
+	if known = b.Knows(id); !known || len(b.excluded) >= maxExcluded && !b.excluded[id] {
 		return known, false
 	}
 	b.Bar(id)
 	return known, true
 }
 
-// Bar is Exclude for what another process has been told, or this one before its start.
+// Bar excludes a host without the checks of Exclude, for exclusions made at another process or before this one
+// started.
 func (b *Balancer) Bar(id CacheID) {
-	b.out[id] = true
-	if h := b.caches[id]; h != nil {
-		b.settle(h)
+	b.excluded[id] = true
+	if h := b.hosts[id]; h != nil {
+		b.updateAvailability(h)
 	}
 }
 
-// mostExcluded bounds the caches out by hand: those that no list names any more stay out. Many times a fleet.
-const mostExcluded = 4096
+// maxExcluded bounds the number of excluded hosts, as exclusions of hosts that no list names any more are kept. It
+// is many times the size of a fleet.
+const maxExcluded = 4096
 
-// Include puts a cache back. Operators restart it meanwhile: it comes back as one that starts now, whatever
-// the list knows of its start, and nothing learnt of it before holds. One that was not out stays as it is.
+// Include ends the exclusion of a host. Operators usually restart an excluded host, so it is treated as one that
+// starts now, whatever start time the list has, and its earlier statistics are dropped. A host that was not
+// excluded is left unchanged.
 func (b *Balancer) Include(id CacheID) (known bool) {
-	if known = b.Knows(id); !b.out[id] {
+	if known = b.Knows(id); !b.excluded[id] {
 		return known
 	}
-	delete(b.out, id)
-	if old := b.caches[id]; old != nil {
-		delete(b.caches, id)
-		h, now := b.note(old.Entry), b.host.Now()
-		h.out, h.busySince, h.lastEnded, h.back = old.out, old.busySince, old.lastEnded, now
-		h.owed, b.owing = now+Nanos(float64(backWithin)*b.chance()), true
-		b.settle(h)
+	delete(b.excluded, id)
+	if old := b.hosts[id]; old != nil {
+		delete(b.hosts, id)
+		h, now := b.applyEntry(old.Entry), b.env.Now()
+		h.inFlight, h.busySince, h.lastEnded, h.includedAt = old.inFlight, old.busySince, old.lastEnded, now
+		h.firstUseDue, b.firstUsePending = now+Nanos(float64(firstUseWithin)*b.randomFloat()), true
+		b.updateAvailability(h)
 	}
 	return known
 }
 
-// backWithin is when a cache that was put back is used at the latest, by each balancer at its own moment:
-// with few requests its budget gives each balancer one in minutes, and nobody could tell that it is back.
-const backWithin = 4 * Second
+// firstUseWithin is the longest time until an included host gets its first request; each balancer draws its own
+// moment. With little traffic, the cold-host budget of a balancer would allow one request in minutes, and nobody
+// could see that the host is back.
+const firstUseWithin = 4 * Second
 
-// returned is a cache that was put back by hand and is due to be used.
-func (b *Balancer) returned(c *call) *cache {
-	if !b.owing || c.Write || len(c.attempts) > 0 || c.terms.Effect != Idempotent {
+// dueFirstUse returns an included host whose first request is due, or nil.
+func (b *Balancer) dueFirstUse(r *request) *cacheHost {
+	if !b.firstUsePending || r.Write || len(r.attempts) > 0 || r.product.Effect != Idempotent {
 		return nil
 	}
-	b.owing = false
+	b.firstUsePending = false
 	for _, h := range b.available {
-		b.owing = b.owing || h.owed > 0
-		if h.owed > 0 && b.host.Now() >= h.owed {
-			h.budget = max(0, h.budget-1)
+		b.firstUsePending = b.firstUsePending || h.firstUseDue > 0
+		if h.firstUseDue > 0 && b.env.Now() >= h.firstUseDue {
+			h.coldBudget = max(0, h.coldBudget-1)
 			return h
 		}
 	}
 	return nil
 }
 
-// forget drops a host that is gone once nothing is out there: others come under new ids all day.
-func (b *Balancer) forget(h *cache) {
-	if h.Condition == Gone && h.out == 0 && h != b.origin && b.caches[h.Cache] == h {
-		delete(b.caches, h.Cache)
+// dropIfGone removes a host that is gone once no attempt is in flight there. Without it, state would accumulate,
+// as new hosts arrive under new ids all day.
+func (b *Balancer) dropIfGone(h *cacheHost) {
+	if h.Condition == Gone && h.inFlight == 0 && h != b.origin && b.hosts[h.Cache] == h {
+		delete(b.hosts, h.Cache)
 	}
 }
 
-// follow asks for the list, at a start or after a call for it that failed, at once or within againWithin.
-// With a list from before a start can wait: a release starts most balancers at once, and all their calls
-// together held discovery up for so long that none was answered in time. So did calls that failed, after 250
-// ms, doubled.
-func (b *Balancer) follow(atOnce bool) {
-	if !b.terms.MustSubscribe || b.retrying {
+// scheduleListRequest schedules a request to discovery, at a start or after a failed one. It is sent at once, or
+// after a random delay if it can wait, as with a restored list. A release starts most balancers at once, and their
+// simultaneous requests delayed discovery so long that none was answered in time; quick retries (from 250 ms,
+// doubled each time) had the same effect.
+func (b *Balancer) scheduleListRequest(immediately bool) {
+	if !b.config.MustSubscribe || b.listRequestPending {
 		return
 	}
-	b.retrying = true
-	wait := Nanos(0)
-	if !atOnce {
-		wait = Nanos(float64(min(b.terms.AskEvery/2, againWithin)) * b.chance())
+	b.listRequestPending = true
+	delay := Nanos(0)
+	if !immediately {
+		delay = Nanos(float64(min(b.config.AskEvery/2, maxListRetryDelay)) * b.randomFloat())
 	}
-	b.host.SetTimer(wait, "list")
+	b.env.SetTimer(delay, "list")
 }
 
-// againWithin is of the six seconds after which news counts as told once discovery can be reached, whatever
-// came of earlier calls: one is left for the call itself.
-const againWithin = 5 * Second
+// maxListRetryDelay bounds the delay of a request to discovery. Changes must be known within six seconds after
+// discovery can be reached again, whatever happened to earlier requests; this leaves one second for the request
+// itself.
+const maxListRetryDelay = 5 * Second
 
-// unitOf fixes once what a listed size counts for: units of a power of two, and by kind where sizes follow
-// the load, so that balancers that start at other times lay the same ring and no load report moves a key.
-func (b *Balancer) unitOf(entries []Entry) {
-	top := 0.0
+// fixNominalSizes sets, once, the listed size that gets the nominal number of virtual nodes, rounded down to a
+// power of two, and the size of each kind of machine where listed sizes follow the load. Balancers that start at
+// different times thus build the same ring, and no load report moves a key.
+func (b *Balancer) fixNominalSizes(entries []Entry) {
+	largest := 0.0
 	for _, e := range entries {
-		if e.Kind != b.terms.OriginKind {
-			top = max(top, e.Size)
-			b.ofKind[e.Kind] = max(b.ofKind[e.Kind], e.Size)
+		if e.Kind != b.config.OriginKind {
+			largest = max(largest, e.Size)
+			b.sizeByKind[e.Kind] = max(b.sizeByKind[e.Kind], e.Size)
 		}
 	}
-	if top > 0 {
-		b.unit = math.Exp2(math.Floor(math.Log2(top)))
+	if largest > 0 {
+		b.nominalSize = math.Exp2(math.Floor(math.Log2(largest)))
 	}
 }
 
-// note takes one entry.
-func (b *Balancer) note(e Entry) *cache {
-	old := b.caches[e.Cache]
+// applyEntry applies one entry of the host list and returns its host.
+func (b *Balancer) applyEntry(e Entry) *cacheHost {
+	old := b.hosts[e.Cache]
 	if old != nil && (old.Born == e.Born || old == b.origin) {
 		old.Condition = e.Condition
-		if size := b.ofKind[e.Kind]; b.terms.LiveSizes && e.Size > 0 && e.Size <= size {
-			held := max(size/e.Size-1, 0.6*old.held)
-			if old.place > 0 {
-				b.held += held - old.held
+		if size := b.sizeByKind[e.Kind]; b.config.LiveSizes && e.Size > 0 && e.Size <= size {
+			load := max(size/e.Size-1, 0.6*old.listedLoad)
+			if old.availablePos > 0 {
+				b.loadSum += load - old.listedLoad
 			}
-			old.held = held
+			old.listedLoad = load
 		}
 		return old
 	}
-	// A restart under the same name is a new process: cold, and nothing learnt of the old one holds.
-	h := &cache{Entry: e, limit: b.firstLimit(), weight: e.Size}
-	h.delay.width, h.budgetAt = delaySlot, b.host.Now()
+	// A restart under the same name is a new process: it is cold, and the statistics of the old one do not apply.
+	h := &cacheHost{Entry: e, concurrencyLimit: b.initialLimit(), weight: e.Size}
+	h.excessDelay.width, h.coldBudgetAt = delaySlot, b.env.Now()
 	if old != nil {
-		h.out, h.busySince, h.lastEnded, h.back, h.owed = old.out, old.busySince, old.lastEnded, old.back, old.owed
+		h.inFlight, h.busySince, h.lastEnded, h.includedAt, h.firstUseDue = old.inFlight, old.busySince, old.lastEnded, old.includedAt, old.firstUseDue
 	}
-	if size := b.ofKind[e.Kind]; b.terms.LiveSizes && size > 0 {
+	if size := b.sizeByKind[e.Kind]; b.config.LiveSizes && size > 0 {
 		h.weight = math.Exp2(math.Round(2*math.Log2(size)) / 2)
 	}
-	if b.terms.SizesEqual || !(h.weight > 0) {
-		h.weight = b.unit
+	if b.config.SizesEqual || !(h.weight > 0) {
+		h.weight = b.nominalSize
 	}
-	if b.terms.Aside && e.Kind == b.terms.OriginKind {
+	if b.config.Aside && e.Kind == b.config.OriginKind {
 		b.origin = h
 	}
-	b.caches[e.Cache] = h
+	b.hosts[e.Cache] = h
 	if old != nil {
-		b.settle(old)
+		b.updateAvailability(old)
 	}
-	if b.zones[e.Zone] == nil {
-		b.zones[e.Zone] = &meter{}
+	if b.zoneOutcomes[e.Zone] == nil {
+		b.zoneOutcomes[e.Zone] = &meter{}
 	}
 	return h
 }
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -6,59 +6,63 @@
 	"slices"
 )
 
-// ring is the consistent-hash ring of the caches that attempts may go to. It is cut into arcs of equal length, each with its
-// points in a slice of its own, so that a cache comes or goes at the cost of its own points, however many others there are. An
-// arc is sorted when it is next walked. Points hold no pointers: there are hundreds of thousands on a large fleet's ring, and
-// the garbage collector has not to look at them.
+// ring is the consistent-hash ring of the available cache hosts. It is divided into segments of equal length, each
+// with its virtual nodes in a slice of its own, so that adding or removing a host costs only as much as its own
+// virtual nodes. A segment is sorted when it is next read. Virtual nodes hold no pointers: a large fleet has
+// hundreds of thousands of them, which the garbage collector then does not have to scan.
 type ring struct {
-	arcs  []arc
-	hosts []*cache // by number; nil: the number is free
-	free  []uint32
-	count int // caches on the ring
+	segments    []segment
+	hosts       []*cacheHost // by ring number; nil: the number is free
+	freeNumbers []uint32
+	hostCount   int
 }
 
 const (
-	arcBits = 12
-	arcsAll = 1 << arcBits
+	segmentBits  = 12
+	segmentCount = 1 << segmentBits
 )
 
-type arc struct {
-	points []point
+// segment is one of the equal parts of the ring.
+type segment struct {
+	nodes  []virtualNode
 	sorted bool
 }
 
-// point is a virtual node of a cache. Points at one position stand in the order of their caches' ids.
-type point struct {
-	position uint32 // the bits of its hash behind those that tell the arc
-	host     uint32 // number of the cache
+// virtualNode is one point of a host on the ring. Nodes at the same position are ordered by the ids of their
+// hosts.
+type virtualNode struct {
+	position   uint32 // the bits of its hash that follow the segment's bits
+	hostNumber uint32 // ring number of the host
 }
 
-// arcOf and positionOf place a hash on the ring.
-func arcOf(hash uint64) int         { return int(hash >> (64 - arcBits)) }
-func positionOf(hash uint64) uint32 { return uint32(hash >> (32 - arcBits)) }
+// segmentOf returns the segment of a hash.
+func segmentOf(hash uint64) int { return int(hash >> (64 - segmentBits)) }
 
-// add puts a cache on the ring with so many points.
-func (r *ring) add(h *cache, points int) {
-	if r.arcs == nil {
-		r.arcs = make([]arc, arcsAll)
+// positionOf returns the position of a hash within its segment.
+func positionOf(hash uint64) uint32 { return uint32(hash >> (32 - segmentBits)) }
+
+// add adds a host to the ring with the given number of virtual nodes.
+func (r *ring) add(h *cacheHost, virtualNodes int) {
+	if r.segments == nil {
+		r.segments = make([]segment, segmentCount)
 	}
-	h.number = r.numberFor(h)
-	h.points = points
-	r.count++
+	h.ringNumber = r.allocateNumber(h)
+	h.virtualNodes = virtualNodes
+	r.hostCount++
 	id := hashPrefix(string(h.Cache))
-	for n := range points {
-		at := id.with(uint64(n))
-		a := &r.arcs[arcOf(at)]
-		a.points = append(a.points, point{positionOf(at), h.number})
-		a.sorted = false
+	for n := range virtualNodes {
+		position := id.with(uint64(n))
+		segment := &r.segments[segmentOf(position)]
+		segment.nodes = append(segment.nodes, virtualNode{positionOf(position), h.ringNumber})
+		segment.sorted = false
 	}
 }
 
-// numberFor gives a cache a number.
-func (r *ring) numberFor(h *cache) uint32 {
-	if last := len(r.free) - 1; last >= 0 {
-		number := r.free[last]
-		r.free = r.free[:last]
+// allocateNumber returns a free ring number and assigns it to the host.
+func (r *ring) allocateNumber(h *cacheHost) uint32 {
+	if last := len(r.freeNumbers) - 1; last >= 0 {
+		number := r.freeNumbers[last]
+		r.freeNumbers = r.freeNumbers[:last]
 		r.hosts[number] = h
 		return number
 	}
@@ -66,81 +70,83 @@
 	return uint32(len(r.hosts) - 1)
 }
 
-// remove takes a cache from the ring.
-func (r *ring) remove(h *cache) {
+// remove removes a host from the ring.
+func (r *ring) remove(h *cacheHost) {
 	id := hashPrefix(string(h.Cache))
-	for n := range h.points {
-		at := id.with(uint64(n))
-		a := &r.arcs[arcOf(at)]
-		i := slices.Index(a.points, point{positionOf(at), h.number})
-		a.points = slices.Delete(a.points, i, i+1) // in order: a sorted arc stays sorted
+	for n := range h.virtualNodes {
+		position := id.with(uint64(n))
+		segment := &r.segments[segmentOf(position)]
+		i := slices.Index(segment.nodes, virtualNode{positionOf(position), h.ringNumber})
+		segment.nodes = slices.Delete(segment.nodes, i, i+1) // keeps the order, so a sorted segment stays sorted
 	}
-	r.hosts[h.number] = nil
-	r.free = append(r.free, h.number)
-	r.count--
-	h.points = 0
+	r.hosts[h.ringNumber] = nil
+	r.freeNumbers = append(r.freeNumbers, h.ringNumber)
+	r.hostCount--
+	h.virtualNodes = 0
 }
 
-// walked is an arc's points in order.
-func (r *ring) walked(i int) []point {
-	a := &r.arcs[i]
-	if !a.sorted {
-		slices.SortFunc(a.points, func(x, y point) int {
-			if c := cmp.Compare(x.position, y.position); c != 0 { // two are hardly ever equal
+// sortedSegment returns the virtual nodes of a segment in ring order.
+func (r *ring) sortedSegment(i int) []virtualNode {
+	segment := &r.segments[i]
+	if !segment.sorted {
+		slices.SortFunc(segment.nodes, func(x, y virtualNode) int {
+			if c := cmp.Compare(x.position, y.position); c != 0 { // equal positions are rare
 				return c
 			}
-			return cmp.Compare(r.hosts[x.host].Cache, r.hosts[y.host].Cache)
+			return cmp.Compare(r.hosts[x.hostNumber].Cache, r.hosts[y.hostNumber].Cache)
 		})
-		a.sorted = true
+		segment.sorted = true
 	}
-	return a.points
+	return segment.nodes
 }
 
-// home is the first cache from the key on, nil where the ring is empty.
-func (r *ring) home(k Key) *cache {
-	for h := range r.from(k) {
+// home returns the host that owns a key, or nil if the ring is empty.
+func (r *ring) home(k Key) *cacheHost {
+	for h := range r.hostsFrom(k) {
 		return h
 	}
 	return nil
 }
 
-// from meets all caches in the order of the ring, from the key on; the first is its home. The ring must not change meanwhile.
-func (r *ring) from(k Key) iter.Seq[*cache] {
-	return func(yield func(*cache) bool) {
-		if r.count == 0 {
+// hostsFrom yields all hosts in ring order from the key on; the first is the key's home. The ring must not change
+// during the iteration.
+func (r *ring) hostsFrom(k Key) iter.Seq[*cacheHost] {
+	return func(yield func(*cacheHost) bool) {
+		if r.hostCount == 0 {
 			return
 		}
-		at := hash(string(k), 0)
-		start, met := arcOf(at), hostSet{}
-		points := r.walked(start)
-		first, _ := slices.BinarySearchFunc(points, positionOf(at),
-			func(p point, position uint32) int { return cmp.Compare(p.position, position) })
-		points = points[first:]
+		keyHash := hash(string(k), 0)
+		start, visited := segmentOf(keyHash), hostSet{}
+		nodes := r.sortedSegment(start)
+		first, _ := slices.BinarySearchFunc(nodes, positionOf(keyHash),
+			func(p virtualNode, position uint32) int { return cmp.Compare(p.position, position) })
+		nodes = nodes[first:]
 		for i := start + 1; ; i++ {
-			for _, p := range points {
-				if !met.add(p.host, len(r.hosts)) {
+			for _, p := range nodes {
+				if !visited.add(p.hostNumber, len(r.hosts)) {
 					continue
 				}
-				if !yield(r.hosts[p.host]) || met.count == r.count {
+				if !yield(r.hosts[p.hostNumber]) || visited.count == r.hostCount {
 					return
 				}
 			}
-			points = r.walked(i % arcsAll)
+			nodes = r.sortedSegment(i % segmentCount)
 		}
 	}
 }
 
-// hostSet holds the numbers of the caches that a walk has met. Nearly all walks end within the first few.
+// hostSet is the set of ring numbers that an iteration has visited. Nearly all iterations end within the first few
+// hosts.
 type hostSet struct {
-	few   [16]uint32
-	many  []uint64 // one bit for each number, once few is full
+	small [16]uint32 // used until it is full
+	bits  []uint64   // one bit for each ring number, once small is full
 	count int
 }
 
-// add tells whether a number of so many is new.
-func (s *hostSet) add(number uint32, of int) bool {
-	if s.many != nil {
-		word, bit := &s.many[number/64], uint64(1)<<(number%64)
+// add adds a ring number, out of total numbers, and reports whether it is new.
+func (s *hostSet) add(number uint32, total int) bool {
+	if s.bits != nil {
+		word, bit := &s.bits[number/64], uint64(1)<<(number%64)
 		if *word&bit != 0 {
 			return false
 		}
@@ -148,18 +154,18 @@
 		s.count++
 		return true
 	}
-	if slices.Contains(s.few[:s.count], number) {
+	if slices.Contains(s.small[:s.count], number) {
 		return false
 	}
-	if s.count == len(s.few) {
-		s.many = make([]uint64, (of+63)/64)
+	if s.count == len(s.small) {
+		s.bits = make([]uint64, (total+63)/64)
 		s.count = 0
-		for _, known := range s.few {
-			s.add(known, of)
+		for _, known := range s.small {
+			s.add(known, total)
 		}
-		return s.add(number, of)
+		return s.add(number, total)
 	}
-	s.few[s.count] = number
+	s.small[s.count] = number
 	s.count++
 	return true
 }
