--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -7,117 +7,117 @@
 	"time"
 )
 
-// clients are the connections that clients hold.
-type clients struct {
-	mu     sync.Mutex
-	all    map[*client]struct{}
-	seated int // of these, served
-	most   int // may be
-	open   int // are accepted: some more, so that each gets a prompt answer instead of silence
-	proven int // have carried a request and are not making room
-	kept   int // of those, before idle ones make room
-	shut   bool
-	none   chan struct{} // closed once the listener is closed and all have left
-	left   chan struct{} // one has left
+// clientConns are the connections that clients hold.
+type clientConns struct {
+	mu          sync.Mutex
+	conns       map[*clientConn]struct{}
+	served      int // of these, served
+	maxServed   int // may be
+	maxAccepted int // are accepted: some more, so that each gets a prompt answer instead of silence
+	active      int // have carried a request and are not making room
+	maxActive   int // of those, before idle ones make room
+	closed      bool
+	allClosed   chan struct{} // closed once the listener is closed and all have left
+	freed       chan struct{} // one has left
 }
 
-// newClients bounds them by limit. Clients hold a third of the descriptors at most for requests: kept is to be a good part of
+// newClientConns bounds them by limit. Clients hold a third of the descriptors at most for requests: kept is to be a good part of
 // that, so that a burst still finds some.
-func newClients(kept int) *clients {
-	return &clients{kept: kept, all: map[*client]struct{}{}, none: make(chan struct{}), left: make(chan struct{}, 1)}
+func newClientConns(maxActive int) *clientConns {
+	return &clientConns{maxActive: maxActive, conns: map[*clientConn]struct{}{}, allClosed: make(chan struct{}), freed: make(chan struct{}, 1)}
 }
 
-// idleMost is how long a connection that has carried a request stands idle at the most, as the operators allow it: some
+// maxIdleTime is how long a connection that has carried a request stands idle at the most, as the operators allow it: some
 // clients ask once and never close, and hold connections that they could open elsewhere.
-const idleMost = 2050 * time.Millisecond
+const maxIdleTime = 2050 * time.Millisecond
 
 // Over the bound connections make room before their time, but none before this:
 const (
 	// One that has carried no command was opened for one that follows at once; after this it says nothing.
-	silentLeast = 40 * time.Millisecond
+	minSilentTime = 40 * time.Millisecond
 	// One that was answered just now often has its next command on the way: a few turns of the network, and of a client.
-	idleLeast = 20 * time.Millisecond
+	minIdleTime = 20 * time.Millisecond
 	// One that has carried several is in use by turns: closing it would only have its client open another, which would
 	// have the next one closed.
-	reusedLeast = 500 * time.Millisecond
+	minReusedIdleTime = 500 * time.Millisecond
 	// One within a command is a slow client's, who writes in pieces for two seconds, or will never end. Pieces come a good
 	// part of a second apart at the most.
-	stalledLeast = time.Second
+	minStalledTime = time.Second
 )
 
-// limit sets the bounds anew. What is open beyond them makes room as more come.
-func (cs *clients) limit(most, open int) {
+// setLimits sets the bounds anew. What is open beyond them makes room as more come.
+func (cs *clientConns) setLimits(most, open int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.most, cs.open = most, open
+	cs.maxServed, cs.maxAccepted = most, open
 }
 
 // full tells that no more are accepted for now.
-func (cs *clients) full() bool {
+func (cs *clientConns) full() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return len(cs.all) >= cs.open
+	return len(cs.conns) >= cs.maxAccepted
 }
 
-// enter counts a connection in, and seats it if there is room.
-func (cs *clients) enter(c *client) {
+// add counts a connection in, and seats it if there is room.
+func (cs *clientConns) add(c *clientConn) {
 	cs.mu.Lock()
-	cs.all[c] = struct{}{}
+	cs.conns[c] = struct{}{}
 	cs.mu.Unlock()
-	cs.room(c)
+	cs.makeRoomFor(c)
 }
 
-// room tells whether a connection is among those that are served; it is from the first time on that there is room. Where
+// makeRoomFor tells whether a connection is among those that are served; it is from the first time on that there is room. Where
 // all places are taken one makes room: of those that have said nothing yet, or nothing of use, the oldest, else the one
 // that is idle longest, else the one that has stopped within a command for longest. Where all are in use what comes is
 // turned away for now. With none to serve one of all makes room for those that wait to be accepted.
-func (cs *clients) room(c *client) bool {
+func (cs *clientConns) makeRoomFor(c *clientConn) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if c != nil && (c.seated || cs.seated < cs.most) {
-		cs.seat(c, true)
+	if c != nil && (c.served || cs.served < cs.maxServed) {
+		cs.setServed(c, true)
 		return true
 	}
-	leaves := cs.first(func(o *client, _ stage) bool { return c == nil || o.seated })
+	leaves := cs.evictionCandidate(func(o *clientConn, _ connStage) bool { return c == nil || o.served })
 	if leaves == nil {
 		return false
 	}
-	cs.out(leaves)
+	cs.evict(leaves)
 	if c != nil {
-		cs.seat(c, true)
+		cs.setServed(c, true)
 	}
 	return true
 }
 
-// proves hears that a connection carries a request. Clients may hold only so many connections for those, and some ask
+// noteRequest hears that a connection carries a request. Clients may hold only so many connections for those, and some ask
 // once and stay: where they hold nearly all, an idle one makes room, lest the next request finds none to come over.
-func (cs *clients) proves(c *client) {
+func (cs *clientConns) noteRequest(c *clientConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if c.proven.Swap(true) {
-		c.reused.Store(true)
+	if c.carriedRequest.Swap(true) {
+		c.carriedSeveral.Store(true)
 	}
-	if !c.counted {
-		c.counted = true
-		cs.proven++
+	if !c.countedActive {
+		c.countedActive = true
+		cs.active++
 	}
 	for range 2 { // one for this one, and one of those that were not idle long enough before
-		if cs.proven <= cs.kept {
+		if cs.active <= cs.maxActive {
 			return
 		}
-		if o := cs.first(func(_ *client, at stage) bool { return at == idle }); o != nil {
-			cs.out(o)
+		if o := cs.evictionCandidate(func(_ *clientConn, at connStage) bool { return at == stageIdle }); o != nil {
+			cs.evict(o)
 		}
 	}
 }
 
-// first is the connection that makes room first of those that may.
-func (cs *clients) first(may func(*client, stage) bool) (leaves *client) {
+// evictionCandidate is the connection that makes room first of those that may.
+func (cs *clientConns) evictionCandidate(may func(*clientConn, connStage) bool) (leaves *clientConn) {
 	now := time.Now()
-	least, since := inHand, time.Time{}
-	for o := range cs.all {
-		at, from, after := o.at()
-		if at < inHand && !o.outOfRoom.Load() && now.Sub(from) >= after && may(o, at) &&
+	least, since := stageInFlight, time.Time{}
+	for o := range cs.conns {
+		at, from, after := o.stage()
+		if at < stageInFlight && !o.evicted.Load() && now.Sub(from) >= after && may(o, at) &&
 			(at < least || at == least && from.Before(since)) {
 			leaves, least, since = o, at, from
 		}
@@ -125,116 +125,116 @@
 	return leaves
 }
 
-// out has a connection make room.
-func (cs *clients) out(c *client) {
-	c.outOfRoom.Store(true)
+// evict has a connection make room.
+func (cs *clientConns) evict(c *clientConn) {
+	c.evicted.Store(true)
 	c.interrupt()
 	cs.uncount(c)
 }
 
 // uncount takes one out of all counts.
-func (cs *clients) uncount(c *client) {
-	cs.seat(c, false)
-	if c.counted {
-		c.counted = false
-		cs.proven--
+func (cs *clientConns) uncount(c *clientConn) {
+	cs.setServed(c, false)
+	if c.countedActive {
+		c.countedActive = false
+		cs.active--
 	}
 }
 
-func (cs *clients) seat(c *client, on bool) {
-	if c.seated != on {
-		c.seated = on
+func (cs *clientConns) setServed(c *clientConn, on bool) {
+	if c.served != on {
+		c.served = on
 		if on {
-			cs.seated++
+			cs.served++
 		} else {
-			cs.seated--
+			cs.served--
 		}
 	}
 }
 
-// stage is where a connection stands, in the order in which they make room.
-type stage int
+// connStage is where a connection stands, in the order in which they make room.
+type connStage int
 
 const (
-	silent stage = iota
-	idle
-	within
-	inHand
+	stageSilent connStage = iota
+	stageIdle
+	stageInCommand
+	stageInFlight
 )
 
-// at tells the stage, since when, and how long that is to be left alone.
-func (c *client) at() (at stage, since time.Time, least time.Duration) {
+// stage tells the stage, since when, and how long that is to be left alone.
+func (c *clientConn) stage() (at connStage, since time.Time, least time.Duration) {
 	switch {
-	case len(c.behind) > 0:
-		return inHand, since, 0
-	case c.within.Load():
-		return within, c.lastRead(), stalledLeast
+	case len(c.inFlight) > 0:
+		return stageInFlight, since, 0
+	case c.inCommand.Load():
+		return stageInCommand, c.lastReadTime(), minStalledTime
 	}
-	since, idles := c.idleFrom()
+	since, idles := c.idleSince()
 	switch {
 	case !idles: // it changes over just now
-		return inHand, since, 0
-	case !c.proven.Load(): // nothing, or no request
-		return silent, since, silentLeast
+		return stageInFlight, since, 0
+	case !c.carriedRequest.Load(): // nothing, or no request
+		return stageSilent, since, minSilentTime
 	}
-	if c.reused.Load() {
-		return idle, since, reusedLeast
+	if c.carriedSeveral.Load() {
+		return stageIdle, since, minReusedIdleTime
 	}
-	return idle, since, idleLeast
+	return stageIdle, since, minIdleTime
 }
 
-func (cs *clients) leave(c *client) {
+func (cs *clientConns) remove(c *clientConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	delete(cs.all, c)
+	delete(cs.conns, c)
 	cs.uncount(c)
 	select {
-	case cs.left <- struct{}{}:
+	case cs.freed <- struct{}{}:
 	default:
 	}
-	cs.tell()
+	cs.signalIfEmpty()
 }
 
 // close says that no more will enter.
-func (cs *clients) close() {
+func (cs *clientConns) close() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.shut = true
-	cs.tell()
+	cs.closed = true
+	cs.signalIfEmpty()
 }
 
-func (cs *clients) tell() {
-	if cs.shut && len(cs.all) == 0 {
-		close(cs.none)
+func (cs *clientConns) signalIfEmpty() {
+	if cs.closed && len(cs.conns) == 0 {
+		close(cs.allClosed)
 	}
 }
 
-func (cs *clients) count() int {
+func (cs *clientConns) count() int {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	return len(cs.all)
+	return len(cs.conns)
 }
 
-// endIdle interrupts the readers of all connections: those between requests close. One that has carried none yet
+// closeIdle interrupts the readers of all connections: those between requests close. One that has carried none yet
 // was opened for one that is on its way, and is given a moment.
-func (cs *clients) endIdle() {
+func (cs *clientConns) closeIdle() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	for c := range cs.all {
-		if c.used.Load() {
+	for c := range cs.conns {
+		if c.carriedCommand.Load() {
 			c.interrupt()
 		} else {
-			c.net.SetReadDeadline(time.Now().Add(fresh))
+			c.conn.SetReadDeadline(time.Now().Add(unusedConnGrace))
 		}
 	}
 }
 
-// endAll ends all connections once what is in hand is answered: there is no time left to read on.
-func (cs *clients) endAll() {
+// closeAll ends all connections once what is in hand is answered: there is no time left to read on.
+func (cs *clientConns) closeAll() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	for c := range cs.all {
-		c.over.Store(true)
+	for c := range cs.conns {
+		c.noMoreCommands.Store(true)
 		c.interrupt()
 	}
 }
@@ -247,16 +247,16 @@
 
 func (b *Balancer) acceptLoop(listener net.Listener) {
 	wait := time.Millisecond
-	queue := newAcceptQueue(listener, b.stalls, b.listening)
+	queue := newAcceptQueue(listener, b.stalls, b.listeningSince)
 	for {
 		for b.clients.full() {
 			select {
-			case <-b.clients.left:
+			case <-b.clients.freed:
 			case <-time.After(20 * time.Millisecond):
-				b.clients.room(nil) // for one of those that wait to be taken
+				b.clients.makeRoomFor(nil) // for one of those that wait to be taken
 			}
 		}
-		queue.accepts()
+		queue.beforeAccept()
 		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
@@ -268,8 +268,8 @@
 			continue
 		}
 		wait = time.Millisecond
-		c := newClient(conn, b.stalls, queue.accepted())
-		b.clients.enter(c)
-		go b.serve(c)
+		c := newClientConn(conn, b.stalls, queue.afterAccept())
+		b.clients.add(c)
+		go b.serveClient(c)
 	}
 }
--- a/internal/balancer/accept_faults_test.go
+++ b/internal/balancer/accept_faults_test.go
@@ -26,14 +26,14 @@
 	return l.Listener.Accept()
 }
 
-// TestFaultsOfAccept fails accepts in every way for a while: the listener is not given up, nothing spins, and who came meanwhile is
+// TestAcceptErrors fails accepts in every way for a while: the listener is not given up, nothing spins, and who came meanwhile is
 // served afterwards.
-func TestFaultsOfAccept(t *testing.T) {
+func TestAcceptErrors(t *testing.T) {
 	for _, number := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EAGAIN, syscall.EINTR, syscall.EPERM, syscall.EPROTO, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINVAL} {
 		t.Run(number.Error(), func(t *testing.T) {
 			t.Parallel()
-			x := crossed(t, 0, 0, map[string]string{"h": "EN O%s\r\n"})
+			x := newTestBalancer(t, 0, 0, map[string]string{"h": "EN O%s\r\n"})
 			real, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -58,14 +58,14 @@
 				t.Errorf("%d accepts failed in 0.3 s", n)
 			}
 			listener.fault.Store(0)
-			conn.SetReadDeadline(time.Now().Add(patience))
+			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" {
 				t.Errorf("got %q, %v", line, err)
 			}
 			real.Close()
 			select {
 			case <-ended:
-			case <-time.After(patience):
+			case <-time.After(testTimeout):
 				t.Error("accepting goes on without a listener")
 			}
 		})
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -24,95 +24,95 @@
 
 // Balancer is one running balancer.
 type Balancer struct {
-	told       *deployment.Deployment
-	log        zerolog.Logger
-	hosts      *upstream.Hosts
-	epoch      time.Time    // the decisions' clock goes on from here
-	epochNanos policy.Nanos // what it shows then
-	stalls     *stall.Detector
-	starts     *starts
-	listening  time.Time // no client's connection came before that
+	deployment     *deployment.Deployment
+	log            zerolog.Logger
+	hosts          *upstream.Hosts
+	epoch          time.Time    // the decisions' clock goes on from here
+	epochNanos     policy.Nanos // what it shows then
+	stalls         *stall.Detector
+	startTimes     *startTimes
+	listeningSince time.Time // no client's connection came before that
 
-	phase     atomic.Int32
-	changed   chan struct{} // a phase was ordered
-	running   context.Context
-	end       context.CancelFunc // of running
-	source    source
-	knows     atomic.Bool // a list: discovery's, or one of before with a host; without any nothing can be served
-	pace      discovery.Pace
-	subscribe chan struct{}
+	phase              atomic.Int32
+	phaseChanged       chan struct{} // a phase was ordered
+	ctx                context.Context
+	cancel             context.CancelFunc // of running
+	listSource         listSource
+	hasHostList        atomic.Bool // a list: discovery's, or one of before with a host; without any nothing can be served
+	pace               discovery.Pace
+	subscribeRequested chan struct{}
 
 	// mu guards the module, which is not concurrent, and what its orders touch. Nothing is sent, written or
 	// waited for under it, and no answer waits for it: events are posted (decisions.go).
-	mu     moduleLock
-	module *policy.Balancer
-	now    policy.Nanos // fixed for the thing that happens
-	timers timerWheel
-	calls  map[policy.CallID]*call
+	mu       policyLock
+	policy   *policy.Balancer
+	now      policy.Nanos // fixed for the thing that happens
+	timers   timerWheel
+	requests map[policy.CallID]*clientRequest
 
-	taken atomic.Uint64
-	ids   claims
+	requestCount atomic.Uint64
+	requestIDs   idSet
 
-	clients    *clients
-	rested     chan *call   // is read by goroutines that rest between calls
-	resting    atomic.Int64 // are so many
-	whole      holds        // what a balancer may hold
-	open       atomic.Int64 // requests in hand
-	mostInHand atomic.Int64
-	held       atomic.Int64 // bytes of values in hand
-	mostHeld   atomic.Int64
-	tally      tally
-	delays     delays
-	figures    *figures
-	upgrade    upgrade
-	bans       bans
-	fleet      fleet
-	limits     *limits    // nil: parts of what holds for the fleet are equal ones
-	orders     *orders    // nil: orders by hand hold here alone
-	witnesses  *witnesses // nil: hosts are judged by own attempts alone
+	clients       *clientConns
+	toIdleWorker  chan *clientRequest // is read by goroutines that rest between calls
+	idleWorkers   atomic.Int64        // are so many
+	capacity      resourceLimits      // what a balancer may hold
+	inFlight      atomic.Int64        // requests in hand
+	maxInFlight   atomic.Int64
+	valueBytes    atomic.Int64 // bytes of values in hand
+	maxValueBytes atomic.Int64
+	traffic       trafficStats
+	delays        delayStats
+	answerStats   *answerStats
+	upgrade       upgradeLink
+	exclusions    exclusionStore
+	fleet         fleetMembership
+	limitShares   *limitShares         // nil: parts of what holds for the fleet are equal ones
+	fleetOrders   *exclusionOrders     // nil: orders by hand hold here alone
+	observations  *observationExchange // nil: hosts are judged by own attempts alone
 }
 
 // New makes a balancer in the phase starting, of what the platform tells it and what the operator sets.
-func New(told *deployment.Deployment, own *operator.File, log zerolog.Logger) *Balancer {
-	grace := usableGrace(told.DrainGrace)
-	room := told.Sockets - ownSockets
-	if told.Admin != "" {
-		room -= admin.Descriptors + handover.Descriptors
+func New(deployed *deployment.Deployment, operatorFile *operator.File, log zerolog.Logger) *Balancer {
+	grace := usableGrace(deployed.DrainGrace)
+	sockets := deployed.Sockets - reservedSockets
+	if deployed.Admin != "" {
+		sockets -= admin.Descriptors + handover.Descriptors
 	}
-	if own.Fleet != nil {
-		room--
+	if operatorFile.Fleet != nil {
+		sockets--
 	}
-	up := room * upstreamPart / 8
+	upstreamSockets := sockets * upstreamEighths / 8
 	epoch := time.Now()
 	epochNanos := policy.Nanos(epoch.UnixNano())
-	b := &Balancer{told: told, log: log, epoch: epoch, epochNanos: epochNanos, changed: make(chan struct{}, 4), rested: make(chan *call),
-		subscribe: make(chan struct{}, 1), calls: map[policy.CallID]*call{}, ids: claims{taken: map[string]struct{}{}},
-		tally:   tally{hosts: map[policy.CacheID]*[2]int64{}},
-		figures: newFigures(told),
-		clients: newClients(told.Sockets / 4),
-		hosts: upstream.New(upstream.Limits{Pool: own.Connections.Terms(pool.Terms{Balancers: told.Terms.Balancers,
-			Most: up, Idle: policy.Nanos(told.IdleLimit)}), Origin: mostToOrigin, Connect: told.ConnectTimeout, Reports: told.Reports,
-			Grace: grace, Epoch: epochNanos}, told.Terms.OriginKind)}
-	b.mu.hear = b.hear
-	b.starts = newStarts(time.Now)
-	b.bans.save = handover.Save
-	b.pace = discovery.PaceOf(grace, !told.Terms.MustSubscribe)
-	b.fleet.own = own.Fleet
-	b.whole = holds{clients: int64(room - up), upstream: int64(up), calls: min(int64(told.MostOpen), int64(told.MemoryMB)<<20/part/callBytes),
-		bytes: int64(told.MemoryMB) << 20 / part}
-	b.limit(b.whole)
-	debug.SetMemoryLimit(b.memory())
+	b := &Balancer{deployment: deployed, log: log, epoch: epoch, epochNanos: epochNanos, phaseChanged: make(chan struct{}, 4), toIdleWorker: make(chan *clientRequest),
+		subscribeRequested: make(chan struct{}, 1), requests: map[policy.CallID]*clientRequest{}, requestIDs: idSet{inUse: map[string]struct{}{}},
+		traffic:     trafficStats{hosts: map[policy.CacheID]*[2]int64{}},
+		answerStats: newAnswerStats(deployed),
+		clients:     newClientConns(deployed.Sockets / 4),
+		hosts: upstream.New(upstream.Limits{Pool: operatorFile.Connections.Terms(pool.Terms{Balancers: deployed.Terms.Balancers,
+			Most: upstreamSockets, Idle: policy.Nanos(deployed.IdleLimit)}), Origin: maxAttemptsToOrigin, Connect: deployed.ConnectTimeout, Reports: deployed.Reports,
+			Grace: grace, Epoch: epochNanos}, deployed.Terms.OriginKind)}
+	b.mu.handle = b.handleEvent
+	b.startTimes = newStartTimes(time.Now)
+	b.exclusions.save = handover.Save
+	b.pace = discovery.PaceOf(grace, !deployed.Terms.MustSubscribe)
+	b.fleet.settings = operatorFile.Fleet
+	b.capacity = resourceLimits{clients: int64(sockets - upstreamSockets), upstream: int64(upstreamSockets), requests: min(int64(deployed.MostOpen), int64(deployed.MemoryMB)<<20/memoryDivisor/bytesPerRequest),
+		bytes: int64(deployed.MemoryMB) << 20 / memoryDivisor}
+	b.setLimits(b.capacity)
+	debug.SetMemoryLimit(b.memoryLimit())
 	b.upgrade.answers = make(chan handover.Message, 4)
-	b.timers.armedFor = never
-	b.running, b.end = context.WithCancel(context.Background())
-	b.listening = b.epoch
+	b.timers.armedFor = noTick
+	b.ctx, b.cancel = context.WithCancel(context.Background())
+	b.listeningSince = b.epoch
 	b.stalls = stall.New(b.epoch)
-	go b.beat()
-	b.source.addr, b.source.first, b.source.hosts = told.Discovery, make(chan struct{}), map[policy.CacheID]discovery.Host{}
-	b.limits = b.newLimits(own.Connections.Openings)
-	b.orders = b.newOrders()
-	b.witnesses = b.newWitnesses()
-	b.decide(func() { b.module = policy.New(host{b}, told.Terms, told.Seed) })
+	go b.runStallTicker()
+	b.listSource.addr, b.listSource.ready, b.listSource.hosts = deployed.Discovery, make(chan struct{}), map[policy.CacheID]discovery.Host{}
+	b.limitShares = b.newLimitShares(operatorFile.Connections.Openings)
+	b.fleetOrders = b.newExclusionOrders()
+	b.observations = b.newObservationExchange()
+	b.callPolicy(func() { b.policy = policy.New(policyHost{b}, deployed.Terms, deployed.Seed) })
 	return b
 }
 
@@ -125,26 +125,26 @@
 	return grace - min(max(graceReserve, grace/10), grace/2)
 }
 
-// beat tells the stall detector that the process runs.
-func (b *Balancer) beat() {
+// runStallTicker tells the stall detector that the process runs.
+func (b *Balancer) runStallTicker() {
 	t := time.NewTicker(stall.Period)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			b.stalls.Beat(time.Now())
-		case <-b.running.Done():
+		case <-b.ctx.Done():
 			return
 		}
 	}
 }
 
 const (
-	// upstreamPart is the eighths of the room for connections to hosts. Clients hold a third of the descriptors at most
+	// upstreamEighths is the eighths of the room for connections to hosts. Clients hold a third of the descriptors at most
 	// for requests, and each of those needs one to a host; what else connects stands on the clients' side.
-	upstreamPart = 3
-	ownSockets   = 16       // descriptors for the listener, discovery, logs and the runtime: seven, and some to spare
-	part         = 4        // of the memory for requests in hand, and as much for their values
-	callBytes    = 32 << 10 // stacks and buffers of one with its two connections
-	mostToOrigin = 64       // the module starts with as many attempts out there
+	upstreamEighths     = 3
+	reservedSockets     = 16       // descriptors for the listener, discovery, logs and the runtime: seven, and some to spare
+	memoryDivisor       = 4        // of the memory for requests in hand, and as much for their values
+	bytesPerRequest     = 32 << 10 // stacks and buffers of one with its two connections
+	maxAttemptsToOrigin = 64       // the module starts with as many attempts out there
 )
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -24,7 +24,7 @@
 	}
 	told := &deployment.Deployment{Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
 	b := New(told, &operator.File{}, zerolog.Nop())
-	defer b.end()
+	defer b.cancel()
 	defer b.hosts.Close()
 	if got := b.hosts.Grace(); got != usableGrace(time.Second) {
 		t.Errorf("writes end %v after a drain was told", got)
--- a/internal/balancer/bans.go
+++ b/internal/balancer/bans.go
@@ -7,56 +7,56 @@
 
 // A save of the bans that fails is tried again, at first after a short wait, which doubles and is spread.
 const (
-	firstSaveWait = 100 * time.Millisecond
-	lastSaveWait  = 5 * time.Second
+	minSaveRetryWait = 100 * time.Millisecond
+	maxSaveRetryWait = 5 * time.Second
 )
 
-// bans are how the hosts out by hand are kept.
-type bans struct {
+// exclusionStore are how the hosts out by hand are kept.
+type exclusionStore struct {
 	mu       sync.Mutex // over what holds and the file: of two saves the later one has what holds then
 	save     func(path string, what any) error
 	retrying bool
 }
 
-// saveBans keeps the hosts out by hand in a file. Where that fails it is tried again until it holds.
-func (b *Balancer) saveBans() error {
-	b.bans.mu.Lock()
-	defer b.bans.mu.Unlock()
-	err := b.writeBans()
-	if err == nil || b.bans.retrying {
+// saveExclusions keeps the hosts out by hand in a file. Where that fails it is tried again until it holds.
+func (b *Balancer) saveExclusions() error {
+	b.exclusions.mu.Lock()
+	defer b.exclusions.mu.Unlock()
+	err := b.writeExclusions()
+	if err == nil || b.exclusions.retrying {
 		return err
 	}
-	b.log.Warn().Err(err).Str("file", b.banFile()).Msg("the hosts out by hand are not kept in a file, trying again")
-	b.bans.retrying = true
-	go b.retryBans()
+	b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the hosts out by hand are not kept in a file, trying again")
+	b.exclusions.retrying = true
+	go b.retrySavingExclusions()
 	return err
 }
 
-// writeBans writes what holds now. Under bans.mu.
-func (b *Balancer) writeBans() error {
+// writeExclusions writes what holds now. Under bans.mu.
+func (b *Balancer) writeExclusions() error {
 	var all []string
-	b.decide(func() { all = b.excluded() })
-	return b.bans.save(b.banFile(), all)
+	b.callPolicy(func() { all = b.excludedHosts() })
+	return b.exclusions.save(b.exclusionFile(), all)
 }
 
-// retryBans goes on until the file has what holds then.
-func (b *Balancer) retryBans() {
-	for wait := firstSaveWait; ; wait = min(2*wait, lastSaveWait) {
+// retrySavingExclusions goes on until the file has what holds then.
+func (b *Balancer) retrySavingExclusions() {
+	for wait := minSaveRetryWait; ; wait = min(2*wait, maxSaveRetryWait) {
 		select {
-		case <-time.After(spread(wait)):
-		case <-b.running.Done():
+		case <-time.After(jitter(wait)):
+		case <-b.ctx.Done():
 			return
 		}
-		if b.retriedBans() {
-			b.log.Info().Str("file", b.banFile()).Msg("the hosts out by hand are kept in a file again")
+		if b.retrySaveOnce() {
+			b.log.Info().Str("file", b.exclusionFile()).Msg("the hosts out by hand are kept in a file again")
 			return
 		}
 	}
 }
 
-func (b *Balancer) retriedBans() (kept bool) {
-	b.bans.mu.Lock()
-	defer b.bans.mu.Unlock()
-	b.bans.retrying = b.writeBans() != nil
-	return !b.bans.retrying
+func (b *Balancer) retrySaveOnce() (kept bool) {
+	b.exclusions.mu.Lock()
+	defer b.exclusions.mu.Unlock()
+	b.exclusions.retrying = b.writeExclusions() != nil
+	return !b.exclusions.retrying
 }
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -29,66 +29,66 @@
 // deadlineSlack is what the deadline that a server is told may exceed the client's by, at the most.
 const deadlineSlack = 150 * time.Millisecond
 
-// repeatWindow is how long the hosts of these tests recognise a repeat of a deduplicated request.
-const repeatWindow = 600 * time.Millisecond
+// dedupWindow is how long the hosts of these tests recognise a repeat of a deduplicated request.
+const dedupWindow = 600 * time.Millisecond
 
-// promised is what a client said when it sent a request.
-type promised struct {
-	sent time.Time
-	wait time.Duration
+// sentRequest is what a client said when it sent a request.
+type sentRequest struct {
+	sent    time.Time
+	timeout time.Duration
 }
 
-// seenAttempt is one attempt as it left the balancer for a server.
-type seenAttempt struct {
-	id     string
-	server string
-	at     time.Time // when its last byte was handed to the connection
-	told   time.Duration
-	write  bool
+// recordedAttempt is one attempt as it left the balancer for a server.
+type recordedAttempt struct {
+	id          string
+	server      string
+	at          time.Time // when its last byte was handed to the connection
+	toldTimeout time.Duration
+	write       bool
 }
 
-// ledger holds what clients sent and what was written to servers.
-type ledger struct {
+// attemptLog holds what clients sent and what was written to servers.
+type attemptLog struct {
 	mu       sync.Mutex
-	requests map[string]promised
-	attempts []seenAttempt
-	refused  map[[2]string]bool // by request and server: its answer tells that nothing ran there
+	requests map[string]sentRequest
+	attempts []recordedAttempt
+	harmless map[[2]string]bool // by request and server: its answer tells that nothing ran there
 }
 
-func newLedger() *ledger {
-	return &ledger{requests: map[string]promised{}, refused: map[[2]string]bool{}}
+func newAttemptLog() *attemptLog {
+	return &attemptLog{requests: map[string]sentRequest{}, harmless: map[[2]string]bool{}}
 }
 
-func (l *ledger) sent(ids []string, wait time.Duration) {
+func (l *attemptLog) recordRequests(ids []string, wait time.Duration) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, id := range ids {
-		l.requests[id] = promised{now, wait}
+		l.requests[id] = sentRequest{now, wait}
 	}
 }
 
-func (l *ledger) saw(a seenAttempt) {
+func (l *attemptLog) recordAttempt(a recordedAttempt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.attempts = append(l.attempts, a)
 }
 
-func (l *ledger) refuses(id, server string) {
+func (l *attemptLog) recordRefusal(id, server string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.refused[[2]string{id, server}] = true
+	l.harmless[[2]string{id, server}] = true
 }
 
 // violation is one attempt that broke a rule of time.
 type violation struct {
-	attempt seenAttempt
+	attempt recordedAttempt
 	rule    string
 	by      time.Duration
 }
 
 // check holds every attempt against its client's deadline, and repeats of writes against the window.
-func (l *ledger) check(slack time.Duration) (broken []violation, attempts int) {
+func (l *attemptLog) check(slack time.Duration) (broken []violation, attempts int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := map[string]time.Time{}
@@ -98,18 +98,18 @@
 			broken = append(broken, violation{a, "never sent by a client", 0})
 			continue
 		}
-		deadline := request.sent.Add(request.wait)
-		if by := a.at.Add(a.told).Sub(deadline); by > slack {
+		deadline := request.sent.Add(request.timeout)
+		if by := a.at.Add(a.toldTimeout).Sub(deadline); by > slack {
 			broken = append(broken, violation{a, "told more than the client has left", by})
 		}
 		if by := a.at.Sub(deadline); by > slack {
 			broken = append(broken, violation{a, "written after the deadline", by})
 		}
 		if began, repeat := first[a.id]; !repeat {
-			if !l.refused[[2]string{a.id, a.server}] {
+			if !l.harmless[[2]string{a.id, a.server}] {
 				first[a.id] = a.at
 			}
-		} else if by := a.at.Sub(began.Add(repeatWindow)); a.write && by > 0 {
+		} else if by := a.at.Sub(began.Add(dedupWindow)); a.write && by > 0 {
 			broken = append(broken, violation{a, "repeated after the window", by})
 		}
 	}
@@ -119,37 +119,37 @@
 // recordedConn is a connection to a server. It notes each attempt when its last byte is written, and may hold a write up.
 type recordedConn struct {
 	net.Conn
-	server  string
-	ledger  *ledger
-	holdUp  func() time.Duration
-	pending []byte
-	at      time.Time // of the write that is under way
+	server     string
+	attemptLog *attemptLog
+	holdUp     func() time.Duration
+	pending    []byte
+	at         time.Time // of the write that is under way
 }
 
 func (c *recordedConn) Write(p []byte) (int, error) {
-	if len(c.pending) == 0 || streams(c.pending) { // else it is of the write that is under way: a socket takes its buffers in one call
+	if len(c.pending) == 0 || isStreamed(c.pending) { // else it is of the write that is under way: a socket takes its buffers in one call
 		c.at = time.Now() // before the hold-up, which a busy machine makes longer: the slack is less by the most that it may be
 		time.Sleep(c.holdUp())
 	}
 	n, err := c.Conn.Write(p)
 	c.pending = append(c.pending, p[:n]...)
 	for {
-		a, size := wholeAttempt(c.pending)
+		a, size := parseAttempt(c.pending)
 		if size == 0 {
 			return n, err
 		}
 		c.pending = c.pending[size:]
 		a.at, a.server = c.at, c.server
-		c.ledger.saw(a)
+		c.attemptLog.recordAttempt(a)
 	}
 }
 
-// declaredLength finds the length of a value in the head of a write, of either protocol.
-var declaredLength = regexp.MustCompile(`(?i)^ms \S+ (\d+)|\r\ncontent-length: (\d+)`)
+// valueLengthPattern finds the length of a value in the head of a write, of either protocol.
+var valueLengthPattern = regexp.MustCompile(`(?i)^ms \S+ (\d+)|\r\ncontent-length: (\d+)`)
 
-// streams tells that an attempt has begun whose long value is written piece by piece, as it comes from the client.
-func streams(begun []byte) bool {
-	found := declaredLength.FindSubmatch(begun)
+// isStreamed tells that an attempt has begun whose long value is written piece by piece, as it comes from the client.
+func isStreamed(begun []byte) bool {
+	found := valueLengthPattern.FindSubmatch(begun)
 	if found == nil {
 		return false
 	}
@@ -157,15 +157,15 @@
 	return length > upstream.Whole
 }
 
-// wholeAttempt reads the first attempt of what was written, of either protocol; size 0: it is not whole yet.
-func wholeAttempt(text []byte) (a seenAttempt, size int) {
+// parseAttempt reads the first attempt of what was written, of either protocol; size 0: it is not whole yet.
+func parseAttempt(text []byte) (a recordedAttempt, size int) {
 	line, _, found := bytes.Cut(text, []byte("\r\n"))
 	if !found {
 		return a, 0
 	}
 	words := strings.Fields(string(line))
 	if strings.HasSuffix(string(line), "HTTP/1.1") {
-		return wholeOriginAttempt(text, words[0] == "PUT")
+		return parseOriginAttempt(text, words[0] == "PUT")
 	}
 	size = len(line) + 2
 	if words[0] == "ms" {
@@ -181,13 +181,13 @@
 		case 'O':
 			a.id = word[1:]
 		case 'P':
-			a.told = toldIn(word[1:])
+			a.toldTimeout = timeoutIn(word[1:])
 		}
 	}
 	return a, size
 }
 
-func wholeOriginAttempt(text []byte, write bool) (a seenAttempt, size int) {
+func parseOriginAttempt(text []byte, write bool) (a recordedAttempt, size int) {
 	head, _, found := bytes.Cut(text, []byte("\r\n\r\n"))
 	if !found {
 		return a, 0
@@ -199,7 +199,7 @@
 		case "x-request-id":
 			a.id = value
 		case "x-attrs":
-			a.told = toldIn(value)
+			a.toldTimeout = timeoutIn(value)
 		case "content-length":
 			length, _ := strconv.Atoi(value)
 			size += length
@@ -211,8 +211,8 @@
 	return a, size
 }
 
-// toldIn is the deadline in a list of names and values.
-func toldIn(attrs string) time.Duration {
+// timeoutIn is the deadline in a list of names and values.
+func timeoutIn(attrs string) time.Duration {
 	for _, pair := range strings.Split(attrs, ",") {
 		if digits, is := strings.CutPrefix(pair, "d="); is {
 			ms, _ := strconv.Atoi(digits)
@@ -222,51 +222,55 @@
 	return 0
 }
 
-// draws is a seeded source of chance that several goroutines use.
-type draws struct {
+// randomSource is a seeded source of chance that several goroutines use.
+type randomSource struct {
 	mu   sync.Mutex
 	rand *rand.Rand
 }
 
-func newDraws(seed uint64) *draws { return &draws{rand: rand.New(rand.NewPCG(seed, 1))} }
+func newRandomSource(seed uint64) *randomSource {
+	return &randomSource{rand: rand.New(rand.NewPCG(seed, 1))}
+}
 
-func (d *draws) upTo(n int) int {
+func (d *randomSource) upTo(n int) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.rand.IntN(n)
 }
 
-func (d *draws) span(most time.Duration) time.Duration { return time.Duration(d.upTo(int(most) + 1)) }
+func (d *randomSource) durationUpTo(most time.Duration) time.Duration {
+	return time.Duration(d.upTo(int(most) + 1))
+}
 
-// faultyFleet is a balancer on loopback sockets with cache hosts and an origin that misbehave by draw.
-type faultyFleet struct {
+// faultyHosts is a balancer on loopback sockets with cache hosts and an origin that misbehave by draw.
+type faultyHosts struct {
 	*Balancer
-	ledger     *ledger
-	draws      *draws
-	addr       string
-	writeDelay time.Duration // that is put between the clock and a write, at the most
+	attemptLog    *attemptLog
+	random        *randomSource
+	addr          string
+	maxWriteDelay time.Duration // that is put between the clock and a write, at the most
 }
 
-type fleetFaults struct {
-	answers    []string      // what cache hosts do, one drawn for each attempt
-	origin     []string      // the same of the origin
-	refused    int           // of a hundred connections to servers
-	lateOpen   time.Duration // how late a connection comes up, at the most
-	writeDelay time.Duration // between the clock and a write, at the most
-	lock       time.Duration // for how long the decisions are held up now and then, at the most
-	through    bool          // caches take writes and fetch what they lack: there is no origin
+type injectedFaults struct {
+	answers          []string      // what cache hosts do, one drawn for each attempt
+	origin           []string      // the same of the origin
+	refusedPercent   int           // of a hundred connections to servers
+	maxConnectDelay  time.Duration // how late a connection comes up, at the most
+	maxWriteDelay    time.Duration // between the clock and a write, at the most
+	maxLockHold      time.Duration // for how long the decisions are held up now and then, at the most
+	cachesTakeWrites bool          // caches take writes and fetch what they lack: there is no origin
 }
 
-func newFaultyFleet(t *testing.T, seed uint64, faults fleetFaults) *faultyFleet {
-	f := &faultyFleet{ledger: newLedger(), draws: newDraws(seed), writeDelay: faults.writeDelay}
+func newFaultyHosts(t *testing.T, seed uint64, faults injectedFaults) *faultyHosts {
+	f := &faultyHosts{attemptLog: newAttemptLog(), random: newRandomSource(seed), maxWriteDelay: faults.maxWriteDelay}
 	terms := func(effect policy.Effect) policy.ProductTerms {
-		return policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: policy.Nanos(repeatWindow)}
+		return policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: policy.Nanos(dedupWindow)}
 	}
 	deployed := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: time.Second, IdleLimit: time.Minute,
 		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0, "origin": 1},
 		Products: map[string]policy.Product{"marked": 0, "read": 1, "pay": 2},
 		Terms: policy.Terms{Balancers: 1, Products: []policy.ProductTerms{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
-			OriginKind: 1, Aside: !faults.through, MayCancel: true, MostAttempts: 6, Tick: policy.Millisecond}}
+			OriginKind: 1, Aside: !faults.cachesTakeWrites, MayCancel: true, MostAttempts: 6, Tick: policy.Millisecond}}
 	f.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
 	list := discovery.List{Whole: true}
@@ -274,7 +278,7 @@
 		name := "cache-" + strconv.Itoa(i)
 		names[f.cacheHost(t, name, faults.answers)] = name
 	}
-	if !faults.through {
+	if !faults.cachesTakeWrites {
 		names[f.originHost(t, faults.origin)] = "origin"
 	}
 	for addr, name := range names {
@@ -285,11 +289,11 @@
 		list.Hosts = append(list.Hosts, discovery.Host{Addr: addr, Entry: policy.Entry{Cache: policy.CacheID(name), Kind: kind, Size: 1}})
 	}
 	f.hosts.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if f.draws.upTo(100) < faults.refused {
+		if f.random.upTo(100) < faults.refusedPercent {
 			return nil, errors.New("refused by the test")
 		}
 		select {
-		case <-time.After(f.draws.span(faults.lateOpen)):
+		case <-time.After(f.random.durationUpTo(faults.maxConnectDelay)):
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
@@ -297,10 +301,10 @@
 		if err != nil {
 			return nil, err
 		}
-		holdUp := func() time.Duration { return f.draws.span(faults.writeDelay) }
-		return &recordedConn{Conn: conn, server: names[addr], ledger: f.ledger, holdUp: holdUp}, nil
+		holdUp := func() time.Duration { return f.random.durationUpTo(faults.maxWriteDelay) }
+		return &recordedConn{Conn: conn, server: names[addr], attemptLog: f.attemptLog, holdUp: holdUp}, nil
 	}
-	f.listed(policy.ListRestored, list)
+	f.applyHostList(policy.ListRestored, list)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -309,30 +313,30 @@
 	f.phase.Store(int32(Serving))
 	go f.accept(listener)
 	over := make(chan struct{})
-	if faults.lock > 0 {
-		go f.holdUpDecisions(faults.lock, over)
+	if faults.maxLockHold > 0 {
+		go f.holdUpDecisions(faults.maxLockHold, over)
 	}
-	t.Cleanup(func() { close(over); listener.Close(); f.hosts.Close(); f.end() })
+	t.Cleanup(func() { close(over); listener.Close(); f.hosts.Close(); f.cancel() })
 	return f
 }
 
 // holdUpDecisions keeps the lock of the decisions now and then: who waits for it is held up.
-func (f *faultyFleet) holdUpDecisions(most time.Duration, over <-chan struct{}) {
+func (f *faultyHosts) holdUpDecisions(most time.Duration, over <-chan struct{}) {
 	for {
 		select {
 		case <-over:
 			return
-		case <-time.After(f.draws.span(50 * time.Millisecond)):
+		case <-time.After(f.random.durationUpTo(50 * time.Millisecond)):
 		}
 		f.mu.Lock()
-		time.Sleep(f.draws.span(most))
+		time.Sleep(f.random.durationUpTo(most))
 		f.mu.Unlock()
 	}
 }
 
 // cacheHost answers each attempt with what is drawn, and tells its address.
-func (f *faultyFleet) cacheHost(t *testing.T, name string, answers []string) string {
-	return f.server(t, func(conn net.Conn, in *bufio.Reader) bool {
+func (f *faultyHosts) cacheHost(t *testing.T, name string, answers []string) string {
+	return f.startServer(t, func(conn net.Conn, in *bufio.Reader) bool {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return false
@@ -350,18 +354,18 @@
 				return false
 			}
 		}
-		what := answers[f.draws.upTo(len(answers))]
+		what := answers[f.random.upTo(len(answers))]
 		if strings.HasSuffix(what, "busy") || strings.HasSuffix(what, "miss") {
-			f.ledger.refuses(id, name)
+			f.attemptLog.recordRefusal(id, name)
 		}
-		return f.answer(conn, what, map[string]string{
+		return f.respond(conn, what, map[string]string{
 			"hit": "VA 2 O" + id + "\r\nhi\r\n", "receipt": "HD O" + id + " cdone\r\n", "miss": "EN O" + id + "\r\n",
 			"failed": "SERVER_ERROR failed\r\n", "busy": "SERVER_ERROR busy\r\n"})
 	})
 }
 
-func (f *faultyFleet) originHost(t *testing.T, answers []string) string {
-	return f.server(t, func(conn net.Conn, in *bufio.Reader) bool {
+func (f *faultyHosts) originHost(t *testing.T, answers []string) string {
+	return f.startServer(t, func(conn net.Conn, in *bufio.Reader) bool {
 		request, err := http.ReadRequest(in)
 		if err != nil {
 			return false
@@ -369,20 +373,20 @@
 		if _, err = io.Copy(io.Discard, request.Body); err != nil {
 			return false
 		}
-		what := answers[f.draws.upTo(len(answers))]
+		what := answers[f.random.upTo(len(answers))]
 		if strings.HasSuffix(what, "busy") {
-			f.ledger.refuses(request.Header.Get("X-Request-ID"), "origin")
+			f.attemptLog.recordRefusal(request.Header.Get("X-Request-ID"), "origin")
 		}
-		return f.answer(conn, what, map[string]string{
+		return f.respond(conn, what, map[string]string{
 			"hit": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "failed": "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
 			"busy": "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"})
 	})
 }
 
-// answer does one thing that a server may do; false: the connection ends.
-func (f *faultyFleet) answer(conn net.Conn, what string, texts map[string]string) bool {
+// respond does one thing that a server may do; false: the connection ends.
+func (f *faultyHosts) respond(conn net.Conn, what string, texts map[string]string) bool {
 	if rest, slow := strings.CutPrefix(what, "slow "); slow {
-		time.Sleep(f.draws.span(400 * time.Millisecond))
+		time.Sleep(f.random.durationUpTo(400 * time.Millisecond))
 		what = rest
 	}
 	switch what {
@@ -395,7 +399,7 @@
 	return err == nil
 }
 
-func (f *faultyFleet) server(t *testing.T, serve func(net.Conn, *bufio.Reader) bool) string {
+func (f *faultyHosts) startServer(t *testing.T, serve func(net.Conn, *bufio.Reader) bool) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -417,68 +421,68 @@
 	return listener.Addr().String()
 }
 
-// play sends requests over several connections, some of them pipelined, and waits until each has its answer or its time.
-func (f *faultyFleet) play(t *testing.T, name string, connections, batches int) {
+// sendRequests sends requests over several connections, some of them pipelined, and waits until each has its answer or its time.
+func (f *faultyHosts) sendRequests(t *testing.T, name string, connections, batches int) {
 	var clients sync.WaitGroup
 	for i := range connections {
 		clients.Go(func() {
 			for k := range batches {
-				f.batch(t, fmt.Sprintf("%s-%d-%d", name, i, k))
+				f.sendBatch(t, fmt.Sprintf("%s-%d-%d", name, i, k))
 			}
 		})
 	}
 	clients.Wait()
 }
 
-// batch sends up to forty requests at once over a new connection.
-func (f *faultyFleet) batch(t *testing.T, name string) {
+// sendBatch sends up to forty requests at once over a new connection.
+func (f *faultyHosts) sendBatch(t *testing.T, name string) {
 	conn, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Error(err)
 		return
 	}
 	defer conn.Close()
-	wait := []time.Duration{150, 400, 1000, 2500}[f.draws.upTo(4)] * time.Millisecond
-	if f.draws.upTo(5) == 0 {
+	wait := []time.Duration{150, 400, 1000, 2500}[f.random.upTo(4)] * time.Millisecond
+	if f.random.upTo(5) == 0 {
 		f.slowWrite(conn, name, wait)
 		f.awaitAnswers(t, conn, name, 1, wait)
 		return
 	}
-	size := []int{1, 1, 3, 40}[f.draws.upTo(4)]
+	size := []int{1, 1, 3, 40}[f.random.upTo(4)]
 	var text strings.Builder
 	var ids []string
 	for n := range size {
 		id := name + "-" + strconv.Itoa(n)
 		ids = append(ids, id)
-		if f.draws.upTo(3) == 0 {
-			class := []string{"marked", "pay"}[f.draws.upTo(2)]
+		if f.random.upTo(3) == 0 {
+			class := []string{"marked", "pay"}[f.random.upTo(2)]
 			fmt.Fprintf(&text, "ms key-%s 5 O%s Pc=%s,d=%d,k=%s\r\nhello\r\n", id, id, class, wait.Milliseconds(), id)
 		} else {
 			fmt.Fprintf(&text, "mg key-%s v O%s Pc=read,d=%d\r\n", id, id, wait.Milliseconds())
 		}
 	}
 	io.WriteString(conn, text.String())
-	f.ledger.sent(ids, wait)
+	f.attemptLog.recordRequests(ids, wait)
 	f.awaitAnswers(t, conn, name, len(ids), wait)
 }
 
 // slowWrite sends a long value in pieces; its time begins with the last byte.
-func (f *faultyFleet) slowWrite(conn net.Conn, id string, wait time.Duration) {
-	value := bytes.Repeat([]byte("v"), []int{20 << 10, 60 << 10, 150 << 10}[f.draws.upTo(3)])
+func (f *faultyHosts) slowWrite(conn net.Conn, id string, wait time.Duration) {
+	value := bytes.Repeat([]byte("v"), []int{20 << 10, 60 << 10, 150 << 10}[f.random.upTo(3)])
 	fmt.Fprintf(conn, "ms key-%s %d O%s Pc=marked,d=%d,k=%s\r\n", id, len(value), id, wait.Milliseconds(), id)
 	for len(value) > 0 {
-		time.Sleep(f.draws.span(100 * time.Millisecond))
+		time.Sleep(f.random.durationUpTo(100 * time.Millisecond))
 		piece := min(len(value), 16<<10)
 		conn.Write(value[:piece])
 		value = value[piece:]
 	}
 	io.WriteString(conn, "\r\n")
-	f.ledger.sent([]string{id}, wait)
+	f.attemptLog.recordRequests([]string{id}, wait)
 }
 
 // awaitAnswers fails where a request gets none.
-func (f *faultyFleet) awaitAnswers(t *testing.T, conn net.Conn, name string, requests int, wait time.Duration) {
-	conn.SetReadDeadline(time.Now().Add(wait + patience))
+func (f *faultyHosts) awaitAnswers(t *testing.T, conn net.Conn, name string, requests int, wait time.Duration) {
+	conn.SetReadDeadline(time.Now().Add(wait + testTimeout))
 	in := bufio.NewReader(conn)
 	for range requests {
 		line, err := in.ReadString('\n')
@@ -493,8 +497,8 @@
 }
 
 // report fails the test for each rule that was broken, with how often and by how much.
-func (f *faultyFleet) report(t *testing.T) {
-	broken, attempts := f.ledger.check(deadlineSlack - f.writeDelay)
+func (f *faultyHosts) report(t *testing.T) {
+	broken, attempts := f.attemptLog.check(deadlineSlack - f.maxWriteDelay)
 	count, most := map[string]int{}, map[string]time.Duration{}
 	for _, v := range broken {
 		kind, _, _ := strings.Cut(v.attempt.server, "-")
@@ -517,19 +521,19 @@
 func TestDeadlinesToldToServers(t *testing.T) {
 	answers := []string{"hit", "receipt", "miss", "failed", "busy", "close", "hang", "slow failed", "slow miss", "slow busy"}
 	origin := []string{"hit", "failed", "busy", "close", "slow hit", "slow busy"}
-	kinds := map[string]fleetFaults{
+	kinds := map[string]injectedFaults{
 		"servers":    {answers: answers, origin: origin},
-		"connects":   {answers: answers, origin: origin, refused: 20, lateOpen: 300 * time.Millisecond},
-		"scheduling": {answers: answers, origin: origin, lock: 2 * time.Second},
-		"through":    {answers: answers, refused: 10, lateOpen: 300 * time.Millisecond, lock: 300 * time.Millisecond, through: true},
-		"everything": {answers: answers, origin: origin, refused: 10, lateOpen: 300 * time.Millisecond, writeDelay: 80 * time.Millisecond, lock: 300 * time.Millisecond},
+		"connects":   {answers: answers, origin: origin, refusedPercent: 20, maxConnectDelay: 300 * time.Millisecond},
+		"scheduling": {answers: answers, origin: origin, maxLockHold: 2 * time.Second},
+		"through":    {answers: answers, refusedPercent: 10, maxConnectDelay: 300 * time.Millisecond, maxLockHold: 300 * time.Millisecond, cachesTakeWrites: true},
+		"everything": {answers: answers, origin: origin, refusedPercent: 10, maxConnectDelay: 300 * time.Millisecond, maxWriteDelay: 80 * time.Millisecond, maxLockHold: 300 * time.Millisecond},
 	}
 	for name, faults := range kinds {
 		for seed := range uint64(4) {
 			t.Run(fmt.Sprintf("%s-%d", name, seed), func(t *testing.T) {
 				t.Parallel()
-				f := newFaultyFleet(t, seed, faults)
-				f.play(t, name, 8, 4)
+				f := newFaultyHosts(t, seed, faults)
+				f.sendRequests(t, name, 8, 4)
 				f.report(t)
 			})
 		}
@@ -539,35 +543,35 @@
 // TestRequestsReadLate has requests stand unread: in the accept queue, behind a reader that has no memory for more, and behind one
 // that waits for the decisions. Each counts from when it arrived.
 func TestRequestsReadLate(t *testing.T) {
-	answers := fleetFaults{answers: []string{"hit"}, through: true}
+	answers := injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true}
 	const delay, wait = 500 * time.Millisecond, 1500 * time.Millisecond
-	one := func(f *faultyFleet, t *testing.T, id string) net.Conn {
+	one := func(f *faultyHosts, t *testing.T, id string) net.Conn {
 		conn, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
 		fmt.Fprintf(conn, "mg k v O%s Pc=read,d=%d\r\n", id, wait.Milliseconds())
-		f.ledger.sent([]string{id}, wait)
+		f.attemptLog.recordRequests([]string{id}, wait)
 		return conn
 	}
 	t.Run("accept queue", func(t *testing.T) {
 		t.Parallel()
-		f := newFaultyFleet(t, 1, answers)
-		f.clients.limit(0, 0)
+		f := newFaultyHosts(t, 1, answers)
+		f.clients.setLimits(0, 0)
 		time.Sleep(50 * time.Millisecond) // accepting waits for a connection by now, or for room
 		first := one(f, t, "before")      // accepted by the call that was under way
 		time.Sleep(50 * time.Millisecond)
 		queued := one(f, t, "queued")
 		time.Sleep(delay)
-		f.clients.limit(100, 100)
+		f.clients.setLimits(100, 100)
 		f.awaitAnswers(t, first, "before", 1, wait)
 		f.awaitAnswers(t, queued, "queued", 1, wait)
 		f.report(t)
 	})
 	t.Run("decisions", func(t *testing.T) {
 		t.Parallel()
-		f := newFaultyFleet(t, 2, answers)
+		f := newFaultyHosts(t, 2, answers)
 		conn, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -576,7 +580,7 @@
 		f.mu.Lock()
 		for i, id := range []string{"first", "second"} {
 			fmt.Fprintf(conn, "mg k v O%s Pc=read,d=%d\r\n", id, wait.Milliseconds())
-			f.ledger.sent([]string{id}, wait)
+			f.attemptLog.recordRequests([]string{id}, wait)
 			time.Sleep(time.Duration(1-i) * 20 * time.Millisecond)
 		}
 		time.Sleep(delay)
@@ -586,8 +590,8 @@
 	})
 	t.Run("no memory to read ahead", func(t *testing.T) {
 		t.Parallel()
-		f := newFaultyFleet(t, 3, fleetFaults{answers: []string{"hang"}, through: true})
-		f.mostHeld.Store(0)
+		f := newFaultyHosts(t, 3, injectedFaults{answers: []string{"hang"}, cachesTakeWrites: true})
+		f.maxValueBytes.Store(0)
 		conn, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -603,9 +607,9 @@
 				sent++
 			}
 			io.WriteString(conn, text.String())
-			f.ledger.sent(ids, wait)
+			f.attemptLog.recordRequests(ids, wait)
 		}
-		send(mostBehind, delay)
+		send(maxInFlightPerConn, delay)
 		time.Sleep(50 * time.Millisecond)
 		send(200, wait)
 		f.awaitAnswers(t, conn, "all", sent, wait)
@@ -616,8 +620,8 @@
 // TestClientGoneBehindUnread has a client leave while much of what it sent stands unread, as there is no memory to read ahead: once
 // those before are over nothing of it is begun.
 func TestClientGoneBehindUnread(t *testing.T) {
-	f := newFaultyFleet(t, 4, fleetFaults{answers: []string{"slow hit"}, through: true})
-	f.mostHeld.Store(0)
+	f := newFaultyHosts(t, 4, injectedFaults{answers: []string{"slow hit"}, cachesTakeWrites: true})
+	f.maxValueBytes.Store(0)
 	conn, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -631,7 +635,7 @@
 		}
 		io.WriteString(conn, text.String())
 	}
-	send(mostBehind, 3*time.Second)
+	send(maxInFlightPerConn, 3*time.Second)
 	time.Sleep(50 * time.Millisecond)
 	send(300, 3*time.Second)
 	time.Sleep(50 * time.Millisecond)
@@ -639,12 +643,12 @@
 	left := time.Now()
 	t.Cleanup(func() { conn.Close() })
 	time.Sleep(time.Second)
-	f.ledger.mu.Lock()
-	defer f.ledger.mu.Unlock()
-	if len(f.ledger.attempts) == 0 {
+	f.attemptLog.mu.Lock()
+	defer f.attemptLog.mu.Unlock()
+	if len(f.attemptLog.attempts) == 0 {
 		t.Error("no attempt was made")
 	}
-	for _, a := range f.ledger.attempts {
+	for _, a := range f.attemptLog.attempts {
 		if after := a.at.Sub(left); after > 100*time.Millisecond {
 			t.Errorf("%s was begun %v after its client had left", a.id, after)
 		}
--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -14,8 +14,8 @@
 	"streamrail/policy"
 )
 
-// asks sends one request over a new connection and returns its answer's line.
-func (f *faultyFleet) asks(t *testing.T, text, id string, wait time.Duration) string {
+// ask sends one request over a new connection and returns its answer's line.
+func (f *faultyHosts) ask(t *testing.T, text, id string, wait time.Duration) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -23,8 +23,8 @@
 	}
 	defer conn.Close()
 	io.WriteString(conn, text)
-	f.ledger.sent([]string{id}, wait)
-	conn.SetReadDeadline(time.Now().Add(patience))
+	f.attemptLog.recordRequests([]string{id}, wait)
+	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	line, err := bufio.NewReader(conn).ReadString('\n')
 	if err != nil {
 		t.Fatalf("%s: %v in place of an answer", id, err)
@@ -32,46 +32,46 @@
 	return strings.TrimSpace(line)
 }
 
-// TestAnswersWhileDecisionsAreHeld keeps the decisions for longer than requests have: each is answered in its time all the same,
+// TestAnswersWhilePolicyIsBlocked keeps the decisions for longer than requests have: each is answered in its time all the same,
 // busy where nothing was sent and failed where something may have run, and nothing is sent for it once they are free again.
-func TestAnswersWhileDecisionsAreHeld(t *testing.T) {
+func TestAnswersWhilePolicyIsBlocked(t *testing.T) {
 	const wait = 150 * time.Millisecond
 	read := func(id string) string { return fmt.Sprintf("mg k v O%s Pc=read,d=%d\r\n", id, wait.Milliseconds()) }
 	pay := func(id string) string {
 		return fmt.Sprintf("ms k 5 O%s Pc=pay,d=%d,k=1\r\nhello\r\n", id, wait.Milliseconds())
 	}
-	f := newFaultyFleet(t, 1, fleetFaults{answers: []string{"hang"}, through: true})
+	f := newFaultyHosts(t, 1, injectedFaults{answers: []string{"hang"}, cachesTakeWrites: true})
 	for name, text := range map[string]func(string) string{"read": read, "pay": pay} {
 		f.mu.Lock()
-		got := f.asks(t, text(name+"-early"), name+"-early", wait)
+		got := f.ask(t, text(name+"-early"), name+"-early", wait)
 		f.mu.Unlock()
 		if !strings.HasPrefix(got, "SERVER_ERROR busy") {
 			t.Errorf("%s that no decision was made of: %q", name, got)
 		}
 		answered := make(chan string)
-		go func() { answered <- f.asks(t, text(name+"-out"), name+"-out", wait) }()
-		until(t, func() bool { return f.attemptsOf(name+"-out") > 0 })
+		go func() { answered <- f.ask(t, text(name+"-out"), name+"-out", wait) }()
+		waitUntil(t, func() bool { return f.attemptsFor(name+"-out") > 0 })
 		f.mu.Lock()
 		got = <-answered
 		f.mu.Unlock()
 		if got != "SERVER_ERROR failed" {
 			t.Errorf("%s with an attempt out: %q", name, got)
 		}
-		until(t, func() (none bool) { f.decide(func() { none = len(f.calls) == 0 }); return none })
-		if n := f.attemptsOf(name + "-early"); n != 0 {
+		waitUntil(t, func() (none bool) { f.callPolicy(func() { none = len(f.requests) == 0 }); return none })
+		if n := f.attemptsFor(name + "-early"); n != 0 {
 			t.Errorf("%s: %d attempts after its answer", name, n)
 		}
 	}
-	if f.delays.guarded.Load() != 4 {
-		t.Errorf("%d answers by the requests' own timers", f.delays.guarded.Load())
+	if f.delays.answeredByTimer.Load() != 4 {
+		t.Errorf("%d answers by the requests' own timers", f.delays.answeredByTimer.Load())
 	}
 }
 
-// attemptsOf counts what servers were sent for a request.
-func (f *faultyFleet) attemptsOf(id string) (n int) {
-	f.ledger.mu.Lock()
-	defer f.ledger.mu.Unlock()
-	for _, a := range f.ledger.attempts {
+// attemptsFor counts what servers were sent for a request.
+func (f *faultyHosts) attemptsFor(id string) (n int) {
+	f.attemptLog.mu.Lock()
+	defer f.attemptLog.mu.Unlock()
+	for _, a := range f.attemptLog.attempts {
 		if a.id == id {
 			n++
 		}
@@ -79,27 +79,27 @@
 	return n
 }
 
-func until(t *testing.T, ok func() bool) {
+func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
+		if time.Since(began) > testTimeout {
 			t.Fatal("it never comes")
 		}
 	}
 }
 
-// TestPostedEventsAreHeard posts from many goroutines while others hold the lock: each event is heard once, in the order of its
+// TestPostedEventsAreHandled posts from many goroutines while others hold the lock: each event is heard once, in the order of its
 // goroutine, and none is left when all are done.
-func TestPostedEventsAreHeard(t *testing.T) {
+func TestPostedEventsAreHandled(t *testing.T) {
 	const goroutines, events = 16, 500
-	f := newFaultyFleet(t, 1, fleetFaults{answers: []string{"hit"}, through: true})
+	f := newFaultyHosts(t, 1, injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true})
 	heard := make([]int, goroutines) // under mu
 	var all sync.WaitGroup
 	for g := range goroutines {
 		all.Go(func() {
 			for n := range events {
 				if n%50 == 0 {
-					f.decide(func() {})
+					f.callPolicy(func() {})
 				}
 				f.post(func() {
 					if heard[g] != n {
@@ -120,10 +120,10 @@
 	}
 }
 
-// TestLongListHoldsBriefly applies whole lists of thousands of hosts, new, as they were and half replaced: no event holds the
+// TestLongListInShortSteps applies whole lists of thousands of hosts, new, as they were and half replaced: no event holds the
 // decisions for more than a small part of the time that the lists take. Of several tries the best counts, as the machine may be
 // busy.
-func TestLongListHoldsBriefly(t *testing.T) {
+func TestLongListInShortSteps(t *testing.T) {
 	const hosts, tries, part = 3200, 3, 20
 	list := func(from int) (l discovery.List) {
 		l.Whole = true
@@ -133,13 +133,13 @@
 		return l
 	}
 	for try := 1; ; try++ {
-		f := newFaultyFleet(t, 1, fleetFaults{answers: []string{"hit"}, through: true})
-		f.delays.held.recent()
+		f := newFaultyHosts(t, 1, injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true})
+		f.delays.handling.takeRecent()
 		began := time.Now()
-		f.listed(policy.ListReplace, list(0))
-		f.listed(policy.ListReplace, list(0))
-		f.listed(policy.ListReplace, list(hosts/2))
-		took, held := time.Since(began), f.delays.held.recent()
+		f.applyHostList(policy.ListReplace, list(0))
+		f.applyHostList(policy.ListReplace, list(0))
+		f.applyHostList(policy.ListReplace, list(hosts/2))
+		took, held := time.Since(began), f.delays.handling.takeRecent()
 		t.Logf("of %v the longest event held the decisions for %v", took, held)
 		if held < took/part {
 			return
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -21,28 +21,28 @@
 	"streamrail/policy"
 )
 
-// patience bounds every wait; none of them decides a verdict unless something never comes.
-const patience = 10 * time.Second
+// testTimeout bounds every wait; none of them decides a verdict unless something never comes.
+const testTimeout = 10 * time.Second
 
-// crossing is a balancer on loopback sockets whose connections to some hosts come up when the test says so.
-type crossing struct {
+// testBalancer is a balancer on loopback sockets whose connections to some hosts come up when the test says so.
+type testBalancer struct {
 	*testing.T
 	*Balancer
-	addr string
-	mu   sync.Mutex
-	up   map[string]chan struct{} // by host: closed when connections to it may come up
-	wait map[string]chan struct{} // by host: one for each that is being opened
-	came map[string][]string      // by host: the lines that have begun to come
-	said chan string              // each of these lines, behind the host's name
+	addr           string
+	mu             sync.Mutex
+	connectAllowed map[string]chan struct{} // by host: closed when connections to it may come up
+	connecting     map[string]chan struct{} // by host: one for each that is being opened
+	received       map[string][]string      // by host: the lines that have begun to come
+	lines          chan string              // each of these lines, behind the host's name
 }
 
-// crossed has a host of each name; answers[name] is what it says, with the request's id for %s. Hosts in late are held up.
-func crossed(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, late ...string) *crossing {
-	x := &crossing{T: t, up: map[string]chan struct{}{}, wait: map[string]chan struct{}{}, came: map[string][]string{}, said: make(chan string, 1000)}
+// newTestBalancer has a host of each name; answers[name] is what it says, with the request's id for %s. Hosts in late are held up.
+func newTestBalancer(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, late ...string) *testBalancer {
+	x := &testBalancer{T: t, connectAllowed: map[string]chan struct{}{}, connecting: map[string]chan struct{}{}, received: map[string][]string{}, lines: make(chan string, 1000)}
 	terms := policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: window}
 	read := terms
 	read.Effect = policy.Idempotent
-	told := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: patience, IdleLimit: time.Minute,
+	told := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleLimit: time.Minute,
 		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0},
 		Products: map[string]policy.Product{"pay": 0, "read": 1},
 		Terms:    policy.Terms{Balancers: 1, Products: []policy.ProductTerms{terms, read}, OriginKind: -1, MayCancel: true, MostAttempts: 4, Tick: policy.Millisecond}}
@@ -56,15 +56,15 @@
 		}
 		t.Cleanup(func() { at.Close() })
 		names[at.Addr().String()] = name
-		go x.host(at, name, answer)
+		go x.serveHost(at, name, answer)
 		l.Hosts = append(l.Hosts, discovery.Host{Addr: at.Addr().String(), Entry: policy.Entry{Cache: policy.CacheID(name), Size: 1}})
 	}
 	for _, name := range late {
-		x.up[name], x.wait[name] = make(chan struct{}), make(chan struct{}, 1000)
+		x.connectAllowed[name], x.connecting[name] = make(chan struct{}), make(chan struct{}, 1000)
 	}
 	x.hosts.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if up := x.up[names[addr]]; up != nil {
-			x.wait[names[addr]] <- struct{}{}
+		if up := x.connectAllowed[names[addr]]; up != nil {
+			x.connecting[names[addr]] <- struct{}{}
 			select {
 			case <-up:
 			case <-ctx.Done():
@@ -73,7 +73,7 @@
 		}
 		return new(net.Dialer).DialContext(ctx, network, addr)
 	}
-	x.listed(policy.ListRestored, l)
+	x.applyHostList(policy.ListRestored, l)
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -81,11 +81,11 @@
 	x.addr = at.Addr().String()
 	x.phase.Store(int32(Serving))
 	go x.accept(at)
-	t.Cleanup(func() { at.Close(); x.hosts.Close(); x.end() })
+	t.Cleanup(func() { at.Close(); x.hosts.Close(); x.cancel() })
 	return x
 }
 
-func (x *crossing) host(at net.Listener, name, answer string) {
+func (x *testBalancer) serveHost(at net.Listener, name, answer string) {
 	for {
 		c, err := at.Accept()
 		if err != nil {
@@ -100,9 +100,9 @@
 					return
 				}
 				x.mu.Lock()
-				x.came[name] = append(x.came[name], line)
+				x.received[name] = append(x.received[name], line)
 				x.mu.Unlock()
-				x.said <- name + " " + line
+				x.lines <- name + " " + line
 				w := strings.Fields(line)
 				if n := 0; w[0] == "ms" {
 					fmt.Sscan(w[2], &n)
@@ -124,17 +124,17 @@
 	}
 }
 
-func (x *crossing) dial() (*net.TCPConn, *bufio.Reader) {
+func (x *testBalancer) dial() (*net.TCPConn, *bufio.Reader) {
 	c, err := net.Dial("tcp", x.addr)
 	if err != nil {
 		x.Fatal(err)
 	}
 	x.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	return c.(*net.TCPConn), bufio.NewReader(c)
 }
 
-func (x *crossing) ask(request, want string) {
+func (x *testBalancer) expectAnswer(request, want string) {
 	x.Helper()
 	c, in := x.dial()
 	io.WriteString(c, request)
@@ -143,21 +143,21 @@
 	}
 }
 
-func soon[T any](t *testing.T, from <-chan T, what string) (v T) {
+func receiveSoon[T any](t *testing.T, from <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("never came: " + what)
 	}
 	return v
 }
 
-// until waits for something that nothing tells of.
-func (x *crossing) until(what string, holds func() bool) {
+// waitFor waits for something that nothing tells of.
+func (x *testBalancer) waitFor(what string, holds func() bool) {
 	x.Helper()
 	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
+		if time.Since(began) > testTimeout {
 			x.Fatal("never: " + what)
 		}
 	}
@@ -184,18 +184,18 @@
 		for how, leave := range leavings {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
-				x := crossed(t, policy.NonIdempotent, 0, map[string]string{"late": receipt}, "late")
+				x := newTestBalancer(t, policy.NonIdempotent, 0, map[string]string{"late": receipt}, "late")
 				c, _ := x.dial()
 				io.WriteString(c, request)
-				soon(t, x.wait["late"], "the connect")
+				receiveSoon(t, x.connecting["late"], "the connect")
 				leave(c)
-				x.until("given up", func() bool { return x.open.Load() == 0 })
-				close(x.up["late"])
-				x.ask("ms k 5 Olast Pc=pay,d=9000\r\nhello\r\n", "HD Olast") // over a connection that comes up late
+				x.waitFor("given up", func() bool { return x.inFlight.Load() == 0 })
+				close(x.connectAllowed["late"])
+				x.expectAnswer("ms k 5 Olast Pc=pay,d=9000\r\nhello\r\n", "HD Olast") // over a connection that comes up late
 				x.mu.Lock()
 				defer x.mu.Unlock()
-				if len(x.came["late"]) != 1 {
-					t.Errorf("sent: %q", x.came["late"])
+				if len(x.received["late"]) != 1 {
+					t.Errorf("sent: %q", x.received["late"])
 				}
 			})
 		}
@@ -216,7 +216,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			x := crossed(t, row.effect, row.window, map[string]string{"fails": "SERVER_ERROR failed\r\n", "late": receipt}, "late")
+			x := newTestBalancer(t, row.effect, row.window, map[string]string{"fails": "SERVER_ERROR failed\r\n", "late": receipt}, "late")
 			for i := range 40 { // half of the keys' homes are at the host that fails
 				id := fmt.Sprint("w", i)
 				c, in := x.dial()
@@ -224,20 +224,20 @@
 				before := time.Now()
 				for first := ""; ; {
 					select {
-					case first = <-x.said:
-					case <-x.wait["late"]:
-					case <-time.After(patience):
+					case first = <-x.lines:
+					case <-x.connecting["late"]:
+					case <-time.After(testTimeout):
 						t.Fatal("the request goes nowhere")
 					}
 					if strings.HasPrefix(first, "fails") { // the next attempt is for the late one
-						soon(t, x.wait["late"], "the connect of the further attempt")
+						receiveSoon(t, x.connecting["late"], "the connect of the further attempt")
 						break
 					} else if first == "" {
 						break
 					}
 				}
 				x.mu.Lock()
-				failed := len(x.came["fails"]) > 0
+				failed := len(x.received["fails"]) > 0
 				x.mu.Unlock()
 				if !failed {
 					c.Close()
@@ -249,17 +249,17 @@
 						t.Errorf("got %q after %v", got, took)
 					}
 				}
-				close(x.up["late"])
+				close(x.connectAllowed["late"])
 				if row.again {
 					if got, _ := in.ReadString('\n'); got != "HD O"+id+" cdone\r\n" {
 						t.Errorf("got %q", got)
 					}
 				}
-				x.ask("mg other v Olast Pc=read,d=8000\r\n", "")
+				x.expectAnswer("mg other v Olast Pc=read,d=8000\r\n", "")
 				x.mu.Lock()
 				defer x.mu.Unlock()
 				n := 0
-				for _, line := range x.came["late"] {
+				for _, line := range x.received["late"] {
 					if strings.Contains(line, " O"+id+" ") {
 						n++
 					}
@@ -281,17 +281,17 @@
 		near, far := net.Pipe()
 		defer near.Close()
 		defer far.Close()
-		c := newClient(near, stall.New(time.Now()), time.Now())
+		c := newClientConn(near, stall.New(time.Now()), time.Now())
 		var came []time.Time
 		for _, text := range []string{"mn\r\n", "mn\r\nm", "n\r\n"} {
 			time.Sleep(time.Second)
 			came = append(came, time.Now())
-			c.ahead.add(func(p []byte) (int, time.Time, error) { return copy(p, text), time.Now(), nil })
+			c.readAheadBuf.fill(func(p []byte) (int, time.Time, error) { return copy(p, text), time.Now(), nil })
 		}
 		time.Sleep(time.Second)
 		for i, want := range []time.Time{came[0], came[1], came[2]} {
-			if line, err := c.in.ReadSlice('\n'); err != nil || string(line) != "mn\r\n" || !c.lastRead().Equal(want) {
-				t.Errorf("request %d: %q, %v, counts from %v, came after %v", i, line, err, c.lastRead().Sub(c.opened), want.Sub(c.opened))
+			if line, err := c.reader.ReadSlice('\n'); err != nil || string(line) != "mn\r\n" || !c.lastReadTime().Equal(want) {
+				t.Errorf("request %d: %q, %v, counts from %v, came after %v", i, line, err, c.lastReadTime().Sub(c.openedAt), want.Sub(c.openedAt))
 			}
 		}
 	})
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -11,38 +11,38 @@
 	"streamrail/policy"
 )
 
-// witnesses are what balancers tell each other of hosts, where the operator's file lets them; nil otherwise.
-type witnesses struct {
+// observationExchange are what balancers tell each other of hosts, where the operator's file lets them; nil otherwise.
+type observationExchange struct {
 	epoch time.Time
 
-	mu      sync.Mutex
-	machine *evidence.Machine
-	carrier *carry.Carrier
-	stop    chan struct{}
-	words   []evidence.Word // that the module has heard
+	mu        sync.Mutex
+	machine   *evidence.Machine
+	transport *carry.Carrier
+	stop      chan struct{}
+	delivered []evidence.Word // that the module has heard
 }
 
-func (b *Balancer) newWitnesses() *witnesses {
-	if b.fleet.own == nil || !b.fleet.own.Evidence {
+func (b *Balancer) newObservationExchange() *observationExchange {
+	if b.fleet.settings == nil || !b.fleet.settings.Evidence {
 		return nil
 	}
-	return &witnesses{epoch: time.Now()}
+	return &observationExchange{epoch: time.Now()}
 }
 
-// followEvidence begins to tell and to hear over a carrier.
-func (b *Balancer) followEvidence(c *carry.Carrier) {
-	w := b.witnesses
+// startObservations begins to tell and to hear over a carrier.
+func (b *Balancer) startObservations(c *carry.Carrier) {
+	w := b.observations
 	if w == nil {
 		return
 	}
 	stop := make(chan struct{})
 	w.mu.Lock()
-	w.carrier, w.stop = c, stop
+	w.transport, w.stop = c, stop
 	w.machine = evidence.New(evidence.Terms{Self: c.Self(), Zone: c.View().Self.Zone})
 	w.mu.Unlock()
 	c.On(carry.TopicEvidence, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeEvidence(body); ok {
-			w.with(func(p *evidence.Machine, now evidence.Moment) { p.Hear(now, from, m) })
+			w.update(func(p *evidence.Machine, now evidence.Moment) { p.Hear(now, from, m) })
 		}
 	})
 	go func() {
@@ -51,7 +51,7 @@
 		for {
 			select {
 			case <-t.C:
-				b.turnEvidence(c)
+				b.exchangeObservations(c)
 			case <-stop:
 				return
 			}
@@ -59,8 +59,8 @@
 	}()
 }
 
-// with gives the evidence an input.
-func (w *witnesses) with(input func(p *evidence.Machine, now evidence.Moment)) {
+// update gives the evidence an input.
+func (w *observationExchange) update(input func(p *evidence.Machine, now evidence.Moment)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.machine != nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// turnEvidence tells others, and the module what they say.
-func (b *Balancer) turnEvidence(c *carry.Carrier) {
+// exchangeObservations tells others, and the module what they say.
+func (b *Balancer) exchangeObservations(c *carry.Carrier) {
 	var members []evidence.Peer
 	for _, m := range c.View().Members {
 		if m.State == member.Alive || m.State == member.Suspected {
@@ -77,8 +77,8 @@
 		}
 	}
 	listed := 0
-	b.decide(func() { listed, _ = b.module.Fleet() })
-	w := b.witnesses
+	b.callPolicy(func() { listed, _ = b.policy.Fleet() })
+	w := b.observations
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.machine == nil {
@@ -86,58 +86,58 @@
 	}
 	w.machine.Tick(time.Since(w.epoch), members, listed)
 	for _, s := range w.machine.Out() {
-		w.carrier.Tell(s.To, carry.TopicEvidence, carry.EncodeEvidence(&s.Msg))
+		w.transport.Tell(s.To, carry.TopicEvidence, carry.EncodeEvidence(&s.Msg))
 	}
-	b.say(w.machine.Words())
+	b.deliverObservations(w.machine.Words())
 }
 
-// say tells the module what the others say of hosts, and of which they say nothing any more. Each change is a line in the log. Under witnesses.mu.
-func (b *Balancer) say(words []evidence.Word) {
-	w := b.witnesses
+// deliverObservations tells the module what the others say of hosts, and of which they say nothing any more. Each change is a line in the log. Under witnesses.mu.
+func (b *Balancer) deliverObservations(words []evidence.Word) {
+	w := b.observations
 	for _, x := range words {
-		if !evidence.Has(w.words, x.Host) {
+		if !evidence.Has(w.delivered, x.Host) {
 			b.log.Info().Str("host", x.Host).Int("witnesses", x.Witnesses).Float64("good", x.Good).Float64("bad", x.Bad).Msg("other balancers call this host bad")
 		}
 	}
-	b.decide(func() {
-		evidence.Tell(w.words, words, func(host string, good, bad float64) { b.module.Said(policy.CacheID(host), good, bad) })
+	b.callPolicy(func() {
+		evidence.Tell(w.delivered, words, func(host string, good, bad float64) { b.policy.Said(policy.CacheID(host), good, bad) })
 	})
-	for _, x := range w.words {
+	for _, x := range w.delivered {
 		if !evidence.Has(words, x.Host) {
 			b.log.Info().Str("host", x.Host).Msg("other balancers do not call this host bad any more")
 		}
 	}
-	w.words = words
+	w.delivered = words
 }
 
-// endEvidence ends it: the newer process of an upgrade goes on, or this one ends. What was said holds no more.
-func (b *Balancer) endEvidence() {
-	if w := b.witnesses; w != nil {
+// stopObservations ends it: the newer process of an upgrade goes on, or this one ends. What was said holds no more.
+func (b *Balancer) stopObservations() {
+	if w := b.observations; w != nil {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if w.machine != nil {
 			close(w.stop)
-			b.say(nil)
-			w.machine, w.carrier = nil, nil
+			b.deliverObservations(nil)
+			w.machine, w.transport = nil, nil
 		}
 	}
 }
 
-// saw notes how an attempt of a request ended.
-func (b *Balancer) saw(c *call, e ending) {
-	if w := b.witnesses; w != nil {
-		if good, proves := evidence.Proves(e.Outcome, policy.Nanos(e.took), b.told.Terms.Products[c.product].LatencySLO); proves {
-			w.with(func(p *evidence.Machine, now evidence.Moment) { p.Ended(now, string(c.attempts[e.attempt].To), good) })
+// observeAttempt notes how an attempt of a request ended.
+func (b *Balancer) observeAttempt(c *clientRequest, e attemptResult) {
+	if w := b.observations; w != nil {
+		if good, proves := evidence.Proves(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); proves {
+			w.update(func(p *evidence.Machine, now evidence.Moment) { p.Ended(now, string(c.attempts[e.attempt].To), good) })
 		}
 	}
 }
 
 // Evidence is what the door shows of it.
-func (d door) Evidence() (to admin.Evidence, err error) {
-	if _, err = d.b.speaker(); err != nil {
+func (d adminAPI) Evidence() (to admin.Evidence, err error) {
+	if _, err = d.b.fleetTransport(); err != nil {
 		return to, err
 	}
-	w := d.b.witnesses
+	w := d.b.observations
 	if w == nil {
 		return to, admin.ErrNoEvidence
 	}
@@ -147,7 +147,7 @@
 		return to, admin.ErrHanded
 	}
 	to = admin.Evidence{Witnesses: w.machine.Heard(), Hosts: []admin.Said{}}
-	for _, x := range w.words {
+	for _, x := range w.delivered {
 		to.Hosts = append(to.Hosts, admin.Said{Host: x.Host, Good: x.Good, Bad: x.Bad, Witnesses: x.Witnesses})
 	}
 	return to, nil
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -13,56 +13,56 @@
 	"streamrail/internal/operator"
 )
 
-// fleet is this balancer's place among the others, where the operator's file has one. Of an upgrade's two processes the one
+// fleetMembership is this balancer's place among the others, where the operator's file has one. Of an upgrade's two processes the one
 // that takes clients has it: the two are one member.
-type fleet struct {
-	own     *operator.Fleet
-	mu      sync.Mutex
-	carrier *carry.Carrier
-	kept    *member.Kept // as it was when this process gave the place up
+type fleetMembership struct {
+	settings   *operator.Fleet
+	mu         sync.Mutex
+	transport  *carry.Carrier
+	savedState *member.Kept // as it was when this process gave the place up
 }
 
-// takePlace speaks for this balancer from now on. kept is what an older process has handed over.
-func (b *Balancer) takePlace(kept *member.Kept) error {
+// joinFleet speaks for this balancer from now on. kept is what an older process has handed over.
+func (b *Balancer) joinFleet(kept *member.Kept) error {
 	f := &b.fleet
-	if f.own == nil {
+	if f.settings == nil {
 		return nil
 	}
 	zone := ""
-	for name, z := range b.told.Zones {
-		if z == b.told.Terms.Zone {
+	for name, z := range b.deployment.Zones {
+		if z == b.deployment.Terms.Zone {
 			zone = name
 		}
 	}
-	self := member.Record{Life: member.NewLife(time.Now().UnixMilli(), rand.Uint64()), Name: b.told.Name, Zone: zone}
-	c, m := f.own.Terms(self, b.told.Terms.Balancers, rand.Uint64())
+	self := member.Record{Life: member.NewLife(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
+	c, m := f.settings.Terms(self, b.deployment.Terms.Balancers, rand.Uint64())
 	carrier, err := carry.Open(c, m, kept, b.log)
 	if err != nil {
 		return fmt.Errorf("fleet.address: %w", err)
 	}
 	f.mu.Lock()
-	f.carrier = carrier
+	f.transport = carrier
 	f.mu.Unlock()
-	b.shareLimits(carrier)
-	b.followOrders(carrier)
-	b.followEvidence(carrier)
+	b.startSharing(carrier)
+	b.startExclusionOrders(carrier)
+	b.startObservations(carrier)
 	return nil
 }
 
-// keepPlace is what a newer process needs to speak for this balancer.
-func (b *Balancer) keepPlace() json.RawMessage {
+// exportMembership is what a newer process needs to speak for this balancer.
+func (b *Balancer) exportMembership() json.RawMessage {
 	f := &b.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrier == nil {
+	if f.transport == nil {
 		return nil
 	}
-	text, _ := json.Marshal(f.carrier.Keep())
+	text, _ := json.Marshal(f.transport.Keep())
 	return text
 }
 
-// followOn takes the place that an older process gives up once it hears that this one is ready.
-func (b *Balancer) followOn(text json.RawMessage) {
+// takeOverMembership takes the place that an older process gives up once it hears that this one is ready.
+func (b *Balancer) takeOverMembership(text json.RawMessage) {
 	var kept *member.Kept
 	if len(text) > 0 {
 		kept = new(member.Kept)
@@ -71,88 +71,88 @@
 			kept = nil
 		}
 	}
-	b.resume(kept)
+	b.resumeMembership(kept)
 }
 
-// givePlace ends this process's part in the fleet without a word: another one speaks for this balancer.
-func (b *Balancer) givePlace() {
+// handOverMembership ends this process's part in the fleet without a word: another one speaks for this balancer.
+func (b *Balancer) handOverMembership() {
 	f := &b.fleet
 	b.stopSharing()
-	b.endOrders()
-	b.endEvidence()
+	b.stopExclusionOrders()
+	b.stopObservations()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrier != nil {
-		kept := f.carrier.Keep()
-		f.carrier.Close()
-		f.carrier, f.kept = nil, &kept
+	if f.transport != nil {
+		kept := f.transport.Keep()
+		f.transport.Close()
+		f.transport, f.savedState = nil, &kept
 	}
 }
 
-// resume speaks for this balancer from where another process of an upgrade left off; without a place it serves all the same.
-func (b *Balancer) resume(kept *member.Kept) {
-	if err := b.takePlace(kept); err != nil {
+// resumeMembership speaks for this balancer from where another process of an upgrade left off; without a place it serves all the same.
+func (b *Balancer) resumeMembership(kept *member.Kept) {
+	if err := b.joinFleet(kept); err != nil {
 		b.log.Warn().Err(err).Msg("no place in the fleet")
 	}
 }
 
-// takePlaceBack speaks again where the newer process was killed after it had the place.
-func (b *Balancer) takePlaceBack() {
+// reclaimMembership speaks again where the newer process was killed after it had the place.
+func (b *Balancer) reclaimMembership() {
 	f := &b.fleet
 	f.mu.Lock()
-	kept := f.kept
-	f.kept = nil
+	kept := f.savedState
+	f.savedState = nil
 	f.mu.Unlock()
-	if kept == nil || b.in() > Leaving {
+	if kept == nil || b.currentPhase() > Leaving {
 		return
 	}
-	b.resume(kept)
+	b.resumeMembership(kept)
 }
 
-// leavePlace tells the others that this balancer ends in order.
-func (b *Balancer) leavePlace() {
+// leaveFleet tells the others that this balancer ends in order.
+func (b *Balancer) leaveFleet() {
 	f := &b.fleet
 	b.stopSharing()
-	b.endOrders()
-	b.endEvidence()
+	b.stopExclusionOrders()
+	b.stopObservations()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrier != nil {
-		f.carrier.Leave()
-		f.carrier = nil
+	if f.transport != nil {
+		f.transport.Leave()
+		f.transport = nil
 	}
 }
 
-// speaker is the carrier, and nil with the reason where there is none.
-func (b *Balancer) speaker() (*carry.Carrier, error) {
+// fleetTransport is the carrier, and nil with the reason where there is none.
+func (b *Balancer) fleetTransport() (*carry.Carrier, error) {
 	f := &b.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.own == nil:
+	case f.settings == nil:
 		return nil, admin.ErrNoFleet
-	case f.carrier == nil:
+	case f.transport == nil:
 		return nil, admin.ErrHanded
 	}
-	return f.carrier, nil
+	return f.transport, nil
 }
 
 // Members is what the door shows of the fleet.
-func (d door) Members() (to admin.Members, err error) {
-	c, err := d.b.speaker()
+func (d adminAPI) Members() (to admin.Members, err error) {
+	c, err := d.b.fleetTransport()
 	if err != nil {
 		return to, err
 	}
 	v := c.View()
 	ms := func(at member.Moment) int64 { return (v.Now - at).Milliseconds() }
-	to = admin.Members{Fleet: d.b.fleet.own.Name, Name: v.Self.Name, Life: life(v.Self.Life), Inc: uint32(v.Self.Inc),
+	to = admin.Members{Fleet: d.b.fleet.settings.Name, Name: v.Self.Name, Life: formatLife(v.Self.Life), Inc: uint32(v.Self.Inc),
 		Situation: v.Situation.String(), Expected: v.Expected, Seen: v.Seen, Version: v.Version, Digest: fmt.Sprintf("%016x", v.Digest),
 		Members: []admin.Member{}}
 	if v.Rival.Life != 0 {
 		to.Rival = v.Rival.Addr.String()
 	}
 	for _, m := range v.Members {
-		one := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: life(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
+		one := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: formatLife(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
 			SinceMs: ms(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.Suspecting}
 		if m.Heard > 0 {
 			one.HeardMs = ms(m.Heard)
@@ -162,11 +162,11 @@
 	return to, nil
 }
 
-func life(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
+func formatLife(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
 
-// fleetFigures are the fleet's in the telemetry; nil without one.
-func (b *Balancer) fleetFigures() *admin.Fleet {
-	c, err := b.speaker()
+// fleetStats are the fleet's in the telemetry; nil without one.
+func (b *Balancer) fleetStats() *admin.Fleet {
+	c, err := b.fleetTransport()
 	if err != nil {
 		return nil
 	}
@@ -176,7 +176,7 @@
 	for _, m := range v.Members {
 		to.States[m.State.String()]++
 	}
-	if l, err := (door{b}).Limits(); err == nil {
+	if l, err := (adminAPI{b}).Limits(); err == nil {
 		to.Limits = l.Limits
 	}
 	return to
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -23,24 +23,24 @@
 	"streamrail/policy"
 )
 
-// agent plays discovery at a balancer's side over pipes, on the test's clock. Its list says one host is up, until it leaves.
-type agent struct {
-	mu      sync.Mutex
-	began   time.Time
-	leaves  bool
-	down    bool // takes no connection
-	asked   []time.Duration
-	waits   []time.Duration // that each of these calls may wait
-	news    chan struct{}
-	over    chan struct{}
-	respond func(n int, to net.Conn, text string) bool // the n-th call's answer; false: the connection is left as it is, silent
+// fakeDiscovery plays discovery at a balancer's side over pipes, on the test's clock. Its list says one host is up, until it leaves.
+type fakeDiscovery struct {
+	mu        sync.Mutex
+	began     time.Time
+	draining  bool
+	down      bool // takes no connection
+	callTimes []time.Duration
+	waits     []time.Duration // that each of these calls may wait
+	changed   chan struct{}
+	done      chan struct{}
+	respond   func(n int, to net.Conn, text string) bool // the n-th call's answer; false: the connection is left as it is, silent
 }
 
-func (a *agent) list(after int) (text string) {
+func (a *fakeDiscovery) list(after int) (text string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	version, state := 1, "active"
-	if a.leaves {
+	if a.draining {
 		version, state = 2, "leaving"
 	}
 	entry := fmt.Sprintf(`{"instanceId":"h","hostPort":"127.0.0.1:1","zone":"here","machineType":"cache","lifecycle":%q}`, state)
@@ -50,7 +50,7 @@
 	return fmt.Sprintf(`{"generation":%d,"reset":%v,"instances":[%s]}`, version, after < 0, entry)
 }
 
-func (a *agent) dial(context.Context, string, string) (net.Conn, error) {
+func (a *fakeDiscovery) dial(context.Context, string, string) (net.Conn, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.down {
@@ -61,7 +61,7 @@
 	return near, nil
 }
 
-func (a *agent) serve(c net.Conn) {
+func (a *fakeDiscovery) serve(c net.Conn) {
 	in := bufio.NewReader(c)
 	for {
 		r, err := http.ReadRequest(in)
@@ -74,14 +74,14 @@
 			wait, _ = strconv.Atoi(r.URL.Query().Get("wait_ms"))
 		}
 		a.mu.Lock()
-		a.asked, a.waits = append(a.asked, time.Since(a.began)), append(a.waits, time.Duration(wait)*time.Millisecond)
-		n, news := len(a.asked), a.news
+		a.callTimes, a.waits = append(a.callTimes, time.Since(a.began)), append(a.waits, time.Duration(wait)*time.Millisecond)
+		n, news := len(a.callTimes), a.changed
 		a.mu.Unlock()
 		if strings.Contains(a.list(after), "[]") {
 			select {
 			case <-time.After(time.Duration(wait) * time.Millisecond):
 			case <-news:
-			case <-a.over:
+			case <-a.done:
 				return
 			}
 		}
@@ -94,36 +94,36 @@
 	}
 }
 
-func (a *agent) change(of func()) {
+func (a *fakeDiscovery) change(of func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	of()
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// followed is a balancer that follows the agent's list and has it.
-func followed(t *testing.T, a *agent, mode string, grace time.Duration, seed uint64) *Balancer {
+// newFollowingBalancer is a balancer that follows the agent's list and has it.
+func newFollowingBalancer(t *testing.T, a *fakeDiscovery, mode string, grace time.Duration, seed uint64) *Balancer {
 	told := &deployment.Deployment{Name: "n", Seed: seed, Sockets: 1024, MemoryMB: 192, DrainGrace: grace, ConnectTimeout: time.Second, IdleLimit: time.Minute,
 		Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0},
 		Terms: policy.Terms{Balancers: 1, Products: make([]policy.ProductTerms, 1), MustSubscribe: mode == "asked", AskEvery: 10 * policy.Second, OriginKind: -1}}
 	b := New(told, &operator.File{}, zerolog.Nop())
-	b.source.dial = a.dial
-	a.began, a.news, a.over = time.Now(), make(chan struct{}), make(chan struct{})
-	b.restore(nil)
-	b.watch()
-	<-b.source.first
+	b.listSource.dial = a.dial
+	a.began, a.changed, a.done = time.Now(), make(chan struct{}), make(chan struct{})
+	b.restoreHostList(nil)
+	b.startWatch()
+	<-b.listSource.ready
 	return b
 }
 
-func (b *Balancer) avoided() (n int) {
-	b.decide(func() { _, n = b.module.Fleet() })
+func (b *Balancer) avoidedHosts() (n int) {
+	b.callPolicy(func() { _, n = b.policy.Fleet() })
 	return n
 }
 
 // Whatever befalls calls to discovery, a host that leaves is left alone within the grace of six seconds after discovery had it
 // and could be reached; at once where the agent has it, and lists are pushed.
-func TestLeavingInTime(t *testing.T) {
+func TestDrainingHostAvoidedInTime(t *testing.T) {
 	whole := func(to net.Conn, text string) bool {
 		_, err := io.WriteString(to, text)
 		return err == nil
@@ -196,13 +196,13 @@
 				for seed := range 5 { // of the module, which draws when it asks again
 					t.Run(fmt.Sprint(name, ", ", mode, ", ", grace, ", ", seed), func(t *testing.T) {
 						synctest.Test(t, func(t *testing.T) {
-							a := &agent{respond: row.respond}
-							b := followed(t, a, mode, grace, uint64(seed))
-							defer close(a.over)
+							a := &fakeDiscovery{respond: row.respond}
+							b := newFollowingBalancer(t, a, mode, grace, uint64(seed))
+							defer close(a.done)
 							defer b.hosts.Close()
-							defer b.end()
+							defer b.cancel()
 							time.Sleep(time.Until(a.began.Add(row.leaves)))
-							a.change(func() { a.leaves, a.down = true, row.downTo > 0 })
+							a.change(func() { a.draining, a.down = true, row.downTo > 0 })
 							told := row.leaves
 							if row.downTo > 0 {
 								time.Sleep(time.Until(a.began.Add(row.downTo)))
@@ -214,13 +214,13 @@
 							}
 							time.Sleep(time.Until(a.began.Add(told + grace*9/10)))
 							synctest.Wait()
-							if b.avoided() != 1 {
-								t.Errorf("not left alone %v after it leaves, told after %v; asked at %v", time.Since(a.began)-row.leaves, told-row.leaves, a.asked)
+							if b.avoidedHosts() != 1 {
+								t.Errorf("not left alone %v after it leaves, told after %v; asked at %v", time.Since(a.began)-row.leaves, told-row.leaves, a.callTimes)
 							}
 							a.mu.Lock()
 							defer a.mu.Unlock()
-							if n, most := len(a.asked), 5+int(time.Since(a.began)/(1750*time.Millisecond))+int(8*row.downTo/grace); n > most {
-								t.Errorf("%d calls, at %v", n, a.asked)
+							if n, most := len(a.callTimes), 5+int(time.Since(a.began)/(1750*time.Millisecond))+int(8*row.downTo/grace); n > most {
+								t.Errorf("%d calls, at %v", n, a.callTimes)
 							}
 						})
 					})
@@ -232,7 +232,7 @@
 
 // A fleet's calls for the list, where each loads discovery: a quiet balancer's lie so far apart that 300 together stay under two
 // in askEvery (10 s) from each and the half that a discovery takes at least, and no call is ever waited for beyond its time.
-func TestCallsOfAQuietFleet(t *testing.T) {
+func TestDiscoveryCallRate(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		p := discovery.PaceOf(grace*9/10, false)
 		if sum := p.Wait + p.Answer + p.Connect; sum > 6*time.Second {
@@ -243,15 +243,15 @@
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
-		a := &agent{respond: func(n int, to net.Conn, text string) bool { _, err := io.WriteString(to, text); return err == nil }}
-		b := followed(t, a, "asked", time.Second, 1)
-		defer close(a.over)
+		a := &fakeDiscovery{respond: func(n int, to net.Conn, text string) bool { _, err := io.WriteString(to, text); return err == nil }}
+		b := newFollowingBalancer(t, a, "asked", time.Second, 1)
+		defer close(a.done)
 		defer b.hosts.Close()
-		defer b.end()
+		defer b.cancel()
 		time.Sleep(10 * time.Minute)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if n := len(a.asked); n > 175 {
+		if n := len(a.callTimes); n > 175 {
 			t.Errorf("%d calls in ten quiet minutes", n)
 		}
 	})
@@ -260,7 +260,7 @@
 // A new configuration moves the list while the watch before is open, silent, or being made anew, and the first call at the new
 // address gets no answer: what it has holds in the grace of four seconds after the signal where lists are pushed, of six where they
 // are asked for.
-func TestMovedInTime(t *testing.T) {
+func TestNewAddressFollowedInTime(t *testing.T) {
 	for name, row := range map[string]struct {
 		before, after func(n int) bool // whether the n-th call at the old address, and at the new one, is answered
 	}{
@@ -283,24 +283,24 @@
 								return err == nil
 							}
 						}
-						a := &agent{respond: answers(row.before)}
-						b := followed(t, a, mode, grace, 1)
-						defer close(a.over)
+						a := &fakeDiscovery{respond: answers(row.before)}
+						b := newFollowingBalancer(t, a, mode, grace, 1)
+						defer close(a.done)
 						defer b.hosts.Close()
-						defer b.end()
+						defer b.cancel()
 						time.Sleep(at)
-						moved := &agent{respond: answers(row.after), leaves: true, began: time.Now(), news: make(chan struct{}), over: make(chan struct{})}
-						defer close(moved.over)
-						b.source.mu.Lock()
-						b.source.dial = moved.dial
-						b.source.mu.Unlock()
-						to := *b.told
+						moved := &fakeDiscovery{respond: answers(row.after), draining: true, began: time.Now(), changed: make(chan struct{}), done: make(chan struct{})}
+						defer close(moved.done)
+						b.listSource.mu.Lock()
+						b.listSource.dial = moved.dial
+						b.listSource.mu.Unlock()
+						to := *b.deployment
 						to.Discovery = "moved"
 						b.Reload(&to)
 						time.Sleep(told + grace*9/10)
 						synctest.Wait()
-						if b.avoided() != 1 {
-							t.Errorf("not left alone; asked at %v", moved.asked)
+						if b.avoidedHosts() != 1 {
+							t.Errorf("not left alone; asked at %v", moved.callTimes)
 						}
 					})
 				})
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -12,44 +12,44 @@
 // A list is applied in pieces, with a rest after each: whatever its length, no request waits for more than a piece, and with one
 // core what has come over the network meanwhile is looked at between two of them.
 const (
-	pieceHosts = 32 // a quarter of a millisecond's work
-	pieceRest  = 200 * time.Microsecond
+	hostsPerBatch = 32 // a quarter of a millisecond's work
+	batchPause    = 200 * time.Microsecond
 )
 
 // pause lets other goroutines run, and has the runtime look at the network, in the middle of long work. Before the process serves
 // nobody waits for it.
 func (b *Balancer) pause() {
-	if b.in() != Starting {
-		time.Sleep(pieceRest)
+	if b.currentPhase() != Starting {
+		time.Sleep(batchPause)
 	}
 }
 
-// listed applies an answer of discovery, as far as it changes what is known. Under source.mu, or before anybody follows.
-func (b *Balancer) listed(kind policy.ListKind, l discovery.List) {
+// applyHostList applies an answer of discovery, as far as it changes what is known. Under source.mu, or before anybody follows.
+func (b *Balancer) applyHostList(kind policy.ListKind, l discovery.List) {
 	began := time.Now()
-	changes := b.source.keep(l)
+	changes := b.listSource.update(l)
 	if kind == policy.ListUpdate && len(changes) == 0 { // a watch that waited for nothing
 		return
 	}
-	b.starts.place(changes, b.nanos(deadline.After(began, 0)))
+	b.startTimes.place(changes, b.toNanos(deadline.After(began, 0)))
 	all := entriesOf(l.Hosts)
-	b.decide(func() { b.module.ListBegins(kind, all) })
-	for piece := range slices.Chunk(changes, pieceHosts) {
-		b.applyPiece(discovery.List{Hosts: piece, At: l.At})
+	b.callPolicy(func() { b.policy.ListBegins(kind, all) })
+	for piece := range slices.Chunk(changes, hostsPerBatch) {
+		b.applyBatch(discovery.List{Hosts: piece, At: l.At})
 		b.pause()
 	}
 	if len(l.Hosts) > 0 || kind != policy.ListRestored {
-		b.knows.Store(true)
+		b.hasHostList.Store(true)
 	}
 	b.log.Info().Int64("version", l.Generation).Bool("whole", l.Whole).Int("hosts", len(l.Hosts)).Int("changes", len(changes)).
 		Float64("took_ms", milliseconds(time.Since(began))).Msg("list applied")
 }
 
-// applyPiece applies some entries: to the connections first, so that a host which the module knows can be sent to.
-func (b *Balancer) applyPiece(piece discovery.List) {
+// applyBatch applies some entries: to the connections first, so that a host which the module knows can be sent to.
+func (b *Balancer) applyBatch(piece discovery.List) {
 	b.hosts.Listed(piece)
 	entries := entriesOf(piece.Hosts)
-	b.decide(func() { b.module.Changed(entries) })
+	b.callPolicy(func() { b.policy.Changed(entries) })
 	for _, condition := range []policy.Condition{policy.Draining, policy.Gone} {
 		b.logHosts(condition, piece.Hosts)
 	}
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -19,32 +19,32 @@
 	"streamrail/policy"
 )
 
-// orders are what operators ordered by hand at any balancer's door, where the operator's file lets that hold for the whole fleet; nil
+// exclusionOrders are what operators ordered by hand at any balancer's door, where the operator's file lets that hold for the whole fleet; nil
 // otherwise.
-type orders struct {
-	part  float64
-	file  string
-	epoch time.Time
+type exclusionOrders struct {
+	maxExcludedShare float64
+	file             string
+	epoch            time.Time
 
-	mu      sync.Mutex // makes an order of what comes; taken before upgrade.mu
-	machine *byhand.Machine
-	carrier *carry.Carrier
-	stop    chan struct{}
-	given   time.Time // the last at this door
-	unkept  bool      // the file does not have all that is held: nobody is told that it is held here
+	mu          sync.Mutex // makes an order of what comes; taken before upgrade.mu
+	machine     *byhand.Machine
+	transport   *carry.Carrier
+	stop        chan struct{}
+	lastOrderAt time.Time // the last at this door
+	unsaved     bool      // the file does not have all that is held: nobody is told that it is held here
 }
 
-// newOrders makes them; nil where the file does not have them.
-func (b *Balancer) newOrders() *orders {
-	if b.fleet.own == nil || !b.fleet.own.Orders || b.told.Admin == "" {
+// newExclusionOrders makes them; nil where the file does not have them.
+func (b *Balancer) newExclusionOrders() *exclusionOrders {
+	if b.fleet.settings == nil || !b.fleet.settings.Orders || b.deployment.Admin == "" {
 		return nil
 	}
-	return &orders{part: b.fleet.own.OrdersPart, file: handover.Path(os.TempDir(), b.told.Listen, ".orders"), epoch: time.Now()}
+	return &exclusionOrders{maxExcludedShare: b.fleet.settings.OrdersPart, file: handover.Path(os.TempDir(), b.deployment.Listen, ".orders"), epoch: time.Now()}
 }
 
-// followOrders begins to take and give orders over a carrier.
-func (b *Balancer) followOrders(c *carry.Carrier) {
-	o := b.orders
+// startExclusionOrders begins to take and give orders over a carrier.
+func (b *Balancer) startExclusionOrders(c *carry.Carrier) {
+	o := b.fleetOrders
 	if o == nil {
 		return
 	}
@@ -55,12 +55,12 @@
 	}
 	stop := make(chan struct{})
 	o.mu.Lock()
-	o.carrier, o.stop = c, stop
-	o.machine = byhand.New(byhand.Terms{Self: c.Self(), Name: b.told.Name, Part: o.part, Kept: kept, Seed: rand.Uint64()})
+	o.transport, o.stop = c, stop
+	o.machine = byhand.New(byhand.Terms{Self: c.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: kept, Seed: rand.Uint64()})
 	o.mu.Unlock()
 	c.On(carry.TopicOrders, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
-			b.withOrders(false, func(p *byhand.Machine, now byhand.Moment) { p.Hear(now, from, m) })
+			b.updateExclusionOrders(false, func(p *byhand.Machine, now byhand.Moment) { p.Hear(now, from, m) })
 		}
 	})
 	go func() {
@@ -68,7 +68,9 @@
 		defer t.Stop()
 		for {
 			members, _ := c.Members()
-			b.withOrders(true, func(p *byhand.Machine, now byhand.Moment) { p.Tick(now, members, time.Since(o.given) < doorFor) })
+			b.updateExclusionOrders(true, func(p *byhand.Machine, now byhand.Moment) {
+				p.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
+			})
 			select {
 			case <-t.C:
 			case <-stop:
@@ -78,83 +80,83 @@
 	}()
 }
 
-// doorFor is how long a door that was given an order tells more others of it in a turn.
-const doorFor = 5 * time.Second
+// orderPushTime is how long a door that was given an order tells more others of it in a turn.
+const orderPushTime = 5 * time.Second
 
-// endOrders ends that: the newer process of an upgrade goes on, or this one ends.
-func (b *Balancer) endOrders() {
-	if o := b.orders; o != nil {
+// stopExclusionOrders ends that: the newer process of an upgrade goes on, or this one ends.
+func (b *Balancer) stopExclusionOrders() {
+	if o := b.fleetOrders; o != nil {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if o.machine != nil {
 			close(o.stop)
-			o.machine, o.carrier = nil, nil
+			o.machine, o.transport = nil, nil
 		}
 	}
 }
 
-// withOrders gives the orders an input. What has come to hold is kept first, then in force here, and then told. In a turn what is in
+// updateExclusionOrders gives the orders an input. What has come to hold is kept first, then in force here, and then told. In a turn what is in
 // force is looked at in any case: the list of hosts may have changed.
-func (b *Balancer) withOrders(turn bool, input func(p *byhand.Machine, now byhand.Moment)) {
-	o := b.orders
+func (b *Balancer) updateExclusionOrders(turn bool, input func(p *byhand.Machine, now byhand.Moment)) {
+	o := b.fleetOrders
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine != nil {
 		input(o.machine, time.Since(o.epoch))
-		b.settleOrders(turn)
+		b.processOrders(turn)
 	}
 }
 
-// settleOrders does what an input brought. Under orders.mu.
-func (b *Balancer) settleOrders(turn bool) (kept error) {
-	o := b.orders
+// processOrders does what an input brought. Under orders.mu.
+func (b *Balancer) processOrders(turn bool) (kept error) {
+	o := b.fleetOrders
 	sends, news := o.machine.Out(), o.machine.News()
-	if len(news) > 0 || o.unkept {
-		if kept = handover.Save(o.file, o.machine.All()); kept != nil && !o.unkept {
+	if len(news) > 0 || o.unsaved {
+		if kept = handover.Save(o.file, o.machine.All()); kept != nil && !o.unsaved {
 			b.log.Warn().Err(kept).Str("file", o.file).Msg("the fleet's orders by hand cannot be kept, telling nobody that they hold here")
 		}
-		o.unkept = kept != nil
+		o.unsaved = kept != nil
 		for _, n := range news {
 			b.log.Info().Str("host", n.Host).Bool("out", n.Out).Str("door", n.Door).Uint64("count", n.Count).Msg("order by hand for the fleet")
 		}
 	}
 	if turn || len(news) > 0 {
-		b.force(o.machine.All())
+		b.enforceOrders(o.machine.All())
 	}
-	if o.unkept {
+	if o.unsaved {
 		return kept
 	}
 	for i := range sends {
-		o.carrier.Tell(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
+		o.transport.Tell(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
 	}
 	return nil
 }
 
-// force puts the orders in force here. Hosts without one stay as this balancer alone has them.
-func (b *Balancer) force(all []byhand.Order) {
+// enforceOrders puts the orders in force here. Hosts without one stay as this balancer alone has them.
+func (b *Balancer) enforceOrders(all []byhand.Order) {
 	if len(all) == 0 {
 		return
 	}
 	var now []string // by name, as what is wanted
 	listed := 0
-	b.decide(func() { now = b.excluded(); listed, _ = b.module.Fleet() })
-	want := b.orders.machine.Excluded(listed)
+	b.callPolicy(func() { now = b.excludedHosts(); listed, _ = b.policy.Fleet() })
+	want := b.fleetOrders.machine.Excluded(listed)
 	for _, one := range all {
 		_, out := slices.BinarySearch(want, one.Host)
 		if _, is := slices.BinarySearch(now, one.Host); out != is {
-			if err := b.ban(policy.CacheID(one.Host), out, true); err != nil {
+			if err := b.setExclusion(policy.CacheID(one.Host), out, true); err != nil {
 				b.log.Warn().Err(err).Str("host", one.Host).Msg("an order by hand is not in force in both processes of the upgrade")
 			}
 		}
 	}
 }
 
-// order takes an operator's order for the whole fleet. It returns once the order is kept and in force here, and has waited for others as
+// giveFleetOrder takes an operator's order for the whole fleet. It returns once the order is kept and in force here, and has waited for others as
 // long as it was told.
-func (b *Balancer) order(id string, out bool, how admin.How) (told string, err error) {
-	o := b.orders
+func (b *Balancer) giveFleetOrder(id string, out bool, how admin.How) (told string, err error) {
+	o := b.fleetOrders
 	known, listed := false, 0
-	b.decide(func() { known = b.module.Knows(policy.CacheID(id)); listed, _ = b.module.Fleet() })
+	b.callPolicy(func() { known = b.policy.Knows(policy.CacheID(id)); listed, _ = b.policy.Fleet() })
 	if !known {
 		return "", admin.ErrNobody
 	}
@@ -165,10 +167,10 @@
 	}
 	_, err = o.machine.Give(id, out, how.Force, listed)
 	if err == nil {
-		o.given = time.Now()
-		members, _ := o.carrier.Members()
+		o.lastOrderAt = time.Now()
+		members, _ := o.transport.Members()
 		o.machine.Tick(time.Since(o.epoch), members, true)
-		err = b.settleOrders(false)
+		err = b.processOrders(false)
 	}
 	o.mu.Unlock()
 	switch {
@@ -177,8 +179,8 @@
 	case err != nil:
 		return "", fmt.Errorf("in force here, not kept and not told to others: %w", err)
 	}
-	have, missing := b.confirmed()
-	for until := time.Now().Add(how.Wait); len(missing) > 0 && time.Now().Before(until); have, missing = b.confirmed() {
+	have, missing := b.orderConfirmations()
+	for until := time.Now().Add(how.Wait); len(missing) > 0 && time.Now().Before(until); have, missing = b.orderConfirmations() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	if n := len(missing); n > 0 {
@@ -187,16 +189,16 @@
 	return fmt.Sprintf(", confirmed by all %d others", have), nil
 }
 
-// confirmed is how many others are known to hold what is held here, and the names of those that are not, the dead among them: they
+// orderConfirmations is how many others are known to hold what is held here, and the names of those that are not, the dead among them: they
 // may be cut off, and in use.
-func (b *Balancer) confirmed() (have int, missing []string) {
-	o := b.orders
+func (b *Balancer) orderConfirmations() (have int, missing []string) {
+	o := b.fleetOrders
 	o.mu.Lock()
 	if o.machine == nil {
 		o.mu.Unlock()
 		return 0, nil
 	}
-	lives, c := o.machine.Confirmed(), o.carrier
+	lives, c := o.machine.Confirmed(), o.transport
 	o.mu.Unlock()
 	present := map[string]bool{} // by name: it has confirmed
 	for _, m := range c.View().Members {
@@ -215,27 +217,27 @@
 }
 
 // Orders are what the door shows of them.
-func (d door) Orders() (to admin.Orders, err error) {
-	if _, err = d.b.speaker(); err != nil {
+func (d adminAPI) Orders() (to admin.Orders, err error) {
+	if _, err = d.b.fleetTransport(); err != nil {
 		return to, err
 	}
-	o := d.b.orders
+	o := d.b.fleetOrders
 	if o == nil {
 		return to, admin.ErrNoOrders
 	}
-	_, missing := d.b.confirmed()
+	_, missing := d.b.orderConfirmations()
 	listed := 0
-	d.b.decide(func() { listed, _ = d.b.module.Fleet() })
+	d.b.callPolicy(func() { listed, _ = d.b.policy.Fleet() })
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine == nil {
 		return to, admin.ErrHanded
 	}
-	to = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unkept, Missing: append([]string{}, missing...), Orders: []admin.Order{},
+	to = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
 		Conflicts: []admin.Conflict{}}
 	want := o.machine.Excluded(listed)
 	show := func(x byhand.Order) admin.Order {
-		return admin.Order{Host: x.Host, Out: x.Out, Force: x.Force, InForce: slices.Contains(want, x.Host) == x.Out, Door: x.Door, Count: x.Count, By: life(x.By)}
+		return admin.Order{Host: x.Host, Out: x.Out, Force: x.Force, InForce: slices.Contains(want, x.Host) == x.Out, Door: x.Door, Count: x.Count, By: formatLife(x.By)}
 	}
 	for _, x := range o.machine.All() {
 		to.Orders = append(to.Orders, show(x))
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawOf gives access to the system's socket behind a connection or a listener; nil where there is none.
-func rawOf(socket any) syscall.RawConn {
+// rawConnOf gives access to the system's socket behind a connection or a listener; nil where there is none.
+func rawConnOf(socket any) syscall.RawConn {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
 		return nil
@@ -19,8 +19,8 @@
 	return raw
 }
 
-// pollNow asks the system which of some events stand at a socket, without a wait. An error tells that it does not know.
-func pollNow(raw syscall.RawConn, events int16) (standing int16, err error) {
+// pollEvents asks the system which of some events stand at a socket, without a wait. An error tells that it does not know.
+func pollEvents(raw syscall.RawConn, events int16) (standing int16, err error) {
 	failed := raw.Control(func(fd uintptr) {
 		state := []unix.PollFd{{Fd: int32(fd), Events: events}}
 		_, err = unix.Poll(state, 0)
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -18,341 +18,345 @@
 	"streamrail/policy"
 )
 
-// client is one connection of a client; its goroutine runs serve.
-type client struct {
-	net       net.Conn
-	in        *bufio.Reader
-	opened    time.Time
-	readAt    atomic.Int64 // nanoseconds after opened, when the last bytes had arrived
-	due       time.Time    // when the command that has begun must be whole
-	within    atomic.Bool  // a command has begun to come
-	used      atomic.Bool  // it has carried a command
-	proven    atomic.Bool  // it has carried a request, if only one that was turned away
-	reused    atomic.Bool  // it has carried several
-	idleSince atomic.Int64 // nanoseconds after opened, and one; 0 while anything is in hand
-	outOfRoom atomic.Bool  // it makes room for others
-	seated    bool         // it is served; under the mu of clients
-	counted   bool         // among the proven; the same
-	receiver  *receiver
-	lastByte  time.Time     // when the last byte that was read had arrived
-	ahead     ahead         // read while the reader waited for something else
-	over      atomic.Bool   // no further command is taken
-	ended     atomic.Bool   // all is answered, and what still comes is passed over
-	gone      chan struct{} // closed when the client has gone away
-	goneOnce  sync.Once
-	last      chan struct{} // closed when the last command is answered
-	behind    chan struct{} // holds one for each request in hand
+// clientConn is one connection of a client; its goroutine runs serve.
+type clientConn struct {
+	conn            net.Conn
+	reader          *bufio.Reader
+	openedAt        time.Time
+	lastReadNanos   atomic.Int64 // nanoseconds after opened, when the last bytes had arrived
+	commandDeadline time.Time    // when the command that has begun must be whole
+	inCommand       atomic.Bool  // a command has begun to come
+	carriedCommand  atomic.Bool  // it has carried a command
+	carriedRequest  atomic.Bool  // it has carried a request, if only one that was turned away
+	carriedSeveral  atomic.Bool  // it has carried several
+	idleSinceNanos  atomic.Int64 // nanoseconds after opened, and one; 0 while anything is in hand
+	evicted         atomic.Bool  // it makes room for others
+	served          bool         // it is served; under the mu of clients
+	countedActive   bool         // among the proven; the same
+	receiver        *receiver
+	lastByteAt      time.Time       // when the last byte that was read had arrived
+	readAheadBuf    readAheadBuffer // read while the reader waited for something else
+	noMoreCommands  atomic.Bool     // no further command is taken
+	discarding      atomic.Bool     // all is answered, and what still comes is passed over
+	gone            chan struct{}   // closed when the client has gone away
+	goneOnce        sync.Once
+	lastAnswered    chan struct{} // closed when the last command is answered
+	inFlight        chan struct{} // holds one for each request in hand
 }
 
 const (
-	commandWait = 2500 * time.Millisecond // for the whole of a command
-	firstWait   = 2500 * time.Millisecond // for the first one, from when the connection was opened
-	mostBehind  = 32                      // requests of one connection in hand
+	maxCommandTime      = 2500 * time.Millisecond // for the whole of a command
+	maxFirstCommandWait = 2500 * time.Millisecond // for the first one, from when the connection was opened
+	maxInFlightPerConn  = 32                      // requests of one connection in hand
 )
 
-// newClient serves a connection on which nothing had arrived at a moment.
-func newClient(conn net.Conn, stalls *stall.Detector, emptyAt time.Time) *client {
-	c := &client{net: conn, receiver: newReceiver(conn, stalls, emptyAt), opened: time.Now(), gone: make(chan struct{}), last: make(chan struct{}), behind: make(chan struct{}, mostBehind)}
-	close(c.last)
-	c.noteIdle(c.opened)
-	c.in = bufio.NewReaderSize(c, memcache.MostLine)
+// newClientConn serves a connection on which nothing had arrived at a moment.
+func newClientConn(conn net.Conn, stalls *stall.Detector, emptyAt time.Time) *clientConn {
+	c := &clientConn{conn: conn, receiver: newReceiver(conn, stalls, emptyAt), openedAt: time.Now(), gone: make(chan struct{}), lastAnswered: make(chan struct{}), inFlight: make(chan struct{}, maxInFlightPerConn)}
+	close(c.lastAnswered)
+	c.noteIdle(c.openedAt)
+	c.reader = bufio.NewReaderSize(c, memcache.MostLine)
 	return c
 }
 
-// rests notes since when the connection stands idle, if it does.
-func (c *client) rests() {
-	if !c.within.Load() && len(c.behind) == 0 {
+// noteIfIdle notes since when the connection stands idle, if it does.
+func (c *clientConn) noteIfIdle() {
+	if !c.inCommand.Load() && len(c.inFlight) == 0 {
 		c.noteIdle(time.Now())
 	}
 }
 
 // noteIdle notes that the connection stands idle from a moment on.
-func (c *client) noteIdle(at time.Time) { c.idleSince.Store(int64(at.Sub(c.opened)) + 1) }
+func (c *clientConn) noteIdle(at time.Time) { c.idleSinceNanos.Store(int64(at.Sub(c.openedAt)) + 1) }
 
-// idleFrom tells since when the connection stands idle; false while anything is in hand.
-func (c *client) idleFrom() (at time.Time, idle bool) {
-	since := c.idleSince.Load()
-	return c.opened.Add(time.Duration(since - 1)), since != 0
+// idleSinceNanos tells since when the connection stands idle; false while anything is in hand.
+func (c *clientConn) idleSince() (at time.Time, idle bool) {
+	since := c.idleSinceNanos.Load()
+	return c.openedAt.Add(time.Duration(since - 1)), since != 0
 }
 
 // interrupt ends the wait for the next command. A command that has begun to come is still read.
-func (c *client) interrupt() {
-	if !c.ended.Load() { // else its end would be cut short
-		c.net.SetReadDeadline(longAgo)
+func (c *clientConn) interrupt() {
+	if !c.discarding.Load() { // else its end would be cut short
+		c.conn.SetReadDeadline(pastDeadline)
 	}
 }
 
 // Read notes when what it reads had arrived, and goes on with a command that has begun when the connection is woken.
-func (c *client) Read(p []byte) (int, error) {
-	n, at, none, err := c.ahead.take(p)
+func (c *clientConn) Read(p []byte) (int, error) {
+	n, at, none, err := c.readAheadBuf.take(p)
 	if !none {
 		if n > 0 {
-			c.readAt.Store(int64(at.Sub(c.opened)))
-			c.lastByte = at
+			c.lastReadNanos.Store(int64(at.Sub(c.openedAt)))
+			c.lastByteAt = at
 		}
 		return n, err
 	}
 	n, at, err = c.receiver.read(p)
-	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.within.Load() && !c.outOfRoom.Load() && !c.over.Load() && time.Now().Before(c.due) {
-		c.net.SetReadDeadline(c.due)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.inCommand.Load() && !c.evicted.Load() && !c.noMoreCommands.Load() && time.Now().Before(c.commandDeadline) {
+		c.conn.SetReadDeadline(c.commandDeadline)
 		n, at, err = c.receiver.read(p)
 	}
 	if n > 0 {
-		c.readAt.Store(int64(at.Sub(c.opened)))
-		c.lastByte = c.receiver.lastByte
+		c.lastReadNanos.Store(int64(at.Sub(c.openedAt)))
+		c.lastByteAt = c.receiver.lastByteAt
 	}
 	return n, err
 }
 
-// lastRead is when the last bytes had arrived, at the earliest: what stood unread for long arrived long ago.
-func (c *client) lastRead() time.Time { return c.opened.Add(time.Duration(c.readAt.Load())) }
+// lastReadTime is when the last bytes had arrived, at the earliest: what stood unread for long arrived long ago.
+func (c *clientConn) lastReadTime() time.Time {
+	return c.openedAt.Add(time.Duration(c.lastReadNanos.Load()))
+}
 
-// arrival is when the last byte of the command in hand had arrived. Where others stand behind it, it may have come before them.
-func (c *client) arrival() time.Time {
-	if c.in.Buffered() == 0 {
-		return c.lastByte
+// commandArrival is when the last byte of the command in hand had arrived. Where others stand behind it, it may have come before them.
+func (c *clientConn) commandArrival() time.Time {
+	if c.reader.Buffered() == 0 {
+		return c.lastByteAt
 	}
-	return c.lastRead()
+	return c.lastReadTime()
 }
 
-// until tells when the next command must have begun to come; while an answer is due that moves on.
-func (c *client) until(p Phase) time.Time {
-	at, idle := c.idleFrom()
+// idleDeadline tells when the next command must have begun to come; while an answer is due that moves on.
+func (c *clientConn) idleDeadline(p Phase) time.Time {
+	at, idle := c.idleSince()
 	switch {
 	case p >= Draining:
-		return time.Now().Add(fresh)
-	case !c.used.Load():
-		return c.opened.Add(firstWait)
+		return time.Now().Add(unusedConnGrace)
+	case !c.carriedCommand.Load():
+		return c.openedAt.Add(maxFirstCommandWait)
 	case !idle:
-		return time.Now().Add(idleMost)
+		return time.Now().Add(maxIdleTime)
 	}
-	return at.Add(idleMost)
+	return at.Add(maxIdleTime)
 }
 
-// awaits sets how long the next command may take to come.
-func (c *client) awaits(p Phase) { c.net.SetReadDeadline(c.until(p)) }
+// applyIdleDeadline sets how long the next command may take to come.
+func (c *clientConn) applyIdleDeadline(p Phase) { c.conn.SetReadDeadline(c.idleDeadline(p)) }
 
-// waited tells that the wait for the next command is over, not that an answer took long.
-func (c *client) waited() bool { return c.outOfRoom.Load() || !time.Now().Before(c.until(Serving)) }
+// idleDeadlinePassed tells that the wait for the next command is over, not that an answer took long.
+func (c *clientConn) idleDeadlinePassed() bool {
+	return c.evicted.Load() || !time.Now().Before(c.idleDeadline(Serving))
+}
 
-// serve reads the commands of one connection. Each request lives in a goroutine of its own, so that this one
+// serveClient reads the commands of one connection. Each request lives in a goroutine of its own, so that this one
 // hears when the client goes away.
-func (b *Balancer) serve(c *client) {
-	defer b.clients.leave(c)
-	c.ahead.b = b
-	defer c.ahead.drop()
+func (b *Balancer) serveClient(c *clientConn) {
+	defer b.clients.remove(c)
+	c.readAheadBuf.balancer = b
+	defer c.readAheadBuf.release()
 	for {
-		for b.command(c) && b.in() <= Leaving {
+		for b.handleCommand(c) && b.currentPhase() <= Leaving {
 		}
-		c.awaitAnswered() // what is in hand first; the answers to a client that has gone are not waited for
-		if c.over.Load() || c.hasLeft() || !c.look() {
+		c.awaitAnswers() // what is in hand first; the answers to a client that has gone are not waited for
+		if c.noMoreCommands.Load() || c.hasLeft() || !c.pollInput() {
 			break // else what has come meanwhile is taken too
 		}
 	}
-	c.finish()
+	c.closeGracefully()
 }
 
-// command takes the next command; false where none follows it for now, or ever.
-func (b *Balancer) command(c *client) bool {
+// handleCommand takes the next command; false where none follows it for now, or ever.
+func (b *Balancer) handleCommand(c *clientConn) bool {
 	if c.hasLeft() { // what it left behind is not begun
-		return c.end()
+		return c.stopCommands()
 	}
 	if !b.awaitCommand(c) {
 		return false
 	}
-	request, fault, more := b.readCommand(c)
-	if request == nil {
+	req, fault, more := b.readCommand(c)
+	if req == nil {
 		return more
 	}
-	return b.admit(request, fault)
+	return b.admit(req, fault)
 }
 
 // awaitCommand waits until a command has begun to come; false where none follows.
-func (b *Balancer) awaitCommand(c *client) bool {
-	c.within.Store(false)
-	c.awaits(b.in())
-	c.rests() // after that: who interrupts a connection at rest must not be overruled
-	if b.in() >= Draining {
-		c.awaits(Draining)
+func (b *Balancer) awaitCommand(c *clientConn) bool {
+	c.inCommand.Store(false)
+	c.applyIdleDeadline(b.currentPhase())
+	c.noteIfIdle() // after that: who interrupts a connection at rest must not be overruled
+	if b.currentPhase() >= Draining {
+		c.applyIdleDeadline(Draining)
 	}
-	if c.over.Load() {
-		return c.end()
+	if c.noMoreCommands.Load() {
+		return c.stopCommands()
 	}
-	_, err := c.in.Peek(1)
-	for errors.Is(err, os.ErrDeadlineExceeded) && b.in() <= Leaving && !c.waited() && !c.over.Load() {
-		c.awaits(Serving)
-		_, err = c.in.Peek(1)
+	_, err := c.reader.Peek(1)
+	for errors.Is(err, os.ErrDeadlineExceeded) && b.currentPhase() <= Leaving && !c.idleDeadlinePassed() && !c.noMoreCommands.Load() {
+		c.applyIdleDeadline(Serving)
+		_, err = c.reader.Peek(1)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		// Woken without a look at what has come: closing now would lose a request that the machine has taken.
-		if c.over.Load() || !c.look() {
-			return c.end()
+		if c.noMoreCommands.Load() || !c.pollInput() {
+			return c.stopCommands()
 		}
-		_, err = c.in.Peek(1)
+		_, err = c.reader.Peek(1)
 	}
 	if err != nil {
-		return c.lost(err)
+		return c.connectionLost(err)
 	}
 	return true
 }
 
 // readCommand reads a command's line. What is no request is answered here: request is nil then, and more tells whether a further
 // command may follow. A request comes with what is wrong with it, if anything.
-func (b *Balancer) readCommand(c *client) (request *call, fault *memcache.Fault, more bool) {
-	c.within.Store(true)
-	c.due = time.Now().Add(commandWait)
-	if !c.used.Swap(true) {
-		c.due = c.opened.Add(firstWait)
-	}
-	c.net.SetReadDeadline(c.due)
-	c.idleSince.Store(0)
-	c.outOfRoom.Store(false)
-	line, err := c.in.ReadSlice('\n')
+func (b *Balancer) readCommand(c *clientConn) (req *clientRequest, fault *memcache.Fault, more bool) {
+	c.inCommand.Store(true)
+	c.commandDeadline = time.Now().Add(maxCommandTime)
+	if !c.carriedCommand.Swap(true) {
+		c.commandDeadline = c.openedAt.Add(maxFirstCommandWait)
+	}
+	c.conn.SetReadDeadline(c.commandDeadline)
+	c.idleSinceNanos.Store(0)
+	c.evicted.Store(false)
+	line, err := c.reader.ReadSlice('\n')
 	switch {
 	case err == bufio.ErrBufferFull:
-		return nil, nil, c.part(memcache.TooLong.Line())
+		return nil, nil, c.replyAndStop(memcache.TooLong.Line())
 	case err != nil:
-		return nil, nil, c.lost(err)
+		return nil, nil, c.connectionLost(err)
 	}
 	line = bytes.TrimSuffix(line[:len(line)-1], []byte("\r"))
-	request = &call{client: c, b: b, arrived: c.arrival()}
-	request.Command, fault = memcache.Parse(append(request.line[:0], line...))
+	req = &clientRequest{client: c, b: b, arrived: c.commandArrival()}
+	req.Command, fault = memcache.Parse(append(req.line[:0], line...))
 	switch {
 	case fault == memcache.Quit:
-		return nil, nil, c.end()
+		return nil, nil, c.stopCommands()
 	case fault != nil && fault.Lost:
-		return nil, nil, c.part(fault.Line())
-	case request.Noop && b.in() == Serving && b.knows.Load(): // a front sends to who says so
-		return nil, nil, c.say(memcache.Alive)
-	case request.Noop:
-		return nil, nil, c.say(memcache.NotServing)
+		return nil, nil, c.replyAndStop(fault.Line())
+	case req.Noop && b.currentPhase() == Serving && b.hasHostList.Load(): // a front sends to who says so
+		return nil, nil, c.writeReply(memcache.Alive)
+	case req.Noop:
+		return nil, nil, c.writeReply(memcache.NotServing)
 	}
-	return request, fault, true
+	return req, fault, true
 }
 
 // refuse answers a request that was not sent on, before the connection ends.
-func (c *client) refuse() bool {
-	c.say(string(memcache.AppendRateLimited(nil, 0)))
-	return c.end()
+func (c *clientConn) refuse() bool {
+	c.writeReply(string(memcache.AppendRateLimited(nil, 0)))
+	return c.stopCommands()
 }
 
 // admit reads a request's value, admits the request or answers it, and starts its life; false where no command follows.
-func (b *Balancer) admit(call *call, fault *memcache.Fault) bool {
-	c := call.client
-	if call.Write && call.Length > upstream.Whole && c.over.Load() { // ended before its value has come
+func (b *Balancer) admit(req *clientRequest, fault *memcache.Fault) bool {
+	c := req.client
+	if req.Write && req.Length > upstream.Whole && c.noMoreCommands.Load() { // ended before its value has come
 		return c.refuse()
 	}
-	started, admitted := false, b.open.Add(1) <= b.mostInHand.Load() && b.clients.room(c)
-	long := call.Write && fault == nil && call.Length > upstream.Whole
-	room := call.Length
+	started, admitted := false, b.inFlight.Add(1) <= b.maxInFlight.Load() && b.clients.makeRoomFor(c)
+	long := req.Write && fault == nil && req.Length > upstream.Whole
+	room := req.Length
 	if long {
 		room = upstream.PieceBytes
 	}
-	admitted = admitted && (!call.Write || fault != nil || call.hold(room))
+	admitted = admitted && (!req.Write || fault != nil || req.reserveMemory(room))
 	defer func() {
 		if !started {
-			b.open.Add(-1)
-			b.held.Add(-call.held.Load())
+			b.inFlight.Add(-1)
+			b.valueBytes.Add(-req.heldBytes.Load())
 		}
 	}()
 	if long {
-		fault = b.place(call)
+		fault = b.resolveNames(req)
 	}
-	if long = long && fault == nil && admitted && b.claim(call); long {
-		call.upload = newUpload(call)
-	} else if call.Write {
-		whole, err := call.readValue(admitted && fault == nil)
+	if long = long && fault == nil && admitted && b.claimID(req); long {
+		req.upload = newUpload(req)
+	} else if req.Write {
+		whole, err := req.readValue(admitted && fault == nil)
 		if err != nil {
-			return c.lost(err)
+			return c.connectionLost(err)
 		}
 		if !whole {
-			return c.part(memcache.BadChunk.Line())
+			return c.replyAndStop(memcache.BadChunk.Line())
 		}
-		call.arrived = c.arrival()
+		req.arrived = c.commandArrival()
 	}
-	if c.over.Load() && !long { // ended while this was read: nothing is sent on any more
+	if c.noMoreCommands.Load() && !long { // ended while this was read: nothing is sent on any more
 		return c.refuse()
 	}
 	if fault == nil {
-		fault = b.place(call)
+		fault = b.resolveNames(req)
 	}
-	if fault == nil && admitted && !long && !b.claim(call) {
+	if fault == nil && admitted && !long && !b.claimID(req) {
 		fault = memcache.IDInHand
 	}
 	if fault != nil {
-		return c.say(fault.Line())
+		return c.writeReply(fault.Line())
 	}
-	b.clients.proves(c)
+	b.clients.noteRequest(c)
 	if !admitted {
-		said := c.say(string(memcache.AppendRateLimited(nil, 0)))
+		said := c.writeReply(string(memcache.AppendRateLimited(nil, 0)))
 		if said {
-			b.figures.answered(call.product, rateLimited)
+			b.answerStats.countAnswer(req.product, rateLimited)
 		}
 		return said
 	}
 	started = true
 	if !long { // its deadline follows from its last byte
-		call.deadline = deadline.After(call.arrived, call.Left)
+		req.deadline = deadline.After(req.arrived, req.Left)
 	}
-	b.figures.inHand.Add(1)
-	call.turn, call.answered = c.last, make(chan struct{})
-	c.last = call.answered
+	b.answerStats.unanswered.Add(1)
+	req.previousAnswered, req.answered = c.lastAnswered, make(chan struct{})
+	c.lastAnswered = req.answered
 	select {
-	case c.behind <- struct{}{}:
+	case c.inFlight <- struct{}{}:
 	default:
-		c.listen(func() { c.behind <- struct{}{} })
+		c.watchForClose(func() { c.inFlight <- struct{}{} })
 	}
-	b.start(call)
+	b.startRequest(req)
 	if long {
-		return call.upload.rest()
+		return req.upload.skipRemaining()
 	}
 	return true
 }
 
-// place finds the product and the customer by their names.
-func (b *Balancer) place(c *call) *memcache.Fault {
+// resolveNames finds the product and the customer by their names.
+func (b *Balancer) resolveNames(c *clientRequest) *memcache.Fault {
 	var known bool
-	if c.product, known = b.told.Products[string(c.Product)]; !known {
+	if c.product, known = b.deployment.Products[string(c.Product)]; !known {
 		return memcache.UnknownProduct
 	}
-	if c.customer, known = b.told.Customers[string(c.Customer)]; !known && len(b.told.Customers) > 0 {
+	if c.customer, known = b.deployment.Customers[string(c.Customer)]; !known && len(b.deployment.Customers) > 0 {
 		return memcache.UnknownCustomer
 	}
-	if c.Write && len(c.Mark) == 0 && b.told.Terms.Products[c.product].Effect == policy.Deduplicated {
+	if c.Write && len(c.Mark) == 0 && b.deployment.Terms.Products[c.product].Effect == policy.Deduplicated {
 		return memcache.NoMark // a host could not tell its repeat
 	}
 	return nil
 }
 
-// claims are the ids that clients gave their requests in hand.
-type claims struct {
+// idSet are the ids that clients gave their requests in hand.
+type idSet struct {
 	mu    sync.Mutex
-	taken map[string]struct{}
+	inUse map[string]struct{}
 }
 
-// claim takes the call's id; false where another request in hand has it. Hosts know an attempt by that id, and would
+// claimID takes the call's id; false where another request in hand has it. Hosts know an attempt by that id, and would
 // take one of two for the other's repeat.
-func (b *Balancer) claim(c *call) bool {
-	b.ids.mu.Lock()
-	defer b.ids.mu.Unlock()
-	if _, taken := b.ids.taken[string(c.ID)]; taken {
+func (b *Balancer) claimID(c *clientRequest) bool {
+	b.requestIDs.mu.Lock()
+	defer b.requestIDs.mu.Unlock()
+	if _, taken := b.requestIDs.inUse[string(c.ID)]; taken {
 		return false
 	}
-	b.ids.taken[string(c.ID)] = struct{}{}
+	b.requestIDs.inUse[string(c.ID)] = struct{}{}
 	return true
 }
 
-// unclaim leaves the call's id to others.
-func (b *Balancer) unclaim(c *call) {
-	b.ids.mu.Lock()
-	defer b.ids.mu.Unlock()
-	delete(b.ids.taken, string(c.ID))
+// releaseID leaves the call's id to others.
+func (b *Balancer) releaseID(c *clientRequest) {
+	b.requestIDs.mu.Lock()
+	defer b.requestIDs.mu.Unlock()
+	delete(b.requestIDs.inUse, string(c.ID))
 }
 
 // readValue reads a write's value, or passes over it; whole tells that its line end stands where it should.
-func (c *call) readValue(keep bool) (whole bool, err error) {
-	in := c.client.in
-	c.client.patient()
+func (c *clientRequest) readValue(keep bool) (whole bool, err error) {
+	in := c.client.reader
+	c.client.extendValueDeadline()
 	if !keep {
 		if _, err = in.Discard(c.Length); err != nil {
 			return false, err
@@ -370,31 +374,31 @@
 	return string(end[:]) == "\r\n", nil
 }
 
-// lost ends the connection. A client that has closed it has gone away, and with it what it asked for.
-func (c *client) lost(err error) bool {
+// connectionLost ends the connection. A client that has closed it has gone away, and with it what it asked for.
+func (c *clientConn) connectionLost(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.ahead.end = err
-		c.leaves()
+		c.readAheadBuf.err = err
+		c.markGone()
 	}
-	return c.end()
+	return c.stopCommands()
 }
 
-// end says that no further command is taken.
-func (c *client) end() bool {
-	c.over.Store(true)
+// stopCommands says that no further command is taken.
+func (c *clientConn) stopCommands() bool {
+	c.noMoreCommands.Store(true)
 	return false
 }
 
-// say answers a command that is no request, in its turn.
-func (c *client) say(text string) bool {
-	c.awaitAnswered()
-	c.net.SetWriteDeadline(time.Now().Add(replyWait))
-	_, err := io.WriteString(c.net, text)
+// writeReply answers a command that is no request, in its turn.
+func (c *clientConn) writeReply(text string) bool {
+	c.awaitAnswers()
+	c.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
+	_, err := io.WriteString(c.conn, text)
 	return err == nil
 }
 
-// part says a last word where the next command cannot be made out.
-func (c *client) part(text string) bool {
-	c.say(text)
-	return c.end()
+// replyAndStop says a last word where the next command cannot be made out.
+func (c *clientConn) replyAndStop(text string) bool {
+	c.writeReply(text)
+	return c.stopCommands()
 }
--- a/internal/balancer/read_test.go
+++ b/internal/balancer/read_test.go
@@ -12,8 +12,8 @@
 	"streamrail/policy"
 )
 
-// stand joins a client's end to a balancer that has no module: no request gets that far.
-func stand(t *testing.T) (*Balancer, *client, net.Conn) {
+// newBareBalancer joins a client's end to a balancer that has no module: no request gets that far.
+func newBareBalancer(t *testing.T) (*Balancer, *clientConn, net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -29,22 +29,22 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	b := &Balancer{told: &deployment.Deployment{Products: map[string]policy.Product{"pay": 0},
-		Terms: policy.Terms{Products: make([]policy.ProductTerms, 1)}}, clients: newClients(1)}
-	b.figures = newFigures(b.told)
-	b.clients.limit(1, 1)
-	b.knows.Store(true)
+	b := &Balancer{deployment: &deployment.Deployment{Products: map[string]policy.Product{"pay": 0},
+		Terms: policy.Terms{Products: make([]policy.ProductTerms, 1)}}, clients: newClientConns(1)}
+	b.answerStats = newAnswerStats(b.deployment)
+	b.clients.setLimits(1, 1)
+	b.hasHostList.Store(true)
 	b.phase.Store(int32(Serving))
-	return b, newClient(conn, stall.New(time.Now()), time.Now()), peer
+	return b, newClientConn(conn, stall.New(time.Now()), time.Now()), peer
 }
 
 // A connection that is woken to close may hold a command that has come by then: closing without a look would
 // lose a request that this machine has taken.
-func TestLastLook(t *testing.T) {
-	b, c, peer := stand(t)
+func TestCommandReadBeforeClosing(t *testing.T) {
+	b, c, peer := newBareBalancer(t)
 	io.WriteString(peer, "mn\r\n")
 	c.interrupt()
-	if !b.command(c) {
+	if !b.handleCommand(c) {
 		t.Fatal("closed with a command unread")
 	}
 	if got, _ := bufio.NewReader(peer).ReadString('\n'); got != "MN\r\n" {
@@ -52,15 +52,15 @@
 	}
 }
 
-// TestLongWriteAtTheEnd ends a connection between the head of a long write and its value: what was read gets its answer, and that is
+// TestLongWriteAtConnectionEnd ends a connection between the head of a long write and its value: what was read gets its answer, and that is
 // harmless, as nothing of it was sent on.
-func TestLongWriteAtTheEnd(t *testing.T) {
-	b, c, peer := stand(t)
-	b.mostInHand.Store(1)
+func TestLongWriteAtConnectionEnd(t *testing.T) {
+	b, c, peer := newBareBalancer(t)
+	b.maxInFlight.Store(1)
 	more := make(chan bool, 1)
-	go func() { more <- b.command(c) }()
+	go func() { more <- b.handleCommand(c) }()
 	time.Sleep(20 * time.Millisecond) // it waits for the head by now; if not, the command is not read and there is no answer
-	c.over.Store(true)
+	c.noMoreCommands.Store(true)
 	io.WriteString(peer, "ms k 100000 O1 Pc=pay,d=900,k=1\r\n")
 	if got, _ := bufio.NewReader(peer).ReadString('\n'); got != "SERVER_ERROR busy\r\n" {
 		t.Errorf("got %q", got)
@@ -72,14 +72,14 @@
 
 // A product or customer that the settings do not name has no terms: it is answered, and the connection goes on.
 func TestUnknownNames(t *testing.T) {
-	b, c, peer := stand(t)
-	b.told.Customers = map[string]policy.Customer{"acme": 0}
-	b.mostInHand.Store(1)
+	b, c, peer := newBareBalancer(t)
+	b.deployment.Customers = map[string]policy.Customer{"acme": 0}
+	b.maxInFlight.Store(1)
 	in := bufio.NewReader(peer)
 	for _, row := range [][2]string{{"Pc=none,t=acme,d=9", "CLIENT_ERROR unknown product\r\n"},
 		{"Pc=pay,t=none,d=9", "CLIENT_ERROR unknown customer\r\n"}, {"Pc=pay,d=9", "CLIENT_ERROR unknown customer\r\n"}} {
 		io.WriteString(peer, "mg k v O1 "+row[0]+"\r\n")
-		if !b.command(c) {
+		if !b.handleCommand(c) {
 			t.Fatal("the connection ends")
 		}
 		if got, _ := in.ReadString('\n'); got != row[1] {
@@ -90,12 +90,12 @@
 
 // With as much in hand as the memory allows, a write gets a prompt harmless answer, its value is passed over and
 // the next command is found: held in memory, values would get the balancer killed with all that it holds.
-func TestHandsFull(t *testing.T) {
-	b, c, peer := stand(t) // its limit is none at all
-	b.mostHeld.Store(100)
+func TestWriteRefusedWithoutMemory(t *testing.T) {
+	b, c, peer := newBareBalancer(t) // its limit is none at all
+	b.maxValueBytes.Store(100)
 	io.WriteString(peer, "ms k 7 O1 Pc=pay,d=900\r\nmn\r\nmn\r\r\nmn\r\n")
 	for range 2 {
-		if !b.command(c) {
+		if !b.handleCommand(c) {
 			t.Fatal("the connection ends")
 		}
 	}
@@ -105,16 +105,16 @@
 			t.Errorf("got %q, expected %q", got, want)
 		}
 	}
-	b.mostInHand.Store(9)
-	b.mostHeld.Store(6) // no room for the value's bytes
+	b.maxInFlight.Store(9)
+	b.maxValueBytes.Store(6) // no room for the value's bytes
 	io.WriteString(peer, "ms k 7 O1 Pc=pay,d=900\r\n1234567\r\n")
-	if !b.command(c) {
+	if !b.handleCommand(c) {
 		t.Fatal("the connection ends")
 	}
 	if got, _ := in.ReadString('\n'); got != "SERVER_ERROR busy\r\n" {
 		t.Errorf("got %q", got)
 	}
-	if n, held := b.open.Load(), b.held.Load(); n != 0 || held != 0 {
+	if n, held := b.inFlight.Load(), b.valueBytes.Load(); n != 0 || held != 0 {
 		t.Errorf("%d still count as in hand, with %d bytes", n, held)
 	}
 }
--- a/internal/balancer/reply.go
+++ b/internal/balancer/reply.go
@@ -7,43 +7,43 @@
 	"streamrail/internal/memcache"
 )
 
-// replyWait bounds how long a client may leave an answer unread.
-const replyWait = 5 * time.Second
+// replyTimeout bounds how long a client may leave an answer unread.
+const replyTimeout = 5 * time.Second
 
 // fulfil passes on the value or the receipt that a host gave for this request.
-func (c *call) fulfil(body []byte) {
+func (c *clientRequest) fulfil(body []byte) {
 	if c.Write {
-		c.answer(fulfilled, memcache.AppendReceipt(nil, c.ID, body))
+		c.writeAnswer(fulfilled, memcache.AppendReceipt(nil, c.ID, body))
 	} else {
-		c.answer(fulfilled, memcache.AppendValue(nil, c.ID, len(body)), body, []byte("\r\n"))
+		c.writeAnswer(fulfilled, memcache.AppendValue(nil, c.ID, len(body)), body, []byte("\r\n"))
 	}
 }
 
-func (c *call) rateLimit(o order) {
-	c.b.tally.rateLimited.Add(1)
-	c.answer(rateLimited, memcache.AppendRateLimited(nil, o.comeBack))
+func (c *clientRequest) answerRateLimited(o action) {
+	c.b.traffic.rateLimited.Add(1)
+	c.writeAnswer(rateLimited, memcache.AppendRateLimited(nil, o.retryAfter))
 }
 
-func (c *call) errored(order) {
-	c.b.tally.errored.Add(1)
-	c.answer(errored, []byte(memcache.NoAnswer))
+func (c *clientRequest) answerErrored(action) {
+	c.b.traffic.errored.Add(1)
+	c.writeAnswer(errored, []byte(memcache.NoAnswer))
 }
 
-// answer writes the final answer in its turn.
-func (c *call) answer(as final, parts ...[]byte) {
+// writeAnswer writes the final answer in its turn.
+func (c *clientRequest) writeAnswer(as finalAnswer, parts ...[]byte) {
 	defer close(c.answered)
-	defer c.b.figures.inHand.Add(-1)
+	defer c.b.answerStats.unanswered.Add(-1)
 	select {
-	case <-c.turn:
+	case <-c.previousAnswered:
 	case <-c.client.gone:
 		return
 	}
-	c.client.net.SetWriteDeadline(time.Now().Add(replyWait))
+	c.client.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
 	buffers := net.Buffers(parts)
-	if _, err := buffers.WriteTo(c.client.net); err != nil {
-		c.client.cut()
+	if _, err := buffers.WriteTo(c.client.conn); err != nil {
+		c.client.abortAnswer()
 		return
 	}
-	c.b.figures.answered(c.product, as)
-	c.b.noteLate(c, as)
+	c.b.answerStats.countAnswer(c.product, as)
+	c.b.recordLateAnswer(c, as)
 }
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	reportEvery = 10 * time.Second
-	boundLeast  = 5 // refusals by a bound on connections in that time: fewer is a burst that passed
+	reportInterval   = 10 * time.Second
+	minBoundRefusals = 5 // refusals by a bound on connections in that time: fewer is a burst that passed
 )
 
-// tally counts what became of requests and attempts since the start.
-type tally struct {
+// trafficStats counts what became of requests and attempts since the start.
+type trafficStats struct {
 	fulfilled, rateLimited, errored, abandoned atomic.Int64
 	// Under Balancer.mu.
 	attempts [policy.Unknown + 1]int64    // by outcome
 	hosts    map[policy.CacheID]*[2]int64 // attempts since the last report, and those that came to nothing
 }
 
-// attempt counts one that has ended.
-func (t *tally) attempt(at policy.CacheID, o policy.Outcome) {
+// countAttempt counts one that has ended.
+func (t *trafficStats) countAttempt(at policy.CacheID, o policy.Outcome) {
 	t.attempts[o]++
 	h := t.hosts[at]
 	if h == nil {
@@ -39,13 +39,13 @@
 var outcomeNames = [...]string{"fulfilled", "errored", "turned_away", "timed_out", "connect_failed", "reset",
 	"cancelled", "never_sent", "missed", "spoilt", "unknown"}
 
-// report logs the tally; the differences of two lines are what happened between them.
-func (b *Balancer) report() {
+// logReport logs the tally; the differences of two lines are what happened between them.
+func (b *Balancer) logReport() {
 	var attempts [policy.Unknown + 1]int64
 	var hosts map[policy.CacheID]*[2]int64
-	b.decide(func() {
-		attempts, hosts = b.tally.attempts, b.tally.hosts
-		b.tally.hosts = map[policy.CacheID]*[2]int64{}
+	b.callPolicy(func() {
+		attempts, hosts = b.traffic.attempts, b.traffic.hosts
+		b.traffic.hosts = map[policy.CacheID]*[2]int64{}
 	})
 	for id, n := range hosts {
 		if n[1] >= 5 && n[1] > n[0]/10 { // fewer is what a healthy host shows now and then
@@ -53,7 +53,7 @@
 		}
 	}
 	for id, n := range b.hosts.Bound() {
-		if n >= boundLeast {
+		if n >= minBoundRefusals {
 			b.log.Warn().Str("host", string(id)).Int("shots", n).Msg("connections bound")
 		}
 	}
@@ -63,13 +63,13 @@
 			byOutcome.Int64(outcomeNames[i], n)
 		}
 	}
-	t, d := &b.tally, &b.delays
-	d.told.Store(0)
-	b.log.Info().Uint64("taken", b.taken.Load()).Int64("fulfilled", t.fulfilled.Load()).
+	t, d := &b.traffic, &b.delays
+	d.lateLogged.Store(0)
+	b.log.Info().Uint64("taken", b.requestCount.Load()).Int64("fulfilled", t.fulfilled.Load()).
 		Int64("rate_limited", t.rateLimited.Load()).Int64("errored", t.errored.Load()).
-		Int64("abandoned", t.abandoned.Load()).Dict("shots", byOutcome).Int64("in_hand", b.open.Load()).
+		Int64("abandoned", t.abandoned.Load()).Dict("shots", byOutcome).Int64("in_hand", b.inFlight.Load()).
 		Int("clients", b.clients.count()).Int("upstream", b.hosts.Open()).
 		Float64("after_told_ms", milliseconds(b.hosts.AfterTold())).
-		Float64("held_ms", milliseconds(d.held.recent())).Float64("waited_ms", milliseconds(d.waited.recent())).
-		Int64("late", d.late.Load()).Int64("guarded", d.guarded.Load()).Float64("latest_ms", milliseconds(d.latest.recent())).Msg("traffic")
+		Float64("held_ms", milliseconds(d.handling.takeRecent())).Float64("waited_ms", milliseconds(d.waiting.takeRecent())).
+		Int64("late", d.lateAnswers.Load()).Int64("guarded", d.answeredByTimer.Load()).Float64("latest_ms", milliseconds(d.lateBy.takeRecent())).Msg("traffic")
 }
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -16,20 +16,20 @@
 	"streamrail/policy"
 )
 
-// places calls do with each value in a tree of JSON, and with its path; set replaces it, drop takes it out.
-func places(v any, path string, do func(path string, set func(any), drop func())) {
+// visitValues calls do with each value in a tree of JSON, and with its path; set replaces it, drop takes it out.
+func visitValues(v any, path string, do func(path string, set func(any), drop func())) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
 			at := strings.TrimPrefix(path+"."+k, ".")
 			do(at, func(n any) { v[k] = n }, func() { delete(v, k) })
-			places(x, at, do)
+			visitValues(x, at, do)
 		}
 	case []any:
 		for i, x := range v {
 			at := fmt.Sprint(path, ".", i)
 			do(at, func(n any) { v[i] = n }, nil)
-			places(x, at, do)
+			visitValues(x, at, do)
 		}
 	}
 }
@@ -81,18 +81,18 @@
 		taken++
 		b := New(told, &operator.File{}, zerolog.Nop())
 		defer b.hosts.Close()
-		defer b.end()
+		defer b.cancel()
 		host := discovery.Host{Addr: "127.0.0.1:1", Entry: policy.Entry{Cache: "h", Size: 1}}
 		cold := host
 		cold.Cache, cold.Born = "cold", b.now
-		b.listed(policy.ListRestored, discovery.List{Whole: true, Hosts: []discovery.Host{host, cold}})
+		b.applyHostList(policy.ListRestored, discovery.List{Whole: true, Hosts: []discovery.Host{host, cold}})
 		for i := range 50 {
-			b.decide(func() {
+			b.callPolicy(func() {
 				for p := range told.Terms.Products {
-					b.module.Arrived(policy.Call{ID: policy.CallID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
+					b.policy.Arrived(policy.Call{ID: policy.CallID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
 						Write: p > 0, Deadline: b.now + policy.Second})
 				}
-				b.module.TimerFired("beat")
+				b.policy.TimerFired("beat")
 			})
 		}
 		if told.ConnectTimeout <= 0 || told.ClientTimeout <= 0 || told.IdleLimit < 0 || told.DrainGrace < 0 || told.MostOpen <= 0 ||
@@ -105,7 +105,7 @@
 		t.Fatal("the sample is refused")
 	}
 	var all []func()
-	places(sample["settings"], "", func(at string, set func(any), drop func()) {
+	visitValues(sample["settings"], "", func(at string, set func(any), drop func()) {
 		all = append(all, func() {
 			was := valueAt(sample["settings"], strings.Split(at, "."))
 			for _, v := range []any{nil, 0, -1, 1e300, -1e300, 1e18, 0.5, "word", "NaN", "", true, []any{}, map[string]any{}, []any{1, 2}} {
--- a/internal/balancer/source.go
+++ b/internal/balancer/source.go
@@ -11,25 +11,25 @@
 	"streamrail/policy"
 )
 
-// source is where the list comes from, and the list as it is known now.
-type source struct {
+// listSource is where the list comes from, and the list as it is known now.
+type listSource struct {
 	mu         sync.Mutex // also held while a list is handed on: once an address is left, nothing is heard of it
 	addr       string
 	stop       context.CancelFunc // ends the watch there; nil before the first
-	first      chan struct{}      // closed once there is a list
-	once       sync.Once
+	ready      chan struct{}      // closed once there is a list
+	readyOnce  sync.Once
 	generation int64
 	hosts      map[policy.CacheID]discovery.Host
-	known      *int64                                                            // version of the list from before the start, where the watch goes on from it
+	resumeFrom *int64                                                            // version of the list from before the start, where the watch goes on from it
 	dial       func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the network's
 }
 
-// keep notes an answer of discovery and returns the hosts that it changes, those first to which nothing new may be sent. A host
+// update notes an answer of discovery and returns the hosts that it changes, those first to which nothing new may be sent. A host
 // that a whole list does not name any more is among them, as gone. Under mu, or before anybody follows.
-func (s *source) keep(l discovery.List) (changes []discovery.Host) {
+func (s *listSource) update(l discovery.List) (changes []discovery.Host) {
 	s.generation = l.Generation
 	if l.Whole {
-		changes = s.unnamed(l)
+		changes = s.removeUnlisted(l)
 	}
 	for _, h := range l.Hosts {
 		known, is := s.hosts[h.Cache]
@@ -47,8 +47,8 @@
 	return changes
 }
 
-// unnamed drops the known hosts that a whole list does not name, and returns them as gone.
-func (s *source) unnamed(l discovery.List) (gone []discovery.Host) {
+// removeUnlisted drops the known hosts that a whole list does not name, and returns them as gone.
+func (s *listSource) removeUnlisted(l discovery.List) (gone []discovery.Host) {
 	named := make(map[policy.CacheID]struct{}, len(l.Hosts))
 	for _, h := range l.Hosts {
 		named[h.Cache] = struct{}{}
@@ -63,8 +63,8 @@
 	return gone
 }
 
-// list is the whole list as it is known now. Under mu.
-func (s *source) list() discovery.List {
+// snapshot is the whole list as it is known now. Under mu.
+func (s *listSource) snapshot() discovery.List {
 	l := discovery.List{Generation: s.generation, Whole: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
 	for _, h := range s.hosts {
 		l.Hosts = append(l.Hosts, h)
--- a/internal/balancer/starts_test.go
+++ b/internal/balancer/starts_test.go
@@ -8,12 +8,12 @@
 	"streamrail/policy"
 )
 
-// TestStartsAcrossSteps steps the wall clock between two lists: a host is as old as it was, one that starts after the step is as old
+// TestStartTimesAcrossClockSteps steps the wall clock between two lists: a host is as old as it was, one that starts after the step is as old
 // as it says, and one that would start in the future starts now.
-func TestStartsAcrossSteps(t *testing.T) {
+func TestStartTimesAcrossClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
 		wall := time.Unix(1_700_000_000, 0)
-		s := newStarts(func() time.Time { return wall })
+		s := newStartTimes(func() time.Time { return wall })
 		now := policy.Nanos(time.Hour)
 		host := func(name string, born time.Time) discovery.Host {
 			return discovery.Host{Entry: policy.Entry{Cache: policy.CacheID(name), Born: policy.Nanos(born.UnixNano())}}
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -11,26 +11,26 @@
 	"streamrail/internal/upstream"
 )
 
-// pass is the one final answer where a host gives a long value: it goes on as it comes, in its turn. What cannot be
+// streamValue is the one final answer where a host gives a long value: it goes on as it comes, in its turn. What cannot be
 // finished ends the client's connection short of its length, so that the client can tell.
-func (c *call) pass(v *upstream.Value) (whole bool) {
+func (c *clientRequest) streamValue(v *upstream.Value) (whole bool) {
 	begun := false
-	c.b.decide(func() {
+	c.b.callPolicy(func() {
 		if begun = c.startStream(); begun {
-			c.b.module.Streaming(c.id)
+			c.b.policy.Streaming(c.id)
 		}
 	})
 	if !begun {
 		return false
 	}
 	defer close(c.answered)
-	defer c.b.figures.inHand.Add(-1)
+	defer c.b.answerStats.unanswered.Add(-1)
 	select {
-	case <-c.turn:
+	case <-c.previousAnswered:
 	case <-c.client.gone:
 		return false
 	}
-	to := upstream.Patient{Conn: c.client.net}
+	to := upstream.Patient{Conn: c.client.conn}
 	_, err := to.Write(memcache.AppendValue(nil, c.ID, v.Length))
 	if err == nil {
 		_, err = upstream.Copy(to, v, v.Length)
@@ -41,26 +41,26 @@
 		}
 	}
 	if err != nil {
-		c.client.cut()
+		c.client.abortAnswer()
 		return false
 	}
-	c.b.tally.fulfilled.Add(1)
-	c.b.figures.answered(c.product, fulfilled)
+	c.b.traffic.fulfilled.Add(1)
+	c.b.answerStats.countAnswer(c.product, fulfilled)
 	return true
 }
 
 // startStream chooses a long value as the final answer; false where another one is chosen already.
-func (c *call) startStream() bool {
+func (c *clientRequest) startStream() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.settled {
+	if c.answerChosen {
 		return false
 	}
-	c.settled, c.streaming = true, true
+	c.answerChosen, c.streaming = true, true
 	return true
 }
 
-func (c *call) isStreaming() bool {
+func (c *clientRequest) isStreaming() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.streaming
@@ -69,84 +69,84 @@
 // upload is a long value that a client writes. Its reader is the attempt that takes it; what no attempt takes is passed over.
 type upload struct {
 	upstream.Upload
-	call    *call
-	left    int // bytes that have not been read
-	end     error
-	wanted  chan struct{} // closed when the value is to be read
-	free    chan struct{} // closed when nobody else reads the connection
-	reading sync.Once
+	call         *clientRequest
+	remaining    int // bytes that have not been read
+	err          error
+	wanted       chan struct{} // closed when the value is to be read
+	connFree     chan struct{} // closed when nobody else reads the connection
+	startReading sync.Once
 }
 
-// uploadMost is how long a client may take to write a value, beyond its time for the answer. Slow ones take some seconds;
+// maxUploadTime is how long a client may take to write a value, beyond its time for the answer. Slow ones take some seconds;
 // who takes longer is ended, and so is a call that waits for it.
-const uploadMost = 30 * time.Second
+const maxUploadTime = 30 * time.Second
 
 var (
 	errBadChunk = errors.New("no line end behind the value")
 	errTooLate  = errors.New("the server was slower to take the value than the client was to write it")
 )
 
-func newUpload(c *call) *upload {
-	u := &upload{call: c, left: c.Length, wanted: make(chan struct{}), free: make(chan struct{})}
+func newUpload(c *clientRequest) *upload {
+	u := &upload{call: c, remaining: c.Length, wanted: make(chan struct{}), connFree: make(chan struct{})}
 	u.Length, u.In, u.Ended = c.Length, u, make(chan struct{})
-	u.Wait = c.Left - wayBack
+	u.Wait = c.Left - answerTravelReserve
 	return u
 }
 
 // Read gives the last byte only once the line end behind the value has come whole: until then it must not run.
 func (u *upload) Read(p []byte) (n int, err error) {
-	u.reading.Do(func() {
+	u.startReading.Do(func() {
 		close(u.wanted)
-		<-u.free
+		<-u.connFree
 	})
-	in := u.call.client.in
-	u.call.client.patient()
-	if u.left > 1 {
-		n, err = in.Read(p[:min(len(p), u.left-1)])
-		u.left -= n
+	in := u.call.client.reader
+	u.call.client.extendValueDeadline()
+	if u.remaining > 1 {
+		n, err = in.Read(p[:min(len(p), u.remaining-1)])
+		u.remaining -= n
 		if err != nil {
-			u.end = err
+			u.err = err
 		}
 		return n, err
 	}
 	var end [3]byte
-	if _, u.end = io.ReadFull(in, end[:]); u.end != nil {
-		return 0, u.end
+	if _, u.err = io.ReadFull(in, end[:]); u.err != nil {
+		return 0, u.err
 	}
-	u.left = 0
+	u.remaining = 0
 	if string(end[1:]) != "\r\n" {
-		u.end = errBadChunk
-		return 0, u.end
+		u.err = errBadChunk
+		return 0, u.err
 	}
 	p[0] = end[0]
 	b := u.call.b
-	u.Deadline = deadline.After(u.call.client.arrival(), u.call.Left).Earlier(wayBack)
-	u.call.guards(u.Deadline)
-	b.post(func() { b.module.Came(u.call.id, b.nanos(u.Deadline)) })
+	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Left).Earlier(answerTravelReserve)
+	u.call.armDeadlineTimer(u.Deadline)
+	b.post(func() { b.policy.Came(u.call.id, b.toNanos(u.Deadline)) })
 	if u.TooLate() {
 		return 0, errTooLate
 	}
 	return 1, nil
 }
 
-// patient moves the time limit for a value's next piece on; who stops within a value is ended like who stops within a head.
-func (c *client) patient() {
-	c.due = time.Now().Add(commandWait)
-	c.net.SetReadDeadline(c.due)
+// extendValueDeadline moves the time limit for a value's next piece on; who stops within a value is ended like who stops within a head.
+func (c *clientConn) extendValueDeadline() {
+	c.commandDeadline = time.Now().Add(maxCommandTime)
+	c.conn.SetReadDeadline(c.commandDeadline)
 }
 
-// rest waits until nobody reads the value any more and passes over what is left of it; false where the next command cannot
+// skipRemaining waits until nobody reads the value any more and passes over what is left of it; false where the next command cannot
 // be made out.
-func (u *upload) rest() bool {
+func (u *upload) skipRemaining() bool {
 	c := u.call.client
-	c.listen(func() { // while the value waits for a connection to a host, its client may leave
+	c.watchForClose(func() { // while the value waits for a connection to a host, its client may leave
 		select {
 		case <-u.wanted:
 		case <-u.Ended:
 		case <-u.call.answered:
 		}
 	})
-	close(u.free)
+	close(u.connFree)
 	select {
 	case <-u.Ended:
 	case <-u.call.answered:
@@ -155,23 +155,23 @@
 		}
 		<-u.Ended
 	}
-	for u.end == nil && u.left > 0 {
-		c.patient()
-		n, err := c.in.Discard(min(u.left, upstream.PieceBytes))
-		u.left -= n
-		u.end = err
-		if u.left == 0 && err == nil {
+	for u.err == nil && u.remaining > 0 {
+		c.extendValueDeadline()
+		n, err := c.reader.Discard(min(u.remaining, upstream.PieceBytes))
+		u.remaining -= n
+		u.err = err
+		if u.remaining == 0 && err == nil {
 			var end [2]byte
-			if _, u.end = io.ReadFull(c.in, end[:]); u.end == nil && string(end[:]) != "\r\n" {
-				u.end = errBadChunk
+			if _, u.err = io.ReadFull(c.reader, end[:]); u.err == nil && string(end[:]) != "\r\n" {
+				u.err = errBadChunk
 			}
 		}
 	}
 	switch {
-	case u.end == errBadChunk:
-		return c.part("") // the request's own answer has been given: nothing ran
-	case u.end != nil:
-		return c.lost(u.end)
+	case u.err == errBadChunk:
+		return c.replyAndStop("") // the request's own answer has been given: nothing ran
+	case u.err != nil:
+		return c.connectionLost(u.err)
 	}
 	return true
 }
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -11,12 +11,12 @@
 // stand in slots of a millisecond, which is well within the tick that the decisions reckon with; one timer of the runtime
 // serves all. All is under Balancer.mu.
 type timerWheel struct {
-	slots     [wheelSlots][]wheelTimer
-	doneUntil int64 // all slots up to this tick are empty of what is due
-	armedFor  int64 // the tick that the runtime's timer will come for
-	runtime   *time.Timer
-	count     int // timers in all slots
-	firing    []wheelTimer
+	slots      [wheelSlots][]wheelTimer
+	firedUntil int64 // all slots up to this tick are empty of what is due
+	armedFor   int64 // the tick that the runtime's timer will come for
+	runtime    *time.Timer
+	count      int // timers in all slots
+	firing     []wheelTimer
 }
 
 // wheelTimer is one of them.
@@ -28,13 +28,13 @@
 const (
 	wheelTick  = policy.Millisecond
 	wheelSlots = 4096 // four seconds, longer than most clients wait; what is later stays for another round
-	never      = 1<<63 - 1
+	noTick     = 1<<63 - 1
 )
 
 // setTimer sets one that is due at a moment.
 func (b *Balancer) setTimer(due policy.Nanos, id policy.TimerID) {
 	w := &b.timers
-	tick := max(int64(due/wheelTick)+1, w.doneUntil+1) // never early
+	tick := max(int64(due/wheelTick)+1, w.firedUntil+1) // never early
 	slot := &w.slots[tick%wheelSlots]
 	*slot = append(*slot, wheelTimer{tick, id})
 	w.count++
@@ -60,9 +60,9 @@
 	b.post(func() {
 		w := &b.timers
 		w.takeDue(int64(b.now / wheelTick))
-		w.armedFor = never
+		w.armedFor = noTick
 		for _, timer := range w.firing {
-			b.module.TimerFired(timer.id)
+			b.policy.TimerFired(timer.id)
 		}
 		if next := w.nextTick(); next < w.armedFor {
 			b.armTimers(next)
@@ -72,14 +72,14 @@
 
 // takeDue moves what is due at a tick from the slots to firing.
 func (w *timerWheel) takeDue(now int64) {
-	if w.doneUntil == 0 || now-w.doneUntil > wheelSlots {
-		w.doneUntil = now - wheelSlots // a round holds all slots
+	if w.firedUntil == 0 || now-w.firedUntil > wheelSlots {
+		w.firedUntil = now - wheelSlots // a round holds all slots
 	}
 	w.firing = w.firing[:0]
-	for tick := w.doneUntil + 1; tick <= now; tick++ {
+	for tick := w.firedUntil + 1; tick <= now; tick++ {
 		w.takeSlot(&w.slots[tick%wheelSlots], now)
 	}
-	w.doneUntil = now
+	w.firedUntil = now
 	w.count -= len(w.firing)
 }
 
@@ -100,12 +100,12 @@
 // nextTick is the first tick whose slot holds a timer, of a later round at worst, which is looked at in vain; never if none does.
 func (w *timerWheel) nextTick() int64 {
 	if w.count == 0 {
-		return never
+		return noTick
 	}
-	for tick := w.doneUntil + 1; tick <= w.doneUntil+wheelSlots; tick++ {
+	for tick := w.firedUntil + 1; tick <= w.firedUntil+wheelSlots; tick++ {
 		if slot := w.slots[tick%wheelSlots]; len(slot) > 0 {
 			return tick
 		}
 	}
-	return never
+	return noTick
 }
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -16,47 +16,47 @@
 	"streamrail/policy"
 )
 
-// upgrade joins this process to the other one of an upgrade, while there is one. The two are one balancer: a ban holds
+// upgradeLink joins this process to the other one of an upgrade, while there is one. The two are one balancer: a ban holds
 // for both, and what they hold together is what one may.
-type upgrade struct {
+type upgradeLink struct {
 	// mu makes an order of bans, which both processes apply as the older one has it. It is taken before all other locks.
-	mu      sync.Mutex
-	seat    *handover.Seat
-	elder   *handover.Peer
-	heir    *handover.Peer
-	n       uint64
-	answers chan handover.Message // those to what is waited for under mu, and late ones to what is not any more
+	mu           sync.Mutex
+	offer        *handover.Seat
+	older        *handover.Peer
+	newer        *handover.Peer
+	messageCount uint64
+	answers      chan handover.Message // those to what is waited for under mu, and late ones to what is not any more
 
-	heirReady atomic.Bool // it takes clients
-	seated    atomic.Bool // this process does
+	newerReady   atomic.Bool // it takes clients
+	takesClients atomic.Bool // this process does
 }
 
-// holds is what a process may hold.
-type holds struct{ clients, upstream, calls, bytes int64 }
+// resourceLimits is what a process may hold.
+type resourceLimits struct{ clients, upstream, requests, bytes int64 }
 
 const (
-	// holdsEvery is how often both tell each other what they hold: short against what connections need to move over.
-	holdsEvery = 50 * time.Millisecond
-	// peerWait is how long the other process may take over a ban; operators are owed an answer in a second.
-	peerWait = 500 * time.Millisecond
+	// usageInterval is how often both tell each other what they hold: short against what connections need to move over.
+	usageInterval = 50 * time.Millisecond
+	// peerTimeout is how long the other process may take over a ban; operators are owed an answer in a second.
+	peerTimeout = 500 * time.Millisecond
 )
 
 var (
-	errBusy    = errors.New("an upgrade is under way already")
-	errNotKept = errors.New("it is done, but could not be kept in a file yet: a restart would forget it")
-	errNoWord  = errors.New("this process has done it; the other one of an upgrade does not answer")
+	errUpgradeRunning = errors.New("an upgrade is under way already")
+	errNotSaved       = errors.New("it is done, but could not be kept in a file yet: a restart would forget it")
+	errPeerSilent     = errors.New("this process has done it; the other one of an upgrade does not answer")
 )
 
-// meet takes over the clients' address from an older process that serves there; nil where there is none. Only where there is a
+// takeOverListener takes over the clients' address from an older process that serves there; nil where there is none. Only where there is a
 // door there may be one.
-func (b *Balancer) meet() (net.Listener, *handover.State) {
-	if b.told.Admin == "" {
+func (b *Balancer) takeOverListener() (net.Listener, *handover.State) {
+	if b.deployment.Admin == "" {
 		return nil, nil
 	}
-	l, s, p, err := handover.Meet(handover.Path(os.TempDir(), b.told.Listen, ".sock"))
+	l, s, p, err := handover.Meet(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"))
 	if err == nil {
 		b.log.Info().Int("excluded", len(s.Excluded)).Msg("taking over from an older process")
-		b.upgrade.elder = p
+		b.upgrade.older = p
 		return l, &s
 	}
 	if !errors.Is(err, handover.ErrAlone) {
@@ -67,17 +67,19 @@
 
 // listen opens the clients' address.
 func (b *Balancer) listen() (net.Listener, error) {
-	if b.told.Admin == "" {
-		return net.Listen("tcp", b.told.Listen)
+	if b.deployment.Admin == "" {
+		return net.Listen("tcp", b.deployment.Listen)
 	}
-	return handover.Listen(b.told.Listen)
+	return handover.Listen(b.deployment.Listen)
 }
 
-func (b *Balancer) banFile() string { return handover.Path(os.TempDir(), b.told.Listen, ".out") }
+func (b *Balancer) exclusionFile() string {
+	return handover.Path(os.TempDir(), b.deployment.Listen, ".out")
+}
 
-// takeOver restores what an older process handed on, or what one that was killed left.
-func (b *Balancer) takeOver(s *handover.State) {
-	if b.told.Admin == "" {
+// restoreState restores what an older process handed on, or what one that was killed left.
+func (b *Balancer) restoreState(s *handover.State) {
+	if b.deployment.Admin == "" {
 		return
 	}
 	var excluded []string
@@ -87,147 +89,147 @@
 		if err := json.Unmarshal(s.Learnt, &learnt); err != nil {
 			b.log.Warn().Err(err).Msg("what was learnt is not readable, left out")
 		} else {
-			b.decide(func() { b.module.TakeOver(learnt) })
+			b.callPolicy(func() { b.policy.TakeOver(learnt) })
 		}
-		b.share(s.Holds)
-		go b.hearElder(b.upgrade.elder)
+		b.splitLimits(s.Holds)
+		go b.receiveFromOlder(b.upgrade.older)
 	} else {
 		var err error
-		if err = handover.Load(b.banFile(), &excluded); err != nil {
+		if err = handover.Load(b.exclusionFile(), &excluded); err != nil {
 			excluded = nil
-			b.log.Warn().Err(err).Str("file", b.banFile()).Msg("the hosts out by hand are not readable, none is out")
+			b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the hosts out by hand are not readable, none is out")
 		}
 	}
 	for _, id := range excluded {
-		b.change(policy.CacheID(id), true)
+		b.switchExclusion(policy.CacheID(id), true)
 	}
 	if len(excluded) > 0 {
-		b.saveBans()
+		b.saveExclusions()
 	}
 }
 
-// takeSeat tells that this process takes clients; a newer one meets it from now on.
-func (b *Balancer) takeSeat(listener net.Listener) {
+// offerHandover tells that this process takes clients; a newer one meets it from now on.
+func (b *Balancer) offerHandover(listener net.Listener) {
 	u := &b.upgrade
-	if b.told.Admin == "" {
+	if b.deployment.Admin == "" {
 		return
 	}
-	seat, err := handover.Keep(handover.Path(os.TempDir(), b.told.Listen, ".sock"), listener, b.join)
+	seat, err := handover.Keep(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"), listener, b.handOver)
 	if err != nil {
 		b.log.Warn().Err(err).Msg("a newer process cannot take over from this one")
 	}
 	u.mu.Lock()
-	u.seat = seat
-	if u.elder != nil {
-		u.elder.Say(handover.Message{Kind: handover.Ready})
+	u.offer = seat
+	if u.older != nil {
+		u.older.Say(handover.Message{Kind: handover.Ready})
 	}
 	u.mu.Unlock()
-	u.seated.Store(true)
+	u.takesClients.Store(true)
 }
 
-// leaveSeat ends what joins this process to others.
-func (b *Balancer) leaveSeat() {
+// closeHandover ends what joins this process to others.
+func (b *Balancer) closeHandover() {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.seat != nil {
-		u.seat.Leave()
+	if u.offer != nil {
+		u.offer.Leave()
 	}
-	for _, p := range []*handover.Peer{u.elder, u.heir} {
+	for _, p := range []*handover.Peer{u.older, u.newer} {
 		if p != nil {
 			p.Close()
 		}
 	}
 }
 
-// join hands on to a newer process.
-func (b *Balancer) join(p *handover.Peer) (s handover.State, err error) {
+// handOver hands on to a newer process.
+func (b *Balancer) handOver(p *handover.Peer) (s handover.State, err error) {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.heir != nil || u.elder != nil || b.in() != Serving {
-		return s, errBusy
+	if u.newer != nil || u.older != nil || b.currentPhase() != Serving {
+		return s, errUpgradeRunning
 	}
-	b.source.mu.Lock()
-	s.List = b.names().Format(b.source.list())
-	b.source.mu.Unlock()
+	b.listSource.mu.Lock()
+	s.List = b.discoveryNames().Format(b.listSource.snapshot())
+	b.listSource.mu.Unlock()
 	var learnt policy.Learnt
-	b.decide(func() {
-		s.Excluded = b.excluded()
-		learnt = b.module.Tell()
+	b.callPolicy(func() {
+		s.Excluded = b.excludedHosts()
+		learnt = b.policy.Tell()
 	})
 	if s.Learnt, err = json.Marshal(learnt); err != nil {
 		return s, err
 	}
-	s.Holds, s.Fleet = b.holding(), b.keepPlace()
-	u.heir = p
-	b.share(handover.Holds{})
+	s.Holds, s.Fleet = b.usage(), b.exportMembership()
+	u.newer = p
+	b.splitLimits(handover.Holds{})
 	b.log.Info().Msg("handing over to a newer process")
-	go b.hearHeir(p)
+	go b.receiveFromNewer(p)
 	return s, nil
 }
 
-func (b *Balancer) hearHeir(p *handover.Peer) {
-	go b.tellHolds(p)
+func (b *Balancer) receiveFromNewer(p *handover.Peer) {
+	go b.sendUsage(p)
 	p.Hear(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ready:
-			b.givePlace()
-			b.upgrade.heirReady.Store(true)
+			b.handOverMembership()
+			b.upgrade.newerReady.Store(true)
 			b.log.Info().Msg("the newer process takes clients")
 		case handover.Holding:
-			b.share(*m.Holds)
+			b.splitLimits(*m.Holds)
 		case handover.Ask:
 			go func() { // not here: it may wait for what comes here
 				answer := handover.Message{Kind: handover.Answer, N: m.N}
-				if err := b.ban(policy.CacheID(m.Member), m.Out, b.orders != nil); err != nil {
+				if err := b.setExclusion(policy.CacheID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
 					answer.Fault = err.Error()
 				}
 				p.Say(answer)
 			}()
 		case handover.Done:
-			b.upgrade.answer(m)
+			b.upgrade.deliverAnswer(m)
 		}
 	})
-	b.parted(&b.upgrade.heir)
-	b.takePlaceBack()
+	b.peerEnded(&b.upgrade.newer)
+	b.reclaimMembership()
 }
 
-func (b *Balancer) hearElder(p *handover.Peer) {
-	go b.tellHolds(p)
+func (b *Balancer) receiveFromOlder(p *handover.Peer) {
+	go b.sendUsage(p)
 	p.Hear(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Holding:
-			b.share(*m.Holds)
+			b.splitLimits(*m.Holds)
 		case handover.Ban:
-			b.apply(policy.CacheID(m.Member), m.Out)
+			b.applyExclusion(policy.CacheID(m.Member), m.Out)
 			p.Say(handover.Message{Kind: handover.Done, N: m.N})
 		case handover.Answer:
-			b.upgrade.answer(m)
+			b.upgrade.deliverAnswer(m)
 		}
 	})
-	b.parted(&b.upgrade.elder)
+	b.peerEnded(&b.upgrade.older)
 }
 
-// parted goes on alone: the other process has ended, or was killed.
-func (b *Balancer) parted(other **handover.Peer) {
+// peerEnded goes on alone: the other process has ended, or was killed.
+func (b *Balancer) peerEnded(other **handover.Peer) {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	*other = nil
-	u.heirReady.Store(false)
-	if u.elder != nil || u.heir != nil {
+	u.newerReady.Store(false)
+	if u.older != nil || u.newer != nil {
 		return
 	}
 	b.log.Info().Msg("the other process of the upgrade has ended")
-	b.limit(b.whole)
-	debug.SetMemoryLimit(b.memory())
-	b.decide(func() { b.module.Beside(false, 0) })
-	b.besideLimits(false)
+	b.setLimits(b.capacity)
+	debug.SetMemoryLimit(b.memoryLimit())
+	b.callPolicy(func() { b.policy.Beside(false, 0) })
+	b.setSharesUpgrading(false)
 }
 
-// answer hands a message to who waits for it; what nobody waits for any more makes room.
-func (u *upgrade) answer(m handover.Message) {
+// deliverAnswer hands a message to who waits for it; what nobody waits for any more makes room.
+func (u *upgradeLink) deliverAnswer(m handover.Message) {
 	for {
 		select {
 		case u.answers <- m:
@@ -241,12 +243,12 @@
 	}
 }
 
-// say sends an Ask or a Ban and waits for what answers it; false where nothing does. Under u.mu.
-func (u *upgrade) say(p *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
-	u.n++
-	m.N = u.n
+// exchange sends an Ask or a Ban and waits for what answers it; false where nothing does. Under u.mu.
+func (u *upgradeLink) exchange(p *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
+	u.messageCount++
+	m.N = u.messageCount
 	p.Say(m)
-	late := time.After(peerWait)
+	late := time.After(peerTimeout)
 	for {
 		select {
 		case answer = <-u.answers:
@@ -262,27 +264,27 @@
 	}
 }
 
-// ban takes a host out by hand, or puts it back, in both processes of an upgrade. An order for the whole fleet holds also where no list
+// setExclusion takes a host out by hand, or puts it back, in both processes of an upgrade. An order for the whole fleet holds also where no list
 // has named the host yet.
-func (b *Balancer) ban(id policy.CacheID, out, fleet bool) error {
+func (b *Balancer) setExclusion(id policy.CacheID, out, fleet bool) error {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	m := handover.Message{Member: string(id), Out: out}
 	heard := true
-	if p := u.elder; p != nil {
+	if p := u.older; p != nil {
 		m.Kind = handover.Ask
 		var answer handover.Message
-		answer, heard = u.say(p, m)
+		answer, heard = u.exchange(p, m)
 		if answer.Kind == handover.Answer {
-			return faultOf(answer.Fault)
+			return errorFromText(answer.Fault)
 		} // else this process is alone by now
 	}
 	known, held := false, true
 	if out {
-		b.decide(func() { known, held = b.module.Exclude(id) })
+		b.callPolicy(func() { known, held = b.policy.Exclude(id) })
 	} else {
-		b.decide(func() { known = b.module.Knows(id) })
+		b.callPolicy(func() { known = b.policy.Knows(id) })
 	}
 	switch {
 	case !known && !fleet:
@@ -290,23 +292,23 @@
 	case !held && !fleet:
 		return admin.ErrTooMany
 	}
-	kept := b.apply(id, out)
-	if p := u.heir; p != nil {
+	kept := b.applyExclusion(id, out)
+	if p := u.newer; p != nil {
 		m.Kind = handover.Ban
-		_, heard = u.say(p, m)
+		_, heard = u.exchange(p, m)
 	}
 	switch {
 	case !heard:
-		return errNoWord
+		return errPeerSilent
 	case kept != nil:
-		return fmt.Errorf("%w: %w", errNotKept, kept)
+		return fmt.Errorf("%w: %w", errNotSaved, kept)
 	}
 	return nil
 }
 
-// faultOf is the error whose text came from the other process.
-func faultOf(text string) error {
-	for _, err := range []error{admin.ErrNobody, admin.ErrTooMany, errNoWord} {
+// errorFromText is the error whose text came from the other process.
+func errorFromText(text string) error {
+	for _, err := range []error{admin.ErrNobody, admin.ErrTooMany, errPeerSilent} {
 		if text == err.Error() {
 			return err
 		}
@@ -317,23 +319,23 @@
 	return nil
 }
 
-// apply changes a ban here; the file has it before anybody is told yes, or else the error tells that it has not.
-func (b *Balancer) apply(id policy.CacheID, out bool) error {
-	b.change(id, out)
-	return b.saveBans()
+// applyExclusion changes a ban here; the file has it before anybody is told yes, or else the error tells that it has not.
+func (b *Balancer) applyExclusion(id policy.CacheID, out bool) error {
+	b.switchExclusion(id, out)
+	return b.saveExclusions()
 }
 
-// change takes a host out first where calls are given to it, then where they are written, and puts it back the other way
+// switchExclusion takes a host out first where calls are given to it, then where they are written, and puts it back the other way
 // round.
-func (b *Balancer) change(id policy.CacheID, out bool) {
+func (b *Balancer) switchExclusion(id policy.CacheID, out bool) {
 	if !out {
 		b.hosts.Include(id)
 	}
-	b.decide(func() {
+	b.callPolicy(func() {
 		if out {
-			b.module.Bar(id)
+			b.policy.Bar(id)
 		} else {
-			b.module.Include(id)
+			b.policy.Include(id)
 		}
 	})
 	if out {
@@ -342,22 +344,22 @@
 	b.log.Info().Str("host", string(id)).Bool("out", out).Msg("by hand")
 }
 
-// excluded are the hosts out by hand. Under Balancer.mu.
-func (b *Balancer) excluded() (all []string) {
-	for _, id := range b.module.Excluded() {
+// excludedHosts are the hosts out by hand. Under Balancer.mu.
+func (b *Balancer) excludedHosts() (all []string) {
+	for _, id := range b.policy.Excluded() {
 		all = append(all, string(id))
 	}
 	return all
 }
 
-// tellHolds says what this process holds, until the other one has ended.
-func (b *Balancer) tellHolds(p *handover.Peer) {
-	t := time.NewTicker(holdsEvery)
+// sendUsage says what this process holds, until the other one has ended.
+func (b *Balancer) sendUsage(p *handover.Peer) {
+	t := time.NewTicker(usageInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			h := b.holding()
+			h := b.usage()
 			p.Say(handover.Message{Kind: handover.Holding, Holds: &h})
 		case <-p.Gone():
 			return
@@ -365,37 +367,39 @@
 	}
 }
 
-func (b *Balancer) holding() handover.Holds {
-	h := handover.Holds{Clients: int64(b.clients.count()), Upstream: int64(b.hosts.Open()), Calls: b.open.Load(),
-		Bytes: b.held.Load(), Leaving: b.in() > Serving}
-	b.decide(func() { h.Origin = b.module.AtOrigin() })
+func (b *Balancer) usage() handover.Holds {
+	h := handover.Holds{Clients: int64(b.clients.count()), Upstream: int64(b.hosts.Open()), Calls: b.inFlight.Load(),
+		Bytes: b.valueBytes.Load(), Leaving: b.currentPhase() > Serving}
+	b.callPolicy(func() { h.Origin = b.policy.AtOrigin() })
 	return h
 }
 
-// limit sets what this process may hold.
-func (b *Balancer) limit(h holds) {
-	b.clients.limit(int(h.clients-h.clients/8), int(h.clients))
+// setLimits sets what this process may hold.
+func (b *Balancer) setLimits(h resourceLimits) {
+	b.clients.setLimits(int(h.clients-h.clients/8), int(h.clients))
 	b.hosts.Limit(int(h.upstream))
-	b.mostInHand.Store(h.calls)
-	b.mostHeld.Store(h.bytes)
+	b.maxInFlight.Store(h.requests)
+	b.maxValueBytes.Store(h.bytes)
 }
 
-// share leaves to each process what it holds and a part of what both leave free. A second process has descriptors of its
+// splitLimits leaves to each process what it holds and a part of what both leave free. A second process has descriptors of its
 // own besides.
-func (b *Balancer) share(other handover.Holds) {
-	mine, w := b.holding(), b.whole
-	part := func(whole, mine, other int64) int64 { return portion(whole, mine, other, b.in() > Serving) }
+func (b *Balancer) splitLimits(other handover.Holds) {
+	mine, w := b.usage(), b.capacity
+	part := func(whole, mine, other int64) int64 {
+		return processShare(whole, mine, other, b.currentPhase() > Serving)
+	}
 	if other.Leaving {
-		part = func(whole, mine, other int64) int64 { return whole - portion(whole, other, mine, true) }
+		part = func(whole, mine, other int64) int64 { return whole - processShare(whole, other, mine, true) }
 	}
-	b.limit(holds{part(w.clients-ownSockets/2, mine.Clients, other.Clients), part(w.upstream-ownSockets/2, mine.Upstream, other.Upstream),
-		part(w.calls, mine.Calls, other.Calls), part(w.bytes, mine.Bytes, other.Bytes)})
-	debug.SetMemoryLimit(b.memory() / 2)
-	b.decide(func() { b.module.Beside(true, other.Origin) })
+	b.setLimits(resourceLimits{part(w.clients-reservedSockets/2, mine.Clients, other.Clients), part(w.upstream-reservedSockets/2, mine.Upstream, other.Upstream),
+		part(w.requests, mine.Calls, other.Calls), part(w.bytes, mine.Bytes, other.Bytes)})
+	debug.SetMemoryLimit(b.memoryLimit() / 2)
+	b.callPolicy(func() { b.policy.Beside(true, other.Origin) })
 }
 
-// portion is what one may hold of a whole: what it holds and half of what is free, or an eighth where it leaves.
-func portion(whole, mine, other int64, leaves bool) int64 {
+// processShare is what one may hold of a whole: what it holds and half of what is free, or an eighth where it leaves.
+func processShare(whole, mine, other int64, leaves bool) int64 {
 	free := max(0, whole-mine-other)
 	if leaves {
 		return mine + free/8
@@ -403,5 +407,5 @@
 	return mine + free/2
 }
 
-// memory is what the collector keeps the heap under: what lives is some megabytes, and the machine's limit holds for all.
-func (b *Balancer) memory() int64 { return int64(b.told.MemoryMB) << 20 * 3 / 4 }
+// memoryLimit is what the collector keeps the heap under: what lives is some megabytes, and the machine's limit holds for all.
+func (b *Balancer) memoryLimit() int64 { return int64(b.deployment.MemoryMB) << 20 * 3 / 4 }
