--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -12,66 +12,67 @@
 	"streamrail/policy"
 )
 
-// clientRequest is one request in hand. Its goroutine runs live.
+// clientRequest is one request from its admission to the end of its last attempt. Its goroutine runs handleRequest.
 type clientRequest struct {
 	memcache.Command
 	b                *Balancer
 	client           *clientConn
-	line             [256]byte // where the command's line is kept, if it fits
+	line             [256]byte // storage for the command's line, if it fits
 	value            []byte
-	upload           *upload // a long value, which comes while the request lives
+	upload           *upload // a long value, which arrives while the request is handled
 	product          policy.Product
 	customer         policy.Customer
-	arrived          time.Time         // its last byte, or the head of a long write
-	admitted         time.Time         // its life: it is read and admitted
-	deadline         deadline.Deadline // of the client; a long write's is upload.Deadline, once its last byte has arrived
-	id               policy.CallID     // of our own: no two requests in hand share one, whatever clients send
-	previousAnswered chan struct{}     // closed when the commands before it are answered
-	answered         chan struct{}     // closed when this one is
-
-	heldBytes      atomic.Int64 // bytes of values
+	arrived          time.Time         // when its last byte arrived; for a long write, its command line
+	admitted         time.Time         // when its handling began, after it was read and admitted
+	deadline         deadline.Deadline // of the client; a long write uses upload.Deadline once its last byte has arrived
+	id               policy.CallID     // chosen here, so it is unique among open requests whatever ids clients send
+	previousAnswered chan struct{}     // closed when all earlier commands of the connection are answered
+	answered         chan struct{}     // closed when this request is answered
+
+	heldBytes      atomic.Int64 // memory reserved for values
 	attempts       []*upstream.Attempt
-	inFlight       int
+	inFlight       int // attempts that have not ended
 	attemptResults chan attemptResult
-	notify         chan struct{} // there are orders
+	notify         chan struct{} // receives when actions are waiting
 
-	mayHaveRun    bool        // an attempt that has ended may have
-	deadlineTimer *time.Timer // fires when its time is over; nil: it has not begun
+	mayHaveRun    bool        // an attempt that has ended may have run at a host
+	deadlineTimer *time.Timer // fires at the deadline; nil before the request is handled
 
 	mu           sync.Mutex
-	actions      []action
-	answerChosen bool // its one final answer is chosen
-	streaming    bool // that is a long value, which is passed on
+	actions      []action // from the policy, not carried out yet
+	answerChosen bool     // the one final answer has been chosen
+	streaming    bool     // the final answer is a long value, passed on while it arrives
 }
 
+// attemptResult is how one attempt of a request ended.
 type attemptResult struct {
 	upstream.Result
 	attempt int
 	took    time.Duration
 }
 
-// action is what the module wants done for a request.
+// action is something that the policy wants done for a request.
 type action struct {
-	do         func(c *clientRequest, o action)
+	do         func(c *clientRequest, a action)
 	host       policy.CacheID
 	attempt    int
 	deadline   deadline.Deadline
-	beginBy    deadline.Deadline // connecting and waiting for a connection take time after the decision
-	retryAfter time.Duration     // after a rate-limit reply
+	beginBy    deadline.Deadline // the attempt must start by then: connecting and waiting for a connection take time after the decision
+	retryAfter time.Duration     // how long the client is to wait after a rate-limited answer
 }
 
-// answerTravelReserve is kept of the client's time for the answer to reach it.
+// answerTravelReserve is subtracted from the client's deadline so that the answer can reach the client in time.
 const answerTravelReserve = 3 * time.Millisecond
 
-// handleRequest is the life of one request, from when it was read to its one final answer and the end of its attempts.
+// handleRequest handles one request until it has its one final answer and all of its attempts have ended.
 func (b *Balancer) handleRequest(c *clientRequest) {
 	defer b.releaseRequest(c)
 	c.admitted = time.Now()
 	due := c.deadline.Earlier(answerTravelReserve)
-	if c.upload != nil { // its time runs from the last byte on, which is still to come
+	if c.upload != nil { // its timeout starts at the last byte, which has not arrived yet
 		due = deadline.After(c.arrived, c.Left+maxUploadTime)
 	}
-	if due.Passed() { // it waited behind others for all of its time; nothing ran
+	if due.Passed() { // the deadline passed while it waited behind other requests; nothing ran
 		c.answerRateLimited(action{})
 		return
 	}
@@ -88,15 +89,15 @@
 	})
 	gone := c.client.gone
 	for {
-		if gone != nil && c.client.hasLeft() { // before any order: nothing is begun for who has left
+		if gone != nil && c.client.hasLeft() { // checked before any action: no attempt starts for a client that has left
 			gone = nil
 			b.abandon(c)
 		}
-		orders, settled := c.takeActions()
-		for _, o := range orders {
-			o.do(c, o)
+		actions, chosen := c.takeActions()
+		for _, a := range actions {
+			a.do(c, a)
 		}
-		if settled && c.inFlight == 0 {
+		if chosen && c.inFlight == 0 {
 			break
 		}
 		select {
@@ -118,18 +119,18 @@
 	}
 }
 
-// reportAttemptEnd lets the module hear how an attempt ended.
+// reportAttemptEnd tells the policy how an attempt ended.
 func (b *Balancer) reportAttemptEnd(c *clientRequest, e attemptResult) {
-	to := c.attempts[e.attempt].To
+	host := c.attempts[e.attempt].To
 	b.post(func() {
-		b.traffic.countAttempt(to, e.Outcome)
+		b.traffic.countAttempt(host, e.Outcome)
 		b.policy.Ended(policy.Ending{Call: c.id, Attempt: e.attempt, Final: c.isAnswerChosen(), Outcome: e.Outcome,
-			Took: policy.Nanos(e.took), Load: e.Load, Cache: to})
+			Took: policy.Nanos(e.took), Load: e.Load, Cache: host})
 	})
 }
 
-// armDeadlineTimer has the request answered when its time is over, whether or not the module has come to it by then. Its own timers fire up
-// to a tick of the wheel after they are due.
+// armDeadlineTimer makes sure that the request is answered at its deadline even if the policy has not got to it by then. The
+// timer allows one tick more, because the policy's own timers fire up to a tick late.
 func (c *clientRequest) armDeadlineTimer(due deadline.Deadline) {
 	wait := due.Remaining() + time.Duration(wheelTick)
 	c.mu.Lock()
@@ -141,14 +142,14 @@
 	}
 }
 
-// answerOnTimeout answers a request that the module has not answered in its time. Where it is free it hears now that the time is over, and
-// decides; else it is late itself.
+// answerOnTimeout answers a request that the policy has not answered by its deadline. If the policy is free, its due timers
+// fire first and it chooses the answer itself; otherwise the answer is chosen here.
 func (b *Balancer) answerOnTimeout(c *clientRequest) {
 	b.fireTimers()
 	if !c.claimAnswer() {
 		return
 	}
-	b.post(func() { b.policy.Abandoned(c.id) }) // it calls back what is out
+	b.post(func() { b.policy.Abandoned(c.id) }) // it cancels the attempts in flight
 	b.delays.answeredByTimer.Add(1)
 	if c.inFlight == 0 && !c.mayHaveRun {
 		c.answerRateLimited(action{})
@@ -157,7 +158,7 @@
 	}
 }
 
-// abandon ends a request whose client has gone away.
+// abandon ends a request whose client has left.
 func (b *Balancer) abandon(c *clientRequest) {
 	if !c.claimAnswer() {
 		return
@@ -168,7 +169,7 @@
 	close(c.answered)
 }
 
-// claimAnswer chooses the request's one final answer; false where it is chosen already.
+// claimAnswer reserves the right to give the request's one final answer; false if an answer has already been chosen.
 func (c *clientRequest) claimAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,31 +184,31 @@
 	return c.answerChosen
 }
 
-// takeActions empties the request's mailbox.
-func (c *clientRequest) takeActions() (orders []action, settled bool) {
+// takeActions removes and returns the waiting actions, and whether the final answer has been chosen.
+func (c *clientRequest) takeActions() (actions []action, chosen bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	orders, c.actions = c.actions, nil
-	return orders, c.answerChosen
+	actions, c.actions = c.actions, nil
+	return actions, c.answerChosen
 }
 
-// addAction puts an order into the mailbox. A second final one is dropped.
-func (c *clientRequest) addAction(o action, final bool) {
+// addAction queues an action for the request's goroutine. final marks an action that gives the final answer; a second one is dropped.
+func (c *clientRequest) addAction(a action, final bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if final && c.answerChosen {
 		return
 	}
 	c.answerChosen = c.answerChosen || final
-	c.actions = append(c.actions, o)
+	c.actions = append(c.actions, a)
 	select {
 	case c.notify <- struct{}{}:
 	default:
 	}
 }
 
-// startRequest has a goroutine live a call: one that is done with another, whose stack has grown to what a call needs, else a
-// new one.
+// startRequest handles a request in an idle worker goroutine, whose stack has already grown to the size that a request needs, or in
+// a new one.
 func (b *Balancer) startRequest(c *clientRequest) {
 	select {
 	case b.toIdleWorker <- c:
@@ -226,10 +227,10 @@
 	}
 }
 
-// maxIdleWorkers bounds the goroutines that wait for a call: a burst leaves no more behind.
+// maxIdleWorkers bounds the idle worker goroutines that remain after a burst of requests.
 const maxIdleWorkers = 64
 
-// releaseRequest forgets a request that has its answer and whose attempts have ended.
+// releaseRequest frees what a request occupied, once it is answered and its attempts have ended.
 func (b *Balancer) releaseRequest(c *clientRequest) {
 	if c.id != "" {
 		b.post(func() { delete(b.requests, c.id) })
@@ -241,17 +242,17 @@
 	c.client.noteIfIdle()
 }
 
-// toNanos is an instant on the module's clock.
+// toNanos converts an instant to the policy's clock.
 func (b *Balancer) toNanos(d deadline.Deadline) policy.Nanos {
 	return b.epochNanos + policy.Nanos(d.Time().Sub(b.epoch))
 }
 
-// toDeadline is a reading of the module's clock as a deadline.
+// toDeadline converts a reading of the policy's clock to a deadline.
 func (b *Balancer) toDeadline(n policy.Nanos) deadline.Deadline {
 	return deadline.After(b.epoch, time.Duration(n-b.epochNanos))
 }
 
-// abandonAll answers all that is in hand: there is no time left for it. It tells how many they were.
+// abandonAll answers every open request with an error, as no time is left for them, and returns their number.
 func (b *Balancer) abandonAll() (n int) {
 	b.callPolicy(func() {
 		for id, c := range b.requests {
@@ -265,27 +266,27 @@
 	return n
 }
 
-// policyHost is what the module acts through: it notes orders and does nothing else.
+// policyHost is the interface through which the policy acts. It only queues actions, since it is called while the policy's lock is held.
 type policyHost struct{ b *Balancer }
 
-func (h policyHost) enqueue(id policy.CallID, o action, final bool) {
+func (h policyHost) enqueue(id policy.CallID, a action, final bool) {
 	if c := h.b.requests[id]; c != nil {
-		c.addAction(o, final)
+		c.addAction(a, final)
 	}
 }
 
 func (h policyHost) Now() policy.Nanos { return h.b.now }
 
-func (h policyHost) Send(id policy.CallID, to policy.CacheID, due, beginBy policy.Nanos) {
-	h.enqueue(id, action{do: (*clientRequest).sendAttempt, host: to, deadline: h.b.toDeadline(due), beginBy: h.b.toDeadline(beginBy)}, false)
+func (h policyHost) Send(id policy.CallID, host policy.CacheID, deadline, beginBy policy.Nanos) {
+	h.enqueue(id, action{do: (*clientRequest).sendAttempt, host: host, deadline: h.b.toDeadline(deadline), beginBy: h.b.toDeadline(beginBy)}, false)
 }
 
 func (h policyHost) Cancel(id policy.CallID, attempt int) {
 	h.enqueue(id, action{do: (*clientRequest).cancelAttempt, attempt: attempt}, false)
 }
 
-func (h policyHost) RateLimit(id policy.CallID, comeBack policy.Nanos) {
-	h.enqueue(id, action{do: (*clientRequest).answerRateLimited, retryAfter: time.Duration(comeBack)}, true)
+func (h policyHost) RateLimit(id policy.CallID, retryAfter policy.Nanos) {
+	h.enqueue(id, action{do: (*clientRequest).answerRateLimited, retryAfter: time.Duration(retryAfter)}, true)
 }
 
 func (h policyHost) Error(id policy.CallID) {
--- a/internal/balancer/decisions.go
+++ b/internal/balancer/decisions.go
@@ -8,21 +8,21 @@
 	"streamrail/internal/deadline"
 )
 
-// event is one thing that happened, for the module to hear of.
+// event is something that happened and that the policy has to process.
 type event struct {
 	handle   func()
-	postedAt time.Time // it was posted
+	postedAt time.Time
 }
 
-// policyLock guards the module. Events that are posted while it is held are heard by whoever holds it, when it is unlocked, so
-// that nobody has to wait for it to tell of one.
+// policyLock guards the policy. Events that are posted while it is held are processed by its holder on unlocking, so that
+// posting an event never waits for the lock.
 type policyLock struct {
 	mutex  sync.Mutex
 	handle func(event)
 
 	mu           sync.Mutex
-	pending      []event      // that wait
-	pendingCount atomic.Int64 // of them
+	pending      []event      // not processed yet
+	pendingCount atomic.Int64 // len(pending), readable without mu
 }
 
 func (l *policyLock) Lock() { l.mutex.Lock() }
@@ -32,7 +32,7 @@
 	l.handlePending()
 }
 
-// post has an event heard, now or when the lock is unlocked next.
+// post processes an event now, or when the lock is unlocked next.
 func (l *policyLock) post(e event) {
 	l.mu.Lock()
 	l.pending = append(l.pending, e)
@@ -41,7 +41,7 @@
 	l.handlePending()
 }
 
-// handlePending has the module hear what waits, unless another goroutine holds the lock, which does so when it unlocks it.
+// handlePending processes the pending events, unless another goroutine holds the lock: that one does so when it unlocks.
 func (l *policyLock) handlePending() {
 	for l.pendingCount.Load() > 0 && l.mutex.TryLock() {
 		for _, e := range l.takePending() {
@@ -60,19 +60,20 @@
 	return events
 }
 
-// callPolicy lets the module hear of one thing that happened, and waits until it has; its orders lie in the calls' mailboxes then.
-func (b *Balancer) callPolicy(hear func()) {
-	e := event{hear, time.Now()}
+// callPolicy runs a function with the policy locked and waits until it has run. By then the resulting actions are queued at
+// their requests.
+func (b *Balancer) callPolicy(handle func()) {
+	e := event{handle, time.Now()}
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.handleEvent(e)
 }
 
-// post lets the module hear of one thing that happened without ever waiting. Events that one goroutine posts are heard in their
-// order.
-func (b *Balancer) post(hear func()) { b.mu.post(event{hear, time.Now()}) }
+// post runs a function with the policy locked, now or later, and never waits. Events that one goroutine posts are processed
+// in their order.
+func (b *Balancer) post(handle func()) { b.mu.post(event{handle, time.Now()}) }
 
-// handleEvent is under mu.
+// handleEvent processes one event and records how long it waited and took. The caller holds mu.
 func (b *Balancer) handleEvent(e event) {
 	began := time.Now()
 	b.delays.waiting.record(began.Sub(e.postedAt))
--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -15,14 +15,14 @@
 )
 
 // ask sends one request over a new connection and returns its answer's line.
-func (f *faultyHosts) ask(t *testing.T, text, id string, wait time.Duration) string {
+func (f *faultyHosts) ask(t *testing.T, request, id string, wait time.Duration) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", f.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	io.WriteString(conn, text)
+	io.WriteString(conn, request)
 	f.attemptLog.recordRequests([]string{id}, wait)
 	conn.SetReadDeadline(time.Now().Add(testTimeout))
 	line, err := bufio.NewReader(conn).ReadString('\n')
--- a/internal/balancer/delays.go
+++ b/internal/balancer/delays.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// peakDuration is the longest of some spans since the start, and since the last look.
+// peakDuration is the longest of the recorded durations, since the start and since the last takeRecent.
 type peakDuration struct{ sinceStart, sinceRead atomic.Int64 }
 
-// record counts a span in.
+// record takes a duration into account.
 func (p *peakDuration) record(span time.Duration) {
 	raiseTo(&p.sinceStart, int64(span))
 	raiseTo(&p.sinceRead, int64(span))
 }
 
-// takeRecent is the longest span since the last call of recent.
+// takeRecent returns the longest duration since the last call of takeRecent.
 func (p *peakDuration) takeRecent() time.Duration { return time.Duration(p.sinceRead.Swap(0)) }
 
-// longest is the longest span since the start.
+// longest returns the longest duration since the start.
 func (p *peakDuration) longest() time.Duration { return time.Duration(p.sinceStart.Load()) }
 
-// raiseTo sets a value to at least another one.
-func raiseTo(value *atomic.Int64, to int64) {
-	for old := value.Load(); old < to; old = value.Load() {
-		if value.CompareAndSwap(old, to) {
+// raiseTo raises a value to a minimum; a larger value stays.
+func raiseTo(value *atomic.Int64, minimum int64) {
+	for old := value.Load(); old < minimum; old = value.Load() {
+		if value.CompareAndSwap(old, minimum) {
 			return
 		}
 	}
 }
 
-// delayStats are what may keep an answer back: how long the decisions were held by one event, how long an event waited for
-// them, and the answers that came after their requests' deadlines.
+// delayStats measure what can delay an answer: how long one event occupied the policy, how long an event waited for the
+// policy, and the answers that were written after their deadlines.
 type delayStats struct {
 	handling, waiting peakDuration
 	lateAnswers       atomic.Int64 // answers written after the deadline
-	lateBy            peakDuration // by how much
-	lateLogged        atomic.Int64 // of these, named in the log since the last report
-	answeredByTimer   atomic.Int64 // answers by the request's own timer, as no decision had come in its time
+	lateBy            peakDuration // how long after it
+	lateLogged        atomic.Int64 // late answers logged since the last report
+	answeredByTimer   atomic.Int64 // answers by the request's deadline timer, as the policy had not decided in time
 }
 
-// maxLateLogged bounds the late answers that the log names between two reports.
+// maxLateLogged bounds the late answers that are logged one by one between two reports.
 const maxLateLogged = 20
 
-// milliseconds is a span as the log has it.
+// milliseconds converts a duration to the unit used in the log.
 func milliseconds(span time.Duration) float64 { return float64(span.Microseconds()) / 1000 }
 
-// recordLateAnswer counts an answer that was written after its request's deadline, and names it in the log.
-func (b *Balancer) recordLateAnswer(c *clientRequest, as finalAnswer) {
+// recordLateAnswer counts and logs an answer that was written after its request's deadline.
+func (b *Balancer) recordLateAnswer(c *clientRequest, answer finalAnswer) {
 	late := -c.deadline.Remaining()
-	if late <= 0 || c.upload != nil { // the deadline of a long write follows from its last byte
+	if late <= 0 || c.upload != nil { // the deadline of a long write is known only at its last byte
 		return
 	}
 	b.delays.lateAnswers.Add(1)
@@ -56,7 +56,7 @@
 	if b.delays.lateLogged.Add(1) > maxLateLogged {
 		return
 	}
-	b.log.Warn().Str("request", string(c.ID)).Stringer("answer", as).Int("attempts", len(c.attempts)).
+	b.log.Warn().Str("request", string(c.ID)).Stringer("answer", answer).Int("attempts", len(c.attempts)).
 		Float64("late_ms", milliseconds(late)).Float64("waited_ms", milliseconds(c.admitted.Sub(c.arrived))).
 		Float64("lived_ms", milliseconds(time.Since(c.admitted))).Msg("answered late")
 }
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -11,7 +11,7 @@
 	"streamrail/policy"
 )
 
-// observationExchange are what balancers tell each other of hosts, where the operator's file lets them; nil otherwise.
+// observationExchange exchanges observations of hosts with other balancers. It is nil unless the operator's file enables it.
 type observationExchange struct {
 	epoch time.Time
 
@@ -19,7 +19,7 @@
 	machine   *evidence.Machine
 	transport *carry.Carrier
 	stop      chan struct{}
-	delivered []evidence.Word // that the module has heard
+	delivered []evidence.Word // what the policy has been given last
 }
 
 func (b *Balancer) newObservationExchange() *observationExchange {
@@ -29,20 +29,20 @@
 	return &observationExchange{epoch: time.Now()}
 }
 
-// startObservations begins to tell and to hear over a carrier.
-func (b *Balancer) startObservations(c *carry.Carrier) {
-	w := b.observations
-	if w == nil {
+// startObservations starts to send and receive observations over a transport.
+func (b *Balancer) startObservations(transport *carry.Carrier) {
+	o := b.observations
+	if o == nil {
 		return
 	}
 	stop := make(chan struct{})
-	w.mu.Lock()
-	w.transport, w.stop = c, stop
-	w.machine = evidence.New(evidence.Terms{Self: c.Self(), Zone: c.View().Self.Zone})
-	w.mu.Unlock()
-	c.On(carry.TopicEvidence, func(from member.Life, body []byte) {
+	o.mu.Lock()
+	o.transport, o.stop = transport, stop
+	o.machine = evidence.New(evidence.Terms{Self: transport.Self(), Zone: transport.View().Self.Zone})
+	o.mu.Unlock()
+	transport.On(carry.TopicEvidence, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeEvidence(body); ok {
-			w.update(func(p *evidence.Machine, now evidence.Moment) { p.Hear(now, from, m) })
+			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Hear(now, from, m) })
 		}
 	})
 	go func() {
@@ -51,7 +51,7 @@
 		for {
 			select {
 			case <-t.C:
-				b.exchangeObservations(c)
+				b.exchangeObservations(transport)
 			case <-stop:
 				return
 			}
@@ -59,96 +59,100 @@
 	}()
 }
 
-// update gives the evidence an input.
-func (w *observationExchange) update(input func(p *evidence.Machine, now evidence.Moment)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.machine != nil {
-		input(w.machine, time.Since(w.epoch))
+// update feeds an input to the state machine, unless the exchange has ended.
+func (o *observationExchange) update(input func(machine *evidence.Machine, now evidence.Moment)) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.machine != nil {
+		input(o.machine, time.Since(o.epoch))
 	}
 }
 
-// exchangeObservations tells others, and the module what they say.
-func (b *Balancer) exchangeObservations(c *carry.Carrier) {
-	var members []evidence.Peer
-	for _, m := range c.View().Members {
+// exchangeObservations sends this balancer's observations to the others and passes theirs on to the policy.
+func (b *Balancer) exchangeObservations(transport *carry.Carrier) {
+	var peers []evidence.Peer
+	for _, m := range transport.View().Members {
 		if m.State == member.Alive || m.State == member.Suspected {
-			members = append(members, evidence.Peer{Life: m.Life, Zone: m.Zone})
+			peers = append(peers, evidence.Peer{Life: m.Life, Zone: m.Zone})
 		}
 	}
 	listed := 0
 	b.callPolicy(func() { listed, _ = b.policy.Fleet() })
-	w := b.observations
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.machine == nil {
+	o := b.observations
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.machine == nil {
 		return
 	}
-	w.machine.Tick(time.Since(w.epoch), members, listed)
-	for _, s := range w.machine.Out() {
-		w.transport.Tell(s.To, carry.TopicEvidence, carry.EncodeEvidence(&s.Msg))
+	o.machine.Tick(time.Since(o.epoch), peers, listed)
+	for _, send := range o.machine.Out() {
+		o.transport.Tell(send.To, carry.TopicEvidence, carry.EncodeEvidence(&send.Msg))
 	}
-	b.deliverObservations(w.machine.Words())
+	b.deliverObservations(o.machine.Words())
 }
 
-// deliverObservations tells the module what the others say of hosts, and of which they say nothing any more. Each change is a line in the log. Under witnesses.mu.
-func (b *Balancer) deliverObservations(words []evidence.Word) {
-	w := b.observations
-	for _, x := range words {
-		if !evidence.Has(w.delivered, x.Host) {
-			b.log.Info().Str("host", x.Host).Int("witnesses", x.Witnesses).Float64("good", x.Good).Float64("bad", x.Bad).Msg("other balancers call this host bad")
+// deliverObservations gives the policy the observations that now hold, withdraws those that no longer do, and logs each
+// change. The caller holds observations.mu.
+func (b *Balancer) deliverObservations(observations []evidence.Word) {
+	o := b.observations
+	for _, one := range observations {
+		if !evidence.Has(o.delivered, one.Host) {
+			b.log.Info().Str("host", one.Host).Int("witnesses", one.Witnesses).Float64("good", one.Good).Float64("bad", one.Bad).Msg("other balancers call this host bad")
 		}
 	}
 	b.callPolicy(func() {
-		evidence.Tell(w.delivered, words, func(host string, good, bad float64) { b.policy.Said(policy.CacheID(host), good, bad) })
+		evidence.Tell(o.delivered, observations, func(host string, good, bad float64) { b.policy.Said(policy.CacheID(host), good, bad) })
 	})
-	for _, x := range w.delivered {
-		if !evidence.Has(words, x.Host) {
-			b.log.Info().Str("host", x.Host).Msg("other balancers do not call this host bad any more")
+	for _, one := range o.delivered {
+		if !evidence.Has(observations, one.Host) {
+			b.log.Info().Str("host", one.Host).Msg("other balancers do not call this host bad any more")
 		}
 	}
-	w.delivered = words
+	o.delivered = observations
 }
 
-// stopObservations ends it: the newer process of an upgrade goes on, or this one ends. What was said holds no more.
+// stopObservations ends the exchange, because the newer process of an upgrade takes over or this process ends. What was received is
+// withdrawn.
 func (b *Balancer) stopObservations() {
-	if w := b.observations; w != nil {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if w.machine != nil {
-			close(w.stop)
+	if o := b.observations; o != nil {
+		o.mu.Lock()
+		defer o.mu.Unlock()
+		if o.machine != nil {
+			close(o.stop)
 			b.deliverObservations(nil)
-			w.machine, w.transport = nil, nil
+			o.machine, o.transport = nil, nil
 		}
 	}
 }
 
-// observeAttempt notes how an attempt of a request ended.
+// observeAttempt records how an attempt ended, if that says anything about the host.
 func (b *Balancer) observeAttempt(c *clientRequest, e attemptResult) {
-	if w := b.observations; w != nil {
-		if good, proves := evidence.Proves(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); proves {
-			w.update(func(p *evidence.Machine, now evidence.Moment) { p.Ended(now, string(c.attempts[e.attempt].To), good) })
+	if o := b.observations; o != nil {
+		if good, conclusive := evidence.Proves(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); conclusive {
+			o.update(func(machine *evidence.Machine, now evidence.Moment) {
+				machine.Ended(now, string(c.attempts[e.attempt].To), good)
+			})
 		}
 	}
 }
 
-// Evidence is what the door shows of it.
-func (d adminAPI) Evidence() (to admin.Evidence, err error) {
-	if _, err = d.b.fleetTransport(); err != nil {
-		return to, err
+// Evidence returns the observations received from other balancers.
+func (a adminAPI) Evidence() (shown admin.Evidence, err error) {
+	if _, err = a.b.fleetTransport(); err != nil {
+		return shown, err
 	}
-	w := d.b.observations
-	if w == nil {
-		return to, admin.ErrNoEvidence
+	o := a.b.observations
+	if o == nil {
+		return shown, admin.ErrNoEvidence
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.machine == nil {
-		return to, admin.ErrHanded
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if o.machine == nil {
+		return shown, admin.ErrHanded
 	}
-	to = admin.Evidence{Witnesses: w.machine.Heard(), Hosts: []admin.Said{}}
-	for _, x := range w.delivered {
-		to.Hosts = append(to.Hosts, admin.Said{Host: x.Host, Good: x.Good, Bad: x.Bad, Witnesses: x.Witnesses})
+	shown = admin.Evidence{Witnesses: o.machine.Heard(), Hosts: []admin.Said{}}
+	for _, one := range o.delivered {
+		shown.Hosts = append(shown.Hosts, admin.Said{Host: one.Host, Good: one.Good, Bad: one.Bad, Witnesses: one.Witnesses})
 	}
-	return to, nil
+	return shown, nil
 }
--- a/internal/balancer/figures.go
+++ b/internal/balancer/figures.go
@@ -19,58 +19,58 @@
 
 func (f finalAnswer) String() string { return [...]string{"fulfilled", "rate_limited", "errored"}[f] }
 
-// answerStats count what clients have seen since the start: an answer counts once it is written whole. One that its client
-// did not wait for counts nowhere.
+// answerStats count the answers that clients have received since the start. An answer counts once it is written whole; one that its
+// client did not wait for does not count.
 type answerStats struct {
-	productNames []string // by product
+	productNames []string // indexed by policy.Product
 	answers      [][errored + 1]atomic.Int64
-	unanswered   atomic.Int64 // requests taken and neither answered nor abandoned
+	unanswered   atomic.Int64 // requests admitted and neither answered nor abandoned
 }
 
-func newAnswerStats(told *deployment.Deployment) *answerStats {
-	f := &answerStats{productNames: make([]string, len(told.Products)), answers: make([][errored + 1]atomic.Int64, len(told.Products))}
-	for name, p := range told.Products {
-		f.productNames[p] = name
+func newAnswerStats(deployed *deployment.Deployment) *answerStats {
+	s := &answerStats{productNames: make([]string, len(deployed.Products)), answers: make([][errored + 1]atomic.Int64, len(deployed.Products))}
+	for name, p := range deployed.Products {
+		s.productNames[p] = name
 	}
-	return f
+	return s
 }
 
-func (f *answerStats) countAnswer(p policy.Product, as finalAnswer) { f.answers[p][as].Add(1) }
+func (s *answerStats) countAnswer(p policy.Product, answer finalAnswer) { s.answers[p][answer].Add(1) }
 
-// adminAPI is what the operators' door opens to.
+// adminAPI implements the admin API on a balancer.
 type adminAPI struct{ b *Balancer }
 
-func (d adminAPI) Ready() bool {
-	return d.b.upgrade.takesClients.Load() && d.b.hasHostList.Load() && (d.b.currentPhase() == Serving || d.b.currentPhase() == Leaving)
+func (a adminAPI) Ready() bool {
+	return a.b.upgrade.takesClients.Load() && a.b.hasHostList.Load() && (a.b.currentPhase() == Serving || a.b.currentPhase() == Leaving)
 }
 
-func (d adminAPI) Figures() admin.Figures {
-	f := d.b.answerStats
-	to := admin.Figures{Attempts: d.b.hosts.Sent(), InHand: f.unanswered.Load(), Late: d.b.delays.lateAnswers.Load(),
-		LongestHeld: d.b.delays.handling.longest()}
-	for i, name := range f.productNames {
-		n := &f.answers[i]
-		to.Products = append(to.Products, admin.Product{Name: name, Fulfilled: n[fulfilled].Load(),
-			RateLimited: n[rateLimited].Load(), Errored: n[errored].Load()})
+func (a adminAPI) Figures() admin.Figures {
+	stats := a.b.answerStats
+	figures := admin.Figures{Attempts: a.b.hosts.Sent(), InHand: stats.unanswered.Load(), Late: a.b.delays.lateAnswers.Load(),
+		LongestHeld: a.b.delays.handling.longest()}
+	for i, name := range stats.productNames {
+		counts := &stats.answers[i]
+		figures.Products = append(figures.Products, admin.Product{Name: name, Fulfilled: counts[fulfilled].Load(),
+			RateLimited: counts[rateLimited].Load(), Errored: counts[errored].Load()})
 	}
-	d.b.callPolicy(func() { to.Listed, to.Avoided = d.b.policy.Fleet() })
-	to.Fleet = d.b.fleetStats()
-	return to
+	a.b.callPolicy(func() { figures.Listed, figures.Avoided = a.b.policy.Fleet() })
+	figures.Fleet = a.b.fleetStats()
+	return figures
 }
 
-func (d adminAPI) Exclude(member string, how admin.How) (string, error) {
-	return d.setExcluded(member, true, how)
+func (a adminAPI) Exclude(host string, options admin.How) (string, error) {
+	return a.setExcluded(host, true, options)
 }
-func (d adminAPI) Include(member string, how admin.How) (string, error) {
-	return d.setExcluded(member, false, how)
+func (a adminAPI) Include(host string, options admin.How) (string, error) {
+	return a.setExcluded(host, false, options)
 }
 
-func (d adminAPI) setExcluded(member string, out bool, how admin.How) (string, error) {
-	if d.b.fleetOrders != nil {
-		return d.b.giveFleetOrder(member, out, how)
+func (a adminAPI) setExcluded(host string, exclude bool, options admin.How) (string, error) {
+	if a.b.fleetOrders != nil {
+		return a.b.giveFleetOrder(host, exclude, options)
 	}
-	if how != (admin.How{}) {
+	if options != (admin.How{}) {
 		return "", admin.ErrNoOrders
 	}
-	return "", d.b.setExclusion(policy.CacheID(member), out, false)
+	return "", a.b.setExclusion(policy.CacheID(host), exclude, false)
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -23,7 +23,7 @@
 }
 
 // joinFleet speaks for this balancer from now on. kept is what an older process has handed over.
-func (b *Balancer) joinFleet(kept *member.Kept) error {
+func (b *Balancer) joinFleet(saved *member.Kept) error {
 	f := &b.fleet
 	if f.settings == nil {
 		return nil
@@ -35,17 +35,17 @@
 		}
 	}
 	self := member.Record{Life: member.NewLife(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
-	c, m := f.settings.Terms(self, b.deployment.Terms.Balancers, rand.Uint64())
-	carrier, err := carry.Open(c, m, kept, b.log)
+	transportTerms, memberTerms := f.settings.Terms(self, b.deployment.Terms.Balancers, rand.Uint64())
+	transport, err := carry.Open(transportTerms, memberTerms, saved, b.log)
 	if err != nil {
 		return fmt.Errorf("fleet.address: %w", err)
 	}
 	f.mu.Lock()
-	f.transport = carrier
+	f.transport = transport
 	f.mu.Unlock()
-	b.startSharing(carrier)
-	b.startExclusionOrders(carrier)
-	b.startObservations(carrier)
+	b.startSharing(transport)
+	b.startExclusionOrders(transport)
+	b.startObservations(transport)
 	return nil
 }
 
@@ -57,21 +57,21 @@
 	if f.transport == nil {
 		return nil
 	}
-	text, _ := json.Marshal(f.transport.Keep())
-	return text
+	encoded, _ := json.Marshal(f.transport.Keep())
+	return encoded
 }
 
 // takeOverMembership takes the place that an older process gives up once it hears that this one is ready.
-func (b *Balancer) takeOverMembership(text json.RawMessage) {
-	var kept *member.Kept
-	if len(text) > 0 {
-		kept = new(member.Kept)
-		if err := json.Unmarshal(text, kept); err != nil {
+func (b *Balancer) takeOverMembership(encoded json.RawMessage) {
+	var saved *member.Kept
+	if len(encoded) > 0 {
+		saved = new(member.Kept)
+		if err := json.Unmarshal(encoded, saved); err != nil {
 			b.log.Warn().Err(err).Msg("the place in the fleet is not readable, starting as a new life")
-			kept = nil
+			saved = nil
 		}
 	}
-	b.resumeMembership(kept)
+	b.resumeMembership(saved)
 }
 
 // handOverMembership ends this process's part in the fleet without a word: another one speaks for this balancer.
@@ -83,15 +83,15 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.transport != nil {
-		kept := f.transport.Keep()
+		saved := f.transport.Keep()
 		f.transport.Close()
-		f.transport, f.savedState = nil, &kept
+		f.transport, f.savedState = nil, &saved
 	}
 }
 
 // resumeMembership speaks for this balancer from where another process of an upgrade left off; without a place it serves all the same.
-func (b *Balancer) resumeMembership(kept *member.Kept) {
-	if err := b.joinFleet(kept); err != nil {
+func (b *Balancer) resumeMembership(saved *member.Kept) {
+	if err := b.joinFleet(saved); err != nil {
 		b.log.Warn().Err(err).Msg("no place in the fleet")
 	}
 }
@@ -100,13 +100,13 @@
 func (b *Balancer) reclaimMembership() {
 	f := &b.fleet
 	f.mu.Lock()
-	kept := f.savedState
+	saved := f.savedState
 	f.savedState = nil
 	f.mu.Unlock()
-	if kept == nil || b.currentPhase() > Leaving {
+	if saved == nil || b.currentPhase() > Leaving {
 		return
 	}
-	b.resumeMembership(kept)
+	b.resumeMembership(saved)
 }
 
 // leaveFleet tells the others that this balancer ends in order.
@@ -138,46 +138,46 @@
 }
 
 // Members is what the door shows of the fleet.
-func (d adminAPI) Members() (to admin.Members, err error) {
-	c, err := d.b.fleetTransport()
+func (a adminAPI) Members() (shown admin.Members, err error) {
+	transport, err := a.b.fleetTransport()
 	if err != nil {
-		return to, err
+		return shown, err
 	}
-	v := c.View()
-	ms := func(at member.Moment) int64 { return (v.Now - at).Milliseconds() }
-	to = admin.Members{Fleet: d.b.fleet.settings.Name, Name: v.Self.Name, Life: formatLife(v.Self.Life), Inc: uint32(v.Self.Inc),
-		Situation: v.Situation.String(), Expected: v.Expected, Seen: v.Seen, Version: v.Version, Digest: fmt.Sprintf("%016x", v.Digest),
+	view := transport.View()
+	agoMs := func(at member.Moment) int64 { return (view.Now - at).Milliseconds() }
+	shown = admin.Members{Fleet: a.b.fleet.settings.Name, Name: view.Self.Name, Life: formatLife(view.Self.Life), Inc: uint32(view.Self.Inc),
+		Situation: view.Situation.String(), Expected: view.Expected, Seen: view.Seen, Version: view.Version, Digest: fmt.Sprintf("%016x", view.Digest),
 		Members: []admin.Member{}}
-	if v.Rival.Life != 0 {
-		to.Rival = v.Rival.Addr.String()
+	if view.Rival.Life != 0 {
+		shown.Rival = view.Rival.Addr.String()
 	}
-	for _, m := range v.Members {
-		one := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: formatLife(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
-			SinceMs: ms(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.Suspecting}
+	for _, m := range view.Members {
+		shownMember := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: formatLife(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
+			SinceMs: agoMs(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.Suspecting}
 		if m.Heard > 0 {
-			one.HeardMs = ms(m.Heard)
+			shownMember.HeardMs = agoMs(m.Heard)
 		}
-		to.Members = append(to.Members, one)
+		shown.Members = append(shown.Members, shownMember)
 	}
-	return to, nil
+	return shown, nil
 }
 
-func formatLife(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
+func formatLife(life member.Life) string { return fmt.Sprintf("%016x", uint64(life)) }
 
 // fleetStats are the fleet's in the telemetry; nil without one.
 func (b *Balancer) fleetStats() *admin.Fleet {
-	c, err := b.fleetTransport()
+	transport, err := b.fleetTransport()
 	if err != nil {
 		return nil
 	}
-	v, n := c.View(), c.Counts()
-	to := &admin.Fleet{Situation: v.Situation.String(), Expected: v.Expected, States: map[string]int{member.Alive.String(): 1},
-		Sent: n.Sent, SentBytes: n.SentBytes, Heard: n.Heard, HeardBytes: n.HeardBytes, Dropped: n.Dropped}
-	for _, m := range v.Members {
-		to.States[m.State.String()]++
+	view, counts := transport.View(), transport.Counts()
+	stats := &admin.Fleet{Situation: view.Situation.String(), Expected: view.Expected, States: map[string]int{member.Alive.String(): 1},
+		Sent: counts.Sent, SentBytes: counts.SentBytes, Heard: counts.Heard, HeardBytes: counts.HeardBytes, Dropped: counts.Dropped}
+	for _, m := range view.Members {
+		stats.States[m.State.String()]++
 	}
-	if l, err := (adminAPI{b}).Limits(); err == nil {
-		to.Limits = l.Limits
+	if shares, err := (adminAPI{b}).Limits(); err == nil {
+		stats.Limits = shares.Limits
 	}
-	return to
+	return stats
 }
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -13,27 +13,27 @@
 )
 
 // restoreHostList takes the list as this balancer had it before its start: as an older process has it now, or as it was told.
-func (b *Balancer) restoreHostList(from *handover.State) {
-	var l discovery.List
-	known := b.deployment.Known
-	if from != nil {
-		known = from.List
+func (b *Balancer) restoreHostList(handedOver *handover.State) {
+	var list discovery.List
+	saved := b.deployment.Known
+	if handedOver != nil {
+		saved = handedOver.List
 	}
-	if len(known) > 0 && string(known) != "null" {
+	if len(saved) > 0 && string(saved) != "null" {
 		var err error
-		if l, err = b.discoveryNames().Parse(known); err != nil {
+		if list, err = b.discoveryNames().Parse(saved); err != nil {
 			b.log.Warn().Err(err).Str("key", "known").Msg("the list last known is not readable, left out")
-			l = discovery.List{}
+			list = discovery.List{}
 		}
 	}
-	b.applyHostList(policy.ListRestored, l)
-	if len(l.Hosts) == 0 {
+	b.applyHostList(policy.ListRestored, list)
+	if len(list.Hosts) == 0 {
 		return
 	}
 	if b.deployment.Terms.MustSubscribe { // each call loads discovery: only what changed since is asked for
-		b.listSource.resumeFrom = &l.Generation
+		b.listSource.resumeFrom = &list.Generation
 	}
-	if from != nil || b.deployment.Terms.MustSubscribe { // it is the present one, or the module asks when it sees fit
+	if handedOver != nil || b.deployment.Terms.MustSubscribe { // it is the present one, or the module asks when it sees fit
 		b.listSource.readyOnce.Do(func() { close(b.listSource.ready) })
 	}
 }
@@ -69,13 +69,13 @@
 
 // Reload takes a configuration that was read and checked while the balancer runs: it follows the list where
 // that says from now on. What only a restart can change is named.
-func (b *Balancer) Reload(told *deployment.Deployment) {
-	b.log.Info().Str("discovery", told.Discovery).Strs("kept_until_restart", b.deployment.Fixed(told)).Msg("configuration reloaded")
+func (b *Balancer) Reload(deployed *deployment.Deployment) {
+	b.log.Info().Str("discovery", deployed.Discovery).Strs("kept_until_restart", b.deployment.Fixed(deployed)).Msg("configuration reloaded")
 	b.listSource.mu.Lock()
-	same, begun := told.Discovery == b.listSource.addr, b.listSource.stop != nil
-	b.listSource.addr = told.Discovery
+	sameAddress, watching := deployed.Discovery == b.listSource.addr, b.listSource.stop != nil
+	b.listSource.addr = deployed.Discovery
 	b.listSource.mu.Unlock()
-	if begun && !same {
+	if watching && !sameAddress {
 		b.startWatch()
 	}
 }
@@ -84,7 +84,7 @@
 // answer in its time it is asked anew at once all the same: what was missed must hold soon, and it has waited for long enough.
 func (b *Balancer) followDiscovery(ctx context.Context, watch *discovery.Watch, subscribed bool) {
 	defer watch.Close()
-	lag := b.pace.First
+	backoff := b.pace.First
 	for {
 		if !subscribed {
 			select {
@@ -94,10 +94,10 @@
 				return
 			}
 		}
-		l, err := watch.Next(ctx)
+		list, err := watch.Next(ctx)
 		if err == nil {
-			lag = b.pace.First
-			b.acceptHostList(ctx, l)
+			backoff = b.pace.First
+			b.acceptHostList(ctx, list)
 			continue
 		}
 		if ctx.Err() != nil {
@@ -112,8 +112,8 @@
 			b.callPolicy(func() { b.policy.Listed(policy.ListUnavailable, nil) })
 			continue
 		}
-		wait := jitter(lag)
-		lag = min(2*lag, b.pace.Last)
+		wait := jitter(backoff)
+		backoff = min(2*backoff, b.pace.Last)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -123,22 +123,22 @@
 }
 
 // acceptHostList hands an answer of discovery on; one that waited for nothing brings nothing.
-func (b *Balancer) acceptHostList(ctx context.Context, l discovery.List) {
+func (b *Balancer) acceptHostList(ctx context.Context, list discovery.List) {
 	b.listSource.mu.Lock()
 	defer b.listSource.mu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
-	if n := len(l.Unread); n > 0 {
-		b.log.Warn().Err(l.Unread[0].Why).Int("entries", n).Str("discovery", b.listSource.addr).Msg("entries of the list cannot be read, their hosts stay as they were")
+	if unreadable := len(list.Unread); unreadable > 0 {
+		b.log.Warn().Err(list.Unread[0].Why).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the list cannot be read, their hosts stay as they were")
 	}
-	if !l.Stands(b.listSource.generation) {
-		l = l.Over(b.listSource.snapshot())
+	if !list.Stands(b.listSource.generation) {
+		list = list.Over(b.listSource.snapshot())
 	}
-	if l.Whole {
-		b.applyHostList(policy.ListReplace, l)
+	if list.Whole {
+		b.applyHostList(policy.ListReplace, list)
 	} else {
-		b.applyHostList(policy.ListUpdate, l)
+		b.applyHostList(policy.ListUpdate, list)
 	}
 	b.listSource.readyOnce.Do(func() { close(b.listSource.ready) })
 }
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -129,7 +129,7 @@
 		return err == nil
 	}
 	// from has what happens to the second call on, and so many more; the first brought the whole list.
-	from := func(times int, does func(to net.Conn, text string) bool) func(int, net.Conn, string) bool {
+	faultFrom2 := func(times int, does func(to net.Conn, text string) bool) func(int, net.Conn, string) bool {
 		return func(n int, to net.Conn, text string) bool {
 			if n >= 2 && n < 2+times {
 				return does(to, text)
@@ -166,24 +166,24 @@
 		downTo        time.Duration // the agent refuses connections from its leaving on up to then, when it is back
 		atOnce        bool          // where lists are pushed it counts as told at once then
 	}{
-		"silent":                  {pushed: true, asked: true, respond: from(1, silent), leaves: 5 * time.Millisecond},
-		"silent, leaves late":     {pushed: true, asked: true, respond: from(1, silent), leaves: second},
-		"silent twice":            {pushed: true, respond: from(2, silent), leaves: 5 * time.Millisecond},
-		"turned away":             {pushed: true, asked: true, respond: from(1, refused), leaves: second},
-		"ended before an answer":  {pushed: true, asked: true, respond: from(1, ended), leaves: second},
-		"ended within an answer":  {pushed: true, asked: true, respond: from(1, cutOff), leaves: second},
-		"silent within an answer": {pushed: true, asked: true, respond: from(1, cut), leaves: second},
-		"spoilt":                  {pushed: true, asked: true, respond: from(1, spoilt), leaves: second},
+		"silent":                  {pushed: true, asked: true, respond: faultFrom2(1, silent), leaves: 5 * time.Millisecond},
+		"silent, leaves late":     {pushed: true, asked: true, respond: faultFrom2(1, silent), leaves: second},
+		"silent twice":            {pushed: true, respond: faultFrom2(2, silent), leaves: 5 * time.Millisecond},
+		"turned away":             {pushed: true, asked: true, respond: faultFrom2(1, refused), leaves: second},
+		"ended before an answer":  {pushed: true, asked: true, respond: faultFrom2(1, ended), leaves: second},
+		"ended within an answer":  {pushed: true, asked: true, respond: faultFrom2(1, cutOff), leaves: second},
+		"silent within an answer": {pushed: true, asked: true, respond: faultFrom2(1, cut), leaves: second},
+		"spoilt":                  {pushed: true, asked: true, respond: faultFrom2(1, spoilt), leaves: second},
 		"spoilt, then silent": {pushed: true, asked: true, respond: func(n int, to net.Conn, text string) bool {
 			if n == 2 {
 				return spoilt(to, text)
 			}
 			return n != 3 && whole(to, text)
 		}, leaves: second},
-		"in small pieces":   {pushed: true, asked: true, respond: from(1, pieces(10*time.Millisecond)), leaves: second, atOnce: true},
-		"in slow pieces":    {pushed: true, asked: true, respond: from(1, pieces(400*time.Millisecond)), leaves: second},
-		"away for long":     {pushed: true, asked: true, respond: from(1, ended), leaves: second, downTo: 20 * second, atOnce: true},
-		"away for a moment": {pushed: true, asked: true, respond: from(1, ended), leaves: second, downTo: 1200 * time.Millisecond, atOnce: true},
+		"in small pieces":   {pushed: true, asked: true, respond: faultFrom2(1, pieces(10*time.Millisecond)), leaves: second, atOnce: true},
+		"in slow pieces":    {pushed: true, asked: true, respond: faultFrom2(1, pieces(400*time.Millisecond)), leaves: second},
+		"away for long":     {pushed: true, asked: true, respond: faultFrom2(1, ended), leaves: second, downTo: 20 * second, atOnce: true},
+		"away for a moment": {pushed: true, asked: true, respond: faultFrom2(1, ended), leaves: second, downTo: 1200 * time.Millisecond, atOnce: true},
 		"away, then turned away": {pushed: true, respond: func(n int, to net.Conn, text string) bool {
 			return map[int]func(net.Conn, string) bool{2: ended, 3: refused}[n] == nil && whole(to, text) || n == 2 && ended(to, text) || n == 3 && refused(to, text)
 		}, leaves: second, downTo: 9 * second},
@@ -203,19 +203,19 @@
 							defer b.cancel()
 							time.Sleep(time.Until(a.began.Add(row.leaves)))
 							a.change(func() { a.draining, a.down = true, row.downTo > 0 })
-							told := row.leaves
+							knownAt := row.leaves
 							if row.downTo > 0 {
 								time.Sleep(time.Until(a.began.Add(row.downTo)))
 								a.change(func() { a.down = false })
-								told = row.downTo
+								knownAt = row.downTo
 							}
 							if mode == "asked" || !row.atOnce {
-								told += 6 * time.Second
+								knownAt += 6 * time.Second
 							}
-							time.Sleep(time.Until(a.began.Add(told + grace*9/10)))
+							time.Sleep(time.Until(a.began.Add(knownAt + grace*9/10)))
 							synctest.Wait()
 							if b.avoidedHosts() != 1 {
-								t.Errorf("not left alone %v after it leaves, told after %v; asked at %v", time.Since(a.began)-row.leaves, told-row.leaves, a.callTimes)
+								t.Errorf("not left alone %v after it leaves, told after %v; asked at %v", time.Since(a.began)-row.leaves, knownAt-row.leaves, a.callTimes)
 							}
 							a.mu.Lock()
 							defer a.mu.Unlock()
@@ -269,7 +269,7 @@
 		"silent at first":  {func(int) bool { return true }, func(n int) bool { return n > 1 }},
 		"silent at either": {func(n int) bool { return n < 2 }, func(n int) bool { return n > 1 }},
 	} {
-		for mode, told := range map[string]time.Duration{"pushed": 4 * time.Second, "asked": 6 * time.Second} {
+		for mode, limit := range map[string]time.Duration{"pushed": 4 * time.Second, "asked": 6 * time.Second} {
 			for _, at := range []time.Duration{time.Millisecond, 1900 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
 				t.Run(fmt.Sprint(name, ", ", mode, ", ", at), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
@@ -297,7 +297,7 @@
 						to := *b.deployment
 						to.Discovery = "moved"
 						b.Reload(&to)
-						time.Sleep(told + grace*9/10)
+						time.Sleep(limit + grace*9/10)
 						synctest.Wait()
 						if b.avoidedHosts() != 1 {
 							t.Errorf("not left alone; asked at %v", moved.callTimes)
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -63,7 +63,7 @@
 func (l *limitShares) now() share.Moment { return time.Since(l.epoch) }
 
 // startSharing begins to move parts over a carrier.
-func (b *Balancer) startSharing(c *carry.Carrier) {
+func (b *Balancer) startSharing(transport *carry.Carrier) {
 	l := b.limitShares
 	if l == nil {
 		return
@@ -71,19 +71,19 @@
 	stop := make(chan struct{})
 	b.upgrade.mu.Lock()
 	l.mu.Lock()
-	l.transport, l.stop = c, stop
-	l.machine = share.New(share.Terms{Self: c.Self(), Among: b.deployment.Terms.Balancers, Names: l.names, Bound: l.bounds, Grain: l.smallestParts, Floor: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
+	l.transport, l.stop = transport, stop
+	l.machine = share.New(share.Terms{Self: transport.Self(), Among: b.deployment.Terms.Balancers, Names: l.names, Bound: l.bounds, Grain: l.smallestParts, Floor: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
 		First: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
 	l.machine.Beside(b.upgrade.older != nil)
 	l.mu.Unlock()
 	b.upgrade.mu.Unlock()
-	c.On(carry.TopicShares, func(from member.Life, body []byte) {
+	transport.On(carry.TopicShares, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeShares(body); ok {
-			b.updateShares(func(p *share.Machine, now share.Moment) { p.Hear(now, from, m) })
+			b.updateShares(func(machine *share.Machine, now share.Moment) { machine.Hear(now, from, m) })
 		}
 	})
 	b.updateShares(func(*share.Machine, share.Moment) {})
-	go b.runSharing(c, stop)
+	go b.runSharing(transport, stop)
 }
 
 // stopSharing gives back what is borrowed and ends the moves. What is left to this process is half of its home part less what it
@@ -93,9 +93,9 @@
 	if l == nil {
 		return
 	}
-	b.updateShares(func(p *share.Machine, now share.Moment) {
-		p.Beside(true)
-		p.Tick(now, nil)
+	b.updateShares(func(machine *share.Machine, now share.Moment) {
+		machine.Beside(true)
+		machine.Tick(now, nil)
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,12 +109,12 @@
 // setSharesUpgrading tells the parts that another process of an upgrade has come, or has ended.
 func (b *Balancer) setSharesUpgrading(on bool) {
 	if b.limitShares != nil {
-		b.updateShares(func(p *share.Machine, _ share.Moment) { p.Beside(on) })
+		b.updateShares(func(machine *share.Machine, _ share.Moment) { machine.Beside(on) })
 	}
 }
 
 // runSharing looks at what came in, several times a second.
-func (b *Balancer) runSharing(c *carry.Carrier, stop <-chan struct{}) {
+func (b *Balancer) runSharing(transport *carry.Carrier, stop <-chan struct{}) {
 	l := b.limitShares
 	t := time.NewTicker(share.Turn)
 	defer t.Stop()
@@ -124,8 +124,8 @@
 		case <-stop:
 			return
 		}
-		members, _ := c.Members()
-		b.updateShares(func(p *share.Machine, now share.Moment) {
+		members, _ := transport.Members()
+		b.updateShares(func(machine *share.Machine, now share.Moment) {
 			l.slot = (l.slot + 1) % share.NeedTurns
 			for i := range l.arrivals {
 				l.recentArrivals[i][l.slot] = l.arrivals[i].Swap(0)
@@ -133,18 +133,18 @@
 				for _, n := range l.recentArrivals[i] {
 					sum += n
 				}
-				p.Need(now, i, float64(sum)/(share.NeedTurns*share.Turn.Seconds()))
+				machine.Need(now, i, float64(sum)/(share.NeedTurns*share.Turn.Seconds()))
 			}
 			if l.customerCount < len(l.bounds) {
-				p.Need(now, l.customerCount, b.hosts.OpeningNeed(share.Turn))
+				machine.Need(now, l.customerCount, b.hosts.OpeningNeed(share.Turn))
 			}
-			p.Tick(now, members)
+			machine.Tick(now, members)
 		})
 	}
 }
 
 // updateShares gives the parts an input, sends what that brings and tells the module what changed.
-func (b *Balancer) updateShares(input func(p *share.Machine, now share.Moment)) {
+func (b *Balancer) updateShares(input func(machine *share.Machine, now share.Moment)) {
 	l := b.limitShares
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -162,24 +162,24 @@
 // applyShares tells the module its parts. Under limits.mu.
 func (b *Balancer) applyShares() {
 	l := b.limitShares
-	parts := make([]float64, len(l.bounds))
+	shares := make([]float64, len(l.bounds))
 	now := l.now()
-	for i := range parts {
+	for i := range shares {
 		if l.bounds[i] > 0 {
-			parts[i] = l.machine.Part(now, i).Of(l.machine.Bound(i)) / l.bounds[i]
+			shares[i] = l.machine.Part(now, i).Of(l.machine.Bound(i)) / l.bounds[i]
 		}
 	}
 	l.nextExpiry.Store(int64(l.machine.Ends()))
-	for i := range parts {
-		parts[i] = max(parts[i], math.SmallestNonzeroFloat64) // 0 would mean that nothing is told
+	for i := range shares {
+		shares[i] = max(shares[i], math.SmallestNonzeroFloat64) // 0 would mean that nothing is told
 	}
 	b.callPolicy(func() {
-		for i, p := range parts[:l.customerCount] {
-			b.policy.Part(policy.Customer(i), p)
+		for i, share := range shares[:l.customerCount] {
+			b.policy.Part(policy.Customer(i), share)
 		}
 	})
-	if l.customerCount < len(parts) {
-		b.hosts.OpeningPart(parts[l.customerCount])
+	if l.customerCount < len(shares) {
+		b.hosts.OpeningPart(shares[l.customerCount])
 	}
 }
 
@@ -199,25 +199,25 @@
 }
 
 // Limits are the parts as the door shows them.
-func (d adminAPI) Limits() (to admin.Limits, err error) {
-	if _, err = d.b.fleetTransport(); err != nil {
-		return to, err
+func (a adminAPI) Limits() (shown admin.Limits, err error) {
+	if _, err = a.b.fleetTransport(); err != nil {
+		return shown, err
 	}
-	l := d.b.limitShares
+	l := a.b.limitShares
 	if l == nil {
-		return to, admin.ErrNoLimits
+		return shown, admin.ErrNoLimits
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.machine == nil {
-		return to, admin.ErrNoLimits
+		return shown, admin.ErrNoLimits
 	}
 	now := l.now()
 	for i, name := range l.names {
 		s := l.machine.State(now, i)
-		to.Limits = append(to.Limits, admin.Limit{Name: name, Bound: l.machine.Bound(i), Part: float64(s.Part) / float64(share.All),
+		shown.Limits = append(shown.Limits, admin.Limit{Name: name, Bound: l.machine.Bound(i), Part: float64(s.Part) / float64(share.All),
 			Lent: float64(s.Lent) / float64(share.All), Borrowed: float64(s.Borrowed) / float64(share.All), Need: s.Need,
 			Leases: s.Leases, EndsMs: s.Ends.Milliseconds(), Newborn: s.Fresh})
 	}
-	return to, nil
+	return shown, nil
 }
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -25,33 +25,33 @@
 }
 
 // applyHostList applies an answer of discovery, as far as it changes what is known. Under source.mu, or before anybody follows.
-func (b *Balancer) applyHostList(kind policy.ListKind, l discovery.List) {
+func (b *Balancer) applyHostList(kind policy.ListKind, list discovery.List) {
 	began := time.Now()
-	changes := b.listSource.update(l)
+	changes := b.listSource.update(list)
 	if kind == policy.ListUpdate && len(changes) == 0 { // a watch that waited for nothing
 		return
 	}
 	b.startTimes.place(changes, b.toNanos(deadline.After(began, 0)))
-	all := entriesOf(l.Hosts)
+	all := entriesOf(list.Hosts)
 	b.callPolicy(func() { b.policy.ListBegins(kind, all) })
-	for piece := range slices.Chunk(changes, hostsPerBatch) {
-		b.applyBatch(discovery.List{Hosts: piece, At: l.At})
+	for batch := range slices.Chunk(changes, hostsPerBatch) {
+		b.applyBatch(discovery.List{Hosts: batch, At: list.At})
 		b.pause()
 	}
-	if len(l.Hosts) > 0 || kind != policy.ListRestored {
+	if len(list.Hosts) > 0 || kind != policy.ListRestored {
 		b.hasHostList.Store(true)
 	}
-	b.log.Info().Int64("version", l.Generation).Bool("whole", l.Whole).Int("hosts", len(l.Hosts)).Int("changes", len(changes)).
+	b.log.Info().Int64("version", list.Generation).Bool("whole", list.Whole).Int("hosts", len(list.Hosts)).Int("changes", len(changes)).
 		Float64("took_ms", milliseconds(time.Since(began))).Msg("list applied")
 }
 
 // applyBatch applies some entries: to the connections first, so that a host which the module knows can be sent to.
-func (b *Balancer) applyBatch(piece discovery.List) {
-	b.hosts.Listed(piece)
-	entries := entriesOf(piece.Hosts)
+func (b *Balancer) applyBatch(batch discovery.List) {
+	b.hosts.Listed(batch)
+	entries := entriesOf(batch.Hosts)
 	b.callPolicy(func() { b.policy.Changed(entries) })
 	for _, condition := range []policy.Condition{policy.Draining, policy.Gone} {
-		b.logHosts(condition, piece.Hosts)
+		b.logHosts(condition, batch.Hosts)
 	}
 }
 
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -43,33 +43,33 @@
 }
 
 // startExclusionOrders begins to take and give orders over a carrier.
-func (b *Balancer) startExclusionOrders(c *carry.Carrier) {
+func (b *Balancer) startExclusionOrders(transport *carry.Carrier) {
 	o := b.fleetOrders
 	if o == nil {
 		return
 	}
-	var kept []byhand.Order
-	if err := handover.Load(o.file, &kept); err != nil {
+	var saved []byhand.Order
+	if err := handover.Load(o.file, &saved); err != nil {
 		b.log.Warn().Err(err).Str("file", o.file).Str("aside", handover.Aside(o.file)).Msg("the fleet's orders by hand are not readable, asking the others")
-		kept = nil
+		saved = nil
 	}
 	stop := make(chan struct{})
 	o.mu.Lock()
-	o.transport, o.stop = c, stop
-	o.machine = byhand.New(byhand.Terms{Self: c.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: kept, Seed: rand.Uint64()})
+	o.transport, o.stop = transport, stop
+	o.machine = byhand.New(byhand.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
-	c.On(carry.TopicOrders, func(from member.Life, body []byte) {
+	transport.On(carry.TopicOrders, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
-			b.updateExclusionOrders(false, func(p *byhand.Machine, now byhand.Moment) { p.Hear(now, from, m) })
+			b.updateExclusionOrders(false, func(machine *byhand.Machine, now byhand.Moment) { machine.Hear(now, from, m) })
 		}
 	})
 	go func() {
 		t := time.NewTicker(byhand.Turn)
 		defer t.Stop()
 		for {
-			members, _ := c.Members()
-			b.updateExclusionOrders(true, func(p *byhand.Machine, now byhand.Moment) {
-				p.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
+			members, _ := transport.Members()
+			b.updateExclusionOrders(true, func(machine *byhand.Machine, now byhand.Moment) {
+				machine.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
 			})
 			select {
 			case <-t.C:
@@ -97,34 +97,34 @@
 
 // updateExclusionOrders gives the orders an input. What has come to hold is kept first, then in force here, and then told. In a turn what is in
 // force is looked at in any case: the list of hosts may have changed.
-func (b *Balancer) updateExclusionOrders(turn bool, input func(p *byhand.Machine, now byhand.Moment)) {
+func (b *Balancer) updateExclusionOrders(periodic bool, input func(machine *byhand.Machine, now byhand.Moment)) {
 	o := b.fleetOrders
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine != nil {
 		input(o.machine, time.Since(o.epoch))
-		b.processOrders(turn)
+		b.processOrders(periodic)
 	}
 }
 
 // processOrders does what an input brought. Under orders.mu.
-func (b *Balancer) processOrders(turn bool) (kept error) {
+func (b *Balancer) processOrders(periodic bool) (saveErr error) {
 	o := b.fleetOrders
-	sends, news := o.machine.Out(), o.machine.News()
-	if len(news) > 0 || o.unsaved {
-		if kept = handover.Save(o.file, o.machine.All()); kept != nil && !o.unsaved {
-			b.log.Warn().Err(kept).Str("file", o.file).Msg("the fleet's orders by hand cannot be kept, telling nobody that they hold here")
+	sends, newOrders := o.machine.Out(), o.machine.News()
+	if len(newOrders) > 0 || o.unsaved {
+		if saveErr = handover.Save(o.file, o.machine.All()); saveErr != nil && !o.unsaved {
+			b.log.Warn().Err(saveErr).Str("file", o.file).Msg("the fleet's orders by hand cannot be kept, telling nobody that they hold here")
 		}
-		o.unsaved = kept != nil
-		for _, n := range news {
+		o.unsaved = saveErr != nil
+		for _, n := range newOrders {
 			b.log.Info().Str("host", n.Host).Bool("out", n.Out).Str("door", n.Door).Uint64("count", n.Count).Msg("order by hand for the fleet")
 		}
 	}
-	if turn || len(news) > 0 {
+	if periodic || len(newOrders) > 0 {
 		b.enforceOrders(o.machine.All())
 	}
 	if o.unsaved {
-		return kept
+		return saveErr
 	}
 	for i := range sends {
 		o.transport.Tell(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
@@ -137,15 +137,15 @@
 	if len(all) == 0 {
 		return
 	}
-	var now []string // by name, as what is wanted
+	var current []string // by name, as what is wanted
 	listed := 0
-	b.callPolicy(func() { now = b.excludedHosts(); listed, _ = b.policy.Fleet() })
-	want := b.fleetOrders.machine.Excluded(listed)
-	for _, one := range all {
-		_, out := slices.BinarySearch(want, one.Host)
-		if _, is := slices.BinarySearch(now, one.Host); out != is {
-			if err := b.setExclusion(policy.CacheID(one.Host), out, true); err != nil {
-				b.log.Warn().Err(err).Str("host", one.Host).Msg("an order by hand is not in force in both processes of the upgrade")
+	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.Fleet() })
+	wanted := b.fleetOrders.machine.Excluded(listed)
+	for _, order := range all {
+		_, exclude := slices.BinarySearch(wanted, order.Host)
+		if _, excluded := slices.BinarySearch(current, order.Host); exclude != excluded {
+			if err := b.setExclusion(policy.CacheID(order.Host), exclude, true); err != nil {
+				b.log.Warn().Err(err).Str("host", order.Host).Msg("an order by hand is not in force in both processes of the upgrade")
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 
 // giveFleetOrder takes an operator's order for the whole fleet. It returns once the order is kept and in force here, and has waited for others as
 // long as it was told.
-func (b *Balancer) giveFleetOrder(id string, out bool, how admin.How) (told string, err error) {
+func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.How) (note string, err error) {
 	o := b.fleetOrders
 	known, listed := false, 0
 	b.callPolicy(func() { known = b.policy.Knows(policy.CacheID(id)); listed, _ = b.policy.Fleet() })
@@ -165,7 +165,7 @@
 		o.mu.Unlock()
 		return "", admin.ErrHanded
 	}
-	_, err = o.machine.Give(id, out, how.Force, listed)
+	_, err = o.machine.Give(id, exclude, options.Force, listed)
 	if err == nil {
 		o.lastOrderAt = time.Now()
 		members, _ := o.transport.Members()
@@ -179,71 +179,71 @@
 	case err != nil:
 		return "", fmt.Errorf("in force here, not kept and not told to others: %w", err)
 	}
-	have, missing := b.orderConfirmations()
-	for until := time.Now().Add(how.Wait); len(missing) > 0 && time.Now().Before(until); have, missing = b.orderConfirmations() {
+	confirmed, missing := b.orderConfirmations()
+	for until := time.Now().Add(options.Wait); len(missing) > 0 && time.Now().Before(until); confirmed, missing = b.orderConfirmations() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	if n := len(missing); n > 0 {
-		return fmt.Sprintf(", confirmed by %d of %d others; missing: %s", have, have+n, strings.Join(missing, ", ")), nil
+		return fmt.Sprintf(", confirmed by %d of %d others; missing: %s", confirmed, confirmed+n, strings.Join(missing, ", ")), nil
 	}
-	return fmt.Sprintf(", confirmed by all %d others", have), nil
+	return fmt.Sprintf(", confirmed by all %d others", confirmed), nil
 }
 
 // orderConfirmations is how many others are known to hold what is held here, and the names of those that are not, the dead among them: they
 // may be cut off, and in use.
-func (b *Balancer) orderConfirmations() (have int, missing []string) {
+func (b *Balancer) orderConfirmations() (confirmed int, missing []string) {
 	o := b.fleetOrders
 	o.mu.Lock()
 	if o.machine == nil {
 		o.mu.Unlock()
 		return 0, nil
 	}
-	lives, c := o.machine.Confirmed(), o.transport
+	lives, transport := o.machine.Confirmed(), o.transport
 	o.mu.Unlock()
-	present := map[string]bool{} // by name: it has confirmed
-	for _, m := range c.View().Members {
+	confirmedByName := map[string]bool{} // by name: it has confirmed
+	for _, m := range transport.View().Members {
 		if m.State != member.Left {
-			present[m.Name] = present[m.Name] || slices.Contains(lives, m.Life)
+			confirmedByName[m.Name] = confirmedByName[m.Name] || slices.Contains(lives, m.Life)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(present)) {
-		if present[name] {
-			have++
+	for _, name := range slices.Sorted(maps.Keys(confirmedByName)) {
+		if confirmedByName[name] {
+			confirmed++
 		} else {
 			missing = append(missing, name)
 		}
 	}
-	return have, missing
+	return confirmed, missing
 }
 
 // Orders are what the door shows of them.
-func (d adminAPI) Orders() (to admin.Orders, err error) {
-	if _, err = d.b.fleetTransport(); err != nil {
-		return to, err
+func (a adminAPI) Orders() (shown admin.Orders, err error) {
+	if _, err = a.b.fleetTransport(); err != nil {
+		return shown, err
 	}
-	o := d.b.fleetOrders
+	o := a.b.fleetOrders
 	if o == nil {
-		return to, admin.ErrNoOrders
+		return shown, admin.ErrNoOrders
 	}
-	_, missing := d.b.orderConfirmations()
+	_, missing := a.b.orderConfirmations()
 	listed := 0
-	d.b.callPolicy(func() { listed, _ = d.b.policy.Fleet() })
+	a.b.callPolicy(func() { listed, _ = a.b.policy.Fleet() })
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine == nil {
-		return to, admin.ErrHanded
+		return shown, admin.ErrHanded
 	}
-	to = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
+	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
 		Conflicts: []admin.Conflict{}}
-	want := o.machine.Excluded(listed)
-	show := func(x byhand.Order) admin.Order {
-		return admin.Order{Host: x.Host, Out: x.Out, Force: x.Force, InForce: slices.Contains(want, x.Host) == x.Out, Door: x.Door, Count: x.Count, By: formatLife(x.By)}
+	wanted := o.machine.Excluded(listed)
+	show := func(order byhand.Order) admin.Order {
+		return admin.Order{Host: order.Host, Out: order.Out, Force: order.Force, InForce: slices.Contains(wanted, order.Host) == order.Out, Door: order.Door, Count: order.Count, By: formatLife(order.By)}
 	}
-	for _, x := range o.machine.All() {
-		to.Orders = append(to.Orders, show(x))
+	for _, order := range o.machine.All() {
+		shown.Orders = append(shown.Orders, show(order))
 	}
 	for _, c := range o.machine.Conflicts() {
-		to.Conflicts = append(to.Conflicts, admin.Conflict{Won: show(c.Won), Lost: show(c.Lost)})
+		shown.Conflicts = append(shown.Conflicts, admin.Conflict{Won: show(c.Won), Lost: show(c.Lost)})
 	}
-	return to, nil
+	return shown, nil
 }
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -23,15 +23,15 @@
 }
 
 // countAttempt counts one that has ended.
-func (t *trafficStats) countAttempt(at policy.CacheID, o policy.Outcome) {
-	t.attempts[o]++
-	h := t.hosts[at]
+func (t *trafficStats) countAttempt(host policy.CacheID, outcome policy.Outcome) {
+	t.attempts[outcome]++
+	h := t.hosts[host]
 	if h == nil {
 		h = new([2]int64)
-		t.hosts[at] = h
+		t.hosts[host] = h
 	}
 	h[0]++
-	if o != policy.Fulfilled && o != policy.Missed && o != policy.Cancelled && o != policy.NeverSent {
+	if outcome != policy.Fulfilled && outcome != policy.Missed && outcome != policy.Cancelled && outcome != policy.NeverSent {
 		h[1]++
 	}
 }
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -17,19 +17,19 @@
 )
 
 // visitValues calls do with each value in a tree of JSON, and with its path; set replaces it, drop takes it out.
-func visitValues(v any, path string, do func(path string, set func(any), drop func())) {
+func visitValues(v any, path string, visit func(path string, set func(any), drop func())) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
 			at := strings.TrimPrefix(path+"."+k, ".")
-			do(at, func(n any) { v[k] = n }, func() { delete(v, k) })
-			visitValues(x, at, do)
+			visit(at, func(n any) { v[k] = n }, func() { delete(v, k) })
+			visitValues(x, at, visit)
 		}
 	case []any:
 		for i, x := range v {
 			at := fmt.Sprint(path, ".", i)
-			do(at, func(n any) { v[i] = n }, nil)
-			visitValues(x, at, do)
+			visit(at, func(n any) { v[i] = n }, nil)
+			visitValues(x, at, visit)
 		}
 	}
 }
@@ -60,8 +60,8 @@
 		}
 		return ""
 	}
-	refused, taken := 0, 0
-	try := func(at string, what any) {
+	refused, accepted := 0, 0
+	try := func(key string, value any) {
 		text, err := json.Marshal(sample)
 		if err != nil {
 			t.Fatal(err)
@@ -69,17 +69,17 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		told, err := deployment.FromEnvironment(getenv)
+		deployed, err := deployment.FromEnvironment(getenv)
 		if err != nil {
 			refused++
-			keys := strings.Split(at, ".")
+			keys := strings.Split(key, ".")
 			if !strings.Contains(err.Error(), keys[0]) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s = %v: %v does not name the key", at, what, err)
+				t.Errorf("%s = %v: %v does not name the key", key, value, err)
 			}
 			return
 		}
-		taken++
-		b := New(told, &operator.File{}, zerolog.Nop())
+		accepted++
+		b := New(deployed, &operator.File{}, zerolog.Nop())
 		defer b.hosts.Close()
 		defer b.cancel()
 		host := discovery.Host{Addr: "127.0.0.1:1", Entry: policy.Entry{Cache: "h", Size: 1}}
@@ -88,42 +88,42 @@
 		b.applyHostList(policy.ListRestored, discovery.List{Whole: true, Hosts: []discovery.Host{host, cold}})
 		for i := range 50 {
 			b.callPolicy(func() {
-				for p := range told.Terms.Products {
+				for p := range deployed.Terms.Products {
 					b.policy.Arrived(policy.Call{ID: policy.CallID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
 						Write: p > 0, Deadline: b.now + policy.Second})
 				}
 				b.policy.TimerFired("beat")
 			})
 		}
-		if told.ConnectTimeout <= 0 || told.ClientTimeout <= 0 || told.IdleLimit < 0 || told.DrainGrace < 0 || told.MostOpen <= 0 ||
-			told.Terms.MostAttempts < 1 || told.Terms.AskEvery <= 0 {
-			t.Errorf("%s = %v: taken as %+v", at, what, told.Terms)
+		if deployed.ConnectTimeout <= 0 || deployed.ClientTimeout <= 0 || deployed.IdleLimit < 0 || deployed.DrainGrace < 0 || deployed.MostOpen <= 0 ||
+			deployed.Terms.MostAttempts < 1 || deployed.Terms.AskEvery <= 0 {
+			t.Errorf("%s = %v: taken as %+v", key, value, deployed.Terms)
 		}
 	}
 	try("settings", "as they are")
-	if taken != 1 {
+	if accepted != 1 {
 		t.Fatal("the sample is refused")
 	}
 	var all []func()
-	visitValues(sample["settings"], "", func(at string, set func(any), drop func()) {
+	visitValues(sample["settings"], "", func(key string, set func(any), drop func()) {
 		all = append(all, func() {
-			was := valueAt(sample["settings"], strings.Split(at, "."))
+			old := valueAt(sample["settings"], strings.Split(key, "."))
 			for _, v := range []any{nil, 0, -1, 1e300, -1e300, 1e18, 0.5, "word", "NaN", "", true, []any{}, map[string]any{}, []any{1, 2}} {
 				set(v)
-				try(at, v)
+				try(key, v)
 			}
 			if drop != nil {
 				drop()
-				try(at, "absent")
+				try(key, "absent")
 			}
-			set(was)
+			set(old)
 		})
 	})
 	for _, one := range all {
 		one()
 	}
-	if refused < 100 || taken < 100 {
-		t.Errorf("%d refused, %d taken", refused, taken)
+	if refused < 100 || accepted < 100 {
+		t.Errorf("%d refused, %d taken", refused, accepted)
 	}
 }
 
--- a/internal/balancer/source.go
+++ b/internal/balancer/source.go
@@ -26,14 +26,14 @@
 
 // update notes an answer of discovery and returns the hosts that it changes, those first to which nothing new may be sent. A host
 // that a whole list does not name any more is among them, as gone. Under mu, or before anybody follows.
-func (s *listSource) update(l discovery.List) (changes []discovery.Host) {
-	s.generation = l.Generation
-	if l.Whole {
-		changes = s.removeUnlisted(l)
+func (s *listSource) update(list discovery.List) (changes []discovery.Host) {
+	s.generation = list.Generation
+	if list.Whole {
+		changes = s.removeUnlisted(list)
 	}
-	for _, h := range l.Hosts {
-		known, is := s.hosts[h.Cache]
-		if is && known == h || !is && h.Condition == policy.Gone {
+	for _, h := range list.Hosts {
+		known, isKnown := s.hosts[h.Cache]
+		if isKnown && known == h || !isKnown && h.Condition == policy.Gone {
 			continue
 		}
 		changes = append(changes, h)
@@ -48,13 +48,13 @@
 }
 
 // removeUnlisted drops the known hosts that a whole list does not name, and returns them as gone.
-func (s *listSource) removeUnlisted(l discovery.List) (gone []discovery.Host) {
-	named := make(map[policy.CacheID]struct{}, len(l.Hosts))
-	for _, h := range l.Hosts {
-		named[h.Cache] = struct{}{}
+func (s *listSource) removeUnlisted(list discovery.List) (gone []discovery.Host) {
+	listed := make(map[policy.CacheID]struct{}, len(list.Hosts))
+	for _, h := range list.Hosts {
+		listed[h.Cache] = struct{}{}
 	}
 	for id, h := range s.hosts {
-		if _, is := named[id]; !is {
+		if _, isListed := listed[id]; !isListed {
 			h.Condition = policy.Gone
 			gone = append(gone, h)
 			delete(s.hosts, id)
@@ -65,9 +65,9 @@
 
 // snapshot is the whole list as it is known now. Under mu.
 func (s *listSource) snapshot() discovery.List {
-	l := discovery.List{Generation: s.generation, Whole: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
+	list := discovery.List{Generation: s.generation, Whole: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
 	for _, h := range s.hosts {
-		l.Hosts = append(l.Hosts, h)
+		list.Hosts = append(list.Hosts, h)
 	}
-	return l
+	return list
 }
--- a/internal/balancer/starts.go
+++ b/internal/balancer/starts.go
@@ -31,8 +31,8 @@
 			delete(s.placed, h.Cache)
 			continue
 		}
-		known, is := s.placed[h.Cache]
-		if !is || known.reported != h.Born {
+		known, isKnown := s.placed[h.Cache]
+		if !isKnown || known.reported != h.Born {
 			age := policy.Nanos(s.wallClock().UnixNano()) - h.Born
 			known = placedStart{reported: h.Born, at: now - max(0, age)}
 		}
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -53,11 +53,11 @@
 	if b.deployment.Admin == "" {
 		return nil, nil
 	}
-	l, s, p, err := handover.Meet(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"))
+	listener, state, peer, err := handover.Meet(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"))
 	if err == nil {
-		b.log.Info().Int("excluded", len(s.Excluded)).Msg("taking over from an older process")
-		b.upgrade.older = p
-		return l, &s
+		b.log.Info().Int("excluded", len(state.Excluded)).Msg("taking over from an older process")
+		b.upgrade.older = peer
+		return listener, &state
 	}
 	if !errors.Is(err, handover.ErrAlone) {
 		b.log.Warn().Err(err).Msg("could not take over from an older process, starting as if alone")
@@ -78,20 +78,20 @@
 }
 
 // restoreState restores what an older process handed on, or what one that was killed left.
-func (b *Balancer) restoreState(s *handover.State) {
+func (b *Balancer) restoreState(state *handover.State) {
 	if b.deployment.Admin == "" {
 		return
 	}
 	var excluded []string
-	if s != nil {
-		excluded = s.Excluded
+	if state != nil {
+		excluded = state.Excluded
 		var learnt policy.Learnt
-		if err := json.Unmarshal(s.Learnt, &learnt); err != nil {
+		if err := json.Unmarshal(state.Learnt, &learnt); err != nil {
 			b.log.Warn().Err(err).Msg("what was learnt is not readable, left out")
 		} else {
 			b.callPolicy(func() { b.policy.TakeOver(learnt) })
 		}
-		b.splitLimits(s.Holds)
+		b.splitLimits(state.Holds)
 		go b.receiveFromOlder(b.upgrade.older)
 	} else {
 		var err error
@@ -114,12 +114,12 @@
 	if b.deployment.Admin == "" {
 		return
 	}
-	seat, err := handover.Keep(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"), listener, b.handOver)
+	offer, err := handover.Keep(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"), listener, b.handOver)
 	if err != nil {
 		b.log.Warn().Err(err).Msg("a newer process cannot take over from this one")
 	}
 	u.mu.Lock()
-	u.offer = seat
+	u.offer = offer
 	if u.older != nil {
 		u.older.Say(handover.Message{Kind: handover.Ready})
 	}
@@ -135,43 +135,43 @@
 	if u.offer != nil {
 		u.offer.Leave()
 	}
-	for _, p := range []*handover.Peer{u.older, u.newer} {
-		if p != nil {
-			p.Close()
+	for _, peer := range []*handover.Peer{u.older, u.newer} {
+		if peer != nil {
+			peer.Close()
 		}
 	}
 }
 
 // handOver hands on to a newer process.
-func (b *Balancer) handOver(p *handover.Peer) (s handover.State, err error) {
+func (b *Balancer) handOver(peer *handover.Peer) (state handover.State, err error) {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.newer != nil || u.older != nil || b.currentPhase() != Serving {
-		return s, errUpgradeRunning
+		return state, errUpgradeRunning
 	}
 	b.listSource.mu.Lock()
-	s.List = b.discoveryNames().Format(b.listSource.snapshot())
+	state.List = b.discoveryNames().Format(b.listSource.snapshot())
 	b.listSource.mu.Unlock()
 	var learnt policy.Learnt
 	b.callPolicy(func() {
-		s.Excluded = b.excludedHosts()
+		state.Excluded = b.excludedHosts()
 		learnt = b.policy.Tell()
 	})
-	if s.Learnt, err = json.Marshal(learnt); err != nil {
-		return s, err
+	if state.Learnt, err = json.Marshal(learnt); err != nil {
+		return state, err
 	}
-	s.Holds, s.Fleet = b.usage(), b.exportMembership()
-	u.newer = p
+	state.Holds, state.Fleet = b.usage(), b.exportMembership()
+	u.newer = peer
 	b.splitLimits(handover.Holds{})
 	b.log.Info().Msg("handing over to a newer process")
-	go b.receiveFromNewer(p)
-	return s, nil
+	go b.receiveFromNewer(peer)
+	return state, nil
 }
 
-func (b *Balancer) receiveFromNewer(p *handover.Peer) {
-	go b.sendUsage(p)
-	p.Hear(func(m handover.Message) {
+func (b *Balancer) receiveFromNewer(peer *handover.Peer) {
+	go b.sendUsage(peer)
+	peer.Hear(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ready:
 			b.handOverMembership()
@@ -185,7 +185,7 @@
 				if err := b.setExclusion(policy.CacheID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
 					answer.Fault = err.Error()
 				}
-				p.Say(answer)
+				peer.Say(answer)
 			}()
 		case handover.Done:
 			b.upgrade.deliverAnswer(m)
@@ -195,15 +195,15 @@
 	b.reclaimMembership()
 }
 
-func (b *Balancer) receiveFromOlder(p *handover.Peer) {
-	go b.sendUsage(p)
-	p.Hear(func(m handover.Message) {
+func (b *Balancer) receiveFromOlder(peer *handover.Peer) {
+	go b.sendUsage(peer)
+	peer.Hear(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Holding:
 			b.splitLimits(*m.Holds)
 		case handover.Ban:
 			b.applyExclusion(policy.CacheID(m.Member), m.Out)
-			p.Say(handover.Message{Kind: handover.Done, N: m.N})
+			peer.Say(handover.Message{Kind: handover.Done, N: m.N})
 		case handover.Answer:
 			b.upgrade.deliverAnswer(m)
 		}
@@ -244,21 +244,21 @@
 }
 
 // exchange sends an Ask or a Ban and waits for what answers it; false where nothing does. Under u.mu.
-func (u *upgradeLink) exchange(p *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
+func (u *upgradeLink) exchange(peer *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
 	u.messageCount++
 	m.N = u.messageCount
-	p.Say(m)
-	late := time.After(peerTimeout)
+	peer.Say(m)
+	timeout := time.After(peerTimeout)
 	for {
 		select {
 		case answer = <-u.answers:
 			if answer.N == m.N {
 				return answer, true
 			}
-		case <-p.Gone():
+		case <-peer.Gone():
 			return answer, true // the process that is left has it
-		case <-late:
-			p.Close()
+		case <-timeout:
+			peer.Close()
 			return answer, false
 		}
 	}
@@ -266,42 +266,42 @@
 
 // setExclusion takes a host out by hand, or puts it back, in both processes of an upgrade. An order for the whole fleet holds also where no list
 // has named the host yet.
-func (b *Balancer) setExclusion(id policy.CacheID, out, fleet bool) error {
+func (b *Balancer) setExclusion(id policy.CacheID, exclude, fleet bool) error {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	m := handover.Message{Member: string(id), Out: out}
-	heard := true
+	m := handover.Message{Member: string(id), Out: exclude}
+	answered := true
 	if p := u.older; p != nil {
 		m.Kind = handover.Ask
 		var answer handover.Message
-		answer, heard = u.exchange(p, m)
+		answer, answered = u.exchange(p, m)
 		if answer.Kind == handover.Answer {
 			return errorFromText(answer.Fault)
 		} // else this process is alone by now
 	}
-	known, held := false, true
-	if out {
-		b.callPolicy(func() { known, held = b.policy.Exclude(id) })
+	known, withinLimit := false, true
+	if exclude {
+		b.callPolicy(func() { known, withinLimit = b.policy.Exclude(id) })
 	} else {
 		b.callPolicy(func() { known = b.policy.Knows(id) })
 	}
 	switch {
 	case !known && !fleet:
 		return admin.ErrNobody
-	case !held && !fleet:
+	case !withinLimit && !fleet:
 		return admin.ErrTooMany
 	}
-	kept := b.applyExclusion(id, out)
+	saveErr := b.applyExclusion(id, exclude)
 	if p := u.newer; p != nil {
 		m.Kind = handover.Ban
-		_, heard = u.exchange(p, m)
+		_, answered = u.exchange(p, m)
 	}
 	switch {
-	case !heard:
+	case !answered:
 		return errPeerSilent
-	case kept != nil:
-		return fmt.Errorf("%w: %w", errNotSaved, kept)
+	case saveErr != nil:
+		return fmt.Errorf("%w: %w", errNotSaved, saveErr)
 	}
 	return nil
 }
@@ -320,28 +320,28 @@
 }
 
 // applyExclusion changes a ban here; the file has it before anybody is told yes, or else the error tells that it has not.
-func (b *Balancer) applyExclusion(id policy.CacheID, out bool) error {
-	b.switchExclusion(id, out)
+func (b *Balancer) applyExclusion(id policy.CacheID, exclude bool) error {
+	b.switchExclusion(id, exclude)
 	return b.saveExclusions()
 }
 
 // switchExclusion takes a host out first where calls are given to it, then where they are written, and puts it back the other way
 // round.
-func (b *Balancer) switchExclusion(id policy.CacheID, out bool) {
-	if !out {
+func (b *Balancer) switchExclusion(id policy.CacheID, exclude bool) {
+	if !exclude {
 		b.hosts.Include(id)
 	}
 	b.callPolicy(func() {
-		if out {
+		if exclude {
 			b.policy.Bar(id)
 		} else {
 			b.policy.Include(id)
 		}
 	})
-	if out {
+	if exclude {
 		b.hosts.Exclude(id)
 	}
-	b.log.Info().Str("host", string(id)).Bool("out", out).Msg("by hand")
+	b.log.Info().Str("host", string(id)).Bool("out", exclude).Msg("by hand")
 }
 
 // excludedHosts are the hosts out by hand. Under Balancer.mu.
@@ -353,15 +353,15 @@
 }
 
 // sendUsage says what this process holds, until the other one has ended.
-func (b *Balancer) sendUsage(p *handover.Peer) {
+func (b *Balancer) sendUsage(peer *handover.Peer) {
 	t := time.NewTicker(usageInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
 			h := b.usage()
-			p.Say(handover.Message{Kind: handover.Holding, Holds: &h})
-		case <-p.Gone():
+			peer.Say(handover.Message{Kind: handover.Holding, Holds: &h})
+		case <-peer.Gone():
 			return
 		}
 	}
@@ -375,36 +375,36 @@
 }
 
 // setLimits sets what this process may hold.
-func (b *Balancer) setLimits(h resourceLimits) {
-	b.clients.setLimits(int(h.clients-h.clients/8), int(h.clients))
-	b.hosts.Limit(int(h.upstream))
-	b.maxInFlight.Store(h.requests)
-	b.maxValueBytes.Store(h.bytes)
+func (b *Balancer) setLimits(limits resourceLimits) {
+	b.clients.setLimits(int(limits.clients-limits.clients/8), int(limits.clients))
+	b.hosts.Limit(int(limits.upstream))
+	b.maxInFlight.Store(limits.requests)
+	b.maxValueBytes.Store(limits.bytes)
 }
 
 // splitLimits leaves to each process what it holds and a part of what both leave free. A second process has descriptors of its
 // own besides.
 func (b *Balancer) splitLimits(other handover.Holds) {
-	mine, w := b.usage(), b.capacity
-	part := func(whole, mine, other int64) int64 {
-		return processShare(whole, mine, other, b.currentPhase() > Serving)
+	own, total := b.usage(), b.capacity
+	share := func(whole, own, other int64) int64 {
+		return processShare(whole, own, other, b.currentPhase() > Serving)
 	}
 	if other.Leaving {
-		part = func(whole, mine, other int64) int64 { return whole - processShare(whole, other, mine, true) }
+		share = func(whole, own, other int64) int64 { return whole - processShare(whole, other, own, true) }
 	}
-	b.setLimits(resourceLimits{part(w.clients-reservedSockets/2, mine.Clients, other.Clients), part(w.upstream-reservedSockets/2, mine.Upstream, other.Upstream),
-		part(w.requests, mine.Calls, other.Calls), part(w.bytes, mine.Bytes, other.Bytes)})
+	b.setLimits(resourceLimits{share(total.clients-reservedSockets/2, own.Clients, other.Clients), share(total.upstream-reservedSockets/2, own.Upstream, other.Upstream),
+		share(total.requests, own.Calls, other.Calls), share(total.bytes, own.Bytes, other.Bytes)})
 	debug.SetMemoryLimit(b.memoryLimit() / 2)
 	b.callPolicy(func() { b.policy.Beside(true, other.Origin) })
 }
 
 // processShare is what one may hold of a whole: what it holds and half of what is free, or an eighth where it leaves.
-func processShare(whole, mine, other int64, leaves bool) int64 {
-	free := max(0, whole-mine-other)
-	if leaves {
-		return mine + free/8
+func processShare(whole, own, other int64, leaving bool) int64 {
+	free := max(0, whole-own-other)
+	if leaving {
+		return own + free/8
 	}
-	return mine + free/2
+	return own + free/2
 }
 
 // memoryLimit is what the collector keeps the heap under: what lives is some megabytes, and the machine's limit holds for all.
