--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -32,8 +32,8 @@
 	return strings.TrimSpace(line)
 }
 
-// TestAnswersWhilePolicyIsBlocked keeps the decisions for longer than requests have: each is answered in its time all the same,
-// busy where nothing was sent and failed where something may have run, and nothing is sent for it once they are free again.
+// TestAnswersWhilePolicyIsBlocked holds the policy's lock for longer than the requests' timeouts. Each request must still be answered in
+// time, with busy if nothing was sent and failed if an attempt may have run, and nothing may be sent for it once the lock is free.
 func TestAnswersWhilePolicyIsBlocked(t *testing.T) {
 	const wait = 150 * time.Millisecond
 	read := func(id string) string { return fmt.Sprintf("mg k v O%s Pc=read,d=%d\r\n", id, wait.Milliseconds()) }
@@ -46,7 +46,7 @@
 		got := f.ask(t, text(name+"-early"), name+"-early", wait)
 		f.mu.Unlock()
 		if !strings.HasPrefix(got, "SERVER_ERROR busy") {
-			t.Errorf("%s that no decision was made of: %q", name, got)
+			t.Errorf("%s without a decision: %q", name, got)
 		}
 		answered := make(chan string)
 		go func() { answered <- f.ask(t, text(name+"-out"), name+"-out", wait) }()
@@ -55,7 +55,7 @@
 		got = <-answered
 		f.mu.Unlock()
 		if got != "SERVER_ERROR failed" {
-			t.Errorf("%s with an attempt out: %q", name, got)
+			t.Errorf("%s with an attempt in flight: %q", name, got)
 		}
 		waitUntil(t, func() (none bool) { f.callPolicy(func() { none = len(f.requests) == 0 }); return none })
 		if n := f.attemptsFor(name + "-early"); n != 0 {
@@ -63,11 +63,11 @@
 		}
 	}
 	if f.delays.answeredByTimer.Load() != 4 {
-		t.Errorf("%d answers by the requests' own timers", f.delays.answeredByTimer.Load())
+		t.Errorf("%d answers by the requests' deadline timers, want 4", f.delays.answeredByTimer.Load())
 	}
 }
 
-// attemptsFor counts what servers were sent for a request.
+// attemptsFor counts the attempts that servers received for a request.
 func (f *faultyHosts) attemptsFor(id string) (n int) {
 	f.attemptLog.mu.Lock()
 	defer f.attemptLog.mu.Unlock()
@@ -79,17 +79,18 @@
 	return n
 }
 
+// waitUntil waits until a condition holds and fails the test if it takes too long.
 func waitUntil(t *testing.T, ok func() bool) {
 	t.Helper()
 	for began := time.Now(); !ok(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > testTimeout {
-			t.Fatal("it never comes")
+			t.Fatal("the condition is not met in time")
 		}
 	}
 }
 
-// TestPostedEventsAreHandled posts from many goroutines while others hold the lock: each event is heard once, in the order of its
-// goroutine, and none is left when all are done.
+// TestPostedEventsAreHandled posts events from many goroutines while others hold the lock. Each event must be processed once, in the
+// order of its goroutine, and none may be left when all goroutines are done.
 func TestPostedEventsAreHandled(t *testing.T) {
 	const goroutines, events = 16, 500
 	f := newFaultyHosts(t, 1, injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true})
@@ -103,7 +104,7 @@
 				}
 				f.post(func() {
 					if heard[g] != n {
-						t.Errorf("event %d of goroutine %d is heard after %d others", n, g, heard[g])
+						t.Errorf("event %d of goroutine %d was processed after %d others", n, g, heard[g])
 					}
 					heard[g]++
 				})
@@ -115,14 +116,13 @@
 	defer f.mu.Unlock()
 	for g, n := range heard {
 		if n != events {
-			t.Errorf("%d events of goroutine %d were heard", n, g)
+			t.Errorf("%d events of goroutine %d were processed", n, g)
 		}
 	}
 }
 
-// TestLongListInShortSteps applies whole lists of thousands of hosts, new, as they were and half replaced: no event holds the
-// decisions for more than a small part of the time that the lists take. Of several tries the best counts, as the machine may be
-// busy.
+// TestLongListInShortSteps applies whole lists of thousands of hosts: new, unchanged and half replaced. No event may occupy the policy
+// for more than a small part of the time that the lists take. The best of several tries counts, as the machine may be busy.
 func TestLongListInShortSteps(t *testing.T) {
 	const hosts, tries, part = 3200, 3, 20
 	list := func(from int) (l discovery.List) {
@@ -140,12 +140,12 @@
 		f.applyHostList(policy.ListReplace, list(0))
 		f.applyHostList(policy.ListReplace, list(hosts/2))
 		took, held := time.Since(began), f.delays.handling.takeRecent()
-		t.Logf("of %v the longest event held the decisions for %v", took, held)
+		t.Logf("of %v the longest event occupied the policy for %v", took, held)
 		if held < took/part {
 			return
 		}
 		if try == tries {
-			t.Fatalf("one event held the decisions for %v of %v", held, took)
+			t.Fatalf("one event occupied the policy for %v of %v", held, took)
 		}
 	}
 }
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -129,9 +129,7 @@
 func (b *Balancer) observeAttempt(c *clientRequest, e attemptResult) {
 	if o := b.observations; o != nil {
 		if good, conclusive := evidence.Proves(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); conclusive {
-			o.update(func(machine *evidence.Machine, now evidence.Moment) {
-				machine.Ended(now, string(c.attempts[e.attempt].To), good)
-			})
+			o.update(func(m *evidence.Machine, now evidence.Moment) { m.Ended(now, string(c.attempts[e.attempt].To), good) })
 		}
 	}
 }
--- a/internal/balancer/figures.go
+++ b/internal/balancer/figures.go
@@ -58,11 +58,11 @@
 	return figures
 }
 
-func (a adminAPI) Exclude(host string, options admin.How) (string, error) {
-	return a.setExcluded(host, true, options)
+func (a adminAPI) Exclude(host string, how admin.How) (string, error) {
+	return a.setExcluded(host, true, how)
 }
-func (a adminAPI) Include(host string, options admin.How) (string, error) {
-	return a.setExcluded(host, false, options)
+func (a adminAPI) Include(host string, how admin.How) (string, error) {
+	return a.setExcluded(host, false, how)
 }
 
 func (a adminAPI) setExcluded(host string, exclude bool, options admin.How) (string, error) {
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -13,16 +13,16 @@
 	"streamrail/internal/operator"
 )
 
-// fleetMembership is this balancer's place among the others, where the operator's file has one. Of an upgrade's two processes the one
-// that takes clients has it: the two are one member.
+// fleetMembership is this balancer's membership in the fleet, if the operator's file has a fleet. The two processes of an upgrade are
+// one member, and the one that takes clients acts for it.
 type fleetMembership struct {
 	settings   *operator.Fleet
 	mu         sync.Mutex
 	transport  *carry.Carrier
-	savedState *member.Kept // as it was when this process gave the place up
+	savedState *member.Kept // the state at the time when this process handed the membership over
 }
 
-// joinFleet speaks for this balancer from now on. kept is what an older process has handed over.
+// joinFleet starts this process's membership. saved is the state that an older process has handed over, or nil.
 func (b *Balancer) joinFleet(saved *member.Kept) error {
 	f := &b.fleet
 	if f.settings == nil {
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// exportMembership is what a newer process needs to speak for this balancer.
+// exportMembership encodes what a newer process needs to continue this balancer's membership.
 func (b *Balancer) exportMembership() json.RawMessage {
 	f := &b.fleet
 	f.mu.Lock()
@@ -61,20 +61,20 @@
 	return encoded
 }
 
-// takeOverMembership takes the place that an older process gives up once it hears that this one is ready.
+// takeOverMembership continues the membership of an older process, which gives it up once it is notified that this one is ready.
 func (b *Balancer) takeOverMembership(encoded json.RawMessage) {
 	var saved *member.Kept
 	if len(encoded) > 0 {
 		saved = new(member.Kept)
 		if err := json.Unmarshal(encoded, saved); err != nil {
-			b.log.Warn().Err(err).Msg("the place in the fleet is not readable, starting as a new life")
+			b.log.Warn().Err(err).Msg("the fleet membership handed over is not readable, joining as a new process")
 			saved = nil
 		}
 	}
 	b.resumeMembership(saved)
 }
 
-// handOverMembership ends this process's part in the fleet without a word: another one speaks for this balancer.
+// handOverMembership ends this process's membership without notifying the others, as another process continues it.
 func (b *Balancer) handOverMembership() {
 	f := &b.fleet
 	b.stopSharing()
@@ -89,14 +89,15 @@
 	}
 }
 
-// resumeMembership speaks for this balancer from where another process of an upgrade left off; without a place it serves all the same.
+// resumeMembership continues the membership from the state of the other process of an upgrade. If that fails, the balancer serves
+// without a fleet.
 func (b *Balancer) resumeMembership(saved *member.Kept) {
 	if err := b.joinFleet(saved); err != nil {
-		b.log.Warn().Err(err).Msg("no place in the fleet")
+		b.log.Warn().Err(err).Msg("could not join the fleet")
 	}
 }
 
-// reclaimMembership speaks again where the newer process was killed after it had the place.
+// reclaimMembership takes the membership back if the newer process was killed after it had taken it over.
 func (b *Balancer) reclaimMembership() {
 	f := &b.fleet
 	f.mu.Lock()
@@ -109,7 +110,7 @@
 	b.resumeMembership(saved)
 }
 
-// leaveFleet tells the others that this balancer ends in order.
+// leaveFleet tells the other members that this balancer ends normally.
 func (b *Balancer) leaveFleet() {
 	f := &b.fleet
 	b.stopSharing()
@@ -123,7 +124,7 @@
 	}
 }
 
-// fleetTransport is the carrier, and nil with the reason where there is none.
+// fleetTransport returns the transport, or an error with the reason if there is none.
 func (b *Balancer) fleetTransport() (*carry.Carrier, error) {
 	f := &b.fleet
 	f.mu.Lock()
@@ -137,7 +138,7 @@
 	return f.transport, nil
 }
 
-// Members is what the door shows of the fleet.
+// Members returns the fleet as this balancer sees it.
 func (a adminAPI) Members() (shown admin.Members, err error) {
 	transport, err := a.b.fleetTransport()
 	if err != nil {
@@ -164,7 +165,7 @@
 
 func formatLife(life member.Life) string { return fmt.Sprintf("%016x", uint64(life)) }
 
-// fleetStats are the fleet's in the telemetry; nil without one.
+// fleetStats returns the fleet's part of the telemetry; nil without a fleet.
 func (b *Balancer) fleetStats() *admin.Fleet {
 	transport, err := b.fleetTransport()
 	if err != nil {
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -12,7 +12,8 @@
 	"streamrail/policy"
 )
 
-// restoreHostList takes the list as this balancer had it before its start: as an older process has it now, or as it was told.
+// restoreHostList applies the host list from before the start: the one that an older process has now, or the last known one
+// of the configuration.
 func (b *Balancer) restoreHostList(handedOver *handover.State) {
 	var list discovery.List
 	saved := b.deployment.Known
@@ -22,7 +23,7 @@
 	if len(saved) > 0 && string(saved) != "null" {
 		var err error
 		if list, err = b.discoveryNames().Parse(saved); err != nil {
-			b.log.Warn().Err(err).Str("key", "known").Msg("the list last known is not readable, left out")
+			b.log.Warn().Err(err).Str("key", "known").Msg("the last known host list is not readable, ignored")
 			list = discovery.List{}
 		}
 	}
@@ -30,15 +31,15 @@
 	if len(list.Hosts) == 0 {
 		return
 	}
-	if b.deployment.Terms.MustSubscribe { // each call loads discovery: only what changed since is asked for
+	if b.deployment.Terms.MustSubscribe { // each call loads discovery, so ask only for what has changed since
 		b.listSource.resumeFrom = &list.Generation
 	}
-	if handedOver != nil || b.deployment.Terms.MustSubscribe { // it is the present one, or the module asks when it sees fit
+	if handedOver != nil || b.deployment.Terms.MustSubscribe { // the list is current, or the policy decides when to ask for it
 		b.listSource.readyOnce.Do(func() { close(b.listSource.ready) })
 	}
 }
 
-// jitter draws a wait from half of it on, lest all balancers try again together.
+// jitter returns a random duration between half of the wait and the whole, so that balancers do not all retry at the same time.
 func jitter(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) * (0.5 + rand.Float64()/2))
 }
@@ -47,14 +48,14 @@
 	return discovery.Names{Zones: b.deployment.Zones, Kinds: b.deployment.Kinds, Pause: b.pause}
 }
 
-// startWatch follows the list at the source's address from now on, from the whole list; the watch before it ends.
+// startWatch starts to follow the host list at the source's address, beginning with the whole list, and stops the previous watch.
 func (b *Balancer) startWatch() {
 	b.listSource.mu.Lock()
 	defer b.listSource.mu.Unlock()
 	subscribed := !b.deployment.Terms.MustSubscribe
 	if b.listSource.stop != nil {
 		b.listSource.stop()
-		subscribed = true // the module has asked for it at its start
+		subscribed = true // the policy has subscribed at its start
 	}
 	ctx, stop := context.WithCancel(b.ctx)
 	b.listSource.stop = stop
@@ -62,13 +63,13 @@
 	watch.Has = len(b.listSource.hosts) > 0
 	if b.listSource.resumeFrom != nil {
 		watch.From(*b.listSource.resumeFrom)
-		b.listSource.resumeFrom = nil // of the first address only
+		b.listSource.resumeFrom = nil // valid only for the first address
 	}
 	go b.followDiscovery(ctx, watch, subscribed)
 }
 
-// Reload takes a configuration that was read and checked while the balancer runs: it follows the list where
-// that says from now on. What only a restart can change is named.
+// Reload applies a new, checked configuration to the running balancer: it follows the host list at the new discovery address. The
+// settings that take effect only at a restart are logged.
 func (b *Balancer) Reload(deployed *deployment.Deployment) {
 	b.log.Info().Str("discovery", deployed.Discovery).Strs("kept_until_restart", b.deployment.Fixed(deployed)).Msg("configuration reloaded")
 	b.listSource.mu.Lock()
@@ -80,8 +81,9 @@
 	}
 }
 
-// followDiscovery keeps the list. Where the module subscribes by itself it also decides when to try again; after a call that got no whole
-// answer in its time it is asked anew at once all the same: what was missed must hold soon, and it has waited for long enough.
+// followDiscovery keeps the host list up to date. Where the policy subscribes by itself, it also decides when to retry. The exception is
+// a call that got no complete answer in time: it is repeated at once, because it has already waited long and may have missed changes
+// that must apply soon.
 func (b *Balancer) followDiscovery(ctx context.Context, watch *discovery.Watch, subscribed bool) {
 	defer watch.Close()
 	backoff := b.pace.First
@@ -122,7 +124,8 @@
 	}
 }
 
-// acceptHostList hands an answer of discovery on; one that waited for nothing brings nothing.
+// acceptHostList applies an answer of discovery, unless the watch has been stopped. An answer that is older than the
+// known list, or that has unreadable entries, is completed from the known list first.
 func (b *Balancer) acceptHostList(ctx context.Context, list discovery.List) {
 	b.listSource.mu.Lock()
 	defer b.listSource.mu.Unlock()
@@ -130,7 +133,7 @@
 		return
 	}
 	if unreadable := len(list.Unread); unreadable > 0 {
-		b.log.Warn().Err(list.Unread[0].Why).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the list cannot be read, their hosts stay as they were")
+		b.log.Warn().Err(list.Unread[0].Why).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the host list cannot be read, their hosts stay unchanged")
 	}
 	if !list.Stands(b.listSource.generation) {
 		list = list.Over(b.listSource.snapshot())
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -16,27 +16,27 @@
 	"streamrail/policy"
 )
 
-// limitShares are this balancer's parts of the tenants' allowances, and behind them of the openings that hosts bear, where the
-// operator's file lets them move; nil otherwise.
+// limitShares are this balancer's shares of the fleet's limits: of the customers' quotas, followed by the rate of new connections
+// that a host can take. It is nil unless the operator's file lets shares move between balancers.
 type limitShares struct {
-	names         []string
-	bounds        []float64
-	smallestParts []float64
-	initialFloors []float64
-	customerCount int            // so many are allowances
-	arrivals      []atomic.Int64 // requests of each customer since the last turn
-	nextExpiry    atomic.Int64   // by the parts' clock: some part changes by itself then
+	names         []string       // of the limits
+	bounds        []float64      // the whole fleet's limits
+	smallestParts []float64      // what a single arrival adds to the need
+	initialFloors []float64      // the fraction of this balancer's own share that is never lent
+	customerCount int            // the first so many limits are quotas of customers
+	arrivals      []atomic.Int64 // requests of each customer since the last period
+	nextExpiry    atomic.Int64   // on the clock of now: when a lease ends next and a share changes
 
 	mu             sync.Mutex
 	epoch          time.Time
 	machine        *share.Machine
 	transport      *carry.Carrier
-	recentArrivals [][share.NeedTurns]int64 // by customer, what came in the last turns
-	slot           int
+	recentArrivals [][share.NeedTurns]int64 // requests of each customer in the last periods
+	slot           int                      // of the present period in recentArrivals
 	stop           chan struct{}
 }
 
-// newLimitShares makes the parts of a balancer; nil where the file does not let them move, or there is nothing to share.
+// newLimitShares returns nil if the operator's file does not let shares move, or if there is no limit to share.
 func (b *Balancer) newLimitShares(openings float64) *limitShares {
 	if b.fleet.settings == nil || !b.fleet.settings.Limits || len(b.deployment.Customers) == 0 && openings == 0 {
 		return nil
@@ -48,7 +48,7 @@
 		c := b.deployment.Customers[name]
 		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.Terms.Customers[c].AllowancePerS, 1/(share.NeedTurns*share.Turn.Seconds())
 	}
-	if openings > 0 { // needs and parts are of the whole, whichever host it is
+	if openings > 0 { // need and share are fractions of the limit, the same for every host
 		l.names, l.bounds, l.smallestParts = append(l.names, "openings"), append(l.bounds, 1), append(l.smallestParts, 1/openings)
 		l.initialFloors = append(l.initialFloors, initialOpeningsShare)
 	}
@@ -56,13 +56,13 @@
 	return l
 }
 
-// initialOpeningsShare of its home part of openings a process has when it starts: a fleet that starts at once opens its connections in
-// a second or two, and none of it has anything to borrow yet.
+// initialOpeningsShare is the fraction of its own share of new connections that a process keeps from its start and never lends. If the
+// whole fleet starts at once, all balancers open their connections within a second or two, before any of them can borrow.
 const initialOpeningsShare = 0.5
 
 func (l *limitShares) now() share.Moment { return time.Since(l.epoch) }
 
-// startSharing begins to move parts over a carrier.
+// startSharing starts to borrow and lend shares over a transport.
 func (b *Balancer) startSharing(transport *carry.Carrier) {
 	l := b.limitShares
 	if l == nil {
@@ -86,8 +86,8 @@
 	go b.runSharing(transport, stop)
 }
 
-// stopSharing gives back what is borrowed and ends the moves. What is left to this process is half of its home part less what it
-// has lent; the other half is the newer process's of an upgrade.
+// stopSharing returns what is borrowed and stops sharing. This process keeps half of its own share, less what it has lent; the newer
+// process of an upgrade has the other half.
 func (b *Balancer) stopSharing() {
 	l := b.limitShares
 	if l == nil {
@@ -106,14 +106,14 @@
 	}
 }
 
-// setSharesUpgrading tells the parts that another process of an upgrade has come, or has ended.
+// setSharesUpgrading halves the shares while another process of an upgrade runs, and restores them when it has ended.
 func (b *Balancer) setSharesUpgrading(on bool) {
 	if b.limitShares != nil {
 		b.updateShares(func(machine *share.Machine, _ share.Moment) { machine.Beside(on) })
 	}
 }
 
-// runSharing looks at what came in, several times a second.
+// runSharing measures the need for each limit and adjusts the shares in every period, until it is stopped.
 func (b *Balancer) runSharing(transport *carry.Carrier, stop <-chan struct{}) {
 	l := b.limitShares
 	t := time.NewTicker(share.Turn)
@@ -143,7 +143,7 @@
 	}
 }
 
-// updateShares gives the parts an input, sends what that brings and tells the module what changed.
+// updateShares feeds an input to the state machine, applies the shares that result and sends the messages to other balancers.
 func (b *Balancer) updateShares(input func(machine *share.Machine, now share.Moment)) {
 	l := b.limitShares
 	l.mu.Lock()
@@ -153,13 +153,13 @@
 	}
 	input(l.machine, l.now())
 	sends := l.machine.Out()
-	b.applyShares() // before anybody is told that this balancer lends
+	b.applyShares() // first, so that a lent share is no longer used here when the borrower receives it
 	for i := range sends {
 		l.transport.Tell(sends[i].To, carry.TopicShares, carry.EncodeShares(&sends[i].Msg))
 	}
 }
 
-// applyShares tells the module its parts. Under limits.mu.
+// applyShares passes the shares to the policy and to the connection pool. The caller holds limitShares.mu.
 func (b *Balancer) applyShares() {
 	l := b.limitShares
 	shares := make([]float64, len(l.bounds))
@@ -171,11 +171,11 @@
 	}
 	l.nextExpiry.Store(int64(l.machine.Ends()))
 	for i := range shares {
-		shares[i] = max(shares[i], math.SmallestNonzeroFloat64) // 0 would mean that nothing is told
+		shares[i] = max(shares[i], math.SmallestNonzeroFloat64) // 0 would mean that no share is set
 	}
 	b.callPolicy(func() {
-		for i, share := range shares[:l.customerCount] {
-			b.policy.Part(policy.Customer(i), share)
+		for i, fraction := range shares[:l.customerCount] {
+			b.policy.Part(policy.Customer(i), fraction)
 		}
 	})
 	if l.customerCount < len(shares) {
@@ -183,8 +183,8 @@
 	}
 }
 
-// countArrival counts a request in for its customer. Where a lease has ended since the last turn the module is told first: no
-// decision goes by a part that is somebody else's again.
+// countArrival counts a request of a customer. If a lease has ended since the last period, the shares are updated first, so that no
+// decision uses a share that belongs to another balancer again.
 func (b *Balancer) countArrival(c policy.Customer) {
 	l := b.limitShares
 	if l == nil {
@@ -198,7 +198,7 @@
 	}
 }
 
-// Limits are the parts as the door shows them.
+// Limits returns the shares of this balancer.
 func (a adminAPI) Limits() (shown admin.Limits, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -9,26 +9,27 @@
 	"streamrail/policy"
 )
 
-// A list is applied in pieces, with a rest after each: whatever its length, no request waits for more than a piece, and with one
-// core what has come over the network meanwhile is looked at between two of them.
+// A host list is applied in batches with a pause after each. However long the list is, a request waits for one batch at most, and on a
+// single core the runtime can poll the network between two batches.
 const (
-	hostsPerBatch = 32 // a quarter of a millisecond's work
+	hostsPerBatch = 32 // applying them takes a quarter of a millisecond
 	batchPause    = 200 * time.Microsecond
 )
 
-// pause lets other goroutines run, and has the runtime look at the network, in the middle of long work. Before the process serves
-// nobody waits for it.
+// pause interrupts long work so that other goroutines run and the runtime polls the network. It returns at once while the process is
+// starting, as there are no requests yet.
 func (b *Balancer) pause() {
 	if b.currentPhase() != Starting {
 		time.Sleep(batchPause)
 	}
 }
 
-// applyHostList applies an answer of discovery, as far as it changes what is known. Under source.mu, or before anybody follows.
+// applyHostList applies the changes that an answer of discovery makes to the known host list. The caller holds listSource.mu, unless
+// no watch has been started yet.
 func (b *Balancer) applyHostList(kind policy.ListKind, list discovery.List) {
 	began := time.Now()
 	changes := b.listSource.update(list)
-	if kind == policy.ListUpdate && len(changes) == 0 { // a watch that waited for nothing
+	if kind == policy.ListUpdate && len(changes) == 0 { // a long poll that ended without a change
 		return
 	}
 	b.startTimes.place(changes, b.toNanos(deadline.After(began, 0)))
@@ -45,7 +46,7 @@
 		Float64("took_ms", milliseconds(time.Since(began))).Msg("list applied")
 }
 
-// applyBatch applies some entries: to the connections first, so that a host which the module knows can be sent to.
+// applyBatch applies some entries. The connections come first, so that attempts can be sent to every host that the policy knows.
 func (b *Balancer) applyBatch(batch discovery.List) {
 	b.hosts.Listed(batch)
 	entries := entriesOf(batch.Hosts)
@@ -65,7 +66,7 @@
 
 var conditionNames = [...]string{"up", "draining", "gone"}
 
-// logHosts names the hosts of a condition, all in one line: each line is a write.
+// logHosts logs the hosts in a condition in one line, as each line costs a write.
 func (b *Balancer) logHosts(condition policy.Condition, hosts []discovery.Host) {
 	var ids []string
 	for i := range hosts {
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -14,27 +14,27 @@
 	"streamrail/internal/admin"
 	"streamrail/internal/fleet/carry"
 	"streamrail/internal/fleet/member"
-	byhand "streamrail/internal/fleet/order"
+	fleetorder "streamrail/internal/fleet/order"
 	"streamrail/internal/handover"
 	"streamrail/policy"
 )
 
-// exclusionOrders are what operators ordered by hand at any balancer's door, where the operator's file lets that hold for the whole fleet; nil
-// otherwise.
+// exclusionOrders are the fleet-wide exclusion orders that operators gave to any balancer's admin API. It is nil unless the operator's
+// file lets exclusions hold for the whole fleet.
 type exclusionOrders struct {
 	maxExcludedShare float64
 	file             string
 	epoch            time.Time
 
-	mu          sync.Mutex // makes an order of what comes; taken before upgrade.mu
-	machine     *byhand.Machine
+	mu          sync.Mutex // serializes inputs; taken before upgrade.mu
+	machine     *fleetorder.Machine
 	transport   *carry.Carrier
 	stop        chan struct{}
-	lastOrderAt time.Time // the last at this door
-	unsaved     bool      // the file does not have all that is held: nobody is told that it is held here
+	lastOrderAt time.Time // when the admin API of this balancer was given the last order
+	unsaved     bool      // the file lacks some of the orders held here, so no other balancer is told that they are held
 }
 
-// newExclusionOrders makes them; nil where the file does not have them.
+// newExclusionOrders returns nil if the operator's file does not enable fleet-wide orders or there is no admin API.
 func (b *Balancer) newExclusionOrders() *exclusionOrders {
 	if b.fleet.settings == nil || !b.fleet.settings.Orders || b.deployment.Admin == "" {
 		return nil
@@ -42,33 +42,33 @@
 	return &exclusionOrders{maxExcludedShare: b.fleet.settings.OrdersPart, file: handover.Path(os.TempDir(), b.deployment.Listen, ".orders"), epoch: time.Now()}
 }
 
-// startExclusionOrders begins to take and give orders over a carrier.
+// startExclusionOrders loads the saved orders and starts to exchange orders over a transport.
 func (b *Balancer) startExclusionOrders(transport *carry.Carrier) {
 	o := b.fleetOrders
 	if o == nil {
 		return
 	}
-	var saved []byhand.Order
+	var saved []fleetorder.Order
 	if err := handover.Load(o.file, &saved); err != nil {
-		b.log.Warn().Err(err).Str("file", o.file).Str("aside", handover.Aside(o.file)).Msg("the fleet's orders by hand are not readable, asking the others")
+		b.log.Warn().Err(err).Str("file", o.file).Str("aside", handover.Aside(o.file)).Msg("the saved exclusion orders of the fleet are not readable, asking the other balancers")
 		saved = nil
 	}
 	stop := make(chan struct{})
 	o.mu.Lock()
 	o.transport, o.stop = transport, stop
-	o.machine = byhand.New(byhand.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
+	o.machine = fleetorder.New(fleetorder.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
 	transport.On(carry.TopicOrders, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
-			b.updateExclusionOrders(false, func(machine *byhand.Machine, now byhand.Moment) { machine.Hear(now, from, m) })
+			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Hear(now, from, m) })
 		}
 	})
 	go func() {
-		t := time.NewTicker(byhand.Turn)
+		t := time.NewTicker(fleetorder.Turn)
 		defer t.Stop()
 		for {
 			members, _ := transport.Members()
-			b.updateExclusionOrders(true, func(machine *byhand.Machine, now byhand.Moment) {
+			b.updateExclusionOrders(true, func(machine *fleetorder.Machine, now fleetorder.Moment) {
 				machine.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
 			})
 			select {
@@ -80,10 +80,10 @@
 	}()
 }
 
-// orderPushTime is how long a door that was given an order tells more others of it in a turn.
+// orderPushTime is how long a balancer that was given an order sends it to more members in each period.
 const orderPushTime = 5 * time.Second
 
-// stopExclusionOrders ends that: the newer process of an upgrade goes on, or this one ends.
+// stopExclusionOrders ends the exchange, because the newer process of an upgrade takes over or this process ends.
 func (b *Balancer) stopExclusionOrders() {
 	if o := b.fleetOrders; o != nil {
 		o.mu.Lock()
@@ -95,9 +95,9 @@
 	}
 }
 
-// updateExclusionOrders gives the orders an input. What has come to hold is kept first, then in force here, and then told. In a turn what is in
-// force is looked at in any case: the list of hosts may have changed.
-func (b *Balancer) updateExclusionOrders(periodic bool, input func(machine *byhand.Machine, now byhand.Moment)) {
+// updateExclusionOrders feeds an input to the state machine. New orders are saved first, then enforced here, and then sent on. A
+// periodic update enforces the orders even without new ones, as the host list may have changed.
+func (b *Balancer) updateExclusionOrders(periodic bool, input func(machine *fleetorder.Machine, now fleetorder.Moment)) {
 	o := b.fleetOrders
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -107,17 +107,17 @@
 	}
 }
 
-// processOrders does what an input brought. Under orders.mu.
+// processOrders carries out the results of an input. The caller holds fleetOrders.mu.
 func (b *Balancer) processOrders(periodic bool) (saveErr error) {
 	o := b.fleetOrders
 	sends, newOrders := o.machine.Out(), o.machine.News()
 	if len(newOrders) > 0 || o.unsaved {
 		if saveErr = handover.Save(o.file, o.machine.All()); saveErr != nil && !o.unsaved {
-			b.log.Warn().Err(saveErr).Str("file", o.file).Msg("the fleet's orders by hand cannot be kept, telling nobody that they hold here")
+			b.log.Warn().Err(saveErr).Str("file", o.file).Msg("the exclusion orders of the fleet cannot be saved, not confirming them to other balancers")
 		}
 		o.unsaved = saveErr != nil
 		for _, n := range newOrders {
-			b.log.Info().Str("host", n.Host).Bool("out", n.Out).Str("door", n.Door).Uint64("count", n.Count).Msg("order by hand for the fleet")
+			b.log.Info().Str("host", n.Host).Bool("out", n.Out).Str("door", n.Door).Uint64("count", n.Count).Msg("exclusion order for the fleet")
 		}
 	}
 	if periodic || len(newOrders) > 0 {
@@ -132,12 +132,12 @@
 	return nil
 }
 
-// enforceOrders puts the orders in force here. Hosts without one stay as this balancer alone has them.
-func (b *Balancer) enforceOrders(all []byhand.Order) {
+// enforceOrders makes this balancer's exclusions match the orders. Hosts without an order stay as they are here.
+func (b *Balancer) enforceOrders(all []fleetorder.Order) {
 	if len(all) == 0 {
 		return
 	}
-	var current []string // by name, as what is wanted
+	var current []string // sorted by name, like wanted
 	listed := 0
 	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.Fleet() })
 	wanted := b.fleetOrders.machine.Excluded(listed)
@@ -145,14 +145,14 @@
 		_, exclude := slices.BinarySearch(wanted, order.Host)
 		if _, excluded := slices.BinarySearch(current, order.Host); exclude != excluded {
 			if err := b.setExclusion(policy.CacheID(order.Host), exclude, true); err != nil {
-				b.log.Warn().Err(err).Str("host", order.Host).Msg("an order by hand is not in force in both processes of the upgrade")
+				b.log.Warn().Err(err).Str("host", order.Host).Msg("an exclusion order is not in force in both processes of the upgrade")
 			}
 		}
 	}
 }
 
-// giveFleetOrder takes an operator's order for the whole fleet. It returns once the order is kept and in force here, and has waited for others as
-// long as it was told.
+// giveFleetOrder carries out an operator's order for the whole fleet. It returns once the order is saved and in force here, and after
+// waiting as long as the operator asked for the confirmations of the others.
 func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.How) (note string, err error) {
 	o := b.fleetOrders
 	known, listed := false, 0
@@ -174,7 +174,7 @@
 	}
 	o.mu.Unlock()
 	switch {
-	case errors.Is(err, byhand.ErrTooMany), errors.Is(err, byhand.ErrFull):
+	case errors.Is(err, fleetorder.ErrTooMany), errors.Is(err, fleetorder.ErrFull):
 		return "", err // nothing has changed
 	case err != nil:
 		return "", fmt.Errorf("in force here, not kept and not told to others: %w", err)
@@ -189,8 +189,8 @@
 	return fmt.Sprintf(", confirmed by all %d others", confirmed), nil
 }
 
-// orderConfirmations is how many others are known to hold what is held here, and the names of those that are not, the dead among them: they
-// may be cut off, and in use.
+// orderConfirmations returns how many other balancers are known to hold the orders held here, and the names of those that are not.
+// Dead members are included, since they may be cut off from this balancer and still serve clients.
 func (b *Balancer) orderConfirmations() (confirmed int, missing []string) {
 	o := b.fleetOrders
 	o.mu.Lock()
@@ -200,7 +200,7 @@
 	}
 	lives, transport := o.machine.Confirmed(), o.transport
 	o.mu.Unlock()
-	confirmedByName := map[string]bool{} // by name: it has confirmed
+	confirmedByName := map[string]bool{} // whether the member of that name has confirmed
 	for _, m := range transport.View().Members {
 		if m.State != member.Left {
 			confirmedByName[m.Name] = confirmedByName[m.Name] || slices.Contains(lives, m.Life)
@@ -216,7 +216,7 @@
 	return confirmed, missing
 }
 
-// Orders are what the door shows of them.
+// Orders returns the fleet-wide exclusion orders and their conflicts.
 func (a adminAPI) Orders() (shown admin.Orders, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
@@ -236,7 +236,7 @@
 	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
 		Conflicts: []admin.Conflict{}}
 	wanted := o.machine.Excluded(listed)
-	show := func(order byhand.Order) admin.Order {
+	show := func(order fleetorder.Order) admin.Order {
 		return admin.Order{Host: order.Host, Out: order.Out, Force: order.Force, InForce: slices.Contains(wanted, order.Host) == order.Out, Door: order.Door, Count: order.Count, By: formatLife(order.By)}
 	}
 	for _, order := range o.machine.All() {
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -11,18 +11,18 @@
 
 const (
 	reportInterval   = 10 * time.Second
-	minBoundRefusals = 5 // refusals by a bound on connections in that time: fewer is a burst that passed
+	minBoundRefusals = 5 // connections refused by a limit within reportInterval: fewer come from a short burst
 )
 
-// trafficStats counts what became of requests and attempts since the start.
+// trafficStats counts the results of requests and attempts since the start.
 type trafficStats struct {
 	fulfilled, rateLimited, errored, abandoned atomic.Int64
-	// Under Balancer.mu.
+	// Guarded by Balancer.mu.
 	attempts [policy.Unknown + 1]int64    // by outcome
-	hosts    map[policy.CacheID]*[2]int64 // attempts since the last report, and those that came to nothing
+	hosts    map[policy.CacheID]*[2]int64 // attempts since the last report, and how many of them failed
 }
 
-// countAttempt counts one that has ended.
+// countAttempt counts an attempt that has ended.
 func (t *trafficStats) countAttempt(host policy.CacheID, outcome policy.Outcome) {
 	t.attempts[outcome]++
 	h := t.hosts[host]
@@ -39,7 +39,7 @@
 var outcomeNames = [...]string{"fulfilled", "errored", "turned_away", "timed_out", "connect_failed", "reset",
 	"cancelled", "never_sent", "missed", "spoilt", "unknown"}
 
-// logReport logs the tally; the differences of two lines are what happened between them.
+// logReport logs the traffic since the start; the difference of two lines is the traffic between them.
 func (b *Balancer) logReport() {
 	var attempts [policy.Unknown + 1]int64
 	var hosts map[policy.CacheID]*[2]int64
@@ -48,7 +48,7 @@
 		b.traffic.hosts = map[policy.CacheID]*[2]int64{}
 	})
 	for id, n := range hosts {
-		if n[1] >= 5 && n[1] > n[0]/10 { // fewer is what a healthy host shows now and then
+		if n[1] >= 5 && n[1] > n[0]/10 { // a healthy host has fewer failures now and then
 			b.log.Warn().Str("host", string(id)).Int64("shots", n[0]).Int64("bad", n[1]).Msg("host in trouble")
 		}
 	}
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -16,7 +16,7 @@
 	"streamrail/policy"
 )
 
-// visitValues calls do with each value in a tree of JSON, and with its path; set replaces it, drop takes it out.
+// visitValues calls visit with the path of each value in a JSON tree; set replaces the value, drop removes it and is nil for list items.
 func visitValues(v any, path string, visit func(path string, set func(any), drop func())) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -34,8 +34,9 @@
 	}
 }
 
-// Each value of the settings absent, null, zero, negative, huge, a word, a list, an object: either one line names the key, or
-// the balancer takes lists and requests, with no panic, no endless asking and no endless memory.
+// TestSettingsOfAnyKind replaces each value of the settings by null, zero, negative and huge numbers, strings, lists and objects, or
+// removes it. The settings must either be refused with a one-line error that names the key, or give a balancer that takes host lists
+// and requests without a panic, endless asking or endless memory.
 func TestSettingsOfAnyKind(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/sample.json")
 	if err != nil {
@@ -74,7 +75,7 @@
 			refused++
 			keys := strings.Split(key, ".")
 			if !strings.Contains(err.Error(), keys[0]) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s = %v: %v does not name the key", key, value, err)
+				t.Errorf("%s = %v: %v is not one line that names the key", key, value, err)
 			}
 			return
 		}
@@ -97,12 +98,12 @@
 		}
 		if deployed.ConnectTimeout <= 0 || deployed.ClientTimeout <= 0 || deployed.IdleLimit < 0 || deployed.DrainGrace < 0 || deployed.MostOpen <= 0 ||
 			deployed.Terms.MostAttempts < 1 || deployed.Terms.AskEvery <= 0 {
-			t.Errorf("%s = %v: taken as %+v", key, value, deployed.Terms)
+			t.Errorf("%s = %v: accepted as %+v", key, value, deployed.Terms)
 		}
 	}
 	try("settings", "as they are")
 	if accepted != 1 {
-		t.Fatal("the sample is refused")
+		t.Fatal("the unchanged sample settings are refused")
 	}
 	var all []func()
 	visitValues(sample["settings"], "", func(key string, set func(any), drop func()) {
@@ -123,10 +124,11 @@
 		one()
 	}
 	if refused < 100 || accepted < 100 {
-		t.Errorf("%d refused, %d taken", refused, accepted)
+		t.Errorf("%d settings refused, %d accepted", refused, accepted)
 	}
 }
 
+// valueAt returns the value at a path in a JSON tree.
 func valueAt(v any, path []string) any {
 	for _, k := range path {
 		switch x := v.(type) {
--- a/internal/balancer/source.go
+++ b/internal/balancer/source.go
@@ -11,21 +11,21 @@
 	"streamrail/policy"
 )
 
-// listSource is where the list comes from, and the list as it is known now.
+// listSource is where the host list comes from, and the list as it is known now.
 type listSource struct {
-	mu         sync.Mutex // also held while a list is handed on: once an address is left, nothing is heard of it
+	mu         sync.Mutex // also held while a list is applied, so that nothing from a previous address is applied after a change of address
 	addr       string
-	stop       context.CancelFunc // ends the watch there; nil before the first
-	ready      chan struct{}      // closed once there is a list
+	stop       context.CancelFunc // stops the current watch; nil before the first one
+	ready      chan struct{}      // closed once there is a host list
 	readyOnce  sync.Once
 	generation int64
 	hosts      map[policy.CacheID]discovery.Host
-	resumeFrom *int64                                                            // version of the list from before the start, where the watch goes on from it
-	dial       func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the network's
+	resumeFrom *int64                                                            // generation of the list from before the start, if the watch continues from it
+	dial       func(ctx context.Context, network, addr string) (net.Conn, error) // nil: dial the network
 }
 
-// update notes an answer of discovery and returns the hosts that it changes, those first to which nothing new may be sent. A host
-// that a whole list does not name any more is among them, as gone. Under mu, or before anybody follows.
+// update stores an answer of discovery and returns the hosts that it changes, with those to which nothing new may be sent first. They
+// include hosts that a whole list no longer names, as gone. The caller holds mu, unless no watch has been started yet.
 func (s *listSource) update(list discovery.List) (changes []discovery.Host) {
 	s.generation = list.Generation
 	if list.Whole {
@@ -47,7 +47,7 @@
 	return changes
 }
 
-// removeUnlisted drops the known hosts that a whole list does not name, and returns them as gone.
+// removeUnlisted removes the known hosts that a whole list does not name and returns them as gone.
 func (s *listSource) removeUnlisted(list discovery.List) (gone []discovery.Host) {
 	listed := make(map[policy.CacheID]struct{}, len(list.Hosts))
 	for _, h := range list.Hosts {
@@ -63,7 +63,7 @@
 	return gone
 }
 
-// snapshot is the whole list as it is known now. Under mu.
+// snapshot returns the whole host list as it is known now. The caller holds mu.
 func (s *listSource) snapshot() discovery.List {
 	list := discovery.List{Generation: s.generation, Whole: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
 	for _, h := range s.hosts {
--- a/internal/balancer/starts.go
+++ b/internal/balancer/starts.go
@@ -7,23 +7,24 @@
 	"streamrail/policy"
 )
 
-// startTimes places the starts of hosts, which discovery tells by the wall clock, on the clock of the decisions. The wall clock may be
-// stepped at any time: each start is placed once, by its age at the moment in which it was first told.
+// startTimes converts the start times of hosts, which discovery reports by the wall clock, to the policy's clock. The wall clock may be
+// stepped at any time, so each start time is converted only once, by the host's age when that start time was first reported.
 type startTimes struct {
 	wallClock func() time.Time
 	placed    map[policy.CacheID]placedStart
 }
 
+// placedStart is the start of one host on both clocks.
 type placedStart struct {
-	reported policy.Nanos // Unix time
-	at       policy.Nanos // on the clock of the decisions
+	reported policy.Nanos // as discovery gives it, in Unix time
+	at       policy.Nanos // on the policy's clock
 }
 
-func newStartTimes(wall func() time.Time) *startTimes {
-	return &startTimes{wallClock: wall, placed: map[policy.CacheID]placedStart{}}
+func newStartTimes(wallClock func() time.Time) *startTimes {
+	return &startTimes{wallClock: wallClock, placed: map[policy.CacheID]placedStart{}}
 }
 
-// place sets when some hosts of the list started. One that starts in the future starts now; one that is gone is forgotten.
+// place sets the Started time of the hosts. A start time in the future becomes now; hosts that are gone are forgotten.
 func (s *startTimes) place(hosts []discovery.Host, now policy.Nanos) {
 	for i := range hosts {
 		h := &hosts[i]
--- a/internal/balancer/starts_test.go
+++ b/internal/balancer/starts_test.go
@@ -8,8 +8,8 @@
 	"streamrail/policy"
 )
 
-// TestStartTimesAcrossClockSteps steps the wall clock between two lists: a host is as old as it was, one that starts after the step is as old
-// as it says, and one that would start in the future starts now.
+// TestStartTimesAcrossClockSteps steps the wall clock between two lists. A known host keeps its age, a host that starts after the step
+// has the age that its start time gives, and a start time in the future counts as now.
 func TestStartTimesAcrossClockSteps(t *testing.T) {
 	for _, step := range []time.Duration{5 * time.Second, -5 * time.Second, time.Hour, -time.Hour} {
 		wall := time.Unix(1_700_000_000, 0)
@@ -23,28 +23,28 @@
 		l := []discovery.Host{first, host("old", time.Unix(0, 0))}
 		s.place(l, now)
 		if age(l, 0) != 2*time.Second || l[1].Started != 0 {
-			t.Errorf("step %v: %v old before it, long ago is %v", step, age(l, 0), l[1].Started)
+			t.Errorf("step %v: before the step a host is %v old, one of long ago started at %v", step, age(l, 0), l[1].Started)
 		}
 		now += policy.Nanos(time.Second)
 		wall = wall.Add(time.Second + step)
 		l = []discovery.Host{first, host("second", wall.Add(-time.Second)), host("ahead", wall.Add(time.Minute))}
 		s.place(l, now)
 		if age(l, 0) != 3*time.Second || age(l, 1) != time.Second || age(l, 2) != 0 {
-			t.Errorf("step %v: 3 s old is %v, 1 s old %v, one of the future %v", step, age(l, 0), age(l, 1), age(l, 2))
+			t.Errorf("step %v: a host 3 s old counts as %v, one 1 s old as %v, one that starts in the future as %v", step, age(l, 0), age(l, 1), age(l, 2))
 		}
 		now += policy.Nanos(time.Second)
 		wall = wall.Add(time.Second)
 		again := []discovery.Host{host("first", wall.Add(-time.Second))}
 		s.place(again, now)
 		if age(again, 0) != time.Second || len(s.placed) != 3 {
-			t.Errorf("step %v: a restart 1 s ago is %v old, %d hosts are known", step, age(again, 0), len(s.placed))
+			t.Errorf("step %v: a host restarted 1 s ago counts as %v old, %d hosts are known", step, age(again, 0), len(s.placed))
 		}
 		for i := range l {
 			l[i].Condition = policy.Gone
 		}
 		s.place(l, now)
 		if len(s.placed) != 0 {
-			t.Errorf("step %v: %d hosts stay known that no list names", step, len(s.placed))
+			t.Errorf("step %v: %d hosts that are gone are still known", step, len(s.placed))
 		}
 	}
 }
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -6,20 +6,19 @@
 	"streamrail/policy"
 )
 
-// timerWheel holds the timers that the decisions have set. Each request leaves one or two that outlive it, tens of thousands
-// at a time on a busy balancer: a timer of the runtime for each, with its goroutine, was a tenth of a request's cost. They
-// stand in slots of a millisecond, which is well within the tick that the decisions reckon with; one timer of the runtime
-// serves all. All is under Balancer.mu.
+// timerWheel holds the timers that the policy has set. Each request leaves one or two timers that outlive it, which makes tens of
+// thousands at a time on a busy balancer; a runtime timer with its goroutine for each took a tenth of a request's cost. The wheel keeps
+// them in slots of one millisecond, finer than the policy needs, and uses a single runtime timer. It is guarded by Balancer.mu.
 type timerWheel struct {
 	slots      [wheelSlots][]wheelTimer
-	firedUntil int64 // all slots up to this tick are empty of what is due
-	armedFor   int64 // the tick that the runtime's timer will come for
+	firedUntil int64 // all timers due up to this tick have been taken out
+	armedFor   int64 // the tick for which the runtime timer is set
 	runtime    *time.Timer
 	count      int // timers in all slots
 	firing     []wheelTimer
 }
 
-// wheelTimer is one of them.
+// wheelTimer is one timer of the wheel.
 type wheelTimer struct {
 	tick int64
 	id   policy.TimerID
@@ -27,11 +26,11 @@
 
 const (
 	wheelTick  = policy.Millisecond
-	wheelSlots = 4096 // four seconds, longer than most clients wait; what is later stays for another round
+	wheelSlots = 4096 // four seconds, longer than most client timeouts; later timers stay in their slot for another round
 	noTick     = 1<<63 - 1
 )
 
-// setTimer sets one that is due at a moment.
+// setTimer adds a timer that is due at the given time.
 func (b *Balancer) setTimer(due policy.Nanos, id policy.TimerID) {
 	w := &b.timers
 	tick := max(int64(due/wheelTick)+1, w.firedUntil+1) // never early
@@ -43,7 +42,7 @@
 	}
 }
 
-// armTimers has the runtime's timer come for a tick.
+// armTimers sets the runtime timer for a tick.
 func (b *Balancer) armTimers(tick int64) {
 	w := &b.timers
 	w.armedFor = tick
@@ -55,7 +54,7 @@
 	w.runtime.Reset(wait)
 }
 
-// fireTimers lets the decisions hear of all timers that are due.
+// fireTimers notifies the policy of all timers that are due.
 func (b *Balancer) fireTimers() {
 	b.post(func() {
 		w := &b.timers
@@ -70,10 +69,10 @@
 	})
 }
 
-// takeDue moves what is due at a tick from the slots to firing.
+// takeDue moves the timers that are due at a tick from the slots to firing.
 func (w *timerWheel) takeDue(now int64) {
 	if w.firedUntil == 0 || now-w.firedUntil > wheelSlots {
-		w.firedUntil = now - wheelSlots // a round holds all slots
+		w.firedUntil = now - wheelSlots // one round covers all slots
 	}
 	w.firing = w.firing[:0]
 	for tick := w.firedUntil + 1; tick <= now; tick++ {
@@ -83,7 +82,7 @@
 	w.count -= len(w.firing)
 }
 
-// takeSlot moves what is due from one slot; timers of a later round stay.
+// takeSlot moves the due timers of one slot to firing; timers of a later round stay.
 func (w *timerWheel) takeSlot(slot *[]wheelTimer, now int64) {
 	kept := (*slot)[:0]
 	for _, timer := range *slot {
@@ -97,7 +96,8 @@
 	*slot = kept
 }
 
-// nextTick is the first tick whose slot holds a timer, of a later round at worst, which is looked at in vain; never if none does.
+// nextTick returns the first tick whose slot holds a timer, or noTick if there is none. The timer may belong to a later round; then
+// firing that tick does nothing.
 func (w *timerWheel) nextTick() int64 {
 	if w.count == 0 {
 		return noTick
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -16,28 +16,29 @@
 	"streamrail/policy"
 )
 
-// upgradeLink joins this process to the other one of an upgrade, while there is one. The two are one balancer: a ban holds
-// for both, and what they hold together is what one may.
+// upgradeLink connects this process to the peer process of an upgrade, while there is one. Together they are one balancer: exclusions
+// hold for both, and both together stay within the resource limits of one process.
 type upgradeLink struct {
-	// mu makes an order of bans, which both processes apply as the older one has it. It is taken before all other locks.
+	// mu serializes exclusions, which both processes apply in the order that the older one sets. It is taken before all other locks.
 	mu           sync.Mutex
-	offer        *handover.Seat
-	older        *handover.Peer
-	newer        *handover.Peer
-	messageCount uint64
-	answers      chan handover.Message // those to what is waited for under mu, and late ones to what is not any more
+	offer        *handover.Seat        // lets a newer process connect
+	older        *handover.Peer        // nil if there is none
+	newer        *handover.Peer        // nil if there is none
+	messageCount uint64                // numbers the messages that need an answer
+	answers      chan handover.Message // to the exchange that waits under mu, and late ones that nobody waits for any more
 
-	newerReady   atomic.Bool // it takes clients
-	takesClients atomic.Bool // this process does
+	newerReady   atomic.Bool // the newer process takes clients
+	takesClients atomic.Bool // this process takes clients
 }
 
-// resourceLimits is what a process may hold.
+// resourceLimits is how many resources a process may use.
 type resourceLimits struct{ clients, upstream, requests, bytes int64 }
 
 const (
-	// usageInterval is how often both tell each other what they hold: short against what connections need to move over.
+	// usageInterval is how often both processes report their usage to each other. It is much shorter than the time that connections need
+	// to move to the newer process.
 	usageInterval = 50 * time.Millisecond
-	// peerTimeout is how long the other process may take over a ban; operators are owed an answer in a second.
+	// peerTimeout is how long the peer process may take to apply an exclusion; operators must get an answer within a second.
 	peerTimeout = 500 * time.Millisecond
 )
 
@@ -47,8 +48,8 @@
 	errPeerSilent     = errors.New("this process has done it; the other one of an upgrade does not answer")
 )
 
-// takeOverListener takes over the clients' address from an older process that serves there; nil where there is none. Only where there is a
-// door there may be one.
+// takeOverListener takes over the clients' listener from an older process that serves the same address; nil if there is none. A process
+// without an admin API takes no part in upgrades.
 func (b *Balancer) takeOverListener() (net.Listener, *handover.State) {
 	if b.deployment.Admin == "" {
 		return nil, nil
@@ -60,7 +61,7 @@
 		return listener, &state
 	}
 	if !errors.Is(err, handover.ErrAlone) {
-		b.log.Warn().Err(err).Msg("could not take over from an older process, starting as if alone")
+		b.log.Warn().Err(err).Msg("could not take over from an older process, starting without it")
 	}
 	return nil, nil
 }
@@ -77,7 +78,7 @@
 	return handover.Path(os.TempDir(), b.deployment.Listen, ".out")
 }
 
-// restoreState restores what an older process handed on, or what one that was killed left.
+// restoreState restores the state that an older process handed over, or the exclusions that an earlier process saved.
 func (b *Balancer) restoreState(state *handover.State) {
 	if b.deployment.Admin == "" {
 		return
@@ -87,7 +88,7 @@
 		excluded = state.Excluded
 		var learnt policy.Learnt
 		if err := json.Unmarshal(state.Learnt, &learnt); err != nil {
-			b.log.Warn().Err(err).Msg("what was learnt is not readable, left out")
+			b.log.Warn().Err(err).Msg("the learnt state handed over is not readable, ignored")
 		} else {
 			b.callPolicy(func() { b.policy.TakeOver(learnt) })
 		}
@@ -97,7 +98,7 @@
 		var err error
 		if err = handover.Load(b.exclusionFile(), &excluded); err != nil {
 			excluded = nil
-			b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the hosts out by hand are not readable, none is out")
+			b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the saved exclusions are not readable, no host is excluded")
 		}
 	}
 	for _, id := range excluded {
@@ -108,7 +109,7 @@
 	}
 }
 
-// offerHandover tells that this process takes clients; a newer one meets it from now on.
+// offerHandover notifies the older process that this one takes clients, and lets a newer process take over from now on.
 func (b *Balancer) offerHandover(listener net.Listener) {
 	u := &b.upgrade
 	if b.deployment.Admin == "" {
@@ -127,7 +128,7 @@
 	u.takesClients.Store(true)
 }
 
-// closeHandover ends what joins this process to others.
+// closeHandover stops offering a handover and closes the connections to the peer processes.
 func (b *Balancer) closeHandover() {
 	u := &b.upgrade
 	u.mu.Lock()
@@ -142,7 +143,7 @@
 	}
 }
 
-// handOver hands on to a newer process.
+// handOver returns the state for a newer process that takes over.
 func (b *Balancer) handOver(peer *handover.Peer) (state handover.State, err error) {
 	u := &b.upgrade
 	u.mu.Lock()
@@ -169,6 +170,7 @@
 	return state, nil
 }
 
+// receiveFromNewer handles the newer process's messages until it ends.
 func (b *Balancer) receiveFromNewer(peer *handover.Peer) {
 	go b.sendUsage(peer)
 	peer.Hear(func(m handover.Message) {
@@ -180,7 +182,7 @@
 		case handover.Holding:
 			b.splitLimits(*m.Holds)
 		case handover.Ask:
-			go func() { // not here: it may wait for what comes here
+			go func() { // in a goroutine: setExclusion may wait for a message that is received here
 				answer := handover.Message{Kind: handover.Answer, N: m.N}
 				if err := b.setExclusion(policy.CacheID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
 					answer.Fault = err.Error()
@@ -195,6 +197,7 @@
 	b.reclaimMembership()
 }
 
+// receiveFromOlder handles the older process's messages until it ends.
 func (b *Balancer) receiveFromOlder(peer *handover.Peer) {
 	go b.sendUsage(peer)
 	peer.Hear(func(m handover.Message) {
@@ -211,7 +214,7 @@
 	b.peerEnded(&b.upgrade.older)
 }
 
-// peerEnded goes on alone: the other process has ended, or was killed.
+// peerEnded restores the limits of a single process after the peer process has ended or was killed.
 func (b *Balancer) peerEnded(other **handover.Peer) {
 	u := &b.upgrade
 	u.mu.Lock()
@@ -228,7 +231,7 @@
 	b.setSharesUpgrading(false)
 }
 
-// deliverAnswer hands a message to who waits for it; what nobody waits for any more makes room.
+// deliverAnswer queues a message for the exchange that waits for it. If the queue is full of late answers, the oldest is dropped.
 func (u *upgradeLink) deliverAnswer(m handover.Message) {
 	for {
 		select {
@@ -243,7 +246,7 @@
 	}
 }
 
-// exchange sends an Ask or a Ban and waits for what answers it; false where nothing does. Under u.mu.
+// exchange sends a message of kind Ask or Ban and waits for its answer. It returns false if none comes in time. The caller holds u.mu.
 func (u *upgradeLink) exchange(peer *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
 	u.messageCount++
 	m.N = u.messageCount
@@ -256,7 +259,7 @@
 				return answer, true
 			}
 		case <-peer.Gone():
-			return answer, true // the process that is left has it
+			return answer, true // the peer process has ended, so this process alone has to apply it
 		case <-timeout:
 			peer.Close()
 			return answer, false
@@ -264,8 +267,8 @@
 	}
 }
 
-// setExclusion takes a host out by hand, or puts it back, in both processes of an upgrade. An order for the whole fleet holds also where no list
-// has named the host yet.
+// setExclusion excludes a host, or includes it again, in both processes of an upgrade. An order for the whole fleet also holds for a host
+// that no list has named yet.
 func (b *Balancer) setExclusion(id policy.CacheID, exclude, fleet bool) error {
 	u := &b.upgrade
 	u.mu.Lock()
@@ -278,7 +281,7 @@
 		answer, answered = u.exchange(p, m)
 		if answer.Kind == handover.Answer {
 			return errorFromText(answer.Fault)
-		} // else this process is alone by now
+		} // otherwise the connection to the older process is closed and this process acts alone
 	}
 	known, withinLimit := false, true
 	if exclude {
@@ -306,7 +309,7 @@
 	return nil
 }
 
-// errorFromText is the error whose text came from the other process.
+// errorFromText returns the error whose text came from the peer process; nil if the text is empty.
 func errorFromText(text string) error {
 	for _, err := range []error{admin.ErrNobody, admin.ErrTooMany, errPeerSilent} {
 		if text == err.Error() {
@@ -319,14 +322,15 @@
 	return nil
 }
 
-// applyExclusion changes a ban here; the file has it before anybody is told yes, or else the error tells that it has not.
+// applyExclusion changes an exclusion in this process and saves it before anybody gets a positive answer. The error tells that it could
+// not be saved.
 func (b *Balancer) applyExclusion(id policy.CacheID, exclude bool) error {
 	b.switchExclusion(id, exclude)
 	return b.saveExclusions()
 }
 
-// switchExclusion takes a host out first where calls are given to it, then where they are written, and puts it back the other way
-// round.
+// switchExclusion excludes a host first in the policy, which chooses it for attempts, and then in the connection pool, which sends
+// them. It includes a host in the reverse order.
 func (b *Balancer) switchExclusion(id policy.CacheID, exclude bool) {
 	if !exclude {
 		b.hosts.Include(id)
@@ -344,7 +348,7 @@
 	b.log.Info().Str("host", string(id)).Bool("out", exclude).Msg("by hand")
 }
 
-// excludedHosts are the hosts out by hand. Under Balancer.mu.
+// excludedHosts returns the hosts that operators have excluded. The caller holds Balancer.mu.
 func (b *Balancer) excludedHosts() (all []string) {
 	for _, id := range b.policy.Excluded() {
 		all = append(all, string(id))
@@ -352,7 +356,7 @@
 	return all
 }
 
-// sendUsage says what this process holds, until the other one has ended.
+// sendUsage reports this process's resource usage to the peer process until that has ended.
 func (b *Balancer) sendUsage(peer *handover.Peer) {
 	t := time.NewTicker(usageInterval)
 	defer t.Stop()
@@ -374,7 +378,7 @@
 	return h
 }
 
-// setLimits sets what this process may hold.
+// setLimits sets the resource limits of this process.
 func (b *Balancer) setLimits(limits resourceLimits) {
 	b.clients.setLimits(int(limits.clients-limits.clients/8), int(limits.clients))
 	b.hosts.Limit(int(limits.upstream))
@@ -382,8 +386,8 @@
 	b.maxValueBytes.Store(limits.bytes)
 }
 
-// splitLimits leaves to each process what it holds and a part of what both leave free. A second process has descriptors of its
-// own besides.
+// splitLimits lets each process keep the resources that it uses and a part of what is free. The second process needs reserved
+// descriptors of its own, which are subtracted.
 func (b *Balancer) splitLimits(other handover.Holds) {
 	own, total := b.usage(), b.capacity
 	share := func(whole, own, other int64) int64 {
@@ -398,7 +402,8 @@
 	b.callPolicy(func() { b.policy.Beside(true, other.Origin) })
 }
 
-// processShare is what one may hold of a whole: what it holds and half of what is free, or an eighth where it leaves.
+// processShare is what one of two processes may use of a resource: what it uses now, and half of what is free, or an eighth of it if
+// that process is leaving.
 func processShare(whole, own, other int64, leaving bool) int64 {
 	free := max(0, whole-own-other)
 	if leaving {
@@ -407,5 +412,6 @@
 	return own + free/2
 }
 
-// memoryLimit is what the collector keeps the heap under: what lives is some megabytes, and the machine's limit holds for all.
+// memoryLimit is the soft limit for the garbage collector, in bytes. The live heap is a few megabytes, and the machine's limit also
+// covers memory outside the heap.
 func (b *Balancer) memoryLimit() int64 { return int64(b.deployment.MemoryMB) << 20 * 3 / 4 }
