--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -94,7 +94,7 @@
 func TestPostedEventsAreHandled(t *testing.T) {
 	const goroutines, events = 16, 500
 	f := newFaultyHosts(t, 1, injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true})
-	heard := make([]int, goroutines) // under mu
+	processed := make([]int, goroutines) // under mu
 	var all sync.WaitGroup
 	for g := range goroutines {
 		all.Go(func() {
@@ -103,10 +103,10 @@
 					f.callPolicy(func() {})
 				}
 				f.post(func() {
-					if heard[g] != n {
-						t.Errorf("event %d of goroutine %d was processed after %d others", n, g, heard[g])
+					if processed[g] != n {
+						t.Errorf("event %d of goroutine %d was processed after %d others", n, g, processed[g])
 					}
-					heard[g]++
+					processed[g]++
 				})
 			}
 		})
@@ -114,7 +114,7 @@
 	all.Wait()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for g, n := range heard {
+	for g, n := range processed {
 		if n != events {
 			t.Errorf("%d events of goroutine %d were processed", n, g)
 		}
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -164,31 +164,31 @@
 	for name, row := range map[string]struct {
 		pushed, asked bool
 		respond       func(n int, to net.Conn, text string) bool
-		leaves        time.Duration // since the start
-		downTo        time.Duration // discovery refuses connections from leaves until then; 0: it does not
+		drainsAt      time.Duration // since the start
+		downTo        time.Duration // discovery refuses connections from drainsAt until then; 0: it does not
 		atOnce        bool          // with pushed lists, the change must be known as soon as discovery has it and can be reached
 	}{
-		"silent":                  {pushed: true, asked: true, respond: faultsFromSecond(1, silent), leaves: 5 * time.Millisecond},
-		"silent, leaves late":     {pushed: true, asked: true, respond: faultsFromSecond(1, silent), leaves: second},
-		"silent twice":            {pushed: true, respond: faultsFromSecond(2, silent), leaves: 5 * time.Millisecond},
-		"turned away":             {pushed: true, asked: true, respond: faultsFromSecond(1, refused), leaves: second},
-		"ended before an answer":  {pushed: true, asked: true, respond: faultsFromSecond(1, ended), leaves: second},
-		"ended within an answer":  {pushed: true, asked: true, respond: faultsFromSecond(1, truncatedAndClosed), leaves: second},
-		"silent within an answer": {pushed: true, asked: true, respond: faultsFromSecond(1, truncated), leaves: second},
-		"spoilt":                  {pushed: true, asked: true, respond: faultsFromSecond(1, damaged), leaves: second},
+		"silent":                  {pushed: true, asked: true, respond: faultsFromSecond(1, silent), drainsAt: 5 * time.Millisecond},
+		"silent, leaves late":     {pushed: true, asked: true, respond: faultsFromSecond(1, silent), drainsAt: second},
+		"silent twice":            {pushed: true, respond: faultsFromSecond(2, silent), drainsAt: 5 * time.Millisecond},
+		"turned away":             {pushed: true, asked: true, respond: faultsFromSecond(1, refused), drainsAt: second},
+		"ended before an answer":  {pushed: true, asked: true, respond: faultsFromSecond(1, ended), drainsAt: second},
+		"ended within an answer":  {pushed: true, asked: true, respond: faultsFromSecond(1, truncatedAndClosed), drainsAt: second},
+		"silent within an answer": {pushed: true, asked: true, respond: faultsFromSecond(1, truncated), drainsAt: second},
+		"spoilt":                  {pushed: true, asked: true, respond: faultsFromSecond(1, damaged), drainsAt: second},
 		"spoilt, then silent": {pushed: true, asked: true, respond: func(n int, to net.Conn, text string) bool {
 			if n == 2 {
 				return damaged(to, text)
 			}
 			return n != 3 && whole(to, text)
-		}, leaves: second},
-		"in small pieces":   {pushed: true, asked: true, respond: faultsFromSecond(1, pieces(10*time.Millisecond)), leaves: second, atOnce: true},
-		"in slow pieces":    {pushed: true, asked: true, respond: faultsFromSecond(1, pieces(400*time.Millisecond)), leaves: second},
-		"away for long":     {pushed: true, asked: true, respond: faultsFromSecond(1, ended), leaves: second, downTo: 20 * second, atOnce: true},
-		"away for a moment": {pushed: true, asked: true, respond: faultsFromSecond(1, ended), leaves: second, downTo: 1200 * time.Millisecond, atOnce: true},
+		}, drainsAt: second},
+		"in small pieces":   {pushed: true, asked: true, respond: faultsFromSecond(1, pieces(10*time.Millisecond)), drainsAt: second, atOnce: true},
+		"in slow pieces":    {pushed: true, asked: true, respond: faultsFromSecond(1, pieces(400*time.Millisecond)), drainsAt: second},
+		"away for long":     {pushed: true, asked: true, respond: faultsFromSecond(1, ended), drainsAt: second, downTo: 20 * second, atOnce: true},
+		"away for a moment": {pushed: true, asked: true, respond: faultsFromSecond(1, ended), drainsAt: second, downTo: 1200 * time.Millisecond, atOnce: true},
 		"away, then turned away": {pushed: true, respond: func(n int, to net.Conn, text string) bool {
 			return map[int]func(net.Conn, string) bool{2: ended, 3: refused}[n] == nil && whole(to, text) || n == 2 && ended(to, text) || n == 3 && refused(to, text)
-		}, leaves: second, downTo: 9 * second},
+		}, drainsAt: second, downTo: 9 * second},
 	} {
 		for _, mode := range []string{"pushed", "asked"} {
 			if mode == "pushed" && !row.pushed || mode == "asked" && !row.asked {
@@ -203,9 +203,9 @@
 							defer close(d.done)
 							defer b.hosts.Close()
 							defer b.cancel()
-							time.Sleep(time.Until(d.began.Add(row.leaves)))
+							time.Sleep(time.Until(d.began.Add(row.drainsAt)))
 							d.change(func() { d.draining, d.down = true, row.downTo > 0 })
-							knownAt := row.leaves
+							knownAt := row.drainsAt
 							if row.downTo > 0 {
 								time.Sleep(time.Until(d.began.Add(row.downTo)))
 								d.change(func() { d.down = false })
@@ -217,7 +217,7 @@
 							time.Sleep(time.Until(d.began.Add(knownAt + grace*9/10)))
 							synctest.Wait()
 							if b.avoidedHosts() != 1 {
-								t.Errorf("host not avoided %v after it began to drain, known after %v; calls at %v", time.Since(d.began)-row.leaves, knownAt-row.leaves, d.callTimes)
+								t.Errorf("host not avoided %v after it began to drain, known after %v; calls at %v", time.Since(d.began)-row.drainsAt, knownAt-row.drainsAt, d.callTimes)
 							}
 							d.mu.Lock()
 							defer d.mu.Unlock()
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -31,7 +31,7 @@
 	transport   *carry.Carrier
 	stop        chan struct{}
 	lastOrderAt time.Time // when the admin API of this balancer was given the last order
-	unsaved     bool      // the file lacks some of the orders held here, so no other balancer is told that they are held
+	unsaved     bool      // the file lacks some of the orders held here, so nothing is sent to other balancers
 }
 
 // newExclusionOrders returns nil if the operator's file does not enable fleet-wide orders or there is no admin API.
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -61,7 +61,7 @@
 		return listener, &state
 	}
 	if !errors.Is(err, handover.ErrAlone) {
-		b.log.Warn().Err(err).Msg("could not take over from an older process, starting without it")
+		b.log.Warn().Err(err).Msg("could not take over from an older process, starting as if alone")
 	}
 	return nil, nil
 }
