--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -12,291 +12,294 @@
 	"streamrail/policy"
 )
 
-// call is one request in hand. Its goroutine runs live.
-type call struct {
+// clientRequest is one request from its admission to the end of its last attempt. Its goroutine runs handleRequest.
+type clientRequest struct {
 	memcache.Command
-	b        *Balancer
-	client   *client
-	line     [256]byte // where the command's line is kept, if it fits
-	value    []byte
-	upload   *upload // a long value, which comes while the request lives
-	product  policy.Product
-	customer policy.Customer
-	arrived  time.Time         // its last byte, or the head of a long write
-	begun    time.Time         // its life: it is read and admitted
-	deadline deadline.Deadline // of the client; a long write's is upload.Deadline, once its last byte has arrived
-	id       policy.CallID     // of our own: no two requests in hand share one, whatever clients send
-	turn     chan struct{}     // closed when the commands before it are answered
-	answered chan struct{}     // closed when this one is
-
-	held     atomic.Int64 // bytes of values
-	attempts []*upstream.Attempt
-	out      int
-	ended    chan ending
-	nudge    chan struct{} // there are orders
-
-	mayHaveRun bool        // an attempt that has ended may have
-	guard      *time.Timer // fires when its time is over; nil: it has not begun
-
-	mu        sync.Mutex
-	orders    []order
-	settled   bool // its one final answer is chosen
-	streaming bool // that is a long value, which is passed on
+	b                *Balancer
+	client           *clientConn
+	line             [256]byte // storage for the command's line, if it fits
+	value            []byte
+	upload           *upload // a long value, which arrives while the request is handled
+	product          policy.Product
+	customer         policy.Customer
+	arrived          time.Time         // when its last byte arrived; for a long write, its command line
+	admitted         time.Time         // when its handling began, after it was read and admitted
+	deadline         deadline.Deadline // of the client; a long write uses upload.Deadline once its last byte has arrived
+	id               policy.CallID     // chosen here, so it is unique among open requests whatever ids clients send
+	previousAnswered chan struct{}     // closed when all earlier commands of the connection are answered
+	answered         chan struct{}     // closed when this request is answered
+
+	heldBytes      atomic.Int64 // memory reserved for values
+	attempts       []*upstream.Attempt
+	inFlight       int // attempts that have not ended
+	attemptResults chan attemptResult
+	notify         chan struct{} // receives when actions are waiting
+
+	mayHaveRun    bool        // an attempt that has ended may have run at a host
+	deadlineTimer *time.Timer // fires at the deadline; nil before the request is handled
+
+	mu           sync.Mutex
+	actions      []action // from the policy, not carried out yet
+	answerChosen bool     // the one final answer has been chosen
+	streaming    bool     // the final answer is a long value, passed on while it arrives
 }
 
-type ending struct {
+// attemptResult is how one attempt of a request ended.
+type attemptResult struct {
 	upstream.Result
 	attempt int
 	took    time.Duration
 }
 
-// order is what the module wants done for a request.
-type order struct {
-	do       func(c *call, o order)
-	to       policy.CacheID
-	attempt  int
-	deadline deadline.Deadline
-	beginBy  deadline.Deadline // connecting and waiting for a connection take time after the decision
-	comeBack time.Duration     // after a rate-limit reply
+// action is something that the policy wants done for a request.
+type action struct {
+	do         func(c *clientRequest, a action)
+	host       policy.CacheID
+	attempt    int
+	deadline   deadline.Deadline
+	beginBy    deadline.Deadline // the attempt must start by then: connecting and waiting for a connection take time after the decision
+	retryAfter time.Duration     // how long the client is to wait after a rate-limited answer
 }
 
-// wayBack is kept of the client's time for the answer to reach it.
-const wayBack = 3 * time.Millisecond
+// answerTravelReserve is subtracted from the client's deadline so that the answer can reach the client in time.
+const answerTravelReserve = 3 * time.Millisecond
 
-// live is the life of one request, from when it was read to its one final answer and the end of its attempts.
-func (b *Balancer) live(c *call) {
-	defer b.leave(c)
-	c.begun = time.Now()
-	due := c.deadline.Earlier(wayBack)
-	if c.upload != nil { // its time runs from the last byte on, which is still to come
-		due = deadline.After(c.arrived, c.Left+uploadMost)
+// handleRequest handles one request until it has its one final answer and all of its attempts have ended.
+func (b *Balancer) handleRequest(c *clientRequest) {
+	defer b.releaseRequest(c)
+	c.admitted = time.Now()
+	due := c.deadline.Earlier(answerTravelReserve)
+	if c.upload != nil { // its timeout starts at the last byte, which has not arrived yet
+		due = deadline.After(c.arrived, c.Left+maxUploadTime)
 	}
-	if due.Passed() { // it waited behind others for all of its time; nothing ran
-		c.rateLimit(order{})
+	if due.Passed() { // the deadline passed while it waited behind other requests; nothing ran
+		c.answerRateLimited(action{})
 		return
 	}
-	c.ended = make(chan ending, b.told.Terms.MostAttempts+1)
-	c.nudge = make(chan struct{}, 1)
-	b.arrives(c.customer)
-	c.id = policy.CallID(strconv.FormatUint(b.taken.Add(1), 36))
-	c.guards(due)
-	defer c.guard.Stop()
+	c.attemptResults = make(chan attemptResult, b.deployment.Terms.MostAttempts+1)
+	c.notify = make(chan struct{}, 1)
+	b.countArrival(c.customer)
+	c.id = policy.CallID(strconv.FormatUint(b.requestCount.Add(1), 36))
+	c.armDeadlineTimer(due)
+	defer c.deadlineTimer.Stop()
 	b.post(func() {
-		b.calls[c.id] = c
-		b.module.Arrived(policy.Call{ID: c.id, Customer: c.customer, Product: c.product, Key: policy.Key(c.Key),
-			Write: c.Write, Repeat: c.Repeat, Deadline: b.nanos(due)})
+		b.requests[c.id] = c
+		b.policy.Arrived(policy.Call{ID: c.id, Customer: c.customer, Product: c.product, Key: policy.Key(c.Key),
+			Write: c.Write, Repeat: c.Repeat, Deadline: b.toNanos(due)})
 	})
 	gone := c.client.gone
 	for {
-		if gone != nil && c.client.hasLeft() { // before any order: nothing is begun for who has left
+		if gone != nil && c.client.hasLeft() { // checked before any action: no attempt starts for a client that has left
 			gone = nil
 			b.abandon(c)
 		}
-		orders, settled := c.takeOrders()
-		for _, o := range orders {
-			o.do(c, o)
+		actions, chosen := c.takeActions()
+		for _, a := range actions {
+			a.do(c, a)
 		}
-		if settled && c.out == 0 {
+		if chosen && c.inFlight == 0 {
 			break
 		}
 		select {
-		case e := <-c.ended:
-			c.out--
+		case e := <-c.attemptResults:
+			c.inFlight--
 			c.mayHaveRun = c.mayHaveRun || policy.MayHaveRun(e.Outcome)
-			b.saw(c, e)
-			won := e.Outcome == policy.Fulfilled && c.settle()
-			b.ended(c, e)
+			b.observeAttempt(c, e)
+			won := e.Outcome == policy.Fulfilled && c.claimAnswer()
+			b.reportAttemptEnd(c, e)
 			if won {
-				b.tally.fulfilled.Add(1)
+				b.traffic.fulfilled.Add(1)
 				c.fulfil(e.Body)
 			}
-		case <-c.guard.C:
-			b.timesOut(c)
+		case <-c.deadlineTimer.C:
+			b.answerOnTimeout(c)
 		case <-gone:
-		case <-c.nudge:
+		case <-c.notify:
 		}
 	}
 }
 
-// ended lets the module hear how an attempt ended.
-func (b *Balancer) ended(c *call, e ending) {
-	to := c.attempts[e.attempt].To
+// reportAttemptEnd tells the policy how an attempt ended.
+func (b *Balancer) reportAttemptEnd(c *clientRequest, e attemptResult) {
+	host := c.attempts[e.attempt].To
 	b.post(func() {
-		b.tally.attempt(to, e.Outcome)
-		b.module.Ended(policy.Ending{Call: c.id, Attempt: e.attempt, Final: c.isSettled(), Outcome: e.Outcome,
-			Took: policy.Nanos(e.took), Load: e.Load, Cache: to})
+		b.traffic.countAttempt(host, e.Outcome)
+		b.policy.Ended(policy.Ending{Call: c.id, Attempt: e.attempt, Final: c.isAnswerChosen(), Outcome: e.Outcome,
+			Took: policy.Nanos(e.took), Load: e.Load, Cache: host})
 	})
 }
 
-// guards has the request answered when its time is over, whether or not the module has come to it by then. Its own timers fire up
-// to a tick of the wheel after they are due.
-func (c *call) guards(due deadline.Deadline) {
+// armDeadlineTimer makes sure that the request is answered at its deadline even if the policy has not got to it by then. The
+// timer allows one tick more, because the policy's own timers fire up to a tick late.
+func (c *clientRequest) armDeadlineTimer(due deadline.Deadline) {
 	wait := due.Remaining() + time.Duration(wheelTick)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.guard == nil {
-		c.guard = time.NewTimer(wait)
+	if c.deadlineTimer == nil {
+		c.deadlineTimer = time.NewTimer(wait)
 	} else {
-		c.guard.Reset(wait)
+		c.deadlineTimer.Reset(wait)
 	}
 }
 
-// timesOut answers a request that the module has not answered in its time. Where it is free it hears now that the time is over, and
-// decides; else it is late itself.
-func (b *Balancer) timesOut(c *call) {
+// answerOnTimeout answers a request that the policy has not answered by its deadline. If the policy is free, its due timers
+// fire first and it chooses the answer itself; otherwise the answer is chosen here.
+func (b *Balancer) answerOnTimeout(c *clientRequest) {
 	b.fireTimers()
-	if !c.settle() {
+	if !c.claimAnswer() {
 		return
 	}
-	b.post(func() { b.module.Abandoned(c.id) }) // it calls back what is out
-	b.delays.guarded.Add(1)
-	if c.out == 0 && !c.mayHaveRun {
-		c.rateLimit(order{})
+	b.post(func() { b.policy.Abandoned(c.id) }) // it cancels the attempts in flight
+	b.delays.answeredByTimer.Add(1)
+	if c.inFlight == 0 && !c.mayHaveRun {
+		c.answerRateLimited(action{})
 	} else {
-		c.errored(order{})
+		c.answerErrored(action{})
 	}
 }
 
-// abandon ends a request whose client has gone away.
-func (b *Balancer) abandon(c *call) {
-	if !c.settle() {
+// abandon ends a request whose client has left.
+func (b *Balancer) abandon(c *clientRequest) {
+	if !c.claimAnswer() {
 		return
 	}
-	b.post(func() { b.module.Abandoned(c.id) })
-	b.tally.abandoned.Add(1)
-	b.figures.inHand.Add(-1)
+	b.post(func() { b.policy.Abandoned(c.id) })
+	b.traffic.abandoned.Add(1)
+	b.answerStats.unanswered.Add(-1)
 	close(c.answered)
 }
 
-// settle chooses the request's one final answer; false where it is chosen already.
-func (c *call) settle() bool {
+// claimAnswer reserves the right to give the request's one final answer; false if an answer has already been chosen.
+func (c *clientRequest) claimAnswer() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	first := !c.settled
-	c.settled = true
+	first := !c.answerChosen
+	c.answerChosen = true
 	return first
 }
 
-func (c *call) isSettled() bool {
+func (c *clientRequest) isAnswerChosen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.settled
+	return c.answerChosen
 }
 
-// takeOrders empties the request's mailbox.
-func (c *call) takeOrders() (orders []order, settled bool) {
+// takeActions removes and returns the waiting actions, and whether the final answer has been chosen.
+func (c *clientRequest) takeActions() (actions []action, chosen bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	orders, c.orders = c.orders, nil
-	return orders, c.settled
+	actions, c.actions = c.actions, nil
+	return actions, c.answerChosen
 }
 
-// take puts an order into the mailbox. A second final one is dropped.
-func (c *call) take(o order, final bool) {
+// addAction queues an action for the request's goroutine. final marks an action that gives the final answer; a second one is dropped.
+func (c *clientRequest) addAction(a action, final bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if final && c.settled {
+	if final && c.answerChosen {
 		return
 	}
-	c.settled = c.settled || final
-	c.orders = append(c.orders, o)
+	c.answerChosen = c.answerChosen || final
+	c.actions = append(c.actions, a)
 	select {
-	case c.nudge <- struct{}{}:
+	case c.notify <- struct{}{}:
 	default:
 	}
 }
 
-// start has a goroutine live a call: one that is done with another, whose stack has grown to what a call needs, else a
-// new one.
-func (b *Balancer) start(c *call) {
+// startRequest handles a request in an idle worker goroutine, whose stack has already grown to the size that a request needs, or in
+// a new one.
+func (b *Balancer) startRequest(c *clientRequest) {
 	select {
-	case b.rested <- c:
+	case b.toIdleWorker <- c:
 	default:
 		go func() {
 			for {
-				b.live(c)
-				if b.resting.Add(1) > mostResting {
-					b.resting.Add(-1)
+				b.handleRequest(c)
+				if b.idleWorkers.Add(1) > maxIdleWorkers {
+					b.idleWorkers.Add(-1)
 					return
 				}
-				c = <-b.rested
-				b.resting.Add(-1)
+				c = <-b.toIdleWorker
+				b.idleWorkers.Add(-1)
 			}
 		}()
 	}
 }
 
-// mostResting bounds the goroutines that wait for a call: a burst leaves no more behind.
-const mostResting = 64
+// maxIdleWorkers bounds the idle worker goroutines that remain after a burst of requests.
+const maxIdleWorkers = 64
 
-// leave forgets a request that has its answer and whose attempts have ended.
-func (b *Balancer) leave(c *call) {
+// releaseRequest frees what a request occupied, once it is answered and its attempts have ended.
+func (b *Balancer) releaseRequest(c *clientRequest) {
 	if c.id != "" {
-		b.post(func() { delete(b.calls, c.id) })
+		b.post(func() { delete(b.requests, c.id) })
 	}
-	b.unclaim(c)
-	b.held.Add(-c.held.Load())
-	b.open.Add(-1)
-	<-c.client.behind
-	c.client.rests()
+	b.releaseID(c)
+	b.valueBytes.Add(-c.heldBytes.Load())
+	b.inFlight.Add(-1)
+	<-c.client.inFlight
+	c.client.noteIfIdle()
 }
 
-// nanos is an instant on the module's clock.
-func (b *Balancer) nanos(d deadline.Deadline) policy.Nanos {
+// toNanos converts an instant to the policy's clock.
+func (b *Balancer) toNanos(d deadline.Deadline) policy.Nanos {
 	return b.epochNanos + policy.Nanos(d.Time().Sub(b.epoch))
 }
 
-// instant is a reading of the module's clock as a deadline.
-func (b *Balancer) instant(n policy.Nanos) deadline.Deadline {
+// toDeadline converts a reading of the policy's clock to a deadline.
+func (b *Balancer) toDeadline(n policy.Nanos) deadline.Deadline {
 	return deadline.After(b.epoch, time.Duration(n-b.epochNanos))
 }
 
-// abandonAll answers all that is in hand: there is no time left for it. It tells how many they were.
+// abandonAll answers every open request with an error, as no time is left for them, and returns their number.
 func (b *Balancer) abandonAll() (n int) {
-	b.decide(func() {
-		for id, c := range b.calls {
-			if !c.isSettled() {
+	b.callPolicy(func() {
+		for id, c := range b.requests {
+			if !c.isAnswerChosen() {
 				n++
-				host{b}.Error(id)
-				b.module.Abandoned(id)
+				policyHost{b}.Error(id)
+				b.policy.Abandoned(id)
 			}
 		}
 	})
 	return n
 }
 
-// host is what the module acts through: it notes orders and does nothing else.
-type host struct{ b *Balancer }
+// policyHost is the interface through which the policy acts. It only queues actions, since it is called while the policy's lock is held.
+type policyHost struct{ b *Balancer }
 
-func (h host) note(id policy.CallID, o order, final bool) {
-	if c := h.b.calls[id]; c != nil {
-		c.take(o, final)
+func (h policyHost) enqueue(id policy.CallID, a action, final bool) {
+	if c := h.b.requests[id]; c != nil {
+		c.addAction(a, final)
 	}
 }
 
-func (h host) Now() policy.Nanos { return h.b.now }
+func (h policyHost) Now() policy.Nanos { return h.b.now }
 
-func (h host) Send(id policy.CallID, to policy.CacheID, due, beginBy policy.Nanos) {
-	h.note(id, order{do: (*call).send, to: to, deadline: h.b.instant(due), beginBy: h.b.instant(beginBy)}, false)
+func (h policyHost) Send(id policy.CallID, host policy.CacheID, deadline, beginBy policy.Nanos) {
+	h.enqueue(id, action{do: (*clientRequest).sendAttempt, host: host, deadline: h.b.toDeadline(deadline), beginBy: h.b.toDeadline(beginBy)}, false)
 }
 
-func (h host) Cancel(id policy.CallID, attempt int) {
-	h.note(id, order{do: (*call).recall, attempt: attempt}, false)
+func (h policyHost) Cancel(id policy.CallID, attempt int) {
+	h.enqueue(id, action{do: (*clientRequest).cancelAttempt, attempt: attempt}, false)
 }
 
-func (h host) RateLimit(id policy.CallID, comeBack policy.Nanos) {
-	h.note(id, order{do: (*call).rateLimit, comeBack: time.Duration(comeBack)}, true)
+func (h policyHost) RateLimit(id policy.CallID, retryAfter policy.Nanos) {
+	h.enqueue(id, action{do: (*clientRequest).answerRateLimited, retryAfter: time.Duration(retryAfter)}, true)
 }
 
-func (h host) Error(id policy.CallID) { h.note(id, order{do: (*call).errored}, true) }
+func (h policyHost) Error(id policy.CallID) {
+	h.enqueue(id, action{do: (*clientRequest).answerErrored}, true)
+}
 
-func (h host) Subscribe() {
+func (h policyHost) Subscribe() {
 	select {
-	case h.b.subscribe <- struct{}{}:
+	case h.b.subscribeRequested <- struct{}{}:
 	default:
 	}
 }
 
-func (h host) SetTimer(after policy.Nanos, id policy.TimerID) {
+func (h policyHost) SetTimer(after policy.Nanos, id policy.TimerID) {
 	h.b.setTimer(h.b.now+after, id)
 }
--- a/internal/balancer/figures.go
+++ b/internal/balancer/figures.go
@@ -8,67 +8,69 @@
 	"streamrail/policy"
 )
 
-// final is the kind of a request's one final answer.
-type final int
+// finalAnswer is the kind of a request's one final answer.
+type finalAnswer int
 
 const (
-	fulfilled final = iota
+	fulfilled finalAnswer = iota
 	rateLimited
 	errored
 )
 
-func (f final) String() string { return [...]string{"fulfilled", "rate_limited", "errored"}[f] }
+func (f finalAnswer) String() string { return [...]string{"fulfilled", "rate_limited", "errored"}[f] }
 
-// figures count what clients have seen since the start: an answer counts once it is written whole. One that its client
-// did not wait for counts nowhere.
-type figures struct {
-	names  []string // by product
-	finals [][errored + 1]atomic.Int64
-	inHand atomic.Int64 // requests taken and neither answered nor abandoned
+// answerStats count the answers that clients have received since the start. An answer counts once it is written whole; one that its
+// client did not wait for does not count.
+type answerStats struct {
+	productNames []string // indexed by policy.Product
+	answers      [][errored + 1]atomic.Int64
+	unanswered   atomic.Int64 // requests admitted and neither answered nor abandoned
 }
 
-func newFigures(told *deployment.Deployment) *figures {
-	f := &figures{names: make([]string, len(told.Products)), finals: make([][errored + 1]atomic.Int64, len(told.Products))}
-	for name, p := range told.Products {
-		f.names[p] = name
+func newAnswerStats(deployed *deployment.Deployment) *answerStats {
+	s := &answerStats{productNames: make([]string, len(deployed.Products)), answers: make([][errored + 1]atomic.Int64, len(deployed.Products))}
+	for name, p := range deployed.Products {
+		s.productNames[p] = name
 	}
-	return f
+	return s
 }
 
-func (f *figures) answered(p policy.Product, as final) { f.finals[p][as].Add(1) }
+func (s *answerStats) countAnswer(p policy.Product, answer finalAnswer) { s.answers[p][answer].Add(1) }
 
-// door is what the operators' door opens to.
-type door struct{ b *Balancer }
+// adminAPI implements the admin API on a balancer.
+type adminAPI struct{ b *Balancer }
 
-func (d door) Ready() bool {
-	return d.b.upgrade.seated.Load() && d.b.knows.Load() && (d.b.in() == Serving || d.b.in() == Leaving)
+func (a adminAPI) Ready() bool {
+	return a.b.upgrade.takesClients.Load() && a.b.hasHostList.Load() && (a.b.currentPhase() == Serving || a.b.currentPhase() == Leaving)
 }
 
-func (d door) Figures() admin.Figures {
-	f := d.b.figures
-	to := admin.Figures{Attempts: d.b.hosts.Sent(), InHand: f.inHand.Load(), Late: d.b.delays.late.Load(),
-		LongestHeld: d.b.delays.held.longest()}
-	for i, name := range f.names {
-		n := &f.finals[i]
-		to.Products = append(to.Products, admin.Product{Name: name, Fulfilled: n[fulfilled].Load(),
-			RateLimited: n[rateLimited].Load(), Errored: n[errored].Load()})
+func (a adminAPI) Figures() admin.Figures {
+	stats := a.b.answerStats
+	figures := admin.Figures{Attempts: a.b.hosts.Sent(), InHand: stats.unanswered.Load(), Late: a.b.delays.lateAnswers.Load(),
+		LongestHeld: a.b.delays.handling.longest()}
+	for i, name := range stats.productNames {
+		counts := &stats.answers[i]
+		figures.Products = append(figures.Products, admin.Product{Name: name, Fulfilled: counts[fulfilled].Load(),
+			RateLimited: counts[rateLimited].Load(), Errored: counts[errored].Load()})
 	}
-	d.b.decide(func() { to.Listed, to.Avoided = d.b.module.Fleet() })
-	to.Fleet = d.b.fleetFigures()
-	return to
+	a.b.callPolicy(func() { figures.Listed, figures.Avoided = a.b.policy.Fleet() })
+	figures.Fleet = a.b.fleetStats()
+	return figures
 }
 
-func (d door) Exclude(member string, how admin.How) (string, error) { return d.hand(member, true, how) }
-func (d door) Include(member string, how admin.How) (string, error) {
-	return d.hand(member, false, how)
+func (a adminAPI) Exclude(host string, how admin.How) (string, error) {
+	return a.setExcluded(host, true, how)
+}
+func (a adminAPI) Include(host string, how admin.How) (string, error) {
+	return a.setExcluded(host, false, how)
 }
 
-func (d door) hand(member string, out bool, how admin.How) (string, error) {
-	if d.b.orders != nil {
-		return d.b.order(member, out, how)
+func (a adminAPI) setExcluded(host string, exclude bool, options admin.How) (string, error) {
+	if a.b.fleetOrders != nil {
+		return a.b.giveFleetOrder(host, exclude, options)
 	}
-	if how != (admin.How{}) {
+	if options != (admin.How{}) {
 		return "", admin.ErrNoOrders
 	}
-	return "", d.b.ban(policy.CacheID(member), out, false)
+	return "", a.b.setExclusion(policy.CacheID(host), exclude, false)
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -13,171 +13,172 @@
 	"streamrail/internal/operator"
 )
 
-// fleet is this balancer's place among the others, where the operator's file has one. Of an upgrade's two processes the one
-// that takes clients has it: the two are one member.
-type fleet struct {
-	own     *operator.Fleet
-	mu      sync.Mutex
-	carrier *carry.Carrier
-	kept    *member.Kept // as it was when this process gave the place up
+// fleetMembership is this balancer's membership in the fleet, if the operator's file has a fleet. The two processes of an upgrade are
+// one member, and the one that takes clients acts for it.
+type fleetMembership struct {
+	settings   *operator.Fleet
+	mu         sync.Mutex
+	transport  *carry.Carrier
+	savedState *member.Kept // the state at the time when this process handed the membership over
 }
 
-// takePlace speaks for this balancer from now on. kept is what an older process has handed over.
-func (b *Balancer) takePlace(kept *member.Kept) error {
+// joinFleet starts this process's membership. saved is the state that an older process has handed over, or nil.
+func (b *Balancer) joinFleet(saved *member.Kept) error {
 	f := &b.fleet
-	if f.own == nil {
+	if f.settings == nil {
 		return nil
 	}
 	zone := ""
-	for name, z := range b.told.Zones {
-		if z == b.told.Terms.Zone {
+	for name, z := range b.deployment.Zones {
+		if z == b.deployment.Terms.Zone {
 			zone = name
 		}
 	}
-	self := member.Record{Life: member.NewLife(time.Now().UnixMilli(), rand.Uint64()), Name: b.told.Name, Zone: zone}
-	c, m := f.own.Terms(self, b.told.Terms.Balancers, rand.Uint64())
-	carrier, err := carry.Open(c, m, kept, b.log)
+	self := member.Record{Life: member.NewLife(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
+	transportTerms, memberTerms := f.settings.Terms(self, b.deployment.Terms.Balancers, rand.Uint64())
+	transport, err := carry.Open(transportTerms, memberTerms, saved, b.log)
 	if err != nil {
 		return fmt.Errorf("fleet.address: %w", err)
 	}
 	f.mu.Lock()
-	f.carrier = carrier
+	f.transport = transport
 	f.mu.Unlock()
-	b.shareLimits(carrier)
-	b.followOrders(carrier)
-	b.followEvidence(carrier)
+	b.startSharing(transport)
+	b.startExclusionOrders(transport)
+	b.startObservations(transport)
 	return nil
 }
 
-// keepPlace is what a newer process needs to speak for this balancer.
-func (b *Balancer) keepPlace() json.RawMessage {
+// exportMembership encodes what a newer process needs to continue this balancer's membership.
+func (b *Balancer) exportMembership() json.RawMessage {
 	f := &b.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrier == nil {
+	if f.transport == nil {
 		return nil
 	}
-	text, _ := json.Marshal(f.carrier.Keep())
-	return text
+	encoded, _ := json.Marshal(f.transport.Keep())
+	return encoded
 }
 
-// followOn takes the place that an older process gives up once it hears that this one is ready.
-func (b *Balancer) followOn(text json.RawMessage) {
-	var kept *member.Kept
-	if len(text) > 0 {
-		kept = new(member.Kept)
-		if err := json.Unmarshal(text, kept); err != nil {
-			b.log.Warn().Err(err).Msg("the place in the fleet is not readable, starting as a new life")
-			kept = nil
+// takeOverMembership continues the membership of an older process, which gives it up once it is notified that this one is ready.
+func (b *Balancer) takeOverMembership(encoded json.RawMessage) {
+	var saved *member.Kept
+	if len(encoded) > 0 {
+		saved = new(member.Kept)
+		if err := json.Unmarshal(encoded, saved); err != nil {
+			b.log.Warn().Err(err).Msg("the fleet membership handed over is not readable, joining as a new process")
+			saved = nil
 		}
 	}
-	b.resume(kept)
+	b.resumeMembership(saved)
 }
 
-// givePlace ends this process's part in the fleet without a word: another one speaks for this balancer.
-func (b *Balancer) givePlace() {
+// handOverMembership ends this process's membership without notifying the others, as another process continues it.
+func (b *Balancer) handOverMembership() {
 	f := &b.fleet
 	b.stopSharing()
-	b.endOrders()
-	b.endEvidence()
+	b.stopExclusionOrders()
+	b.stopObservations()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrier != nil {
-		kept := f.carrier.Keep()
-		f.carrier.Close()
-		f.carrier, f.kept = nil, &kept
+	if f.transport != nil {
+		saved := f.transport.Keep()
+		f.transport.Close()
+		f.transport, f.savedState = nil, &saved
 	}
 }
 
-// resume speaks for this balancer from where another process of an upgrade left off; without a place it serves all the same.
-func (b *Balancer) resume(kept *member.Kept) {
-	if err := b.takePlace(kept); err != nil {
-		b.log.Warn().Err(err).Msg("no place in the fleet")
+// resumeMembership continues the membership from the state of the other process of an upgrade. If that fails, the balancer serves
+// without a fleet.
+func (b *Balancer) resumeMembership(saved *member.Kept) {
+	if err := b.joinFleet(saved); err != nil {
+		b.log.Warn().Err(err).Msg("could not join the fleet")
 	}
 }
 
-// takePlaceBack speaks again where the newer process was killed after it had the place.
-func (b *Balancer) takePlaceBack() {
+// reclaimMembership takes the membership back if the newer process was killed after it had taken it over.
+func (b *Balancer) reclaimMembership() {
 	f := &b.fleet
 	f.mu.Lock()
-	kept := f.kept
-	f.kept = nil
+	saved := f.savedState
+	f.savedState = nil
 	f.mu.Unlock()
-	if kept == nil || b.in() > Leaving {
+	if saved == nil || b.currentPhase() > Leaving {
 		return
 	}
-	b.resume(kept)
+	b.resumeMembership(saved)
 }
 
-// leavePlace tells the others that this balancer ends in order.
-func (b *Balancer) leavePlace() {
+// leaveFleet tells the other members that this balancer ends normally.
+func (b *Balancer) leaveFleet() {
 	f := &b.fleet
 	b.stopSharing()
-	b.endOrders()
-	b.endEvidence()
+	b.stopExclusionOrders()
+	b.stopObservations()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.carrier != nil {
-		f.carrier.Leave()
-		f.carrier = nil
+	if f.transport != nil {
+		f.transport.Leave()
+		f.transport = nil
 	}
 }
 
-// speaker is the carrier, and nil with the reason where there is none.
-func (b *Balancer) speaker() (*carry.Carrier, error) {
+// fleetTransport returns the transport, or an error with the reason if there is none.
+func (b *Balancer) fleetTransport() (*carry.Carrier, error) {
 	f := &b.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.own == nil:
+	case f.settings == nil:
 		return nil, admin.ErrNoFleet
-	case f.carrier == nil:
+	case f.transport == nil:
 		return nil, admin.ErrHanded
 	}
-	return f.carrier, nil
+	return f.transport, nil
 }
 
-// Members is what the door shows of the fleet.
-func (d door) Members() (to admin.Members, err error) {
-	c, err := d.b.speaker()
+// Members returns the fleet as this balancer sees it.
+func (a adminAPI) Members() (shown admin.Members, err error) {
+	transport, err := a.b.fleetTransport()
 	if err != nil {
-		return to, err
+		return shown, err
 	}
-	v := c.View()
-	ms := func(at member.Moment) int64 { return (v.Now - at).Milliseconds() }
-	to = admin.Members{Fleet: d.b.fleet.own.Name, Name: v.Self.Name, Life: life(v.Self.Life), Inc: uint32(v.Self.Inc),
-		Situation: v.Situation.String(), Expected: v.Expected, Seen: v.Seen, Version: v.Version, Digest: fmt.Sprintf("%016x", v.Digest),
+	view := transport.View()
+	agoMs := func(at member.Moment) int64 { return (view.Now - at).Milliseconds() }
+	shown = admin.Members{Fleet: a.b.fleet.settings.Name, Name: view.Self.Name, Life: formatLife(view.Self.Life), Inc: uint32(view.Self.Inc),
+		Situation: view.Situation.String(), Expected: view.Expected, Seen: view.Seen, Version: view.Version, Digest: fmt.Sprintf("%016x", view.Digest),
 		Members: []admin.Member{}}
-	if v.Rival.Life != 0 {
-		to.Rival = v.Rival.Addr.String()
+	if view.Rival.Life != 0 {
+		shown.Rival = view.Rival.Addr.String()
 	}
-	for _, m := range v.Members {
-		one := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: life(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
-			SinceMs: ms(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.Suspecting}
+	for _, m := range view.Members {
+		shownMember := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: formatLife(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
+			SinceMs: agoMs(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.Suspecting}
 		if m.Heard > 0 {
-			one.HeardMs = ms(m.Heard)
+			shownMember.HeardMs = agoMs(m.Heard)
 		}
-		to.Members = append(to.Members, one)
+		shown.Members = append(shown.Members, shownMember)
 	}
-	return to, nil
+	return shown, nil
 }
 
-func life(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
+func formatLife(life member.Life) string { return fmt.Sprintf("%016x", uint64(life)) }
 
-// fleetFigures are the fleet's in the telemetry; nil without one.
-func (b *Balancer) fleetFigures() *admin.Fleet {
-	c, err := b.speaker()
+// fleetStats returns the fleet's part of the telemetry; nil without a fleet.
+func (b *Balancer) fleetStats() *admin.Fleet {
+	transport, err := b.fleetTransport()
 	if err != nil {
 		return nil
 	}
-	v, n := c.View(), c.Counts()
-	to := &admin.Fleet{Situation: v.Situation.String(), Expected: v.Expected, States: map[string]int{member.Alive.String(): 1},
-		Sent: n.Sent, SentBytes: n.SentBytes, Heard: n.Heard, HeardBytes: n.HeardBytes, Dropped: n.Dropped}
-	for _, m := range v.Members {
-		to.States[m.State.String()]++
+	view, counts := transport.View(), transport.Counts()
+	stats := &admin.Fleet{Situation: view.Situation.String(), Expected: view.Expected, States: map[string]int{member.Alive.String(): 1},
+		Sent: counts.Sent, SentBytes: counts.SentBytes, Heard: counts.Heard, HeardBytes: counts.HeardBytes, Dropped: counts.Dropped}
+	for _, m := range view.Members {
+		stats.States[m.State.String()]++
 	}
-	if l, err := (door{b}).Limits(); err == nil {
-		to.Limits = l.Limits
+	if shares, err := (adminAPI{b}).Limits(); err == nil {
+		stats.Limits = shares.Limits
 	}
-	return to
+	return stats
 }
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -16,106 +16,106 @@
 	"streamrail/policy"
 )
 
-// limits are this balancer's parts of the tenants' allowances, and behind them of the openings that hosts bear, where the
-// operator's file lets them move; nil otherwise.
-type limits struct {
-	names   []string
-	bounds  []float64
-	grains  []float64
-	floors  []float64
-	tenants int            // so many are allowances
-	came    []atomic.Int64 // requests of each customer since the last turn
-	ends    atomic.Int64   // by the parts' clock: some part changes by itself then
+// limitShares are this balancer's shares of the fleet's limits: of the customers' quotas, followed by the rate of new connections
+// that a host can take. It is nil unless the operator's file lets shares move between balancers.
+type limitShares struct {
+	names         []string       // of the limits
+	bounds        []float64      // the whole fleet's limits
+	smallestParts []float64      // what a single arrival adds to the need
+	initialFloors []float64      // the fraction of this balancer's own share that is never lent
+	customerCount int            // the first so many limits are quotas of customers
+	arrivals      []atomic.Int64 // requests of each customer since the last period
+	nextExpiry    atomic.Int64   // on the clock of now: when a lease ends next and a share changes
 
-	mu      sync.Mutex
-	epoch   time.Time
-	machine *share.Machine
-	carrier *carry.Carrier
-	recent  [][share.NeedTurns]int64 // by customer, what came in the last turns
-	slot    int
-	stop    chan struct{}
+	mu             sync.Mutex
+	epoch          time.Time
+	machine        *share.Machine
+	transport      *carry.Carrier
+	recentArrivals [][share.NeedTurns]int64 // requests of each customer in the last periods
+	slot           int                      // of the present period in recentArrivals
+	stop           chan struct{}
 }
 
-// newLimits makes the parts of a balancer; nil where the file does not let them move, or there is nothing to share.
-func (b *Balancer) newLimits(openings float64) *limits {
-	if b.fleet.own == nil || !b.fleet.own.Limits || len(b.told.Customers) == 0 && openings == 0 {
+// newLimitShares returns nil if the operator's file does not let shares move, or if there is no limit to share.
+func (b *Balancer) newLimitShares(openings float64) *limitShares {
+	if b.fleet.settings == nil || !b.fleet.settings.Limits || len(b.deployment.Customers) == 0 && openings == 0 {
 		return nil
 	}
-	n := len(b.told.Customers)
-	l := &limits{came: make([]atomic.Int64, n), recent: make([][share.NeedTurns]int64, n), names: make([]string, n), bounds: make([]float64, n),
-		grains: make([]float64, n), floors: make([]float64, n), tenants: n, epoch: time.Now()}
-	for _, name := range slices.Sorted(maps.Keys(b.told.Customers)) {
-		c := b.told.Customers[name]
-		l.names[c], l.bounds[c], l.grains[c] = "allowance of "+name, b.told.Terms.Customers[c].AllowancePerS, 1/(share.NeedTurns*share.Turn.Seconds())
+	n := len(b.deployment.Customers)
+	l := &limitShares{arrivals: make([]atomic.Int64, n), recentArrivals: make([][share.NeedTurns]int64, n), names: make([]string, n), bounds: make([]float64, n),
+		smallestParts: make([]float64, n), initialFloors: make([]float64, n), customerCount: n, epoch: time.Now()}
+	for _, name := range slices.Sorted(maps.Keys(b.deployment.Customers)) {
+		c := b.deployment.Customers[name]
+		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.Terms.Customers[c].AllowancePerS, 1/(share.NeedTurns*share.Turn.Seconds())
 	}
-	if openings > 0 { // needs and parts are of the whole, whichever host it is
-		l.names, l.bounds, l.grains = append(l.names, "openings"), append(l.bounds, 1), append(l.grains, 1/openings)
-		l.floors = append(l.floors, openingsFloor)
+	if openings > 0 { // need and share are fractions of the limit, the same for every host
+		l.names, l.bounds, l.smallestParts = append(l.names, "openings"), append(l.bounds, 1), append(l.smallestParts, 1/openings)
+		l.initialFloors = append(l.initialFloors, initialOpeningsShare)
 	}
-	l.ends.Store(math.MaxInt64)
+	l.nextExpiry.Store(math.MaxInt64)
 	return l
 }
 
-// openingsFloor of its home part of openings a process has when it starts: a fleet that starts at once opens its connections in
-// a second or two, and none of it has anything to borrow yet.
-const openingsFloor = 0.5
+// initialOpeningsShare is the fraction of its own share of new connections that a process keeps from its start and never lends. If the
+// whole fleet starts at once, all balancers open their connections within a second or two, before any of them can borrow.
+const initialOpeningsShare = 0.5
 
-func (l *limits) now() share.Moment { return time.Since(l.epoch) }
+func (l *limitShares) now() share.Moment { return time.Since(l.epoch) }
 
-// shareLimits begins to move parts over a carrier.
-func (b *Balancer) shareLimits(c *carry.Carrier) {
-	l := b.limits
+// startSharing starts to borrow and lend shares over a transport.
+func (b *Balancer) startSharing(transport *carry.Carrier) {
+	l := b.limitShares
 	if l == nil {
 		return
 	}
 	stop := make(chan struct{})
 	b.upgrade.mu.Lock()
 	l.mu.Lock()
-	l.carrier, l.stop = c, stop
-	l.machine = share.New(share.Terms{Self: c.Self(), Among: b.told.Terms.Balancers, Names: l.names, Bound: l.bounds, Grain: l.grains, Floor: l.floors, Lease: b.fleet.own.Lease.D(),
+	l.transport, l.stop = transport, stop
+	l.machine = share.New(share.Terms{Self: transport.Self(), Among: b.deployment.Terms.Balancers, Names: l.names, Bound: l.bounds, Grain: l.smallestParts, Floor: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
 		First: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
-	l.machine.Beside(b.upgrade.elder != nil)
+	l.machine.Beside(b.upgrade.older != nil)
 	l.mu.Unlock()
 	b.upgrade.mu.Unlock()
-	c.On(carry.TopicShares, func(from member.Life, body []byte) {
+	transport.On(carry.TopicShares, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeShares(body); ok {
-			b.withParts(func(p *share.Machine, now share.Moment) { p.Hear(now, from, m) })
+			b.updateShares(func(machine *share.Machine, now share.Moment) { machine.Hear(now, from, m) })
 		}
 	})
-	b.withParts(func(*share.Machine, share.Moment) {})
-	go b.turnLimits(c, stop)
+	b.updateShares(func(*share.Machine, share.Moment) {})
+	go b.runSharing(transport, stop)
 }
 
-// stopSharing gives back what is borrowed and ends the moves. What is left to this process is half of its home part less what it
-// has lent; the other half is the newer process's of an upgrade.
+// stopSharing returns what is borrowed and stops sharing. This process keeps half of its own share, less what it has lent; the newer
+// process of an upgrade has the other half.
 func (b *Balancer) stopSharing() {
-	l := b.limits
+	l := b.limitShares
 	if l == nil {
 		return
 	}
-	b.withParts(func(p *share.Machine, now share.Moment) {
-		p.Beside(true)
-		p.Tick(now, nil)
+	b.updateShares(func(machine *share.Machine, now share.Moment) {
+		machine.Beside(true)
+		machine.Tick(now, nil)
 	})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.machine != nil {
 		close(l.stop)
-		l.machine, l.carrier = nil, nil
-		l.ends.Store(math.MaxInt64)
+		l.machine, l.transport = nil, nil
+		l.nextExpiry.Store(math.MaxInt64)
 	}
 }
 
-// besideLimits tells the parts that another process of an upgrade has come, or has ended.
-func (b *Balancer) besideLimits(on bool) {
-	if b.limits != nil {
-		b.withParts(func(p *share.Machine, _ share.Moment) { p.Beside(on) })
+// setSharesUpgrading halves the shares while another process of an upgrade runs, and restores them when it has ended.
+func (b *Balancer) setSharesUpgrading(on bool) {
+	if b.limitShares != nil {
+		b.updateShares(func(machine *share.Machine, _ share.Moment) { machine.Beside(on) })
 	}
 }
 
-// turnLimits looks at what came in, several times a second.
-func (b *Balancer) turnLimits(c *carry.Carrier, stop <-chan struct{}) {
-	l := b.limits
+// runSharing measures the need for each limit and adjusts the shares in every period, until it is stopped.
+func (b *Balancer) runSharing(transport *carry.Carrier, stop <-chan struct{}) {
+	l := b.limitShares
 	t := time.NewTicker(share.Turn)
 	defer t.Stop()
 	for {
@@ -124,28 +124,28 @@
 		case <-stop:
 			return
 		}
-		members, _ := c.Members()
-		b.withParts(func(p *share.Machine, now share.Moment) {
+		members, _ := transport.Members()
+		b.updateShares(func(machine *share.Machine, now share.Moment) {
 			l.slot = (l.slot + 1) % share.NeedTurns
-			for i := range l.came {
-				l.recent[i][l.slot] = l.came[i].Swap(0)
+			for i := range l.arrivals {
+				l.recentArrivals[i][l.slot] = l.arrivals[i].Swap(0)
 				sum := int64(0)
-				for _, n := range l.recent[i] {
+				for _, n := range l.recentArrivals[i] {
 					sum += n
 				}
-				p.Need(now, i, float64(sum)/(share.NeedTurns*share.Turn.Seconds()))
+				machine.Need(now, i, float64(sum)/(share.NeedTurns*share.Turn.Seconds()))
 			}
-			if l.tenants < len(l.bounds) {
-				p.Need(now, l.tenants, b.hosts.OpeningNeed(share.Turn))
+			if l.customerCount < len(l.bounds) {
+				machine.Need(now, l.customerCount, b.hosts.OpeningNeed(share.Turn))
 			}
-			p.Tick(now, members)
+			machine.Tick(now, members)
 		})
 	}
 }
 
-// withParts gives the parts an input, sends what that brings and tells the module what changed.
-func (b *Balancer) withParts(input func(p *share.Machine, now share.Moment)) {
-	l := b.limits
+// updateShares feeds an input to the state machine, applies the shares that result and sends the messages to other balancers.
+func (b *Balancer) updateShares(input func(machine *share.Machine, now share.Moment)) {
+	l := b.limitShares
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.machine == nil {
@@ -153,71 +153,71 @@
 	}
 	input(l.machine, l.now())
 	sends := l.machine.Out()
-	b.tellParts() // before anybody is told that this balancer lends
+	b.applyShares() // first, so that a lent share is no longer used here when the borrower receives it
 	for i := range sends {
-		l.carrier.Tell(sends[i].To, carry.TopicShares, carry.EncodeShares(&sends[i].Msg))
+		l.transport.Tell(sends[i].To, carry.TopicShares, carry.EncodeShares(&sends[i].Msg))
 	}
 }
 
-// tellParts tells the module its parts. Under limits.mu.
-func (b *Balancer) tellParts() {
-	l := b.limits
-	parts := make([]float64, len(l.bounds))
+// applyShares passes the shares to the policy and to the connection pool. The caller holds limitShares.mu.
+func (b *Balancer) applyShares() {
+	l := b.limitShares
+	shares := make([]float64, len(l.bounds))
 	now := l.now()
-	for i := range parts {
+	for i := range shares {
 		if l.bounds[i] > 0 {
-			parts[i] = l.machine.Part(now, i).Of(l.machine.Bound(i)) / l.bounds[i]
+			shares[i] = l.machine.Part(now, i).Of(l.machine.Bound(i)) / l.bounds[i]
 		}
 	}
-	l.ends.Store(int64(l.machine.Ends()))
-	for i := range parts {
-		parts[i] = max(parts[i], math.SmallestNonzeroFloat64) // 0 would mean that nothing is told
+	l.nextExpiry.Store(int64(l.machine.Ends()))
+	for i := range shares {
+		shares[i] = max(shares[i], math.SmallestNonzeroFloat64) // 0 would mean that no share is set
 	}
-	b.decide(func() {
-		for i, p := range parts[:l.tenants] {
-			b.module.Part(policy.Customer(i), p)
+	b.callPolicy(func() {
+		for i, fraction := range shares[:l.customerCount] {
+			b.policy.Part(policy.Customer(i), fraction)
 		}
 	})
-	if l.tenants < len(parts) {
-		b.hosts.OpeningPart(parts[l.tenants])
+	if l.customerCount < len(shares) {
+		b.hosts.OpeningPart(shares[l.customerCount])
 	}
 }
 
-// arrives counts a request in for its customer. Where a lease has ended since the last turn the module is told first: no
-// decision goes by a part that is somebody else's again.
-func (b *Balancer) arrives(c policy.Customer) {
-	l := b.limits
+// countArrival counts a request of a customer. If a lease has ended since the last period, the shares are updated first, so that no
+// decision uses a share that belongs to another balancer again.
+func (b *Balancer) countArrival(c policy.Customer) {
+	l := b.limitShares
 	if l == nil {
 		return
 	}
-	if int(c) < len(l.came) {
-		l.came[c].Add(1)
+	if int(c) < len(l.arrivals) {
+		l.arrivals[c].Add(1)
 	}
-	if int64(l.now()) >= l.ends.Load() {
-		b.withParts(func(*share.Machine, share.Moment) {})
+	if int64(l.now()) >= l.nextExpiry.Load() {
+		b.updateShares(func(*share.Machine, share.Moment) {})
 	}
 }
 
-// Limits are the parts as the door shows them.
-func (d door) Limits() (to admin.Limits, err error) {
-	if _, err = d.b.speaker(); err != nil {
-		return to, err
+// Limits returns the shares of this balancer.
+func (a adminAPI) Limits() (shown admin.Limits, err error) {
+	if _, err = a.b.fleetTransport(); err != nil {
+		return shown, err
 	}
-	l := d.b.limits
+	l := a.b.limitShares
 	if l == nil {
-		return to, admin.ErrNoLimits
+		return shown, admin.ErrNoLimits
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.machine == nil {
-		return to, admin.ErrNoLimits
+		return shown, admin.ErrNoLimits
 	}
 	now := l.now()
 	for i, name := range l.names {
 		s := l.machine.State(now, i)
-		to.Limits = append(to.Limits, admin.Limit{Name: name, Bound: l.machine.Bound(i), Part: float64(s.Part) / float64(share.All),
+		shown.Limits = append(shown.Limits, admin.Limit{Name: name, Bound: l.machine.Bound(i), Part: float64(s.Part) / float64(share.All),
 			Lent: float64(s.Lent) / float64(share.All), Borrowed: float64(s.Borrowed) / float64(share.All), Need: s.Need,
 			Leases: s.Leases, EndsMs: s.Ends.Milliseconds(), Newborn: s.Fresh})
 	}
-	return to, nil
+	return shown, nil
 }
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -14,61 +14,63 @@
 	"streamrail/internal/admin"
 	"streamrail/internal/fleet/carry"
 	"streamrail/internal/fleet/member"
-	byhand "streamrail/internal/fleet/order"
+	fleetorder "streamrail/internal/fleet/order"
 	"streamrail/internal/handover"
 	"streamrail/policy"
 )
 
-// orders are what operators ordered by hand at any balancer's door, where the operator's file lets that hold for the whole fleet; nil
-// otherwise.
-type orders struct {
-	part  float64
-	file  string
-	epoch time.Time
+// exclusionOrders are the fleet-wide exclusion orders that operators gave to any balancer's admin API. It is nil unless the operator's
+// file lets exclusions hold for the whole fleet.
+type exclusionOrders struct {
+	maxExcludedShare float64
+	file             string
+	epoch            time.Time
 
-	mu      sync.Mutex // makes an order of what comes; taken before upgrade.mu
-	machine *byhand.Machine
-	carrier *carry.Carrier
-	stop    chan struct{}
-	given   time.Time // the last at this door
-	unkept  bool      // the file does not have all that is held: nobody is told that it is held here
+	mu          sync.Mutex // serializes inputs; taken before upgrade.mu
+	machine     *fleetorder.Machine
+	transport   *carry.Carrier
+	stop        chan struct{}
+	lastOrderAt time.Time // when the admin API of this balancer was given the last order
+	unsaved     bool      // the file lacks some of the orders held here, so nothing is sent to other balancers
 }
 
-// newOrders makes them; nil where the file does not have them.
-func (b *Balancer) newOrders() *orders {
-	if b.fleet.own == nil || !b.fleet.own.Orders || b.told.Admin == "" {
+// newExclusionOrders returns nil if the operator's file does not enable fleet-wide orders or there is no admin API.
+func (b *Balancer) newExclusionOrders() *exclusionOrders {
+	if b.fleet.settings == nil || !b.fleet.settings.Orders || b.deployment.Admin == "" {
 		return nil
 	}
-	return &orders{part: b.fleet.own.OrdersPart, file: handover.Path(os.TempDir(), b.told.Listen, ".orders"), epoch: time.Now()}
+	return &exclusionOrders{maxExcludedShare: b.fleet.settings.OrdersPart, file: handover.Path(os.TempDir(), b.deployment.Listen, ".orders"), epoch: time.Now()}
 }
 
-// followOrders begins to take and give orders over a carrier.
-func (b *Balancer) followOrders(c *carry.Carrier) {
-	o := b.orders
+// startExclusionOrders loads the saved orders and starts to exchange orders over a transport.
+func (b *Balancer) startExclusionOrders(transport *carry.Carrier) {
+	o := b.fleetOrders
 	if o == nil {
 		return
 	}
-	var kept []byhand.Order
-	if err := handover.Load(o.file, &kept); err != nil {
-		b.log.Warn().Err(err).Str("file", o.file).Str("aside", handover.Aside(o.file)).Msg("the fleet's orders by hand are not readable, asking the others")
-		kept = nil
+	var saved []fleetorder.Order
+	if err := handover.Load(o.file, &saved); err != nil {
+		b.log.Warn().Err(err).Str("file", o.file).Str("aside", handover.Aside(o.file)).Msg("the saved exclusion orders of the fleet are not readable, asking the other balancers")
+		saved = nil
 	}
 	stop := make(chan struct{})
 	o.mu.Lock()
-	o.carrier, o.stop = c, stop
-	o.machine = byhand.New(byhand.Terms{Self: c.Self(), Name: b.told.Name, Part: o.part, Kept: kept, Seed: rand.Uint64()})
+	o.transport, o.stop = transport, stop
+	o.machine = fleetorder.New(fleetorder.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
-	c.On(carry.TopicOrders, func(from member.Life, body []byte) {
+	transport.On(carry.TopicOrders, func(from member.Life, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
-			b.withOrders(false, func(p *byhand.Machine, now byhand.Moment) { p.Hear(now, from, m) })
+			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Hear(now, from, m) })
 		}
 	})
 	go func() {
-		t := time.NewTicker(byhand.Turn)
+		t := time.NewTicker(fleetorder.Turn)
 		defer t.Stop()
 		for {
-			members, _ := c.Members()
-			b.withOrders(true, func(p *byhand.Machine, now byhand.Moment) { p.Tick(now, members, time.Since(o.given) < doorFor) })
+			members, _ := transport.Members()
+			b.updateExclusionOrders(true, func(machine *fleetorder.Machine, now fleetorder.Moment) {
+				machine.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
+			})
 			select {
 			case <-t.C:
 			case <-stop:
@@ -78,83 +80,83 @@
 	}()
 }
 
-// doorFor is how long a door that was given an order tells more others of it in a turn.
-const doorFor = 5 * time.Second
+// orderPushTime is how long a balancer that was given an order sends it to more members in each period.
+const orderPushTime = 5 * time.Second
 
-// endOrders ends that: the newer process of an upgrade goes on, or this one ends.
-func (b *Balancer) endOrders() {
-	if o := b.orders; o != nil {
+// stopExclusionOrders ends the exchange, because the newer process of an upgrade takes over or this process ends.
+func (b *Balancer) stopExclusionOrders() {
+	if o := b.fleetOrders; o != nil {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if o.machine != nil {
 			close(o.stop)
-			o.machine, o.carrier = nil, nil
+			o.machine, o.transport = nil, nil
 		}
 	}
 }
 
-// withOrders gives the orders an input. What has come to hold is kept first, then in force here, and then told. In a turn what is in
-// force is looked at in any case: the list of hosts may have changed.
-func (b *Balancer) withOrders(turn bool, input func(p *byhand.Machine, now byhand.Moment)) {
-	o := b.orders
+// updateExclusionOrders feeds an input to the state machine. New orders are saved first, then enforced here, and then sent on. A
+// periodic update enforces the orders even without new ones, as the host list may have changed.
+func (b *Balancer) updateExclusionOrders(periodic bool, input func(machine *fleetorder.Machine, now fleetorder.Moment)) {
+	o := b.fleetOrders
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine != nil {
 		input(o.machine, time.Since(o.epoch))
-		b.settleOrders(turn)
+		b.processOrders(periodic)
 	}
 }
 
-// settleOrders does what an input brought. Under orders.mu.
-func (b *Balancer) settleOrders(turn bool) (kept error) {
-	o := b.orders
-	sends, news := o.machine.Out(), o.machine.News()
-	if len(news) > 0 || o.unkept {
-		if kept = handover.Save(o.file, o.machine.All()); kept != nil && !o.unkept {
-			b.log.Warn().Err(kept).Str("file", o.file).Msg("the fleet's orders by hand cannot be kept, telling nobody that they hold here")
+// processOrders carries out the results of an input. The caller holds fleetOrders.mu.
+func (b *Balancer) processOrders(periodic bool) (saveErr error) {
+	o := b.fleetOrders
+	sends, newOrders := o.machine.Out(), o.machine.News()
+	if len(newOrders) > 0 || o.unsaved {
+		if saveErr = handover.Save(o.file, o.machine.All()); saveErr != nil && !o.unsaved {
+			b.log.Warn().Err(saveErr).Str("file", o.file).Msg("the exclusion orders of the fleet cannot be saved, not confirming them to other balancers")
 		}
-		o.unkept = kept != nil
-		for _, n := range news {
-			b.log.Info().Str("host", n.Host).Bool("out", n.Out).Str("door", n.Door).Uint64("count", n.Count).Msg("order by hand for the fleet")
+		o.unsaved = saveErr != nil
+		for _, n := range newOrders {
+			b.log.Info().Str("host", n.Host).Bool("out", n.Out).Str("door", n.Door).Uint64("count", n.Count).Msg("exclusion order for the fleet")
 		}
 	}
-	if turn || len(news) > 0 {
-		b.force(o.machine.All())
+	if periodic || len(newOrders) > 0 {
+		b.enforceOrders(o.machine.All())
 	}
-	if o.unkept {
-		return kept
+	if o.unsaved {
+		return saveErr
 	}
 	for i := range sends {
-		o.carrier.Tell(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
+		o.transport.Tell(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
 	}
 	return nil
 }
 
-// force puts the orders in force here. Hosts without one stay as this balancer alone has them.
-func (b *Balancer) force(all []byhand.Order) {
+// enforceOrders makes this balancer's exclusions match the orders. Hosts without an order stay as they are here.
+func (b *Balancer) enforceOrders(all []fleetorder.Order) {
 	if len(all) == 0 {
 		return
 	}
-	var now []string // by name, as what is wanted
+	var current []string // sorted by name, like wanted
 	listed := 0
-	b.decide(func() { now = b.excluded(); listed, _ = b.module.Fleet() })
-	want := b.orders.machine.Excluded(listed)
-	for _, one := range all {
-		_, out := slices.BinarySearch(want, one.Host)
-		if _, is := slices.BinarySearch(now, one.Host); out != is {
-			if err := b.ban(policy.CacheID(one.Host), out, true); err != nil {
-				b.log.Warn().Err(err).Str("host", one.Host).Msg("an order by hand is not in force in both processes of the upgrade")
+	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.Fleet() })
+	wanted := b.fleetOrders.machine.Excluded(listed)
+	for _, order := range all {
+		_, exclude := slices.BinarySearch(wanted, order.Host)
+		if _, excluded := slices.BinarySearch(current, order.Host); exclude != excluded {
+			if err := b.setExclusion(policy.CacheID(order.Host), exclude, true); err != nil {
+				b.log.Warn().Err(err).Str("host", order.Host).Msg("an exclusion order is not in force in both processes of the upgrade")
 			}
 		}
 	}
 }
 
-// order takes an operator's order for the whole fleet. It returns once the order is kept and in force here, and has waited for others as
-// long as it was told.
-func (b *Balancer) order(id string, out bool, how admin.How) (told string, err error) {
-	o := b.orders
+// giveFleetOrder carries out an operator's order for the whole fleet. It returns once the order is saved and in force here, and after
+// waiting as long as the operator asked for the confirmations of the others.
+func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.How) (note string, err error) {
+	o := b.fleetOrders
 	known, listed := false, 0
-	b.decide(func() { known = b.module.Knows(policy.CacheID(id)); listed, _ = b.module.Fleet() })
+	b.callPolicy(func() { known = b.policy.Knows(policy.CacheID(id)); listed, _ = b.policy.Fleet() })
 	if !known {
 		return "", admin.ErrNobody
 	}
@@ -163,85 +165,85 @@
 		o.mu.Unlock()
 		return "", admin.ErrHanded
 	}
-	_, err = o.machine.Give(id, out, how.Force, listed)
+	_, err = o.machine.Give(id, exclude, options.Force, listed)
 	if err == nil {
-		o.given = time.Now()
-		members, _ := o.carrier.Members()
+		o.lastOrderAt = time.Now()
+		members, _ := o.transport.Members()
 		o.machine.Tick(time.Since(o.epoch), members, true)
-		err = b.settleOrders(false)
+		err = b.processOrders(false)
 	}
 	o.mu.Unlock()
 	switch {
-	case errors.Is(err, byhand.ErrTooMany), errors.Is(err, byhand.ErrFull):
+	case errors.Is(err, fleetorder.ErrTooMany), errors.Is(err, fleetorder.ErrFull):
 		return "", err // nothing has changed
 	case err != nil:
 		return "", fmt.Errorf("in force here, not kept and not told to others: %w", err)
 	}
-	have, missing := b.confirmed()
-	for until := time.Now().Add(how.Wait); len(missing) > 0 && time.Now().Before(until); have, missing = b.confirmed() {
+	confirmed, missing := b.orderConfirmations()
+	for until := time.Now().Add(options.Wait); len(missing) > 0 && time.Now().Before(until); confirmed, missing = b.orderConfirmations() {
 		time.Sleep(5 * time.Millisecond)
 	}
 	if n := len(missing); n > 0 {
-		return fmt.Sprintf(", confirmed by %d of %d others; missing: %s", have, have+n, strings.Join(missing, ", ")), nil
+		return fmt.Sprintf(", confirmed by %d of %d others; missing: %s", confirmed, confirmed+n, strings.Join(missing, ", ")), nil
 	}
-	return fmt.Sprintf(", confirmed by all %d others", have), nil
+	return fmt.Sprintf(", confirmed by all %d others", confirmed), nil
 }
 
-// confirmed is how many others are known to hold what is held here, and the names of those that are not, the dead among them: they
-// may be cut off, and in use.
-func (b *Balancer) confirmed() (have int, missing []string) {
-	o := b.orders
+// orderConfirmations returns how many other balancers are known to hold the orders held here, and the names of those that are not.
+// Dead members are included, since they may be cut off from this balancer and still serve clients.
+func (b *Balancer) orderConfirmations() (confirmed int, missing []string) {
+	o := b.fleetOrders
 	o.mu.Lock()
 	if o.machine == nil {
 		o.mu.Unlock()
 		return 0, nil
 	}
-	lives, c := o.machine.Confirmed(), o.carrier
+	lives, transport := o.machine.Confirmed(), o.transport
 	o.mu.Unlock()
-	present := map[string]bool{} // by name: it has confirmed
-	for _, m := range c.View().Members {
+	confirmedByName := map[string]bool{} // whether the member of that name has confirmed
+	for _, m := range transport.View().Members {
 		if m.State != member.Left {
-			present[m.Name] = present[m.Name] || slices.Contains(lives, m.Life)
+			confirmedByName[m.Name] = confirmedByName[m.Name] || slices.Contains(lives, m.Life)
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(present)) {
-		if present[name] {
-			have++
+	for _, name := range slices.Sorted(maps.Keys(confirmedByName)) {
+		if confirmedByName[name] {
+			confirmed++
 		} else {
 			missing = append(missing, name)
 		}
 	}
-	return have, missing
+	return confirmed, missing
 }
 
-// Orders are what the door shows of them.
-func (d door) Orders() (to admin.Orders, err error) {
-	if _, err = d.b.speaker(); err != nil {
-		return to, err
+// Orders returns the fleet-wide exclusion orders and their conflicts.
+func (a adminAPI) Orders() (shown admin.Orders, err error) {
+	if _, err = a.b.fleetTransport(); err != nil {
+		return shown, err
 	}
-	o := d.b.orders
+	o := a.b.fleetOrders
 	if o == nil {
-		return to, admin.ErrNoOrders
+		return shown, admin.ErrNoOrders
 	}
-	_, missing := d.b.confirmed()
+	_, missing := a.b.orderConfirmations()
 	listed := 0
-	d.b.decide(func() { listed, _ = d.b.module.Fleet() })
+	a.b.callPolicy(func() { listed, _ = a.b.policy.Fleet() })
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine == nil {
-		return to, admin.ErrHanded
+		return shown, admin.ErrHanded
 	}
-	to = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unkept, Missing: append([]string{}, missing...), Orders: []admin.Order{},
+	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
 		Conflicts: []admin.Conflict{}}
-	want := o.machine.Excluded(listed)
-	show := func(x byhand.Order) admin.Order {
-		return admin.Order{Host: x.Host, Out: x.Out, Force: x.Force, InForce: slices.Contains(want, x.Host) == x.Out, Door: x.Door, Count: x.Count, By: life(x.By)}
+	wanted := o.machine.Excluded(listed)
+	show := func(order fleetorder.Order) admin.Order {
+		return admin.Order{Host: order.Host, Out: order.Out, Force: order.Force, InForce: slices.Contains(wanted, order.Host) == order.Out, Door: order.Door, Count: order.Count, By: formatLife(order.By)}
 	}
-	for _, x := range o.machine.All() {
-		to.Orders = append(to.Orders, show(x))
+	for _, order := range o.machine.All() {
+		shown.Orders = append(shown.Orders, show(order))
 	}
 	for _, c := range o.machine.Conflicts() {
-		to.Conflicts = append(to.Conflicts, admin.Conflict{Won: show(c.Won), Lost: show(c.Lost)})
+		shown.Conflicts = append(shown.Conflicts, admin.Conflict{Won: show(c.Won), Lost: show(c.Lost)})
 	}
-	return to, nil
+	return shown, nil
 }
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -16,26 +16,27 @@
 	"streamrail/policy"
 )
 
-// places calls do with each value in a tree of JSON, and with its path; set replaces it, drop takes it out.
-func places(v any, path string, do func(path string, set func(any), drop func())) {
+// visitValues calls visit with the path of each value in a JSON tree; set replaces the value, drop removes it and is nil for list items.
+func visitValues(v any, path string, visit func(path string, set func(any), drop func())) {
 	switch v := v.(type) {
 	case map[string]any:
 		for k, x := range v {
 			at := strings.TrimPrefix(path+"."+k, ".")
-			do(at, func(n any) { v[k] = n }, func() { delete(v, k) })
-			places(x, at, do)
+			visit(at, func(n any) { v[k] = n }, func() { delete(v, k) })
+			visitValues(x, at, visit)
 		}
 	case []any:
 		for i, x := range v {
 			at := fmt.Sprint(path, ".", i)
-			do(at, func(n any) { v[i] = n }, nil)
-			places(x, at, do)
+			visit(at, func(n any) { v[i] = n }, nil)
+			visitValues(x, at, visit)
 		}
 	}
 }
 
-// Each value of the settings absent, null, zero, negative, huge, a word, a list, an object: either one line names the key, or
-// the balancer takes lists and requests, with no panic, no endless asking and no endless memory.
+// TestSettingsOfAnyKind replaces each value of the settings by null, zero, negative and huge numbers, strings, lists and objects, or
+// removes it. The settings must either be refused with a one-line error that names the key, or give a balancer that takes host lists
+// and requests without a panic, endless asking or endless memory.
 func TestSettingsOfAnyKind(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/sample.json")
 	if err != nil {
@@ -60,8 +61,8 @@
 		}
 		return ""
 	}
-	refused, taken := 0, 0
-	try := func(at string, what any) {
+	refused, accepted := 0, 0
+	try := func(key string, value any) {
 		text, err := json.Marshal(sample)
 		if err != nil {
 			t.Fatal(err)
@@ -69,64 +70,65 @@
 		if err := os.WriteFile(path, text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		told, err := deployment.FromEnvironment(getenv)
+		deployed, err := deployment.FromEnvironment(getenv)
 		if err != nil {
 			refused++
-			keys := strings.Split(at, ".")
+			keys := strings.Split(key, ".")
 			if !strings.Contains(err.Error(), keys[0]) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s = %v: %v does not name the key", at, what, err)
+				t.Errorf("%s = %v: %v is not one line that names the key", key, value, err)
 			}
 			return
 		}
-		taken++
-		b := New(told, &operator.File{}, zerolog.Nop())
+		accepted++
+		b := New(deployed, &operator.File{}, zerolog.Nop())
 		defer b.hosts.Close()
-		defer b.end()
+		defer b.cancel()
 		host := discovery.Host{Addr: "127.0.0.1:1", Entry: policy.Entry{Cache: "h", Size: 1}}
 		cold := host
 		cold.Cache, cold.Born = "cold", b.now
-		b.listed(policy.ListRestored, discovery.List{Whole: true, Hosts: []discovery.Host{host, cold}})
+		b.applyHostList(policy.ListRestored, discovery.List{Whole: true, Hosts: []discovery.Host{host, cold}})
 		for i := range 50 {
-			b.decide(func() {
-				for p := range told.Terms.Products {
-					b.module.Arrived(policy.Call{ID: policy.CallID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
+			b.callPolicy(func() {
+				for p := range deployed.Terms.Products {
+					b.policy.Arrived(policy.Call{ID: policy.CallID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
 						Write: p > 0, Deadline: b.now + policy.Second})
 				}
-				b.module.TimerFired("beat")
+				b.policy.TimerFired("beat")
 			})
 		}
-		if told.ConnectTimeout <= 0 || told.ClientTimeout <= 0 || told.IdleLimit < 0 || told.DrainGrace < 0 || told.MostOpen <= 0 ||
-			told.Terms.MostAttempts < 1 || told.Terms.AskEvery <= 0 {
-			t.Errorf("%s = %v: taken as %+v", at, what, told.Terms)
+		if deployed.ConnectTimeout <= 0 || deployed.ClientTimeout <= 0 || deployed.IdleLimit < 0 || deployed.DrainGrace < 0 || deployed.MostOpen <= 0 ||
+			deployed.Terms.MostAttempts < 1 || deployed.Terms.AskEvery <= 0 {
+			t.Errorf("%s = %v: accepted as %+v", key, value, deployed.Terms)
 		}
 	}
 	try("settings", "as they are")
-	if taken != 1 {
-		t.Fatal("the sample is refused")
+	if accepted != 1 {
+		t.Fatal("the unchanged sample settings are refused")
 	}
 	var all []func()
-	places(sample["settings"], "", func(at string, set func(any), drop func()) {
+	visitValues(sample["settings"], "", func(key string, set func(any), drop func()) {
 		all = append(all, func() {
-			was := valueAt(sample["settings"], strings.Split(at, "."))
+			old := valueAt(sample["settings"], strings.Split(key, "."))
 			for _, v := range []any{nil, 0, -1, 1e300, -1e300, 1e18, 0.5, "word", "NaN", "", true, []any{}, map[string]any{}, []any{1, 2}} {
 				set(v)
-				try(at, v)
+				try(key, v)
 			}
 			if drop != nil {
 				drop()
-				try(at, "absent")
+				try(key, "absent")
 			}
-			set(was)
+			set(old)
 		})
 	})
 	for _, one := range all {
 		one()
 	}
-	if refused < 100 || taken < 100 {
-		t.Errorf("%d refused, %d taken", refused, taken)
+	if refused < 100 || accepted < 100 {
+		t.Errorf("%d settings refused, %d accepted", refused, accepted)
 	}
 }
 
+// valueAt returns the value at a path in a JSON tree.
 func valueAt(v any, path []string) any {
 	for _, k := range path {
 		switch x := v.(type) {
--- a/internal/balancer/source.go
+++ b/internal/balancer/source.go
@@ -11,29 +11,29 @@
 	"streamrail/policy"
 )
 
-// source is where the list comes from, and the list as it is known now.
-type source struct {
-	mu         sync.Mutex // also held while a list is handed on: once an address is left, nothing is heard of it
+// listSource is where the host list comes from, and the list as it is known now.
+type listSource struct {
+	mu         sync.Mutex // also held while a list is applied, so that nothing from a previous address is applied after a change of address
 	addr       string
-	stop       context.CancelFunc // ends the watch there; nil before the first
-	first      chan struct{}      // closed once there is a list
-	once       sync.Once
+	stop       context.CancelFunc // stops the current watch; nil before the first one
+	ready      chan struct{}      // closed once there is a host list
+	readyOnce  sync.Once
 	generation int64
 	hosts      map[policy.CacheID]discovery.Host
-	known      *int64                                                            // version of the list from before the start, where the watch goes on from it
-	dial       func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the network's
+	resumeFrom *int64                                                            // generation of the list from before the start, if the watch continues from it
+	dial       func(ctx context.Context, network, addr string) (net.Conn, error) // nil: dial the network
 }
 
-// keep notes an answer of discovery and returns the hosts that it changes, those first to which nothing new may be sent. A host
-// that a whole list does not name any more is among them, as gone. Under mu, or before anybody follows.
-func (s *source) keep(l discovery.List) (changes []discovery.Host) {
-	s.generation = l.Generation
-	if l.Whole {
-		changes = s.unnamed(l)
+// update stores an answer of discovery and returns the hosts that it changes, with those to which nothing new may be sent first. They
+// include hosts that a whole list no longer names, as gone. The caller holds mu, unless no watch has been started yet.
+func (s *listSource) update(list discovery.List) (changes []discovery.Host) {
+	s.generation = list.Generation
+	if list.Whole {
+		changes = s.removeUnlisted(list)
 	}
-	for _, h := range l.Hosts {
-		known, is := s.hosts[h.Cache]
-		if is && known == h || !is && h.Condition == policy.Gone {
+	for _, h := range list.Hosts {
+		known, isKnown := s.hosts[h.Cache]
+		if isKnown && known == h || !isKnown && h.Condition == policy.Gone {
 			continue
 		}
 		changes = append(changes, h)
@@ -47,14 +47,14 @@
 	return changes
 }
 
-// unnamed drops the known hosts that a whole list does not name, and returns them as gone.
-func (s *source) unnamed(l discovery.List) (gone []discovery.Host) {
-	named := make(map[policy.CacheID]struct{}, len(l.Hosts))
-	for _, h := range l.Hosts {
-		named[h.Cache] = struct{}{}
+// removeUnlisted removes the known hosts that a whole list does not name and returns them as gone.
+func (s *listSource) removeUnlisted(list discovery.List) (gone []discovery.Host) {
+	listed := make(map[policy.CacheID]struct{}, len(list.Hosts))
+	for _, h := range list.Hosts {
+		listed[h.Cache] = struct{}{}
 	}
 	for id, h := range s.hosts {
-		if _, is := named[id]; !is {
+		if _, isListed := listed[id]; !isListed {
 			h.Condition = policy.Gone
 			gone = append(gone, h)
 			delete(s.hosts, id)
@@ -63,11 +63,11 @@
 	return gone
 }
 
-// list is the whole list as it is known now. Under mu.
-func (s *source) list() discovery.List {
-	l := discovery.List{Generation: s.generation, Whole: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
+// snapshot returns the whole host list as it is known now. The caller holds mu.
+func (s *listSource) snapshot() discovery.List {
+	list := discovery.List{Generation: s.generation, Whole: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
 	for _, h := range s.hosts {
-		l.Hosts = append(l.Hosts, h)
+		list.Hosts = append(list.Hosts, h)
 	}
-	return l
+	return list
 }
--- a/internal/balancer/starts.go
+++ b/internal/balancer/starts.go
@@ -7,34 +7,35 @@
 	"streamrail/policy"
 )
 
-// starts places the starts of hosts, which discovery tells by the wall clock, on the clock of the decisions. The wall clock may be
-// stepped at any time: each start is placed once, by its age at the moment in which it was first told.
-type starts struct {
-	wall   func() time.Time
-	placed map[policy.CacheID]start
+// startTimes converts the start times of hosts, which discovery reports by the wall clock, to the policy's clock. The wall clock may be
+// stepped at any time, so each start time is converted only once, by the host's age when that start time was first reported.
+type startTimes struct {
+	wallClock func() time.Time
+	placed    map[policy.CacheID]placedStart
 }
 
-type start struct {
-	told policy.Nanos // Unix time
-	at   policy.Nanos // on the clock of the decisions
+// placedStart is the start of one host on both clocks.
+type placedStart struct {
+	reported policy.Nanos // as discovery gives it, in Unix time
+	at       policy.Nanos // on the policy's clock
 }
 
-func newStarts(wall func() time.Time) *starts {
-	return &starts{wall: wall, placed: map[policy.CacheID]start{}}
+func newStartTimes(wallClock func() time.Time) *startTimes {
+	return &startTimes{wallClock: wallClock, placed: map[policy.CacheID]placedStart{}}
 }
 
-// place sets when some hosts of the list started. One that starts in the future starts now; one that is gone is forgotten.
-func (s *starts) place(hosts []discovery.Host, now policy.Nanos) {
+// place sets the Started time of the hosts. A start time in the future becomes now; hosts that are gone are forgotten.
+func (s *startTimes) place(hosts []discovery.Host, now policy.Nanos) {
 	for i := range hosts {
 		h := &hosts[i]
 		if h.Born <= 0 || h.Condition == policy.Gone {
 			delete(s.placed, h.Cache)
 			continue
 		}
-		known, is := s.placed[h.Cache]
-		if !is || known.told != h.Born {
-			age := policy.Nanos(s.wall().UnixNano()) - h.Born
-			known = start{told: h.Born, at: now - max(0, age)}
+		known, isKnown := s.placed[h.Cache]
+		if !isKnown || known.reported != h.Born {
+			age := policy.Nanos(s.wallClock().UnixNano()) - h.Born
+			known = placedStart{reported: h.Born, at: now - max(0, age)}
 		}
 		s.placed[h.Cache] = known
 		h.Started = known.at
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -16,48 +16,49 @@
 	"streamrail/policy"
 )
 
-// upgrade joins this process to the other one of an upgrade, while there is one. The two are one balancer: a ban holds
-// for both, and what they hold together is what one may.
-type upgrade struct {
-	// mu makes an order of bans, which both processes apply as the older one has it. It is taken before all other locks.
-	mu      sync.Mutex
-	seat    *handover.Seat
-	elder   *handover.Peer
-	heir    *handover.Peer
-	n       uint64
-	answers chan handover.Message // those to what is waited for under mu, and late ones to what is not any more
+// upgradeLink connects this process to the peer process of an upgrade, while there is one. Together they are one balancer: exclusions
+// hold for both, and both together stay within the resource limits of one process.
+type upgradeLink struct {
+	// mu serializes exclusions, which both processes apply in the order that the older one sets. It is taken before all other locks.
+	mu           sync.Mutex
+	offer        *handover.Seat        // lets a newer process connect
+	older        *handover.Peer        // nil if there is none
+	newer        *handover.Peer        // nil if there is none
+	messageCount uint64                // numbers the messages that need an answer
+	answers      chan handover.Message // to the exchange that waits under mu, and late ones that nobody waits for any more
 
-	heirReady atomic.Bool // it takes clients
-	seated    atomic.Bool // this process does
+	newerReady   atomic.Bool // the newer process takes clients
+	takesClients atomic.Bool // this process takes clients
 }
 
-// holds is what a process may hold.
-type holds struct{ clients, upstream, calls, bytes int64 }
+// resourceLimits is how many resources a process may use.
+type resourceLimits struct{ clients, upstream, requests, bytes int64 }
 
 const (
-	// holdsEvery is how often both tell each other what they hold: short against what connections need to move over.
-	holdsEvery = 50 * time.Millisecond
-	// peerWait is how long the other process may take over a ban; operators are owed an answer in a second.
-	peerWait = 500 * time.Millisecond
+	// usageInterval is how often both processes report their usage to each other. It is much shorter than the time that connections need
+	// to move to the newer process.
+	usageInterval = 50 * time.Millisecond
+	// peerTimeout is how long the peer process may take to apply an exclusion; operators must get an answer within a second.
+	peerTimeout = 500 * time.Millisecond
 )
 
 var (
-	errBusy    = errors.New("an upgrade is under way already")
-	errNotKept = errors.New("it is done, but could not be kept in a file yet: a restart would forget it")
-	errNoWord  = errors.New("this process has done it; the other one of an upgrade does not answer")
+	errUpgradeRunning = errors.New("an upgrade is under way already")
+	errNotSaved       = errors.New("it is done, but could not be kept in a file yet: a restart would forget it")
+	errPeerSilent     = errors.New("this process has done it; the other one of an upgrade does not answer")
 )
 
-// meet takes over the clients' address from an older process that serves there; nil where there is none. Only where there is a
-// door there may be one.
-func (b *Balancer) meet() (net.Listener, *handover.State) {
-	if b.told.Admin == "" {
+// takeOverListener takes over the clients' listener from an older process that serves the same address; nil if there is none. A process
+// without an admin API takes no part in upgrades.
+func (b *Balancer) takeOverListener() (net.Listener, *handover.State) {
+	if b.deployment.Admin == "" {
 		return nil, nil
 	}
-	l, s, p, err := handover.Meet(handover.Path(os.TempDir(), b.told.Listen, ".sock"))
+	listener, state, peer, err := handover.Meet(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"))
 	if err == nil {
-		b.log.Info().Int("excluded", len(s.Excluded)).Msg("taking over from an older process")
-		b.upgrade.elder = p
-		return l, &s
+		b.log.Info().Int("excluded", len(state.Excluded)).Msg("taking over from an older process")
+		b.upgrade.older = peer
+		return listener, &state
 	}
 	if !errors.Is(err, handover.ErrAlone) {
 		b.log.Warn().Err(err).Msg("could not take over from an older process, starting as if alone")
@@ -67,167 +68,171 @@
 
 // listen opens the clients' address.
 func (b *Balancer) listen() (net.Listener, error) {
-	if b.told.Admin == "" {
-		return net.Listen("tcp", b.told.Listen)
+	if b.deployment.Admin == "" {
+		return net.Listen("tcp", b.deployment.Listen)
 	}
-	return handover.Listen(b.told.Listen)
+	return handover.Listen(b.deployment.Listen)
 }
 
-func (b *Balancer) banFile() string { return handover.Path(os.TempDir(), b.told.Listen, ".out") }
+func (b *Balancer) exclusionFile() string {
+	return handover.Path(os.TempDir(), b.deployment.Listen, ".out")
+}
 
-// takeOver restores what an older process handed on, or what one that was killed left.
-func (b *Balancer) takeOver(s *handover.State) {
-	if b.told.Admin == "" {
+// restoreState restores the state that an older process handed over, or the exclusions that an earlier process saved.
+func (b *Balancer) restoreState(state *handover.State) {
+	if b.deployment.Admin == "" {
 		return
 	}
 	var excluded []string
-	if s != nil {
-		excluded = s.Excluded
+	if state != nil {
+		excluded = state.Excluded
 		var learnt policy.Learnt
-		if err := json.Unmarshal(s.Learnt, &learnt); err != nil {
-			b.log.Warn().Err(err).Msg("what was learnt is not readable, left out")
+		if err := json.Unmarshal(state.Learnt, &learnt); err != nil {
+			b.log.Warn().Err(err).Msg("the learnt state handed over is not readable, ignored")
 		} else {
-			b.decide(func() { b.module.TakeOver(learnt) })
+			b.callPolicy(func() { b.policy.TakeOver(learnt) })
 		}
-		b.share(s.Holds)
-		go b.hearElder(b.upgrade.elder)
+		b.splitLimits(state.Holds)
+		go b.receiveFromOlder(b.upgrade.older)
 	} else {
 		var err error
-		if err = handover.Load(b.banFile(), &excluded); err != nil {
+		if err = handover.Load(b.exclusionFile(), &excluded); err != nil {
 			excluded = nil
-			b.log.Warn().Err(err).Str("file", b.banFile()).Msg("the hosts out by hand are not readable, none is out")
+			b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the saved exclusions are not readable, no host is excluded")
 		}
 	}
 	for _, id := range excluded {
-		b.change(policy.CacheID(id), true)
+		b.switchExclusion(policy.CacheID(id), true)
 	}
 	if len(excluded) > 0 {
-		b.saveBans()
+		b.saveExclusions()
 	}
 }
 
-// takeSeat tells that this process takes clients; a newer one meets it from now on.
-func (b *Balancer) takeSeat(listener net.Listener) {
+// offerHandover notifies the older process that this one takes clients, and lets a newer process take over from now on.
+func (b *Balancer) offerHandover(listener net.Listener) {
 	u := &b.upgrade
-	if b.told.Admin == "" {
+	if b.deployment.Admin == "" {
 		return
 	}
-	seat, err := handover.Keep(handover.Path(os.TempDir(), b.told.Listen, ".sock"), listener, b.join)
+	offer, err := handover.Keep(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"), listener, b.handOver)
 	if err != nil {
 		b.log.Warn().Err(err).Msg("a newer process cannot take over from this one")
 	}
 	u.mu.Lock()
-	u.seat = seat
-	if u.elder != nil {
-		u.elder.Say(handover.Message{Kind: handover.Ready})
+	u.offer = offer
+	if u.older != nil {
+		u.older.Say(handover.Message{Kind: handover.Ready})
 	}
 	u.mu.Unlock()
-	u.seated.Store(true)
+	u.takesClients.Store(true)
 }
 
-// leaveSeat ends what joins this process to others.
-func (b *Balancer) leaveSeat() {
+// closeHandover stops offering a handover and closes the connections to the peer processes.
+func (b *Balancer) closeHandover() {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.seat != nil {
-		u.seat.Leave()
+	if u.offer != nil {
+		u.offer.Leave()
 	}
-	for _, p := range []*handover.Peer{u.elder, u.heir} {
-		if p != nil {
-			p.Close()
+	for _, peer := range []*handover.Peer{u.older, u.newer} {
+		if peer != nil {
+			peer.Close()
 		}
 	}
 }
 
-// join hands on to a newer process.
-func (b *Balancer) join(p *handover.Peer) (s handover.State, err error) {
+// handOver returns the state for a newer process that takes over.
+func (b *Balancer) handOver(peer *handover.Peer) (state handover.State, err error) {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.heir != nil || u.elder != nil || b.in() != Serving {
-		return s, errBusy
+	if u.newer != nil || u.older != nil || b.currentPhase() != Serving {
+		return state, errUpgradeRunning
 	}
-	b.source.mu.Lock()
-	s.List = b.names().Format(b.source.list())
-	b.source.mu.Unlock()
+	b.listSource.mu.Lock()
+	state.List = b.discoveryNames().Format(b.listSource.snapshot())
+	b.listSource.mu.Unlock()
 	var learnt policy.Learnt
-	b.decide(func() {
-		s.Excluded = b.excluded()
-		learnt = b.module.Tell()
+	b.callPolicy(func() {
+		state.Excluded = b.excludedHosts()
+		learnt = b.policy.Tell()
 	})
-	if s.Learnt, err = json.Marshal(learnt); err != nil {
-		return s, err
+	if state.Learnt, err = json.Marshal(learnt); err != nil {
+		return state, err
 	}
-	s.Holds, s.Fleet = b.holding(), b.keepPlace()
-	u.heir = p
-	b.share(handover.Holds{})
+	state.Holds, state.Fleet = b.usage(), b.exportMembership()
+	u.newer = peer
+	b.splitLimits(handover.Holds{})
 	b.log.Info().Msg("handing over to a newer process")
-	go b.hearHeir(p)
-	return s, nil
+	go b.receiveFromNewer(peer)
+	return state, nil
 }
 
-func (b *Balancer) hearHeir(p *handover.Peer) {
-	go b.tellHolds(p)
-	p.Hear(func(m handover.Message) {
+// receiveFromNewer handles the newer process's messages until it ends.
+func (b *Balancer) receiveFromNewer(peer *handover.Peer) {
+	go b.sendUsage(peer)
+	peer.Hear(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ready:
-			b.givePlace()
-			b.upgrade.heirReady.Store(true)
+			b.handOverMembership()
+			b.upgrade.newerReady.Store(true)
 			b.log.Info().Msg("the newer process takes clients")
 		case handover.Holding:
-			b.share(*m.Holds)
+			b.splitLimits(*m.Holds)
 		case handover.Ask:
-			go func() { // not here: it may wait for what comes here
+			go func() { // in a goroutine: setExclusion may wait for a message that is received here
 				answer := handover.Message{Kind: handover.Answer, N: m.N}
-				if err := b.ban(policy.CacheID(m.Member), m.Out, b.orders != nil); err != nil {
+				if err := b.setExclusion(policy.CacheID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
 					answer.Fault = err.Error()
 				}
-				p.Say(answer)
+				peer.Say(answer)
 			}()
 		case handover.Done:
-			b.upgrade.answer(m)
+			b.upgrade.deliverAnswer(m)
 		}
 	})
-	b.parted(&b.upgrade.heir)
-	b.takePlaceBack()
+	b.peerEnded(&b.upgrade.newer)
+	b.reclaimMembership()
 }
 
-func (b *Balancer) hearElder(p *handover.Peer) {
-	go b.tellHolds(p)
-	p.Hear(func(m handover.Message) {
+// receiveFromOlder handles the older process's messages until it ends.
+func (b *Balancer) receiveFromOlder(peer *handover.Peer) {
+	go b.sendUsage(peer)
+	peer.Hear(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Holding:
-			b.share(*m.Holds)
+			b.splitLimits(*m.Holds)
 		case handover.Ban:
-			b.apply(policy.CacheID(m.Member), m.Out)
-			p.Say(handover.Message{Kind: handover.Done, N: m.N})
+			b.applyExclusion(policy.CacheID(m.Member), m.Out)
+			peer.Say(handover.Message{Kind: handover.Done, N: m.N})
 		case handover.Answer:
-			b.upgrade.answer(m)
+			b.upgrade.deliverAnswer(m)
 		}
 	})
-	b.parted(&b.upgrade.elder)
+	b.peerEnded(&b.upgrade.older)
 }
 
-// parted goes on alone: the other process has ended, or was killed.
-func (b *Balancer) parted(other **handover.Peer) {
+// peerEnded restores the limits of a single process after the peer process has ended or was killed.
+func (b *Balancer) peerEnded(other **handover.Peer) {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	*other = nil
-	u.heirReady.Store(false)
-	if u.elder != nil || u.heir != nil {
+	u.newerReady.Store(false)
+	if u.older != nil || u.newer != nil {
 		return
 	}
 	b.log.Info().Msg("the other process of the upgrade has ended")
-	b.limit(b.whole)
-	debug.SetMemoryLimit(b.memory())
-	b.decide(func() { b.module.Beside(false, 0) })
-	b.besideLimits(false)
+	b.setLimits(b.capacity)
+	debug.SetMemoryLimit(b.memoryLimit())
+	b.callPolicy(func() { b.policy.Beside(false, 0) })
+	b.setSharesUpgrading(false)
 }
 
-// answer hands a message to who waits for it; what nobody waits for any more makes room.
-func (u *upgrade) answer(m handover.Message) {
+// deliverAnswer queues a message for the exchange that waits for it. If the queue is full of late answers, the oldest is dropped.
+func (u *upgradeLink) deliverAnswer(m handover.Message) {
 	for {
 		select {
 		case u.answers <- m:
@@ -241,72 +246,72 @@
 	}
 }
 
-// say sends an Ask or a Ban and waits for what answers it; false where nothing does. Under u.mu.
-func (u *upgrade) say(p *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
-	u.n++
-	m.N = u.n
-	p.Say(m)
-	late := time.After(peerWait)
+// exchange sends a message of kind Ask or Ban and waits for its answer. It returns false if none comes in time. The caller holds u.mu.
+func (u *upgradeLink) exchange(peer *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
+	u.messageCount++
+	m.N = u.messageCount
+	peer.Say(m)
+	timeout := time.After(peerTimeout)
 	for {
 		select {
 		case answer = <-u.answers:
 			if answer.N == m.N {
 				return answer, true
 			}
-		case <-p.Gone():
-			return answer, true // the process that is left has it
-		case <-late:
-			p.Close()
+		case <-peer.Gone():
+			return answer, true // the peer process has ended, so this process alone has to apply it
+		case <-timeout:
+			peer.Close()
 			return answer, false
 		}
 	}
 }
 
-// ban takes a host out by hand, or puts it back, in both processes of an upgrade. An order for the whole fleet holds also where no list
-// has named the host yet.
-func (b *Balancer) ban(id policy.CacheID, out, fleet bool) error {
+// setExclusion excludes a host, or includes it again, in both processes of an upgrade. An order for the whole fleet also holds for a host
+// that no list has named yet.
+func (b *Balancer) setExclusion(id policy.CacheID, exclude, fleet bool) error {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	m := handover.Message{Member: string(id), Out: out}
-	heard := true
-	if p := u.elder; p != nil {
+	m := handover.Message{Member: string(id), Out: exclude}
+	answered := true
+	if p := u.older; p != nil {
 		m.Kind = handover.Ask
 		var answer handover.Message
-		answer, heard = u.say(p, m)
+		answer, answered = u.exchange(p, m)
 		if answer.Kind == handover.Answer {
-			return faultOf(answer.Fault)
-		} // else this process is alone by now
+			return errorFromText(answer.Fault)
+		} // otherwise the connection to the older process is closed and this process acts alone
 	}
-	known, held := false, true
-	if out {
-		b.decide(func() { known, held = b.module.Exclude(id) })
+	known, withinLimit := false, true
+	if exclude {
+		b.callPolicy(func() { known, withinLimit = b.policy.Exclude(id) })
 	} else {
-		b.decide(func() { known = b.module.Knows(id) })
+		b.callPolicy(func() { known = b.policy.Knows(id) })
 	}
 	switch {
 	case !known && !fleet:
 		return admin.ErrNobody
-	case !held && !fleet:
+	case !withinLimit && !fleet:
 		return admin.ErrTooMany
 	}
-	kept := b.apply(id, out)
-	if p := u.heir; p != nil {
+	saveErr := b.applyExclusion(id, exclude)
+	if p := u.newer; p != nil {
 		m.Kind = handover.Ban
-		_, heard = u.say(p, m)
+		_, answered = u.exchange(p, m)
 	}
 	switch {
-	case !heard:
-		return errNoWord
-	case kept != nil:
-		return fmt.Errorf("%w: %w", errNotKept, kept)
+	case !answered:
+		return errPeerSilent
+	case saveErr != nil:
+		return fmt.Errorf("%w: %w", errNotSaved, saveErr)
 	}
 	return nil
 }
 
-// faultOf is the error whose text came from the other process.
-func faultOf(text string) error {
-	for _, err := range []error{admin.ErrNobody, admin.ErrTooMany, errNoWord} {
+// errorFromText returns the error whose text came from the peer process; nil if the text is empty.
+func errorFromText(text string) error {
+	for _, err := range []error{admin.ErrNobody, admin.ErrTooMany, errPeerSilent} {
 		if text == err.Error() {
 			return err
 		}
@@ -317,91 +322,96 @@
 	return nil
 }
 
-// apply changes a ban here; the file has it before anybody is told yes, or else the error tells that it has not.
-func (b *Balancer) apply(id policy.CacheID, out bool) error {
-	b.change(id, out)
-	return b.saveBans()
+// applyExclusion changes an exclusion in this process and saves it before anybody gets a positive answer. The error tells that it could
+// not be saved.
+func (b *Balancer) applyExclusion(id policy.CacheID, exclude bool) error {
+	b.switchExclusion(id, exclude)
+	return b.saveExclusions()
 }
 
-// change takes a host out first where calls are given to it, then where they are written, and puts it back the other way
-// round.
-func (b *Balancer) change(id policy.CacheID, out bool) {
-	if !out {
+// switchExclusion excludes a host first in the policy, which chooses it for attempts, and then in the connection pool, which sends
+// them. It includes a host in the reverse order.
+func (b *Balancer) switchExclusion(id policy.CacheID, exclude bool) {
+	if !exclude {
 		b.hosts.Include(id)
 	}
-	b.decide(func() {
-		if out {
-			b.module.Bar(id)
+	b.callPolicy(func() {
+		if exclude {
+			b.policy.Bar(id)
 		} else {
-			b.module.Include(id)
+			b.policy.Include(id)
 		}
 	})
-	if out {
+	if exclude {
 		b.hosts.Exclude(id)
 	}
-	b.log.Info().Str("host", string(id)).Bool("out", out).Msg("by hand")
+	b.log.Info().Str("host", string(id)).Bool("out", exclude).Msg("by hand")
 }
 
-// excluded are the hosts out by hand. Under Balancer.mu.
-func (b *Balancer) excluded() (all []string) {
-	for _, id := range b.module.Excluded() {
+// excludedHosts returns the hosts that operators have excluded. The caller holds Balancer.mu.
+func (b *Balancer) excludedHosts() (all []string) {
+	for _, id := range b.policy.Excluded() {
 		all = append(all, string(id))
 	}
 	return all
 }
 
-// tellHolds says what this process holds, until the other one has ended.
-func (b *Balancer) tellHolds(p *handover.Peer) {
-	t := time.NewTicker(holdsEvery)
+// sendUsage reports this process's resource usage to the peer process until that has ended.
+func (b *Balancer) sendUsage(peer *handover.Peer) {
+	t := time.NewTicker(usageInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			h := b.holding()
-			p.Say(handover.Message{Kind: handover.Holding, Holds: &h})
-		case <-p.Gone():
+			h := b.usage()
+			peer.Say(handover.Message{Kind: handover.Holding, Holds: &h})
+		case <-peer.Gone():
 			return
 		}
 	}
 }
 
-func (b *Balancer) holding() handover.Holds {
-	h := handover.Holds{Clients: int64(b.clients.count()), Upstream: int64(b.hosts.Open()), Calls: b.open.Load(),
-		Bytes: b.held.Load(), Leaving: b.in() > Serving}
-	b.decide(func() { h.Origin = b.module.AtOrigin() })
+func (b *Balancer) usage() handover.Holds {
+	h := handover.Holds{Clients: int64(b.clients.count()), Upstream: int64(b.hosts.Open()), Calls: b.inFlight.Load(),
+		Bytes: b.valueBytes.Load(), Leaving: b.currentPhase() > Serving}
+	b.callPolicy(func() { h.Origin = b.policy.AtOrigin() })
 	return h
 }
 
-// limit sets what this process may hold.
-func (b *Balancer) limit(h holds) {
-	b.clients.limit(int(h.clients-h.clients/8), int(h.clients))
-	b.hosts.Limit(int(h.upstream))
-	b.mostInHand.Store(h.calls)
-	b.mostHeld.Store(h.bytes)
+// setLimits sets the resource limits of this process.
+func (b *Balancer) setLimits(limits resourceLimits) {
+	b.clients.setLimits(int(limits.clients-limits.clients/8), int(limits.clients))
+	b.hosts.Limit(int(limits.upstream))
+	b.maxInFlight.Store(limits.requests)
+	b.maxValueBytes.Store(limits.bytes)
 }
 
-// share leaves to each process what it holds and a part of what both leave free. A second process has descriptors of its
-// own besides.
-func (b *Balancer) share(other handover.Holds) {
-	mine, w := b.holding(), b.whole
-	part := func(whole, mine, other int64) int64 { return portion(whole, mine, other, b.in() > Serving) }
+// splitLimits lets each process keep the resources that it uses and a part of what is free. The second process needs reserved
+// descriptors of its own, which are subtracted.
+func (b *Balancer) splitLimits(other handover.Holds) {
+	own, total := b.usage(), b.capacity
+	share := func(whole, own, other int64) int64 {
+		return processShare(whole, own, other, b.currentPhase() > Serving)
+	}
 	if other.Leaving {
-		part = func(whole, mine, other int64) int64 { return whole - portion(whole, other, mine, true) }
+		share = func(whole, own, other int64) int64 { return whole - processShare(whole, other, own, true) }
 	}
-	b.limit(holds{part(w.clients-ownSockets/2, mine.Clients, other.Clients), part(w.upstream-ownSockets/2, mine.Upstream, other.Upstream),
-		part(w.calls, mine.Calls, other.Calls), part(w.bytes, mine.Bytes, other.Bytes)})
-	debug.SetMemoryLimit(b.memory() / 2)
-	b.decide(func() { b.module.Beside(true, other.Origin) })
+	b.setLimits(resourceLimits{share(total.clients-reservedSockets/2, own.Clients, other.Clients), share(total.upstream-reservedSockets/2, own.Upstream, other.Upstream),
+		share(total.requests, own.Calls, other.Calls), share(total.bytes, own.Bytes, other.Bytes)})
+	debug.SetMemoryLimit(b.memoryLimit() / 2)
+	b.callPolicy(func() { b.policy.Beside(true, other.Origin) })
 }
 
-// portion is what one may hold of a whole: what it holds and half of what is free, or an eighth where it leaves.
-func portion(whole, mine, other int64, leaves bool) int64 {
-	free := max(0, whole-mine-other)
-	if leaves {
-		return mine + free/8
+// processShare is what one of two processes may use of a resource: what it uses now, and half of what is free, or an eighth of it if
+// that process is leaving.
+func processShare(whole, own, other int64, leaving bool) int64 {
+	free := max(0, whole-own-other)
+	if leaving {
+		return own + free/8
 	}
-	return mine + free/2
+	return own + free/2
 }
 
-// memory is what the collector keeps the heap under: what lives is some megabytes, and the machine's limit holds for all.
-func (b *Balancer) memory() int64 { return int64(b.told.MemoryMB) << 20 * 3 / 4 }
+// memoryLimit is the soft limit for the garbage collector, in bytes. The live heap is a few megabytes, and the machine's limit also
+// covers memory outside the heap.
+func (b *Balancer) memoryLimit() int64 { return int64(b.deployment.MemoryMB) << 20 * 3 / 4 }
