--- a/internal/pool/local.go
+++ b/internal/pool/local.go
@@ -2,30 +2,31 @@
 
 import "streamrail/policy"
 
-// After a fault of this machine's own (no ports, no descriptors, no memory, no route) nothing is opened for a while: every host
-// would fail alike, and each attempt costs what is scarce. The pause doubles and is spread.
+// Bounds of the backoff after a fault of this machine (no ports, file descriptors, memory or route). No connection is opened
+// during the backoff: opening would fail for every host and use up more of the scarce resource.
 const (
-	firstPause = 10 * policy.Millisecond
-	mostPause  = 500 * policy.Millisecond
+	initialBackoff = 10 * policy.Millisecond
+	maxBackoff     = 500 * policy.Millisecond
 )
 
-// backoff is the pause in opening connections.
+// backoff stops the opening of connections for a while after a fault of this machine.
 type backoff struct {
-	pause policy.Nanos // the last one; 0: the last connection came up
+	pause policy.Nanos // length of the last pause before jitter; 0: the last connection opened successfully
 	until policy.Nanos
 }
 
-// failed begins a pause, or leaves the one that lasts: many connections that were being opened fail together.
-func (b *backoff) failed(now policy.Nanos, chance float64) {
+// failed starts a pause of twice the previous length, shortened at random by up to half. A failure during a pause does not extend
+// it, because connections that are being opened at the same time fail together.
+func (b *backoff) failed(now policy.Nanos, random float64) {
 	if now < b.until {
 		return
 	}
-	b.pause = min(max(firstPause, 2*b.pause), mostPause)
-	b.until = now + policy.Nanos(float64(b.pause)*(0.5+chance/2))
+	b.pause = min(max(initialBackoff, 2*b.pause), maxBackoff)
+	b.until = now + policy.Nanos(float64(b.pause)*(0.5+random/2))
 }
 
-// FailedHere hears that a connection was not opened for a fault of this machine's own, which says nothing of the host.
+// FailedHere reports that a connection could not be opened because of a fault of this machine, which says nothing about the host.
 func (p *Pool) FailedHere(now policy.Nanos, id Conn) {
-	p.backoff.failed(now, p.chance())
-	p.failed(now, id, Local)
+	p.backoff.failed(now, p.random())
+	p.openingFailed(now, id, Local)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,7 +1,7 @@
-// Package pool decides over the connections to cache hosts: which one carries the next attempt, when one is opened and
-// ahead of what need, which attempt waits for one, when one is retired. A Pool is told what happens by one method for each
-// thing and acts by calling the Orders it was made with. It is not safe for concurrent use, keeps no clock and does no
-// I/O; which host an attempt goes to, and whether it is tried again, is decided elsewhere.
+// Package pool manages the connections to cache hosts and the origin. It decides which connection an attempt uses, which attempts
+// wait for one, when connections are opened (also ahead of need) and when they are retired. The caller reports each event to a
+// Pool through a method, and the Pool acts by calling the Orders that it was created with. A Pool is not safe for concurrent
+// use, has no clock and does no I/O. Choosing the host of an attempt and retrying are decided elsewhere.
 package pool
 
 import (
@@ -14,101 +14,101 @@
 )
 
 type (
-	Host    string // a cache host, or the origin
-	Conn    uint64 // given out by the pool, never twice
-	Attempt uint64 // given out by the caller, never twice
+	Host    string // identifies a cache host or the origin
+	Conn    uint64 // identifies a connection; assigned by the pool, never reused
+	Attempt uint64 // identifies an attempt; assigned by the caller, never reused
 )
 
-// Why is the reason of an order that ends something.
+// Why is the reason for closing a connection or refusing an attempt.
 type Why int
 
 const (
-	Unknown   Why = iota // no such host
-	Leaving              // the host drains, is gone or is another process now
-	Full                 // the bound on its connections, or on all, is reached and none comes free in time
-	Budget               // it may not be opened another connection just now
-	Late                 // the attempt's time is over, or would be
-	NoConnect            // the connection that it waited for did not come up
-	Idle                 // at rest for so long that the host may close it
-	Age                  // open for long enough
-	Surplus              // more than the last while needed
-	Room                 // another host's attempt needs its place
+	Unknown   Why = iota // the host is not known
+	Leaving              // the host drains, is gone or was replaced by another process
+	Full                 // the limit of the host or of the pool is reached and no connection comes free in time
+	Budget               // the rate of new connections to the host is used up
+	Late                 // the attempt's time is over
+	NoConnect            // the connection that the attempt waited for could not be opened
+	Idle                 // idle for so long that the host may close the connection
+	Age                  // the connection has reached its maximum age
+	Surplus              // more idle connections than were recently needed
+	Room                 // closed to make room for a connection to another host
 	Shut                 // the pool is closed
-	Local                // this machine cannot open connections just now
+	Local                // this machine cannot open connections at present
 )
 
 func (w Why) String() string {
 	return [...]string{"unknown", "leaving", "full", "budget", "late", "no_connect", "idle", "age", "surplus", "room", "shut", "local"}[w]
 }
 
-// Orders is all that a Pool can do. A call to it takes effect at once and must not call back.
+// Orders are the actions of a Pool, implemented by its user. A call takes effect at once and must not call back into the Pool.
 type Orders interface {
-	Open(h Host, c Conn)       // dial; Opened or Failed answers
-	Carry(c Conn, s Attempt)   // the attempt goes over the connection now; Freed or Closed answers
-	Close(c Conn, why Why)     // it is at rest or still being opened; nothing answers
-	Refuse(s Attempt, why Why) // the attempt is not sent
+	Open(h Host, c Conn)       // dials; the result is reported by Opened, Failed or FailedHere
+	Carry(c Conn, a Attempt)   // sends the attempt over the connection; its end is reported by Freed or Closed
+	Close(c Conn, why Why)     // closes an idle connection or one being opened; nothing is reported back
+	Refuse(a Attempt, why Why) // ends the attempt without sending it
 }
 
-// Reuse is the order in which connections at rest are used.
+// Reuse is the order in which idle connections are used.
 type Reuse int
 
 const (
-	Longest Reuse = iota // the one at rest longest: a close by the host has been heard by then
-	Last                 // the one used last: the rest age out
+	Longest Reuse = iota // the one idle longest: a close by the host has been noticed by then
+	Last                 // the one used last: the others reach their idle limit
 )
 
-// Terms fix a pool. Zero values bound nothing and open nothing ahead.
+// Terms configure a Pool. Zero turns a limit or feature off, but a zero Most allows no connections.
 type Terms struct {
-	Balancers    int          // that share the hosts, with nothing said between them; 0 counts as 1
-	Most         int          // connections in all
-	HostMost     int          // that a host takes from all balancers
-	Openings     float64      // a second that a host bears from all balancers
-	ColdOpenings float64      // the same while it is cold; 0: as ever
-	ColdFor      policy.Nanos // since its start
-	Idle         policy.Nanos // after which a host closes a connection at rest
-	Age          policy.Nanos // after which one is retired
+	Balancers    int          // balancers that share the hosts without coordinating; 0 counts as 1
+	Most         int          // maximum connections of this pool
+	HostMost     int          // maximum connections that a host accepts from all balancers together
+	Openings     float64      // new connections per second that a host tolerates from all balancers together
+	ColdOpenings float64      // the same while the host is cold; 0: as Openings
+	ColdFor      policy.Nanos // how long a host counts as cold after its start
+	Idle         policy.Nanos // idle time after which a host closes a connection
+	Age          policy.Nanos // age at which a connection is retired
 	Reuse        Reuse
-	Wait         float64      // part of an attempt's remaining time that it may wait for one that is in use; 0: none
-	Ahead        float64      // connections kept beyond the mean need, in standard deviations of it; 0: none are opened ahead
-	Shrink       policy.Nanos // what was at rest for so long is surplus; 0: kept until idle
+	Wait         float64      // fraction of an attempt's remaining time that it may wait for a connection in use; 0: it does not wait
+	Ahead        float64      // connections kept beyond the mean demand, in standard deviations of it; 0: none are opened ahead
+	Shrink       policy.Nanos // interval at which connections idle throughout are closed; 0: kept until Idle
 }
 
-// Pool holds what is known of all connections.
+// Pool holds the state of all connections and waiting attempts.
 type Pool struct {
-	orders  Orders
-	terms   Terms
-	chance  func() float64 // in [0, 1)
-	hosts   map[Host]*host
-	conns   map[Conn]*conn
-	waiting map[Attempt]*waiter
-	last    Conn
-	open    int // with those that are being opened
-	resting int // of these, at rest
-	typical typicalNeed
-	shut    bool
-	bound   map[Host]int // how often a bound held since it was last asked
-	part    float64      // of all openings, as told; 0: an equal one
-	backoff backoff
+	actions       Orders
+	config        Terms
+	random        func() float64 // random source in [0, 1)
+	hosts         map[Host]*host
+	conns         map[Conn]*conn
+	waiting       map[Attempt]*waiter
+	lastID        Conn
+	openCount     int // connections, including those being opened
+	idleCount     int // idle connections
+	cachedMean    meanDemand
+	closed        bool
+	limitHits     map[Host]int // refused attempts per host since the last call of Bound
+	openingsShare float64      // fraction of a host's openings set by Part; 0: an equal share
+	backoff       backoff
 }
 
 type host struct {
-	id       Host
-	born     policy.Nanos
-	leaving  bool
-	process  int     // counts the processes at this name: connections of an old one are not used again
-	rest     []*conn // in the order in which they came to rest
-	open     int     // with those at rest, in use and being opened
-	opening  int
-	queue    []*waiter // in the order of their coming
-	wanted   int       // openings, since it was last asked
-	tokens   float64
-	tokensAt policy.Nanos
-	fixed    int // told with it; 0: not
-	most     int // learned from the host; 0: not
-	mostAt   policy.Nanos
-	need     need
-	fewest   int // at rest since lookedAt
-	lookedAt policy.Nanos
+	id             Host
+	startedAt      policy.Nanos
+	leaving        bool
+	processEpoch   int     // counts the host's processes: connections to an earlier one are not reused
+	idle           []*conn // idle connections, the longest idle first
+	open           int     // connections that are idle, in use or being opened
+	opening        int
+	queue          []*waiter // in order of arrival
+	openingsWanted int       // openings that attempts asked for since the last call of Need
+	tokens         float64
+	tokensAt       policy.Nanos
+	fixedLimit     int // limit on connections given to Up; 0: none
+	learnedLimit   int // limit on connections learned from rejections; 0: none
+	learnedLimitAt policy.Nanos
+	demand         demand
+	minIdle        int // lowest number of idle connections since shrunkAt
+	shrunkAt       policy.Nanos
 }
 
 type phase int
@@ -116,59 +116,59 @@
 const (
 	opening phase = iota
 	inUse
-	atRest
+	idle
 )
 
 type conn struct {
-	id      Conn
-	host    *host
-	process int
-	phase   phase
-	born    policy.Nanos // it came up
-	since   policy.Nanos // it is in its phase
-	retire  float64      // spread of its end, in [0, 1)
-	used    int          // attempts that it carried
-	from    *waiter      // opening: the attempt that it is opened for
+	id           Conn
+	host         *host
+	processEpoch int
+	phase        phase
+	openedAt     policy.Nanos // when it opened
+	phaseSince   policy.Nanos // when it entered its phase
+	retireJitter float64      // random offset in [0, 1) that spreads retirement
+	uses         int          // number of attempts sent over it
+	openedFor    *waiter      // while opening: the attempt that it is opened for; nil: opened ahead
 }
 
 type waiter struct {
-	attempt Attempt
-	host    *host
-	until   policy.Nanos
-	by      policy.Nanos // it is refused where it waits still for one in use; 0: it waits for one that is opened
-	from    *conn        // that is opened for it
+	attempt  Attempt
+	host     *host
+	expires  policy.Nanos
+	refuseAt policy.Nanos // when to refuse it if it still waits for a connection in use; 0: a connection is opened for it
+	opening  *conn        // the connection being opened for it
 }
 
-// New makes a pool with nothing in it.
-func New(orders Orders, terms Terms, chance func() float64) *Pool {
-	terms.Balancers = max(1, terms.Balancers)
-	return &Pool{orders: orders, terms: terms, chance: chance, hosts: map[Host]*host{}, conns: map[Conn]*conn{},
-		waiting: map[Attempt]*waiter{}, bound: map[Host]int{}}
+// New creates an empty pool. The function random returns numbers in [0, 1).
+func New(actions Orders, config Terms, random func() float64) *Pool {
+	config.Balancers = max(1, config.Balancers)
+	return &Pool{actions: actions, config: config, random: random, hosts: map[Host]*host{}, conns: map[Conn]*conn{},
+		waiting: map[Attempt]*waiter{}, limitHits: map[Host]int{}}
 }
 
-// Up hears that a host takes work; born is when its process started, 0 for long ago. Another start under the same name,
-// or another address, is another process: connections to the old one are not used again. Most bounds the connections to
-// this host where it is not 0.
-func (p *Pool) Up(now policy.Nanos, id Host, born policy.Nanos, moved bool, most int) {
+// Up reports that a host accepts attempts. Its process started at startedAt, 0 if that is long ago. A different start time or a
+// moved address means another process, so connections to the earlier one are not reused. If limit is not 0, it limits the
+// connections to this host.
+func (p *Pool) Up(now policy.Nanos, id Host, startedAt policy.Nanos, moved bool, limit int) {
 	h := p.hosts[id]
 	if h == nil {
-		h = &host{id: id, born: born, fixed: most, tokensAt: now, lookedAt: now}
-		h.tokens = p.burst(h, now)
+		h = &host{id: id, startedAt: startedAt, fixedLimit: limit, tokensAt: now, shrunkAt: now}
+		h.tokens = p.openingBurst(h, now)
 		p.hosts[id] = h
-	} else if h.born != born || moved {
-		h.process++
-		h.born, h.most, h.need = born, 0, need{}
-		h.tokens, h.tokensAt = min(h.tokens, p.burst(h, now)), now
+	} else if h.startedAt != startedAt || moved {
+		h.processEpoch++
+		h.startedAt, h.learnedLimit, h.demand = startedAt, 0, demand{}
+		h.tokens, h.tokensAt = min(h.tokens, p.openingBurst(h, now)), now
 		p.clear(h, Leaving)
-		p.relieve(now, h)
+		p.serveQueue(now, h)
 	}
 	h.leaving = false
 }
 
-// Limit sets the bound on all connections anew. What is open beyond it goes as it comes free.
-func (p *Pool) Limit(most int) { p.terms.Most = most }
+// Limit changes the maximum number of connections. Connections beyond it are closed as they come free.
+func (p *Pool) Limit(limit int) { p.config.Most = limit }
 
-// Leaves hears that a host drains or is gone: nothing new goes over its connections.
+// Leaves reports that a host drains or is gone: no further attempt is sent over its connections.
 func (p *Pool) Leaves(id Host) {
 	h := p.hosts[id]
 	if h == nil {
@@ -179,76 +179,76 @@
 	for len(h.queue) > 0 {
 		p.refuse(h.queue[0], Leaving)
 	}
-	p.forget(h)
+	p.removeIfUnused(h)
 }
 
-// clear closes what rests or is being opened.
+// clear closes the idle connections of a host and those being opened ahead.
 func (p *Pool) clear(h *host, why Why) {
-	for len(h.rest) > 0 {
-		p.close(h.rest[0], why)
+	for len(h.idle) > 0 {
+		p.close(h.idle[0], why)
 	}
 	for _, c := range p.conns {
-		if c.host == h && c.phase == opening && c.from == nil {
+		if c.host == h && c.phase == opening && c.openedFor == nil {
 			p.close(c, why)
 		}
 	}
 }
 
-// forget drops a host that is left once nothing of it remains.
-func (p *Pool) forget(h *host) {
+// removeIfUnused removes a leaving host once it has no connections and no waiting attempts.
+func (p *Pool) removeIfUnused(h *host) {
 	if h.leaving && h.open == 0 && len(h.queue) == 0 && p.hosts[h.id] == h {
 		delete(p.hosts, h.id)
-		delete(p.bound, h.id)
+		delete(p.limitHits, h.id)
 	}
 }
 
-// Ask wants a connection for an attempt, which is of no use after its time. It is carried or refused, now or later.
-func (p *Pool) Ask(now policy.Nanos, id Host, s Attempt, until policy.Nanos) {
+// Ask requests a connection for an attempt that is useless once it expires. The attempt is sent or refused, now or later.
+func (p *Pool) Ask(now policy.Nanos, id Host, a Attempt, expires policy.Nanos) {
 	h := p.hosts[id]
 	switch {
-	case p.shut:
-		p.orders.Refuse(s, Shut)
+	case p.closed:
+		p.actions.Refuse(a, Shut)
 		return
 	case h == nil:
-		p.orders.Refuse(s, Unknown)
+		p.actions.Refuse(a, Unknown)
 		return
 	case h.leaving:
-		p.orders.Refuse(s, Leaving)
+		p.actions.Refuse(a, Leaving)
 		return
-	case now >= until:
-		p.orders.Refuse(s, Late)
+	case now >= expires:
+		p.actions.Refuse(a, Late)
 		return
 	}
-	h.need.asked(now)
-	if c := p.rested(now, h); c != nil {
-		p.carry(now, c, s)
+	h.demand.recordAttempt(now)
+	if c := p.idleConn(now, h); c != nil {
+		p.assign(now, c, a)
 		return
 	}
-	w := &waiter{attempt: s, host: h, until: until}
-	why := p.place(now, h)
-	if why != Unknown && !p.waits(now, h, w) {
-		p.bound[id]++
-		p.orders.Refuse(s, why)
+	w := &waiter{attempt: a, host: h, expires: expires}
+	why := p.makeRoom(now, h)
+	if why != Unknown && !p.mayWait(now, h, w) {
+		p.limitHits[id]++
+		p.actions.Refuse(a, why)
 		return
 	}
 	if why != Unknown {
-		w.by = now + policy.Nanos(p.terms.Wait*float64(until-now))
+		w.refuseAt = now + policy.Nanos(p.config.Wait*float64(expires-now))
 	}
 	h.queue = append(h.queue, w)
-	p.waiting[s] = w
+	p.waiting[a] = w
 	if why == Unknown {
-		w.from = p.begin(now, h, w)
+		w.opening = p.startOpening(now, h, w)
 	}
 }
 
-// rested takes a connection from those at rest.
-func (p *Pool) rested(now policy.Nanos, h *host) *conn {
-	for len(h.rest) > 0 {
-		c := h.rest[0]
-		if p.terms.Reuse == Last {
-			c = h.rest[len(h.rest)-1]
+// idleConn returns the idle connection to use next and closes those that are due to retire; nil if none is left.
+func (p *Pool) idleConn(now policy.Nanos, h *host) *conn {
+	for len(h.idle) > 0 {
+		c := h.idle[0]
+		if p.config.Reuse == Last {
+			c = h.idle[len(h.idle)-1]
 		}
-		if why, over := p.over(now, c); over {
+		if why, retire := p.mustRetire(now, c); retire {
 			p.close(c, why)
 			continue
 		}
@@ -257,53 +257,54 @@
 	return nil
 }
 
-// waits tells whether an attempt may wait for a connection that is in use: what is in use comes free at the pace of late,
-// for those that wait already first.
-func (p *Pool) waits(now policy.Nanos, h *host, w *waiter) bool {
-	busy := h.open - h.opening - len(h.rest)
-	if p.terms.Wait <= 0 || busy <= 0 || len(h.queue) >= queueMost(busy) {
+// mayWait reports whether an attempt may wait for a connection in use. The expected wait follows from the recent time that attempts
+// hold a connection and from the attempts that wait already.
+func (p *Pool) mayWait(now policy.Nanos, h *host, w *waiter) bool {
+	busy := h.open - h.opening - len(h.idle)
+	if p.config.Wait <= 0 || busy <= 0 || len(h.queue) >= maxQueue(busy) {
 		return false
 	}
-	expected := float64(len(h.queue)+1) / float64(busy) * h.need.hold()
-	return expected <= p.terms.Wait*float64(w.until-now)
+	expected := float64(len(h.queue)+1) / float64(busy) * h.demand.meanHold()
+	return expected <= p.config.Wait*float64(w.expires-now)
 }
 
-// queueMost bounds the attempts that wait for connections in use: two for each are more than come free within any aim.
-func queueMost(busy int) int { return 2 * busy }
+// maxQueue limits the attempts that wait for connections in use. More than two for each connection would not be served within
+// any latency target.
+func maxQueue(busy int) int { return 2 * busy }
 
-// carry hands an attempt to a connection.
-func (p *Pool) carry(now policy.Nanos, c *conn, s Attempt) {
-	if c.phase == atRest {
-		p.unrest(c)
+// assign assigns an attempt to a connection.
+func (p *Pool) assign(now policy.Nanos, c *conn, a Attempt) {
+	if c.phase == idle {
+		p.removeIdle(c)
 	}
-	c.phase, c.since = inUse, now
-	c.used++
-	p.orders.Carry(c.id, s)
+	c.phase, c.phaseSince = inUse, now
+	c.uses++
+	p.actions.Carry(c.id, a)
 }
 
-func (p *Pool) unrest(c *conn) {
+func (p *Pool) removeIdle(c *conn) {
 	h := c.host
-	if i := slices.Index(h.rest, c); i >= 0 {
-		h.rest = slices.Delete(h.rest, i, i+1)
-		p.resting--
+	if i := slices.Index(h.idle, c); i >= 0 {
+		h.idle = slices.Delete(h.idle, i, i+1)
+		p.idleCount--
 	}
-	h.fewest = min(h.fewest, len(h.rest))
+	h.minIdle = min(h.minIdle, len(h.idle))
 }
 
-// begin opens a connection, for an attempt that waits or for none.
-func (p *Pool) begin(now policy.Nanos, h *host, w *waiter) *conn {
-	p.last++
-	c := &conn{id: p.last, host: h, process: h.process, since: now, retire: p.chance(), from: w}
+// startOpening starts opening a connection, for a waiting attempt or, with nil, ahead of need.
+func (p *Pool) startOpening(now policy.Nanos, h *host, w *waiter) *conn {
+	p.lastID++
+	c := &conn{id: p.lastID, host: h, processEpoch: h.processEpoch, phaseSince: now, retireJitter: p.random(), openedFor: w}
 	p.conns[c.id] = c
-	p.open++
+	p.openCount++
 	h.open++
 	h.opening++
-	p.spend(now, h)
-	p.orders.Open(h.id, c.id)
+	p.spendToken(now, h)
+	p.actions.Open(h.id, c.id)
 	return c
 }
 
-// Opened hears that a connection is up.
+// Opened reports that a connection was established.
 func (p *Pool) Opened(now policy.Nanos, id Conn) {
 	c := p.conns[id]
 	if c == nil || c.phase != opening {
@@ -311,187 +312,188 @@
 	}
 	h := c.host
 	h.opening--
-	c.born, c.since, c.phase = now, now, inUse
+	c.openedAt, c.phaseSince, c.phase = now, now, inUse
 	p.backoff = backoff{}
-	if w := c.from; w != nil {
-		w.from, c.from = nil, nil
-		// The first that waits gets it; if that is another one, what is opened for that one is now for this.
+	if w := c.openedFor; w != nil {
+		w.opening, c.openedFor = nil, nil
+		// The first waiting attempt gets this connection. If that is another attempt, the two swap the connections opened for them.
 		if first := h.queue[0]; first != w {
-			w.from, first.from = first.from, nil
-			if w.from != nil {
-				w.from.from = w
+			w.opening, first.opening = first.opening, nil
+			if w.opening != nil {
+				w.opening.openedFor = w
 			}
 		}
 	}
-	p.next(now, c)
+	p.reuseOrClose(now, c)
 }
 
-// next gives a connection that is free to the first attempt that waits and still has time, or lets it rest.
-func (p *Pool) next(now policy.Nanos, c *conn) {
+// reuseOrClose gives a free connection to the first waiting attempt that still has time. Without one the connection becomes idle or is closed.
+func (p *Pool) reuseOrClose(now policy.Nanos, c *conn) {
 	h := c.host
-	if p.shut || h.leaving || c.process != h.process {
+	if p.closed || h.leaving || c.processEpoch != h.processEpoch {
 		p.close(c, Leaving)
-		p.relieve(now, h)
+		p.serveQueue(now, h)
 		return
 	}
-	if why, over := p.over(now, c); over && len(h.queue) == 0 {
+	if why, retire := p.mustRetire(now, c); retire && len(h.queue) == 0 {
 		p.close(c, why)
 		return
 	}
 	for len(h.queue) > 0 {
 		w := h.queue[0]
-		if now >= w.until {
+		if now >= w.expires {
 			p.refuse(w, Late)
 			continue
 		}
-		p.leave(w)
-		p.carry(now, c, w.attempt)
+		p.dequeue(w)
+		p.assign(now, c, w.attempt)
 		return
 	}
-	if p.boundOf(h) < h.open {
+	if p.connectionLimit(h) < h.open {
 		p.close(c, Full)
 		return
 	}
-	c.phase, c.since = atRest, now
-	h.rest = append(h.rest, c)
-	p.resting++
+	c.phase, c.phaseSince = idle, now
+	h.idle = append(h.idle, c)
+	p.idleCount++
 }
 
-// leave takes an attempt from those that wait. What was being opened for it is for the next that nothing is opened for.
-func (p *Pool) leave(w *waiter) {
+// dequeue removes an attempt from the queue. A connection being opened for it passes to the next waiting attempt that has none being
+// opened.
+func (p *Pool) dequeue(w *waiter) {
 	h := w.host
 	delete(p.waiting, w.attempt)
 	i := slices.Index(h.queue, w)
 	h.queue = slices.Delete(h.queue, i, i+1)
-	c := w.from
+	c := w.opening
 	if c == nil {
 		return
 	}
-	w.from, c.from = nil, nil
+	w.opening, c.openedFor = nil, nil
 	for _, o := range h.queue {
-		if o.from == nil {
-			o.from, c.from = c, o
+		if o.opening == nil {
+			o.opening, c.openedFor = c, o
 			return
 		}
 	}
 }
 
 func (p *Pool) refuse(w *waiter, why Why) {
-	p.leave(w)
-	p.orders.Refuse(w.attempt, why)
+	p.dequeue(w)
+	p.actions.Refuse(w.attempt, why)
 }
 
-// GiveUp hears that nobody wants an attempt any more that may still wait; true where it did: it is not sent.
-func (p *Pool) GiveUp(s Attempt) bool {
-	w := p.waiting[s]
+// GiveUp cancels an attempt that still waits. It returns true if the attempt was waiting and so will not be sent.
+func (p *Pool) GiveUp(a Attempt) bool {
+	w := p.waiting[a]
 	if w == nil {
 		return false
 	}
-	p.leave(w)
-	p.forget(w.host)
+	p.dequeue(w)
+	p.removeIfUnused(w.host)
 	return true
 }
 
-// Freed hears that a connection has carried its attempt and can carry another.
+// Freed reports that the attempt on a connection has ended and that the connection can be reused.
 func (p *Pool) Freed(now policy.Nanos, id Conn) {
 	c := p.conns[id]
 	if c == nil || c.phase != inUse {
 		return
 	}
-	c.host.need.held(now, now-c.since)
-	p.next(now, c)
+	c.host.demand.recordHold(now, now-c.phaseSince)
+	p.reuseOrClose(now, c)
 }
 
-// Failed hears that a connection did not come up. The attempt that it was opened for is refused: its host may be dead.
-func (p *Pool) Failed(now policy.Nanos, id Conn) { p.failed(now, id, NoConnect) }
+// Failed reports that a connection could not be opened. The attempt that it was opened for is refused: the host may be dead.
+func (p *Pool) Failed(now policy.Nanos, id Conn) { p.openingFailed(now, id, NoConnect) }
 
-func (p *Pool) failed(now policy.Nanos, id Conn, why Why) {
+func (p *Pool) openingFailed(now policy.Nanos, id Conn, why Why) {
 	c := p.conns[id]
 	if c == nil {
 		return
 	}
-	w := c.from
-	c.from = nil
-	p.drop(c)
+	w := c.openedFor
+	c.openedFor = nil
+	p.remove(c)
 	if w != nil {
-		w.from = nil
+		w.opening = nil
 		p.refuse(w, why)
 	}
-	p.relieve(now, c.host)
-	p.forget(c.host)
+	p.serveQueue(now, c.host)
+	p.removeIfUnused(c.host)
 }
 
-// Closed hears that a connection has ended: with an attempt, by its host while it rested, or after a fault.
+// Closed reports that a connection has ended: with its attempt, by the host while idle, or after a fault.
 func (p *Pool) Closed(now policy.Nanos, id Conn) {
 	c := p.conns[id]
 	if c == nil {
 		return
 	}
 	if c.phase == inUse {
-		c.host.need.held(now, now-c.since)
+		c.host.demand.recordHold(now, now-c.phaseSince)
 	}
-	p.drop(c)
-	p.relieve(now, c.host)
-	p.forget(c.host)
+	p.remove(c)
+	p.serveQueue(now, c.host)
+	p.removeIfUnused(c.host)
 }
 
-// Rejected hears that a host turned away the first attempt of a new connection, or broke it: it may hold too many. Its
-// bound is lowered, to grow again slowly.
+// Rejected reports that a host turned away an attempt or reset its connection. If it was the first attempt on a new connection, the
+// host may have too many connections: its limit is lowered and then grows again slowly.
 func (p *Pool) Rejected(now policy.Nanos, id Conn) {
 	c := p.conns[id]
-	if c == nil || c.used > 1 || p.terms.HostMost == 0 {
+	if c == nil || c.uses > 1 || p.config.HostMost == 0 {
 		return
 	}
 	h := c.host
-	h.most, h.mostAt = max(1, min(p.boundOf(h), h.open)-1), now
+	h.learnedLimit, h.learnedLimitAt = max(1, min(p.connectionLimit(h), h.open)-1), now
 }
 
-// relieve looks after the attempts that wait where a connection has ended: one is opened for the first that none is opened
-// for. Where that may not be and nothing is left that could come free, they are refused: an attempt that waits for nothing
-// would wait until its time is over.
-func (p *Pool) relieve(now policy.Nanos, h *host) {
+// serveQueue handles the waiting attempts of a host after one of its connections has ended. It opens a connection for the first
+// attempt that has none being opened. If that is not allowed and no connection can come free, it refuses the attempts, which
+// would otherwise wait until their time is over.
+func (p *Pool) serveQueue(now policy.Nanos, h *host) {
 	for _, w := range slices.Clone(h.queue) {
-		if w.from != nil {
+		if w.opening != nil {
 			continue
 		}
-		why := p.place(now, h)
+		why := p.makeRoom(now, h)
 		if why == Unknown {
-			w.from = p.begin(now, h, w)
+			w.opening = p.startOpening(now, h, w)
 			return
 		}
-		if h.open > len(h.rest) { // some are in use or being opened
+		if h.open > len(h.idle) { // some connections are in use or being opened
 			return
 		}
 		p.refuse(w, why)
 	}
 }
 
-// drop takes a connection out of all counts.
-func (p *Pool) drop(c *conn) {
+// remove removes a connection from the pool and from all counts.
+func (p *Pool) remove(c *conn) {
 	switch c.phase {
-	case atRest:
-		p.unrest(c)
+	case idle:
+		p.removeIdle(c)
 	case opening:
 		c.host.opening--
 	}
-	if w := c.from; w != nil {
-		w.from, c.from = nil, nil
+	if w := c.openedFor; w != nil {
+		w.opening, c.openedFor = nil, nil
 	}
 	delete(p.conns, c.id)
 	c.host.open--
-	p.open--
+	p.openCount--
 }
 
 func (p *Pool) close(c *conn, why Why) {
-	p.drop(c)
-	p.orders.Close(c.id, why)
-	p.forget(c.host)
+	p.remove(c)
+	p.actions.Close(c.id, why)
+	p.removeIfUnused(c.host)
 }
 
-// Shut closes what rests and refuses what waits; from now on all attempts are refused.
+// Shut closes the idle connections, refuses the waiting attempts and refuses all attempts from now on.
 func (p *Pool) Shut() {
-	p.shut = true
-	for _, id := range p.sorted() {
+	p.closed = true
+	for _, id := range p.activeHosts() {
 		h := p.hosts[id]
 		for len(h.queue) > 0 {
 			p.refuse(h.queue[0], Shut)
@@ -500,11 +502,11 @@
 	}
 }
 
-// sorted are the hosts with which something can happen, in order: what is done to all must not hang on the order of a map. One
-// without a connection, and with none to be opened ahead, costs nothing, however many there are.
-func (p *Pool) sorted() []Host {
-	ids := make([]Host, 0, p.open+len(p.waiting))
-	if p.terms.Ahead > 0 {
+// activeHosts returns, in order, the hosts that need periodic work, so that results do not depend on map order. Hosts that have neither
+// connections nor waiting attempts are skipped unless connections are opened ahead, so that many unused hosts cost nothing.
+func (p *Pool) activeHosts() []Host {
+	ids := make([]Host, 0, p.openCount+len(p.waiting))
+	if p.config.Ahead > 0 {
 		ids = slices.AppendSeq(ids, maps.Keys(p.hosts))
 	} else {
 		for _, c := range p.conns {
@@ -520,162 +522,164 @@
 	return slices.Compact(ids)
 }
 
-// Open is the number of connections, with those being opened.
-func (p *Pool) Open() int { return p.open }
+// Open returns the number of connections, including those being opened.
+func (p *Pool) Open() int { return p.openCount }
 
-// Bound tells how often a bound of a host refused an attempt since the last time, and forgets it.
+// Bound returns, by host, how many attempts could neither get a connection nor wait for one, and resets the counts.
 func (p *Pool) Bound() map[Host]int {
-	b := p.bound
-	p.bound = map[Host]int{}
-	return b
+	hits := p.limitHits
+	p.limitHits = map[Host]int{}
+	return hits
 }
 
-// ---- bounds
+// ---- limits
 
-// share is this balancer's part of what a host allows all.
-func (p *Pool) share(of float64) float64 { return of / float64(p.terms.Balancers) }
+// equalShare returns this balancer's equal share of what a host allows all balancers.
+func (p *Pool) equalShare(total float64) float64 { return total / float64(p.config.Balancers) }
 
-// openings is the same of what a host bears in new connections, of which the part may be told.
-func (p *Pool) openings(of float64) float64 {
-	if p.part > 0 {
-		return of * p.part
+// ownShare returns this balancer's share of the new connections that a host tolerates; Part may have set it.
+func (p *Pool) ownShare(total float64) float64 {
+	if p.openingsShare > 0 {
+		return total * p.openingsShare
 	}
-	return p.share(of)
+	return p.equalShare(total)
 }
 
-// Part tells this balancer's part of all openings from now on; 0: an equal one.
-func (p *Pool) Part(part float64) { p.part = part }
+// Part sets this balancer's fraction of the new connections to each host; 0 means an equal share.
+func (p *Pool) Part(share float64) { p.openingsShare = share }
 
-// Need is the largest part of a host's openings that attempts here have wanted in a time that ends now; it begins anew.
-func (p *Pool) Need(now policy.Nanos, over policy.Nanos) (part float64) {
+// Need returns the fraction of a host's openings that this balancer's attempts asked for in the period that ends now, for the host
+// where it was largest, and resets the counts. The fraction is of half of what the host tolerates.
+func (p *Pool) Need(now policy.Nanos, period policy.Nanos) (share float64) {
 	for _, h := range p.hosts {
-		if bears := p.bears(h, now) / 2; bears > 0 {
-			part = max(part, float64(h.wanted)/seconds(over)/bears)
+		if allowed := p.hostRate(h, now) / 2; allowed > 0 {
+			share = max(share, float64(h.openingsWanted)/seconds(period)/allowed)
 		}
-		h.wanted = 0
+		h.openingsWanted = 0
 	}
-	return part
+	return share
 }
 
-// mostGrows is how long a learned bound stands before it grows by one: a host that is full stays so for seconds.
-const mostGrows = 5 * policy.Second
+// learnedLimitInterval is the interval at which a learned limit grows by one: a host that is full stays full for seconds.
+const learnedLimitInterval = 5 * policy.Second
 
-// boundOf is how many connections a host may have from here.
-func (p *Pool) boundOf(h *host) int {
-	most := p.terms.Most
-	if p.terms.HostMost > 0 {
-		most = min(most, max(1, int(p.share(float64(p.terms.HostMost)))))
+// connectionLimit returns how many connections this balancer may have to a host.
+func (p *Pool) connectionLimit(h *host) int {
+	limit := p.config.Most
+	if p.config.HostMost > 0 {
+		limit = min(limit, max(1, int(p.equalShare(float64(p.config.HostMost)))))
 	}
-	for _, m := range []int{h.fixed, h.most} {
+	for _, m := range []int{h.fixedLimit, h.learnedLimit} {
 		if m > 0 {
-			most = min(most, m)
+			limit = min(limit, m)
 		}
 	}
-	return most
+	return limit
 }
 
-// mayOpen tells whether a host may be opened one more connection: Unknown if so, Room if one at rest elsewhere has to go
-// for it, else what speaks against it.
+// mayOpen checks whether another connection to a host may be opened. It returns Unknown if so, Room if an idle connection to another
+// host must be closed first, and otherwise the reason against it.
 func (p *Pool) mayOpen(now policy.Nanos, h *host) Why {
-	if h.most > 0 && now-h.mostAt >= mostGrows {
-		h.most, h.mostAt = h.most+1, now
+	if h.learnedLimit > 0 && now-h.learnedLimitAt >= learnedLimitInterval {
+		h.learnedLimit, h.learnedLimitAt = h.learnedLimit+1, now
 	}
 	switch {
 	case now < p.backoff.until:
 		return Local
-	case h.open >= p.boundOf(h):
+	case h.open >= p.connectionLimit(h):
 		return Full
-	case !p.fair(h):
+	case !p.leavesReserve(h):
 		return Full
-	case p.open >= p.terms.Most && p.oldest(h) == nil:
+	case p.openCount >= p.config.Most && p.longestIdle(h) == nil:
 		return Full
-	case !p.allowed(now, h): // last: a draw is spent only on what opens
+	case !p.withinOpeningRate(now, h): // checked last, so that tokens are spent only where a connection can be opened
 		return Budget
-	case p.open >= p.terms.Most:
+	case p.openCount >= p.config.Most:
 		return Room
 	}
 	return Unknown
 }
 
-// fair keeps a floor of connections for each host that has not got its own yet, so that one that hangs cannot take all
-// places. Half of the places are floors: the other half goes to who needs it.
-func (p *Pool) fair(h *host) bool {
-	floor := p.terms.Most / 2 / max(1, len(p.hosts))
-	if h.open < floor {
+// leavesReserve reports whether another connection to a host leaves room for the other hosts. Half of the pool's limit is reserved in equal
+// parts for all hosts, so that a host that hangs cannot take every connection; the other half goes to the hosts that need it.
+func (p *Pool) leavesReserve(h *host) bool {
+	reserve := p.config.Most / 2 / max(1, len(p.hosts))
+	if h.open < reserve {
 		return true
 	}
-	kept := 0
-	if floor > 0 { // else there are more hosts than half of the places
+	reserved := 0
+	if reserve > 0 { // otherwise there are more hosts than reserved connections
 		for _, o := range p.hosts {
 			if o != h && !o.leaving {
-				kept += max(0, floor-o.open)
+				reserved += max(0, reserve-o.open)
 			}
 		}
 	}
-	return p.open-(p.resting-len(h.rest))+kept < p.terms.Most
+	return p.openCount-(p.idleCount-len(h.idle))+reserved < p.config.Most
 }
 
-// oldest is the connection at rest longest, of any host but one.
-func (p *Pool) oldest(but *host) (c *conn) {
-	if p.resting == len(but.rest) {
+// longestIdle returns the connection that has been idle longest, among all hosts except one.
+func (p *Pool) longestIdle(except *host) (c *conn) {
+	if p.idleCount == len(except.idle) {
 		return nil
 	}
 	for _, o := range p.conns {
-		if o.phase == atRest && o.host != but && (c == nil || cmp.Or(cmp.Compare(o.since, c.since), cmp.Compare(o.id, c.id)) < 0) {
+		if o.phase == idle && o.host != except && (c == nil || cmp.Or(cmp.Compare(o.phaseSince, c.phaseSince), cmp.Compare(o.id, c.id)) < 0) {
 			c = o
 		}
 	}
 	return c
 }
 
-// place is mayOpen that makes room where that is all that lacks.
-func (p *Pool) place(now policy.Nanos, h *host) Why {
+// makeRoom is like mayOpen, but where only room is missing it closes the connection idle longest at another host.
+func (p *Pool) makeRoom(now policy.Nanos, h *host) Why {
 	why := p.mayOpen(now, h)
 	if why == Room {
-		p.close(p.oldest(h), Room)
+		p.close(p.longestIdle(h), Room)
 		return Unknown
 	}
 	return why
 }
 
-// rate is how many connections a second this balancer may open to a host: half of its part. With what is saved up that
-// is five eighths of the part in any second, which leaves three deviations for the draws of hundreds of balancers.
-func (p *Pool) rate(h *host, now policy.Nanos) float64 { return p.openings(p.bears(h, now)) / 2 }
+// openRate returns how many connections per second this balancer may open to a host: half of its share. With the saved burst it opens
+// at most five eighths of its share in any second. The rest is a margin of three standard deviations for the random draws of
+// hundreds of balancers.
+func (p *Pool) openRate(h *host, now policy.Nanos) float64 { return p.ownShare(p.hostRate(h, now)) / 2 }
 
-// bears is how many a second a host bears from all.
-func (p *Pool) bears(h *host, now policy.Nanos) float64 {
-	if p.terms.ColdOpenings > 0 && h.born > 0 && now-h.born < p.terms.ColdFor {
-		return p.terms.ColdOpenings
+// hostRate returns the new connections per second that a host tolerates from all balancers.
+func (p *Pool) hostRate(h *host, now policy.Nanos) float64 {
+	if p.config.ColdOpenings > 0 && h.startedAt > 0 && now-h.startedAt < p.config.ColdFor {
+		return p.config.ColdOpenings
 	}
-	return p.terms.Openings
+	return p.config.Openings
 }
 
-// burst is what may be saved up: a quarter of a second's.
-func (p *Pool) burst(h *host, now policy.Nanos) float64 { return p.rate(h, now) / 4 }
+// openingBurst returns the maximum of saved tokens: the openings of a quarter of a second.
+func (p *Pool) openingBurst(h *host, now policy.Nanos) float64 { return p.openRate(h, now) / 4 }
 
-// allowed draws on the budget. A part smaller than one is drawn, and spent either way: a least of one for each of
-// hundreds of balancers, all at once, is what a fresh host cannot bear.
-func (p *Pool) allowed(now policy.Nanos, h *host) bool {
-	if p.terms.Openings <= 0 {
+// withinOpeningRate reports whether the opening rate permits another connection. Less than a whole token is the probability of permission and
+// is spent either way. A guaranteed minimum of one opening for each of hundreds of balancers would overload a fresh host.
+func (p *Pool) withinOpeningRate(now policy.Nanos, h *host) bool {
+	if p.config.Openings <= 0 {
 		return true
 	}
-	h.wanted++
-	p.fill(now, h)
+	h.openingsWanted++
+	p.refillTokens(now, h)
 	if h.tokens >= 1 {
 		return true
 	}
-	t := h.tokens
+	probability := h.tokens
 	h.tokens = 0
-	return p.chance() < t
+	return p.random() < probability
 }
 
-func (p *Pool) fill(now policy.Nanos, h *host) {
-	h.tokens = min(p.burst(h, now), h.tokens+p.rate(h, now)*seconds(now-h.tokensAt))
+func (p *Pool) refillTokens(now policy.Nanos, h *host) {
+	h.tokens = min(p.openingBurst(h, now), h.tokens+p.openRate(h, now)*seconds(now-h.tokensAt))
 	h.tokensAt = now
 }
 
-func (p *Pool) spend(now policy.Nanos, h *host) {
-	if p.terms.Openings > 0 {
+func (p *Pool) spendToken(now policy.Nanos, h *host) {
+	if p.config.Openings > 0 {
 		h.tokens = max(0, h.tokens-1)
 	}
 }
@@ -684,104 +688,106 @@
 
 // ---- retirement and opening ahead
 
-// over tells whether a connection should not be used again. Idle ones go at five to six eighths of the host's limit and
-// old ones at three quarters of their age to all of it, spread, so that those opened together do not end together.
-func (p *Pool) over(now policy.Nanos, c *conn) (why Why, over bool) {
-	if p.terms.Idle > 0 && c.phase == atRest && float64(now-c.since) >= float64(p.terms.Idle)*(0.75-c.retire/8) {
+// mustRetire reports whether and why a connection must not be used again. Idle connections retire at five to six eighths of the host's idle
+// limit, old ones between three quarters and all of the maximum age. The random spread keeps connections that were opened
+// together from ending together.
+func (p *Pool) mustRetire(now policy.Nanos, c *conn) (why Why, retire bool) {
+	if p.config.Idle > 0 && c.phase == idle && float64(now-c.phaseSince) >= float64(p.config.Idle)*(0.75-c.retireJitter/8) {
 		return Idle, true
 	}
-	if p.terms.Age > 0 && c.phase != opening && float64(now-c.born) >= float64(p.terms.Age)*(1-c.retire/4) {
+	if p.config.Age > 0 && c.phase != opening && float64(now-c.openedAt) >= float64(p.config.Age)*(1-c.retireJitter/4) {
 		return Age, true
 	}
 	return Unknown, false
 }
 
-// TickEvery is how often Tick wants to be called.
+// TickEvery is the interval at which Tick must be called.
 const TickEvery = 100 * policy.Millisecond
 
-// Tick does what comes with time: attempts that waited too long, connections to retire, those to open ahead.
+// Tick does the periodic work: it refuses attempts that waited too long, retires connections and opens connections ahead.
 func (p *Pool) Tick(now policy.Nanos) {
-	for _, id := range p.sorted() {
+	for _, id := range p.activeHosts() {
 		h := p.hosts[id]
 		for _, w := range slices.Clone(h.queue) {
-			if now >= w.until {
+			if now >= w.expires {
 				p.refuse(w, Late)
-			} else if w.by > 0 && now >= w.by && w.from == nil {
+			} else if w.refuseAt > 0 && now >= w.refuseAt && w.opening == nil {
 				p.refuse(w, Full)
 			}
 		}
-		for _, c := range slices.Clone(h.rest) {
-			if why, over := p.over(now, c); over {
+		for _, c := range slices.Clone(h.idle) {
+			if why, retire := p.mustRetire(now, c); retire {
 				p.close(c, why)
 			}
 		}
-		p.shrink(now, h)
-		p.ahead(now, h)
+		p.closeSurplus(now, h)
+		p.openAhead(now, h)
 	}
 }
 
-// shrink closes what nobody used for a while, but for what the need of late asks.
-func (p *Pool) shrink(now policy.Nanos, h *host) {
-	if p.terms.Shrink <= 0 || now-h.lookedAt < p.terms.Shrink {
+// closeSurplus closes the connections that stayed idle during the last interval, but keeps as many as recent demand calls for.
+func (p *Pool) closeSurplus(now policy.Nanos, h *host) {
+	if p.config.Shrink <= 0 || now-h.shrunkAt < p.config.Shrink {
 		return
 	}
-	surplus := min(h.fewest, h.open-p.wanted(now, h))
-	h.lookedAt = now
+	surplus := min(h.minIdle, h.open-p.targetConnections(now, h))
+	h.shrunkAt = now
 	for range surplus {
-		p.close(h.rest[0], Surplus)
+		p.close(h.idle[0], Surplus)
 	}
-	h.fewest = len(h.rest)
+	h.minIdle = len(h.idle)
 }
 
-// wanted is how many connections a host needs: by Little's law the mean number in use is the rate of attempts times what
-// one takes; some deviations of it are added. A fresh host that has had nothing yet will need what the others do.
-func (p *Pool) wanted(now policy.Nanos, h *host) int {
-	mean := h.need.mean(now)
-	if mean == 0 && h.born > 0 && now-h.born < p.terms.ColdFor {
-		mean = p.typicalNeed(now)
+// targetConnections returns how many connections a host needs. By Little's law the mean number in use is the rate of attempts times their
+// duration; Ahead standard deviations are added. A cold host without attempts so far is expected to need as many as the others.
+func (p *Pool) targetConnections(now policy.Nanos, h *host) int {
+	mean := h.demand.mean(now)
+	if mean == 0 && h.startedAt > 0 && now-h.startedAt < p.config.ColdFor {
+		mean = p.meanHostDemand(now)
 	}
 	if mean == 0 {
 		return 0
 	}
-	return int(math.Ceil(mean + p.terms.Ahead*math.Sqrt(mean)))
+	return int(math.Ceil(mean + p.config.Ahead*math.Sqrt(mean)))
 }
 
-// typicalNeed is the mean need of the hosts that have had attempts or not, worked out once for each time.
-type typicalNeed struct {
+// meanDemand caches the mean demand of all hosts at one instant.
+type meanDemand struct {
 	at   policy.Nanos
 	mean float64
 }
 
-// typicalNeed is asked of hosts that have had no attempt: one more of these hardly moves the mean.
-func (p *Pool) typicalNeed(now policy.Nanos) float64 {
-	if p.typical.at == now {
-		return p.typical.mean
+// meanHostDemand returns the mean demand of the other hosts, for a host without attempts so far. It is computed once for each instant:
+// which of the hosts without attempts is left out does not change the mean.
+func (p *Pool) meanHostDemand(now policy.Nanos) float64 {
+	if p.cachedMean.at == now {
+		return p.cachedMean.mean
 	}
 	sum, n := 0.0, 0
 	for _, o := range p.hosts {
 		if !o.leaving {
-			sum += o.need.mean(now)
+			sum += o.demand.mean(now)
 			n++
 		}
 	}
-	p.typical = typicalNeed{now, sum / float64(max(1, n-1))} // the one that asks is not counted
-	return p.typical.mean
+	p.cachedMean = meanDemand{now, sum / float64(max(1, n-1))} // the host in question is not counted
+	return p.cachedMean.mean
 }
 
-// ahead opens what will be needed, within the budget.
-func (p *Pool) ahead(now policy.Nanos, h *host) {
-	if p.terms.Ahead <= 0 || p.shut || h.leaving {
+// openAhead opens the connections that will be needed, within the opening rate.
+func (p *Pool) openAhead(now policy.Nanos, h *host) {
+	if p.config.Ahead <= 0 || p.closed || h.leaving {
 		return
 	}
-	for h.open < p.wanted(now, h) && p.open < p.terms.Most && p.mayOpen(now, h) == Unknown { // never at another's cost
-		p.begin(now, h, nil)
+	for h.open < p.targetConnections(now, h) && p.openCount < p.config.Most && p.mayOpen(now, h) == Unknown { // never closes connections to other hosts
+		p.startOpening(now, h, nil)
 	}
 }
 
-// need measures the attempts at a host and how long each held its connection, in slots of time that are used again.
-type need struct {
-	slots [needSlots]struct {
-		turn     policy.Nanos
+// demand measures the attempts at a host and how long each held its connection, in a ring of time slots.
+type demand struct {
+	slots [demandSlots]struct {
+		index    policy.Nanos
 		attempts float64
 		held     float64 // nanoseconds
 		ended    float64
@@ -789,52 +795,52 @@
 }
 
 const (
-	needSlots = 4
-	needSlot  = policy.Second // four seconds hold a surge's begin and forget its end soon after
+	demandSlots      = 4
+	demandSlotLength = policy.Second // four seconds cover the start of a surge and drop it soon after its end
 )
 
-func (n *need) at(now policy.Nanos) *struct {
-	turn     policy.Nanos
+func (n *demand) slot(now policy.Nanos) *struct {
+	index    policy.Nanos
 	attempts float64
 	held     float64
 	ended    float64
 } {
-	turn := now / needSlot
-	s := &n.slots[turn%needSlots]
-	if s.turn != turn {
-		s.turn, s.attempts, s.held, s.ended = turn, 0, 0, 0
+	index := now / demandSlotLength
+	s := &n.slots[index%demandSlots]
+	if s.index != index {
+		s.index, s.attempts, s.held, s.ended = index, 0, 0, 0
 	}
 	return s
 }
 
-func (n *need) asked(now policy.Nanos) { n.at(now).attempts++ }
+func (n *demand) recordAttempt(now policy.Nanos) { n.slot(now).attempts++ }
 
-func (n *need) held(now, took policy.Nanos) {
-	s := n.at(now)
+func (n *demand) recordHold(now, took policy.Nanos) {
+	s := n.slot(now)
 	s.held += float64(took)
 	s.ended++
 }
 
-// hold is how long an attempt holds its connection, in nanoseconds.
-func (n *need) hold() float64 {
+// meanHold returns how long an attempt holds its connection on average, in nanoseconds.
+func (n *demand) meanHold() float64 {
 	held, ended := 0.0, 0.0
 	for _, s := range n.slots {
 		held += s.held
 		ended += s.ended
 	}
 	if ended == 0 {
-		return float64(policy.Second) // nothing is known: as much as an aim
+		return float64(policy.Second) // no attempt has ended yet: assume as much as a latency target
 	}
 	return held / ended
 }
 
-// mean is how many connections were in use at a time.
-func (n *need) mean(now policy.Nanos) float64 {
-	turn, sum, first := now/needSlot, 0.0, now
+// mean returns how many connections were in use on average.
+func (n *demand) mean(now policy.Nanos) float64 {
+	index, sum, first := now/demandSlotLength, 0.0, now
 	for _, s := range n.slots {
-		if turn-s.turn < needSlots && s.attempts+s.ended > 0 {
+		if index-s.index < demandSlots && s.attempts+s.ended > 0 {
 			sum += s.held
-			first = min(first, s.turn*needSlot)
+			first = min(first, s.index*demandSlotLength)
 		}
 	}
 	if now <= first {
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -13,112 +13,112 @@
 
 const ms, s = policy.Millisecond, policy.Second
 
-// log notes orders as text and holds them to what no order may break.
-type log struct {
-	text     strings.Builder
-	fault    string
-	conns    map[Conn]string // what is known of each connection that is open
-	host     map[Conn]Host
-	over     map[Conn]Attempt
-	attempts map[Attempt]string // what became of each attempt
-	opens    []Conn
+// actionLog implements Orders. It records the calls as text and checks the rules that every call must keep.
+type actionLog struct {
+	text      strings.Builder
+	fault     string
+	conns     map[Conn]string // state of each open connection
+	host      map[Conn]Host
+	attemptOn map[Conn]Attempt
+	attempts  map[Attempt]string // state of each attempt
+	opens     []Conn
 }
 
-func newLog() *log {
-	return &log{conns: map[Conn]string{}, host: map[Conn]Host{}, over: map[Conn]Attempt{}, attempts: map[Attempt]string{}}
+func newActionLog() *actionLog {
+	return &actionLog{conns: map[Conn]string{}, host: map[Conn]Host{}, attemptOn: map[Conn]Attempt{}, attempts: map[Attempt]string{}}
 }
 
-func (l *log) wrong(form string, args ...any) {
+func (l *actionLog) fail(format string, args ...any) {
 	if l.fault == "" {
-		l.fault = fmt.Sprintf(form, args...)
+		l.fault = fmt.Sprintf(format, args...)
 	}
 }
 
-func (l *log) Open(h Host, c Conn) {
+func (l *actionLog) Open(h Host, c Conn) {
 	fmt.Fprintf(&l.text, "open %s%d ", h, c)
 	if _, twice := l.conns[c]; twice {
-		l.wrong("connection %d is opened twice", c)
+		l.fail("connection %d is opened twice", c)
 	}
 	l.conns[c], l.host[c] = "opening", h
 	l.opens = append(l.opens, c)
 }
 
-func (l *log) Carry(c Conn, s Attempt) {
-	fmt.Fprintf(&l.text, "carry %d/%d ", s, c)
+func (l *actionLog) Carry(c Conn, a Attempt) {
+	fmt.Fprintf(&l.text, "carry %d/%d ", a, c)
 	if l.conns[c] != "up" {
-		l.wrong("attempt %d goes over connection %d, which is %q", s, c, l.conns[c])
+		l.fail("attempt %d is sent over connection %d, whose state is %q", a, c, l.conns[c])
 	}
-	if l.attempts[s] != "asked" {
-		l.wrong("attempt %d is carried, and was %q", s, l.attempts[s])
+	if l.attempts[a] != "asked" {
+		l.fail("attempt %d is sent, but its state was %q", a, l.attempts[a])
 	}
-	l.conns[c], l.over[c], l.attempts[s] = "in use", s, "carried"
+	l.conns[c], l.attemptOn[c], l.attempts[a] = "in use", a, "carried"
 }
 
-func (l *log) Close(c Conn, why Why) {
+func (l *actionLog) Close(c Conn, why Why) {
 	fmt.Fprintf(&l.text, "close %d %v ", c, why)
 	if l.conns[c] == "in use" || l.conns[c] == "" {
-		l.wrong("connection %d is closed, which is %q", c, l.conns[c])
+		l.fail("connection %d is closed, but its state was %q", c, l.conns[c])
 	}
 	delete(l.conns, c)
 }
 
-func (l *log) Refuse(s Attempt, why Why) {
-	fmt.Fprintf(&l.text, "refuse %d %v ", s, why)
-	if l.attempts[s] != "asked" {
-		l.wrong("attempt %d is refused, and was %q", s, l.attempts[s])
+func (l *actionLog) Refuse(a Attempt, why Why) {
+	fmt.Fprintf(&l.text, "refuse %d %v ", a, why)
+	if l.attempts[a] != "asked" {
+		l.fail("attempt %d is refused, but its state was %q", a, l.attempts[a])
 	}
-	l.attempts[s] = "refused"
+	l.attempts[a] = "refused"
 }
 
-func (l *log) took() string {
+func (l *actionLog) takeText() string {
 	t := strings.TrimSpace(l.text.String())
 	l.text.Reset()
 	return t
 }
 
-// world drives a pool as upstream does.
-type world struct {
-	*log
-	p   *Pool
-	now policy.Nanos
-	n   Attempt
+// testPool drives a pool the way package upstream does.
+type testPool struct {
+	*actionLog
+	p           *Pool
+	now         policy.Nanos
+	lastAttempt Attempt
 }
 
-func newWorld(terms Terms, seed uint64) *world {
-	l := newLog()
-	return &world{log: l, p: New(l, terms, rand.New(rand.NewPCG(seed, 1)).Float64)}
+func newTestPool(config Terms, seed uint64) *testPool {
+	l := newActionLog()
+	return &testPool{actionLog: l, p: New(l, config, rand.New(rand.NewPCG(seed, 1)).Float64)}
 }
 
-func (w *world) ask(h Host, left policy.Nanos) Attempt {
-	w.n++
-	w.attempts[w.n] = "asked"
-	w.p.Ask(w.now, h, w.n, w.now+left)
-	return w.n
+func (w *testPool) ask(h Host, left policy.Nanos) Attempt {
+	w.lastAttempt++
+	w.attempts[w.lastAttempt] = "asked"
+	w.p.Ask(w.now, h, w.lastAttempt, w.now+left)
+	return w.lastAttempt
 }
 
-func (w *world) opened(c Conn) {
+func (w *testPool) opened(c Conn) {
 	w.conns[c] = "up"
 	w.p.Opened(w.now, c)
 }
 
-func (w *world) freed(c Conn) {
+func (w *testPool) freed(c Conn) {
 	w.conns[c] = "up"
 	w.p.Freed(w.now, c)
 }
 
-func (w *world) closed(c Conn) {
+func (w *testPool) closed(c Conn) {
 	delete(w.conns, c)
 	w.p.Closed(w.now, c)
 }
 
-func (w *world) failed(c Conn) {
+func (w *testPool) failed(c Conn) {
 	delete(w.conns, c)
 	w.p.Failed(w.now, c)
 }
 
-func (w *world) expect(t *testing.T, want string) {
+func (w *testPool) expect(t *testing.T, want string) {
 	t.Helper()
-	if got := w.took(); got != want {
+	if got := w.takeText(); got != want {
 		t.Errorf("got %q, expected %q", got, want)
 	}
 	if w.fault != "" {
@@ -126,10 +126,10 @@
 	}
 }
 
-// An attempt that waits for one that is being opened takes one that comes free before; what was opened for it then serves
-// the next, and a dial that fails takes the attempt with it that it was for, lest a dead host is never seen.
-func TestWaits(t *testing.T) {
-	w := newWorld(Terms{Most: 2, Wait: 0.5}, 1)
+// An attempt that waits for a connection being opened uses another one if that comes free earlier, and the opened one then serves the
+// next attempt. A failed dial ends the attempt that it was made for, so that a dead host is noticed.
+func TestWaitForConnection(t *testing.T) {
+	w := newTestPool(Terms{Most: 2, Wait: 0.5}, 1)
 	w.p.Up(0, "a", 0, false, 0)
 	w.ask("a", s)
 	w.opened(1)
@@ -144,7 +144,7 @@
 	w.now = 20 * ms
 	w.freed(2)
 	w.expect(t, "carry 3/2 carry 4/2")
-	w.ask("a", 5*ms) // ten milliseconds an attempt are too long for it
+	w.ask("a", 5*ms) // attempts take 10 ms, which is too long for its remaining time
 	w.expect(t, "refuse 5 full")
 	w.p.Up(w.now, "b", 0, false, 0)
 	w.p.Leaves("a")
@@ -156,9 +156,9 @@
 	w.expect(t, "open b3 refuse 7 full refuse 6 no_connect")
 }
 
-// Another process at the same name or address is not sent anything over a connection to the one before.
+// No attempt for a restarted host is sent over a connection to its earlier process.
 func TestAnotherProcess(t *testing.T) {
-	w := newWorld(Terms{Most: 9}, 1)
+	w := newTestPool(Terms{Most: 9}, 1)
 	w.p.Up(0, "a", 0, false, 0)
 	w.ask("a", s)
 	w.ask("a", s)
@@ -171,9 +171,9 @@
 	w.expect(t, "open a1 open a2 carry 1/1 carry 2/2 close 1 leaving close 2 leaving open a3")
 }
 
-// One that rested so long that its host may be closing it is not used; those opened together do not end together.
-func TestStale(t *testing.T) {
-	w := newWorld(Terms{Most: 9, Idle: 8 * s}, 3)
+// A connection idle for so long that its host may close it is not used. Connections opened together are not closed together.
+func TestIdleConnectionsRetire(t *testing.T) {
+	w := newTestPool(Terms{Most: 9, Idle: 8 * s}, 3)
 	w.p.Up(0, "a", 0, false, 0)
 	for range 3 {
 		w.ask("a", s)
@@ -184,29 +184,29 @@
 	for c := Conn(1); c <= 3; c++ {
 		w.freed(c)
 	}
-	w.took()
+	w.takeText()
 	ends := map[policy.Nanos]int{}
 	for w.now = 4 * s; w.now < 6*s+TickEvery; w.now += TickEvery {
 		w.p.Tick(w.now)
-		if n := strings.Count(w.took(), "idle"); n > 0 {
+		if n := strings.Count(w.takeText(), "idle"); n > 0 {
 			ends[w.now] += n
 		}
 	}
 	if len(ends) < 2 || len(w.conns) != 0 {
-		t.Errorf("ends %v, %d left", ends, len(w.conns))
+		t.Errorf("closed by time %v, %d still open", ends, len(w.conns))
 	}
 	w.ask("a", s)
 	w.opened(4)
 	w.freed(4)
-	w.now += 7 * s // no tick came
-	w.took()
+	w.now += 7 * s // without a Tick in between
+	w.takeText()
 	w.ask("a", s)
 	w.expect(t, "close 4 idle open a5")
 }
 
-// A host that hangs holds every connection that it gets. It may not get all.
+// A host that hangs keeps every connection that it gets, so it must not get all of them.
 func TestOneHostCannotTakeAll(t *testing.T) {
-	w := newWorld(Terms{Most: 20}, 1)
+	w := newTestPool(Terms{Most: 20}, 1)
 	for i := range 5 {
 		w.p.Up(0, Host(rune('a'+i)), 0, false, 0)
 	}
@@ -216,12 +216,12 @@
 	for _, c := range w.opens {
 		w.opened(c)
 	}
-	w.took()
+	w.takeText()
 	for _, h := range []Host{"b", "c", "d", "e"} {
 		w.ask(h, s)
 		w.ask(h, s)
 	}
-	if got := w.took(); strings.Count(got, "open") != 8 {
+	if got := w.takeText(); strings.Count(got, "open") != 8 {
 		t.Error(got)
 	}
 	if n := w.p.hosts["a"].open; n != 12 {
@@ -229,81 +229,81 @@
 	}
 }
 
-// Connections are opened before they are needed, as many as are in use at a time and some more; after a surge they go.
-func TestAheadAndShrink(t *testing.T) {
-	w := newWorld(Terms{Most: 100, Ahead: 2, Shrink: 2 * s, ColdFor: 20 * s}, 1)
+// Connections are opened ahead of need, slightly more than are in use on average, and closed after a surge.
+func TestOpenAheadAndCloseSurplus(t *testing.T) {
+	w := newTestPool(Terms{Most: 100, Ahead: 2, Shrink: 2 * s, ColdFor: 20 * s}, 1)
 	w.p.Up(0, "a", 0, false, 0)
-	busy := func(n int, until policy.Nanos) {
+	run := func(n int, until policy.Nanos) {
 		for ; w.now < until; w.now += 50 * ms {
 			for range n {
 				w.ask("a", s)
 			}
-			for c, what := range w.conns {
-				if what == "opening" {
+			for c, state := range w.conns {
+				if state == "opening" {
 					w.opened(c)
 				}
 			}
 			w.now += 50 * ms
-			for c, what := range w.conns {
-				if what == "in use" {
+			for c, state := range w.conns {
+				if state == "in use" {
 					w.freed(c)
 				}
 			}
 			w.p.Tick(w.now)
 		}
 	}
-	busy(16, 3*s)
+	run(16, 3*s)
 	if n := w.p.hosts["a"].open; n < 16 || n > 24 { // eight in use on average, sixteen at a time
-		t.Errorf("%d open in the surge", n)
+		t.Errorf("%d open during the surge", n)
 	}
-	w.took()
-	w.p.Up(w.now, "b", w.now, false, 0) // a successor, before anything is asked of it
+	w.takeText()
+	w.p.Up(w.now, "b", w.now, false, 0) // a new host, before its first attempt
 	w.p.Tick(w.now)
-	if got := strings.Count(w.took(), "open b"); got < 8 || got > 16 {
-		t.Errorf("%d opened ahead for a successor", got)
+	if got := strings.Count(w.takeText(), "open b"); got < 8 || got > 16 {
+		t.Errorf("%d opened ahead for a new host", got)
 	}
-	busy(1, 20*s)
+	run(1, 20*s)
 	if n := w.p.hosts["a"].open; n > 4 {
 		t.Errorf("%d open long after the surge", n)
 	}
 }
 
-// All balancers open to a fresh host at once. However many they are, in no second do they open more together than it
-// bears, and while they are few they use what it bears.
-func TestOpeningsTogether(t *testing.T) {
+// All balancers open connections to a fresh host at once. However many balancers there are, together they never open more in a
+// second than the host tolerates, and they make use of at least a quarter of that rate.
+func TestOpeningsOfAllBalancers(t *testing.T) {
 	for _, balancers := range []int{1, 2, 4, 8, 400} {
 		const cap = 50
-		worlds := make([]*world, balancers)
-		for i := range worlds {
-			worlds[i] = newWorld(Terms{Balancers: balancers, Most: 500, Openings: 400, ColdOpenings: cap, ColdFor: 60 * s}, uint64(i+1))
-			worlds[i].p.Up(s, "new", s, false, 0)
+		pools := make([]*testPool, balancers)
+		for i := range pools {
+			pools[i] = newTestPool(Terms{Balancers: balancers, Most: 500, Openings: 400, ColdOpenings: cap, ColdFor: 60 * s}, uint64(i+1))
+			pools[i].p.Up(s, "new", s, false, 0)
 		}
 		perTick := []int{}
 		for now := s; now < 9*s; now += 10 * ms {
 			n := 0
-			for _, w := range worlds {
+			for _, w := range pools {
 				w.now = now
 				w.ask("new", s)
 				n += len(w.opens)
-				for _, c := range w.opens { // each is held for good: a new one is wanted every time
+				for _, c := range w.opens { // each stays in use, so that every attempt needs a new one
 					w.opened(c)
 				}
 				w.opens = w.opens[:0]
 			}
 			perTick = append(perTick, n)
 		}
-		most, all := 0, 0
+		maxPerSecond, all := 0, 0
 		for i := range perTick {
 			sum := 0
 			for _, n := range perTick[i:min(i+100, len(perTick))] {
 				sum += n
 			}
-			most, all = max(most, sum), all+perTick[i]
+			maxPerSecond, all = max(maxPerSecond, sum), all+perTick[i]
 		}
-		if most > cap || all < 8*cap/4 {
-			t.Errorf("%d balancers: %d openings in a second, %d in 8 s, expected at most %d a second", balancers, most, all, cap)
+		if maxPerSecond > cap || all < 8*cap/4 {
+			t.Errorf("%d balancers: %d openings in a second, %d in 8 s, expected at most %d a second", balancers, maxPerSecond, all, cap)
 		}
-		for _, w := range worlds {
+		for _, w := range pools {
 			if w.fault != "" {
 				t.Error(w.fault)
 			}
@@ -311,9 +311,9 @@
 	}
 }
 
-// A host that turns away what comes over new connections gets fewer, and more again slowly.
-func TestRejected(t *testing.T) {
-	w := newWorld(Terms{Balancers: 1, Most: 100, HostMost: 10}, 1)
+// A host that rejects attempts on new connections gets fewer connections, and slowly more again.
+func TestRejectionsLowerLimit(t *testing.T) {
+	w := newTestPool(Terms{Balancers: 1, Most: 100, HostMost: 10}, 1)
 	w.p.Up(0, "a", 0, false, 0)
 	for range 8 {
 		w.ask("a", s)
@@ -323,34 +323,34 @@
 	}
 	w.freed(1)
 	w.ask("a", s)
-	w.p.Rejected(w.now, 1) // it has carried one well before: that is the host's queue
+	w.p.Rejected(w.now, 1) // an earlier attempt on it succeeded, so the host's queue is full, not its connections
 	w.freed(1)
 	w.ask("a", s)
 	w.p.Rejected(w.now, 8)
 	w.freed(8)
-	w.took()
+	w.takeText()
 	w.ask("a", s)
 	w.expect(t, "refuse 11 full")
-	w.now += mostGrows + 1
+	w.now += learnedLimitInterval + 1
 	w.ask("a", s)
 	w.expect(t, "open a9")
 }
 
-// Whatever comes in whatever order: never over a bound, never two attempts on a connection, each attempt has one end, none is
-// forgotten, and what is counted is what there is.
-func TestAnyOrder(t *testing.T) {
+// For any sequence of events: no limit is exceeded, no connection has two attempts, each attempt ends exactly once, none waits
+// forever, and the counts match the actual connections.
+func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := Terms{Balancers: rapid.IntRange(1, 3).Draw(t, "balancers"), Most: rapid.IntRange(1, 12).Draw(t, "most"),
+		config := Terms{Balancers: rapid.IntRange(1, 3).Draw(t, "balancers"), Most: rapid.IntRange(1, 12).Draw(t, "most"),
 			HostMost: rapid.IntRange(0, 20).Draw(t, "host most"), Openings: float64(rapid.IntRange(0, 40).Draw(t, "openings")),
 			Idle: 3 * s, Age: 9 * s, Wait: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "wait"),
 			Ahead: rapid.SampledFrom([]float64{0, 1}).Draw(t, "ahead"), Shrink: 2 * s, ColdFor: 5 * s,
 			Reuse: rapid.SampledFrom([]Reuse{Longest, Last}).Draw(t, "reuse")}
-		w := newWorld(terms, rapid.Uint64().Draw(t, "seed"))
+		w := newTestPool(config, rapid.Uint64().Draw(t, "seed"))
 		hosts := []Host{"a", "b", "c"}
-		some := func(what string) (Conn, bool) {
+		pick := func(state string) (Conn, bool) {
 			var list []Conn
-			for c := Conn(1); c <= w.p.last; c++ {
-				if w.conns[c] == what {
+			for c := Conn(1); c <= w.p.lastID; c++ {
+				if w.conns[c] == state {
 					list = append(list, c)
 				}
 			}
@@ -363,31 +363,31 @@
 			if w.fault != "" {
 				t.Fatal(w.fault)
 			}
-			if len(w.conns) != w.p.open || w.p.open > terms.Most {
-				t.Fatalf("%d open by the orders, %d by the count, %d at most", len(w.conns), w.p.open, terms.Most)
+			if len(w.conns) != w.p.openCount || w.p.openCount > config.Most {
+				t.Fatalf("%d open by the recorded calls, %d by the count, at most %d allowed", len(w.conns), w.p.openCount, config.Most)
 			}
-			of := map[Host]int{}
+			perHost := map[Host]int{}
 			for c := range w.conns {
-				of[w.host[c]]++
+				perHost[w.host[c]]++
 			}
 			for id, h := range w.p.hosts {
-				if h.open != of[id] || terms.HostMost > 0 && h.open > max(1, terms.HostMost/terms.Balancers) {
-					t.Fatalf("%s has %d open by the orders, %d by the count", id, of[id], h.open)
+				if h.open != perHost[id] || config.HostMost > 0 && h.open > max(1, config.HostMost/config.Balancers) {
+					t.Fatalf("%s has %d open by the recorded calls, %d by the count", id, perHost[id], h.open)
 				}
 			}
 			for id, h := range w.p.hosts {
-				if len(h.queue) > 0 && h.open == len(h.rest) {
-					t.Fatalf("attempts wait at %s for nothing", id)
+				if len(h.queue) > 0 && h.open == len(h.idle) {
+					t.Fatalf("attempts wait at %s, but no connection can come free", id)
 				}
 			}
 			n := 0
-			for _, what := range w.attempts {
-				if what == "asked" {
+			for _, state := range w.attempts {
+				if state == "asked" {
 					n++
 				}
 			}
 			if n != len(w.p.waiting) {
-				t.Fatalf("%d attempts have no end, %d wait", n, len(w.p.waiting))
+				t.Fatalf("%d attempts have not ended, %d wait", n, len(w.p.waiting))
 			}
 		}
 		t.Repeat(map[string]func(*rapid.T){
@@ -401,37 +401,37 @@
 				}
 			},
 			"opened": func(*rapid.T) {
-				if c, ok := some("opening"); ok {
+				if c, ok := pick("opening"); ok {
 					w.opened(c)
 				}
 			},
 			"failed": func(*rapid.T) {
-				if c, ok := some("opening"); ok {
+				if c, ok := pick("opening"); ok {
 					w.failed(c)
 				}
 			},
 			"freed": func(*rapid.T) {
-				if c, ok := some("in use"); ok {
+				if c, ok := pick("in use"); ok {
 					w.freed(c)
 				}
 			},
 			"rejected": func(*rapid.T) {
-				if c, ok := some("in use"); ok {
+				if c, ok := pick("in use"); ok {
 					w.p.Rejected(w.now, c)
 				}
 			},
 			"closed": func(t *rapid.T) {
-				if c, ok := some(rapid.SampledFrom([]string{"in use", "up"}).Draw(t, "phase")); ok {
+				if c, ok := pick(rapid.SampledFrom([]string{"in use", "up"}).Draw(t, "phase")); ok {
 					w.closed(c)
 				}
 			},
 			"given up": func(t *rapid.T) {
-				sh := Attempt(rapid.IntRange(1, max(1, int(w.n))).Draw(t, "attempt"))
-				if w.p.GiveUp(sh) {
-					if w.attempts[sh] != "asked" {
-						t.Fatalf("attempt %d, which was %q, waited", sh, w.attempts[sh])
+				a := Attempt(rapid.IntRange(1, max(1, int(w.lastAttempt))).Draw(t, "attempt"))
+				if w.p.GiveUp(a) {
+					if w.attempts[a] != "asked" {
+						t.Fatalf("attempt %d was waiting, but its state was %q", a, w.attempts[a])
 					}
-					w.attempts[sh] = "given up"
+					w.attempts[a] = "given up"
 				}
 			},
 			"time": func(t *rapid.T) {
@@ -440,14 +440,14 @@
 			},
 			"": func(*rapid.T) { check() },
 		})
-		// In the end nothing is left behind.
+		// After shutdown no attempt is left waiting.
 		w.now += 3 * s
 		w.p.Tick(w.now)
 		w.p.Shut()
 		check()
-		for _, what := range w.attempts {
-			if what == "asked" {
-				t.Fatal("an attempt is left waiting")
+		for _, state := range w.attempts {
+			if state == "asked" {
+				t.Fatal("an attempt is still waiting after shutdown")
 			}
 		}
 	})
