--- a/internal/upstream/announce.go
+++ b/internal/upstream/announce.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// What an attempt tells its server of the time that is left is what the client has left at the moment of the write, less what
-// passes until the server has the last byte. A server that is told more works on for a client who has gone.
+// An attempt announces to its server the time that the client has left at the moment of the write, less the time until the server has
+// received the last byte. A server that is announced more keeps working after the client has given up.
 const (
-	// wayAllowance is for the way there; half of the time where less than twice as much is left.
-	wayAllowance = 25 * time.Millisecond
-	// transferAllowance is for a value that a connection may not take at once; a quarter of the time at the most.
+	// networkAllowance is for the transit to the server; at most half of the remaining time.
+	networkAllowance = 25 * time.Millisecond
+	// transferAllowance is for a value too large to be written without blocking; at most a quarter of the remaining time.
 	transferAllowance = 300 * time.Millisecond
-	// uploadAllowance is for a value that the server takes more slowly than the client writes it; a quarter likewise.
+	// uploadAllowance is for a server that reads a value more slowly than the client sends it; at most a quarter of the client's wait.
 	uploadAllowance = 500 * time.Millisecond
-	// lastByteAllowance is how much more a server may have been told when the last byte of an upload goes out.
+	// lastByteAllowance is by how much the time announced may exceed the client's remaining time at the last byte of an upload.
 	lastByteAllowance = 50 * time.Millisecond
 )
 
-// announced is the time that the attempt tells its server; under a millisecond it is not to be sent. It reads the clock, so
-// that it belongs right before the write.
-func (s *Attempt) announced() time.Duration {
-	if s.Upload != nil { // the server begins with the last byte, and so does the client's time
-		return s.Upload.Wait - min(uploadAllowance, s.Upload.Wait/4)
+// announcedTime returns the remaining time to announce to the server; below a millisecond the attempt must not be sent. It reads the
+// clock and so must be called right before the write.
+func (a *Attempt) announcedTime() time.Duration {
+	if a.Upload != nil { // the server's work and the client's wait both begin with the last byte
+		return a.Upload.Wait - min(uploadAllowance, a.Upload.Wait/4)
 	}
-	left := s.Deadline.Remaining()
-	return left - min(wayAllowance, left/2) - s.transfer()
+	remaining := a.Deadline.Remaining()
+	return remaining - min(networkAllowance, remaining/2) - a.transferTime()
 }
 
-// transfer is how long the write may take.
-func (s *Attempt) transfer() time.Duration {
-	if len(s.Value) <= fits {
+// transferTime returns how long the write may take.
+func (a *Attempt) transferTime() time.Duration {
+	if len(a.Value) <= maxUnblockedWrite {
 		return 0
 	}
-	return min(transferAllowance, s.Deadline.Remaining()/4)
+	return min(transferAllowance, a.Deadline.Remaining()/4)
 }
--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -18,8 +18,8 @@
 	"streamrail/policy"
 )
 
-// TestAnnounced holds what is told against what is left, from a long time to none.
-func TestAnnounced(t *testing.T) {
+// TestAnnouncedTime holds what is told against what is left, from a long time to none.
+func TestAnnouncedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
 			left        time.Duration
@@ -32,16 +32,16 @@
 			{left: time.Millisecond, most: time.Millisecond - 1},
 			{left: 0, most: 0, least: -time.Second},
 			{left: -time.Second, most: 0, least: -time.Hour},
-			{left: time.Second, value: fits, least: 970 * time.Millisecond, most: 980 * time.Millisecond},
-			{left: time.Second, value: fits + 1, least: 700 * time.Millisecond, most: 750 * time.Millisecond},
-			{left: 3 * time.Second, value: fits + 1, least: 2600 * time.Millisecond, most: 2700 * time.Millisecond},
+			{left: time.Second, value: maxUnblockedWrite, least: 970 * time.Millisecond, most: 980 * time.Millisecond},
+			{left: time.Second, value: maxUnblockedWrite + 1, least: 700 * time.Millisecond, most: 750 * time.Millisecond},
+			{left: 3 * time.Second, value: maxUnblockedWrite + 1, least: 2600 * time.Millisecond, most: 2700 * time.Millisecond},
 			{left: time.Minute, upload: true, least: 500 * time.Millisecond, most: 750 * time.Millisecond}, // of the client's second
 		} {
-			s := &Attempt{Deadline: deadline.After(time.Now(), c.left), Value: make([]byte, c.value)}
+			a := &Attempt{Deadline: deadline.After(time.Now(), c.left), Value: make([]byte, c.value)}
 			if c.upload {
-				s.Upload = &Upload{Wait: time.Second}
+				a.Upload = &Upload{Wait: time.Second}
 			}
-			if got := s.announced(); got < c.least || got > c.most {
+			if got := a.announcedTime(); got < c.least || got > c.most {
 				t.Errorf("%+v: told %v", c, got)
 			}
 		}
@@ -50,42 +50,42 @@
 
 // TestNoTimeLeft makes sure that not a byte is written where nothing is left, and that the connection goes on.
 func TestNoTimeLeft(t *testing.T) {
-	hs, _, conns := stand(t, wide)
-	first, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	hs, _, conns := newTestHosts(t, testLimits)
+	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(first)
 	host := <-conns
 	host.SetDeadline(time.Now().Add(10 * time.Second))
 	buffer := make([]byte, 100)
 	host.Read(buffer)
 	fmt.Fprint(host, "EN O1\r\n")
-	ends(t, ended, policy.Missed)
-	atRest(t, hs, 1)
-	late, ended := attempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
+	expectOutcome(t, ended, policy.Missed)
+	waitIdle(t, hs, 1)
+	late, ended := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	late.Deadline = deadline.After(time.Now(), time.Millisecond)
 	hs.Send(late)
-	ends(t, ended, policy.NeverSent)
-	atRest(t, hs, 1)
-	next, ended := attempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
+	expectOutcome(t, ended, policy.NeverSent)
+	waitIdle(t, hs, 1)
+	next, ended := newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
 	hs.Send(next)
 	if n, _ := host.Read(buffer); !strings.HasPrefix(string(buffer[:n]), "mg k v O3 ") {
 		t.Errorf("the host got %q", buffer[:n])
 	}
 	fmt.Fprint(host, "EN O3\r\n")
-	ends(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.Missed)
 }
 
-// narrow makes the system hold as little as it can of what is sent.
-func narrow(network, address string, raw syscall.RawConn) error {
+// setSmallBuffers makes the system hold as little as it can of what is sent.
+func setSmallBuffers(network, address string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
 		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 4096)
 	})
 }
 
-// narrowHost is a host whose connections hold little and that reads when the test does.
-func narrowHost(t *testing.T, dialer net.Dialer) (hs *Hosts, conns chan net.Conn) {
-	hs, entry, _ := stand(t, wide)
-	listener, err := (&net.ListenConfig{Control: narrow}).Listen(context.Background(), "tcp", "127.0.0.1:0")
+// newSmallBufferHost is a host whose connections hold little and that reads when the test does.
+func newSmallBufferHost(t *testing.T, dialer net.Dialer) (hs *Hosts, conns chan net.Conn) {
+	hs, entry, _ := newTestHosts(t, testLimits)
+	listener, err := (&net.ListenConfig{Control: setSmallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,14 +102,14 @@
 	return hs, conns
 }
 
-// TestLongWriteThatIsNotTaken ends a write that its host does not take while what it was told still holds: it never ran.
-func TestLongWriteThatIsNotTaken(t *testing.T) {
-	hs, conns := narrowHost(t, net.Dialer{Control: narrow})
+// TestLongWriteNotRead ends a write that its host does not take while what it was told still holds: it never ran.
+func TestLongWriteNotRead(t *testing.T) {
+	hs, conns := newSmallBufferHost(t, net.Dialer{Control: setSmallBuffers})
 	value := strings.Repeat("v", 60<<10)
-	s, ended := attempt(t, "ms k "+strconv.Itoa(len(value))+" O1 Pc=pay,d=4000,k=7", value, 4*time.Second)
+	a, ended := newAttempt(t, "ms k "+strconv.Itoa(len(value))+" O1 Pc=pay,d=4000,k=7", value, 4*time.Second)
 	began := time.Now()
-	hs.Send(s)
-	ends(t, ended, policy.ConnectFailed)
+	hs.Send(a)
+	expectOutcome(t, ended, policy.ConnectFailed)
 	if took := time.Since(began); took > 2*time.Second {
 		t.Errorf("it was waited for %v of four seconds", took)
 	}
@@ -122,29 +122,29 @@
 	}
 }
 
-// roomy makes the system hold all that these tests send.
-func roomy(network, address string, raw syscall.RawConn) error {
+// setLargeSendBuffer makes the system hold all that these tests send.
+func setLargeSendBuffer(network, address string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 1<<20) })
 }
 
-// TestGivenUpOnTheWay gives an attempt up that the system holds, as its host takes nothing: the host must not have it whole when it
+// TestGivenUpInSendBuffer gives an attempt up that the system holds, as its host takes nothing: the host must not have it whole when it
 // reads on.
-func TestGivenUpOnTheWay(t *testing.T) {
-	for name, over := range map[string]func(s *Attempt){
+func TestGivenUpInSendBuffer(t *testing.T) {
+	for name, giveUp := range map[string]func(a *Attempt){
 		"given up":  (*Attempt).GiveUp,
 		"timed out": func(*Attempt) {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			hs, conns := narrowHost(t, net.Dialer{Control: roomy})
+			hs, conns := newSmallBufferHost(t, net.Dialer{Control: setLargeSendBuffer})
 			value := strings.Repeat("v", 60<<10)
-			s, ended := attempt(t, "ms k "+strconv.Itoa(len(value))+" O1 Pc=pay,d=500,k=7", value, 500*time.Millisecond)
-			hs.Send(s)
+			a, ended := newAttempt(t, "ms k "+strconv.Itoa(len(value))+" O1 Pc=pay,d=500,k=7", value, 500*time.Millisecond)
+			hs.Send(a)
 			for began := time.Now(); hs.Sent() == 0; time.Sleep(time.Millisecond) {
 				if time.Since(began) > 10*time.Second {
 					t.Fatal("the attempt is never written")
 				}
 			}
-			over(s)
+			giveUp(a)
 			<-ended
 			host := <-conns
 			host.SetDeadline(time.Now().Add(10 * time.Second))
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -17,25 +17,25 @@
 	"streamrail/policy"
 )
 
-// conn is a connection to one host; its goroutine runs run.
+// conn is a connection to a host. Its goroutine executes run.
 type conn struct {
-	id     pool.Conn
-	hosts  *Hosts
-	host   *host
-	addr   string
-	cancel context.CancelFunc // of its dial
-	net    net.Conn
-	in     *bufio.Reader
-	head   []byte // written last, used again
+	id          pool.Conn
+	hosts       *Hosts
+	host        *host
+	addr        string
+	cancel      context.CancelFunc // cancels its dial
+	net         net.Conn
+	reader      *bufio.Reader
+	writeBuffer []byte // buffer for the command line or request header, reused
 
-	// Under hosts.mu.
-	next       *Attempt // that it is to carry
-	resting    bool     // its goroutine waits in a read
-	closing    bool     // the pool has dropped it
-	unfinished bool     // its last attempt has ended without the answer that it waits for
+	// Guarded by hosts.mu.
+	next       *Attempt // the attempt to send next
+	idle       bool     // its goroutine waits in a read for the next attempt
+	closing    bool     // the pool has removed the connection
+	unfinished bool     // the last attempt left the connection unusable, for example without its answer
 }
 
-// run dials and carries attempts until the connection ends.
+// run dials and serves attempts until the connection ends.
 func (c *conn) run(ctx context.Context) {
 	hs := c.hosts
 	net, err := hs.Dial(ctx, "tcp", c.addr)
@@ -47,39 +47,40 @@
 	case err != nil && !c.closing:
 		hs.pool.Failed(hs.now(), c.id)
 	case err == nil:
-		c.net, c.in = net, newReader(net)
+		c.net, c.reader = net, newReader(net)
 		if !c.closing {
 			hs.pool.Opened(hs.now(), c.id)
 		}
 		c.serve()
-		c.end()
+		c.closeOrReset()
 	}
 	delete(hs.conns, c.id)
 	c.host.open--
-	hs.forget(c.host)
+	hs.removeIfUnused(c.host)
 	hs.mu.Unlock()
 }
 
-// serve carries what the pool hands to the connection, and rests in between. Called and left under hosts.mu.
+// serve sends the attempts that the pool assigns to the connection and waits in between. The caller holds hosts.mu; it is released
+// while serve blocks.
 func (c *conn) serve() {
 	hs := c.hosts
 	for first := true; !c.closing; first = false {
-		s := c.next
-		if s == nil {
-			if s = c.rest(); s == nil {
+		a := c.next
+		if a == nil {
+			if a = c.waitForAttempt(); a == nil {
 				return
 			}
 		}
 		c.next = nil
 		hs.mu.Unlock()
-		r, written, keep := c.carry(s)
-		s.end(r, written) // first: who gives it up after this ends no other attempt
+		r, written, keep := c.exchange(a)
+		a.finish(r, written) // before the connection is reused: a later GiveUp cannot end another attempt
 		hs.mu.Lock()
 		if first && (r.Outcome == policy.TurnedAway || r.Outcome == policy.Reset) {
 			hs.pool.Rejected(hs.now(), c.id)
 		}
 		c.unfinished = !keep
-		if !keep || c.in.Buffered() > 0 { // what came unasked belongs to no attempt
+		if !keep || c.reader.Buffered() > 0 { // unexpected data belongs to no attempt
 			hs.pool.Closed(hs.now(), c.id)
 			c.closing = true
 		} else {
@@ -88,101 +89,101 @@
 	}
 }
 
-// carry writes an attempt and waits for its answer; it tells what came of it, whether its last byte was written and whether
-// the connection can be kept.
-func (c *conn) carry(s *Attempt) (r Result, written, keep bool) {
-	// The order may have waited for the connection: what is over, or drained by now, is not written any more.
-	if !s.carry(c.abort) || c.hosts.tooLate(c.host) || s.BeginBy.Passed() || s.Deadline.Passed() ||
-		s.Gone != nil && s.Gone() {
+// exchange writes an attempt and reads its answer. It returns the result, whether the last byte of the attempt was written, and
+// whether the connection can be reused.
+func (c *conn) exchange(a *Attempt) (r Result, written, keep bool) {
+	// The attempt may have waited for the connection. It is not written if its time is over or the grace of its host has expired.
+	if !a.setStop(c.reset) || c.hosts.graceExpired(c.host) || a.BeginBy.Passed() || a.Deadline.Passed() ||
+		a.Gone != nil && a.Gone() {
 		return Result{Outcome: policy.NeverSent}, false, true
 	}
-	c.net.SetReadDeadline(s.Deadline.Time())
-	told := s.announced()
-	if told < time.Millisecond {
+	c.net.SetReadDeadline(a.Deadline.Time())
+	announced := a.announcedTime()
+	if announced < time.Millisecond {
 		return Result{Outcome: policy.NeverSent}, false, true
 	}
-	if s.Upload != nil && !s.Upload.Take() { // another attempt has had the value
+	if a.Upload != nil && !a.Upload.Take() { // another attempt has taken the value
 		return Result{Outcome: policy.NeverSent}, false, true
 	}
 	began := time.Now()
-	if o := c.write(s, told); o != policy.Fulfilled {
-		return Result{Outcome: o}, false, false
+	if outcome := c.write(a, announced); outcome != policy.Fulfilled {
+		return Result{Outcome: outcome}, false, false
 	}
-	var peer time.Duration
-	if s.Upload != nil {
-		peer = time.Since(began)
+	var clientTime time.Duration
+	if a.Upload != nil {
+		clientTime = time.Since(began)
 	}
 	c.hosts.sent.Add(1)
-	r, keep, err := c.read(s)
+	r, keep, err := c.read(a)
 	switch {
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		r = Result{Outcome: policy.TimedOut}
-	case broken(err):
+	case isConnectionError(err):
 		r = Result{Outcome: policy.Reset}
 	case err != nil:
 		r = Result{Outcome: policy.Spoilt}
 	}
-	r.Peer += peer
+	r.Peer += clientTime
 	return r, true, keep && err == nil
 }
 
-// fits is what a connection on which nothing is out always takes without waiting: the system's buffers are larger.
-const fits = 8 << 10
+// maxUnblockedWrite is the number of bytes that an idle connection accepts without blocking: the system's socket buffers are larger.
+const maxUnblockedWrite = 8 << 10
 
-// broken tells an end of the connection from an answer that cannot be read.
-func broken(err error) bool {
-	var fromNet net.Error
-	return errors.As(err, &fromNet) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
+// isConnectionError distinguishes the end of a connection from an invalid answer.
+func isConnectionError(err error) bool {
+	var netError net.Error
+	return errors.As(err, &netError) || errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-// end closes the connection, by a reset where an attempt may still be on its way.
-func (c *conn) end() {
+// closeOrReset closes the connection, with a reset if its last attempt may still be in transit.
+func (c *conn) closeOrReset() {
 	if c.unfinished {
-		c.abort()
+		c.reset()
 		return
 	}
 	c.net.Close()
 }
 
-// abort ends the connection by a reset. What the system still holds of an attempt would else go on to a server that cannot be
-// reached now, and begin there long after the attempt was given up: with a deadline that has passed, and beyond the window in
-// which it would be known for a repeat.
-func (c *conn) abort() {
+// reset closes the connection with a TCP reset. Otherwise the system would still deliver the buffered rest of an attempt to a server
+// that cannot be reached at present. The attempt could then run there long after it was given up, past its deadline and outside
+// the window in which duplicates are detected.
+func (c *conn) reset() {
 	if socket, ok := c.net.(*net.TCPConn); ok {
 		socket.SetLinger(0)
 	}
 	c.net.Close()
 }
 
-// write tells by Fulfilled that the last byte of an attempt was written, that is, that it may run. The server is
-// told so much time.
-func (c *conn) write(s *Attempt, told time.Duration) policy.Outcome {
-	if len(s.Value) > fits { // what is not whole by then is not to be
-		c.net.SetWriteDeadline(s.BeginBy.First(deadline.After(time.Now(), s.transfer())).Time())
+// write sends an attempt and the remaining time announced to the server. It returns Fulfilled if the last byte was written, that is,
+// if the attempt may run.
+func (c *conn) write(a *Attempt, announced time.Duration) policy.Outcome {
+	if len(a.Value) > maxUnblockedWrite { // a write that is incomplete by then is abandoned
+		c.net.SetWriteDeadline(a.BeginBy.First(deadline.After(time.Now(), a.transferTime())).Time())
 		defer c.net.SetWriteDeadline(time.Time{})
 	}
-	c.head = c.head[:0]
-	cmd := s.Command
+	c.writeBuffer = c.writeBuffer[:0]
+	cmd := a.Command
 	parts := net.Buffers{nil}
 	if c.host.isOrigin {
 		method, length := "GET", -1
 		if cmd.Write {
 			method, length = "PUT", cmd.Length
-			parts = append(parts, s.Value)
+			parts = append(parts, a.Value)
 		}
 		path := httpwire.AppendPath(nil, cmd.Key)
-		c.head = httpwire.AppendRequest(c.head, method, string(path), c.addr, length,
-			httpwire.ID, string(cmd.ID), httpwire.Attrs, string(cmd.AppendAttrs(nil, told)))
+		c.writeBuffer = httpwire.AppendRequest(c.writeBuffer, method, string(path), c.addr, length,
+			httpwire.ID, string(cmd.ID), httpwire.Attrs, string(cmd.AppendAttrs(nil, announced)))
 	} else {
-		c.head = cmd.AppendOnward(c.head, told)
+		c.writeBuffer = cmd.AppendOnward(c.writeBuffer, announced)
 		if cmd.Write {
-			parts = append(parts, s.Value, []byte("\r\n"))
+			parts = append(parts, a.Value, []byte("\r\n"))
 		}
 	}
-	if s.Upload != nil {
-		return c.upload(s, told)
+	if a.Upload != nil {
+		return c.writeUpload(a, announced)
 	}
-	parts[0] = c.head
+	parts[0] = c.writeBuffer
 	total := int64(0)
 	for _, p := range parts {
 		total += int64(len(p))
@@ -190,7 +191,7 @@
 	n, err := int64(0), error(nil)
 	if len(parts) == 1 {
 		var written int
-		written, err = c.net.Write(c.head)
+		written, err = c.net.Write(c.writeBuffer)
 		n = int64(written)
 	} else {
 		n, err = parts.WriteTo(c.net)
@@ -205,29 +206,29 @@
 }
 
 var (
-	errGarbage = errors.New("not an answer to this attempt")
-	errNoRoom  = errors.New("no memory for the value")
+	errInvalidAnswer = errors.New("not an answer to this attempt")
+	errNoMemory      = errors.New("no memory for the value")
 )
 
-func (c *conn) read(s *Attempt) (r Result, keep bool, err error) {
+func (c *conn) read(a *Attempt) (r Result, keep bool, err error) {
 	if c.host.isOrigin {
-		return c.readOrigin(s)
+		return c.readOrigin(a)
 	}
-	line, err := c.in.ReadSlice('\n')
+	line, err := c.reader.ReadSlice('\n')
 	if err != nil {
 		return r, false, err
 	}
 	if len(line) < 2 || line[len(line)-2] != '\r' || len(line) > memcache.MostLine {
-		return r, false, errGarbage
+		return r, false, errInvalidAnswer
 	}
-	a, err := memcache.ParseAnswer(line[:len(line)-2])
+	answer, err := memcache.ParseAnswer(line[:len(line)-2])
 	if err != nil {
 		return r, false, err
 	}
 	if c.hosts.limits.Reports {
-		r.Load = loadreport.Parse(string(a.Report), "=")
+		r.Load = loadreport.Parse(string(answer.Report), "=")
 	}
-	switch a.Reply {
+	switch answer.Reply {
 	case memcache.TurnedAway:
 		r.Outcome = policy.TurnedAway
 		return r, true, nil
@@ -237,59 +238,59 @@
 	case memcache.Miss:
 		r.Outcome = policy.Missed
 	case memcache.Receipt:
-		r.Body = append(r.Body, a.Receipt...)
+		r.Body = append(r.Body, answer.Receipt...)
 	}
-	// The answer must be to this command, and of its kind and whole.
-	if string(a.ID) != string(s.Command.ID) || a.Reply != memcache.Miss && (a.Reply == memcache.Receipt) != s.Command.Write ||
-		a.Reply == memcache.Receipt && !memcache.IsReceipt(a.Receipt) {
-		return r, false, errGarbage
+	// The answer must be complete, carry this command's id and be of the kind that the command expects.
+	if string(answer.ID) != string(a.Command.ID) || answer.Reply != memcache.Miss && (answer.Reply == memcache.Receipt) != a.Command.Write ||
+		answer.Reply == memcache.Receipt && !memcache.IsReceipt(answer.Receipt) {
+		return r, false, errInvalidAnswer
 	}
-	if a.Reply == memcache.Value {
-		if a.Length > Whole {
-			return c.pass(s, r, a.Length, c.lineEnd)
+	if answer.Reply == memcache.Value {
+		if answer.Length > Whole {
+			return c.streamValue(a, r, answer.Length, c.readLineEnd)
 		}
-		if !s.Room(a.Length + 2) {
-			return r, false, errNoRoom
+		if !a.Room(answer.Length + 2) {
+			return r, false, errNoMemory
 		}
-		r.Body = make([]byte, a.Length+2)
-		if _, err = io.ReadFull(c.in, r.Body); err != nil {
+		r.Body = make([]byte, answer.Length+2)
+		if _, err = io.ReadFull(c.reader, r.Body); err != nil {
 			return r, false, err
 		}
-		if string(r.Body[a.Length:]) != "\r\n" {
-			return r, false, errGarbage
+		if string(r.Body[answer.Length:]) != "\r\n" {
+			return r, false, errInvalidAnswer
 		}
-		r.Body = r.Body[:a.Length]
+		r.Body = r.Body[:answer.Length]
 	}
 	return r, true, nil
 }
 
-// lineEnd reads what follows a value.
-func (c *conn) lineEnd() error {
+// readLineEnd reads the line end that follows a value.
+func (c *conn) readLineEnd() error {
 	var end [2]byte
-	if _, err := io.ReadFull(c.in, end[:]); err != nil {
+	if _, err := io.ReadFull(c.reader, end[:]); err != nil {
 		return err
 	}
 	if string(end[:]) != "\r\n" {
-		return errGarbage
+		return errInvalidAnswer
 	}
 	return nil
 }
 
-func (c *conn) readOrigin(s *Attempt) (r Result, keep bool, err error) {
-	whole := Whole
-	if s.Command.Write {
-		whole = memcache.MostValue // it is a receipt, or the body of an error
+func (c *conn) readOrigin(a *Attempt) (r Result, keep bool, err error) {
+	maxBuffered := Whole
+	if a.Command.Write {
+		maxBuffered = memcache.MostValue // the body is a receipt or an error text
 	}
-	resp, err := httpwire.Read(c.in, memcache.MostValue, whole, s.Room)
+	resp, err := httpwire.Read(c.reader, memcache.MostValue, maxBuffered, a.Room)
 	if err != nil {
 		return r, false, err
 	}
 	if resp.Coming > 0 {
-		r, keep, err = c.pass(s, r, resp.Coming, func() error { return nil })
+		r, keep, err = c.streamValue(a, r, resp.Coming, func() error { return nil })
 		return r, keep && !resp.Close, err
 	}
 	switch {
-	case resp.Status == 200 && (!s.Command.Write || memcache.IsReceipt(resp.Body)):
+	case resp.Status == 200 && (!a.Command.Write || memcache.IsReceipt(resp.Body)):
 		r.Body = resp.Body
 	case (resp.Status == 503 || resp.Status == 504) && resp.NotProcessed:
 		r.Outcome = policy.TurnedAway
@@ -299,29 +300,29 @@
 	return r, !resp.Close, nil
 }
 
-// rest waits until the pool hands the connection an attempt, nil where it ended before one came. Called and left under
-// hosts.mu. At rest it blocks in a read, so that a host that closes is heard at once.
-func (c *conn) rest() *Attempt {
+// waitForAttempt waits until the pool assigns an attempt to the connection. It returns nil if the connection ended first. The caller
+// holds hosts.mu; it is released during the wait. An idle connection blocks in a read, so that a close by the host is noticed at once.
+func (c *conn) waitForAttempt() *Attempt {
 	hs := c.hosts
-	c.resting = true
+	c.idle = true
 	c.net.SetReadDeadline(time.Time{})
 	hs.mu.Unlock()
-	_, err := c.in.Peek(1)
+	_, err := c.reader.Peek(1)
 	hs.mu.Lock()
-	c.resting = false
-	s := c.next
+	c.idle = false
+	a := c.next
 	c.next = nil
 	switch {
 	case c.closing:
 		return nil
-	case s != nil && errors.Is(err, os.ErrDeadlineExceeded):
-		return s
+	case a != nil && errors.Is(err, os.ErrDeadlineExceeded):
+		return a
 	}
-	// The host closed it, or spoke unasked. An attempt that was handed over just then goes over another one: not a byte of
-	// it was written.
+	// The host closed the connection or sent unexpected data. An attempt that was assigned meanwhile is sent over another
+	// connection: none of its bytes was written.
 	hs.pool.Closed(hs.now(), c.id)
-	if s != nil {
-		hs.send(s)
+	if a != nil {
+		hs.send(a)
 	}
 	return nil
 }
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -17,11 +17,11 @@
 	const read, write = "mg k v Oa Pc=read,d=900", "ms k 5 Oa Pc=pay,d=900,k=7"
 	head := func(more string) string { return "HTTP/1.1 200 OK\r\n" + more + "\r\n" }
 	for name, row := range map[string]struct {
-		origin        bool
-		command, text string
-		body          string
-		whole         policy.Outcome
-		endIsEnd      bool // a close in order after the head ends the answer
+		origin          bool
+		command, text   string
+		body            string
+		whole           policy.Outcome
+		closeEndsAnswer bool // a close in order after the head ends the answer
 	}{
 		"a value":            {command: read, text: "VA 5 Oa h1 Lutil=0.5\r\nhello\r\n", body: "hello", whole: policy.Fulfilled},
 		"an empty value":     {command: read, text: "VA 0 Oa\r\n\r\n", whole: policy.Fulfilled},
@@ -31,7 +31,7 @@
 		"failed":             {command: write, text: "SERVER_ERROR failed\r\n", whole: policy.Errored},
 		"a length":           {origin: true, command: read, text: head("Content-Length: 5\r\n") + "hello", body: "hello", whole: policy.Fulfilled},
 		"chunks":             {origin: true, command: read, text: head("Transfer-Encoding: chunked\r\n") + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nX-T: 1\r\n\r\n", body: "hello", whole: policy.Fulfilled},
-		"no length":          {origin: true, command: read, text: head("Connection: close\r\n") + "hello", body: "hello", whole: policy.Fulfilled, endIsEnd: true},
+		"no length":          {origin: true, command: read, text: head("Connection: close\r\n") + "hello", body: "hello", whole: policy.Fulfilled, closeEndsAnswer: true},
 		"a receipt, length":  {origin: true, command: write, text: head("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
 		"never ran":          {origin: true, command: write, text: "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", whole: policy.TurnedAway},
 		"an interim, and it": {origin: true, command: write, text: "HTTP/1.1 100 Continue\r\n\r\n" + head("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
@@ -39,17 +39,17 @@
 		for _, how := range []string{"closed", "reset"} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
-				limits := wide
+				limits := testLimits
 				limits.Pool.Most = 1000
-				hs, _, conns := stand(t, limits)
+				hs, _, conns := newTestHosts(t, limits)
 				if row.origin {
 					hs.mu.Lock()
-					hs.all["h"].isOrigin = true
+					hs.byID["h"].isOrigin = true
 					hs.mu.Unlock()
 				}
 				for n := 0; n <= len(row.text); n++ {
-					s, ended := attempt(t, row.command, "hello", 10*time.Second)
-					hs.Send(s)
+					a, ended := newAttempt(t, row.command, "hello", 10*time.Second)
+					hs.Send(a)
 					c := <-conns
 					in := make([]byte, 4096)
 					for got := ""; !strings.HasSuffix(got, "\r\n") && !strings.HasSuffix(got, "hello"); {
@@ -61,7 +61,7 @@
 					}
 					io.WriteString(c, row.text[:n])
 					if how == "reset" { // once what was written has been read: a reset takes what has not
-						if n == len(row.text) && !row.endIsEnd {
+						if n == len(row.text) && !row.closeEndsAnswer {
 							r := <-ended
 							ended <- r
 						}
@@ -69,8 +69,8 @@
 					}
 					c.Close()
 					want, body := policy.Reset, ""
-					inBody := row.endIsEnd && n >= strings.Index(row.text, "\r\n\r\n")+4
-					if n == len(row.text) && !row.endIsEnd || inBody && how == "closed" {
+					inBody := row.closeEndsAnswer && n >= strings.Index(row.text, "\r\n\r\n")+4
+					if n == len(row.text) && !row.closeEndsAnswer || inBody && how == "closed" {
 						want, body = row.whole, row.body
 						if inBody {
 							body = row.text[strings.Index(row.text, "\r\n\r\n")+4 : n]
@@ -103,13 +103,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hs, _, conns := stand(t, wide)
+			hs, _, conns := newTestHosts(t, testLimits)
 			hs.mu.Lock()
-			hs.all["h"].isOrigin = row.origin
+			hs.byID["h"].isOrigin = row.origin
 			hs.mu.Unlock()
-			s, ended := attempt(t, "mg k v Oa Pc=read,d=900", "", 300*time.Millisecond)
+			a, ended := newAttempt(t, "mg k v Oa Pc=read,d=900", "", 300*time.Millisecond)
 			began := time.Now()
-			hs.Send(s)
+			hs.Send(a)
 			c := <-conns
 			defer c.Close()
 			io.WriteString(c, row.text)
@@ -137,10 +137,10 @@
 // What a host says on a connection that nothing is out on belongs to no attempt: half a line, a second answer, of the same id
 // even, also just as the connection is handed to the next. Each attempt gets an answer that was made for it, or none.
 func TestSecondAnswers(t *testing.T) {
-	for name, late := range map[string]string{"half a line": "VA 5 O", "another answer": "VA 5 Oa0\r\nwrong\r\n", "a blank line": "\r\n", "a byte": "x"} {
+	for name, extra := range map[string]string{"half a line": "VA 5 O", "another answer": "VA 5 Oa0\r\nwrong\r\n", "a blank line": "\r\n", "a byte": "x"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hs, _, conns := stand(t, wide)
+			hs, _, conns := newTestHosts(t, testLimits)
 			done := make(chan struct{})
 			defer close(done)
 			go func() {
@@ -162,7 +162,7 @@
 									}
 								}
 								io.WriteString(c, fmt.Sprintf("VA 5 O%s\r\nright\r\n", id))
-								io.WriteString(c, late)
+								io.WriteString(c, extra)
 							}
 						}()
 					case <-done:
@@ -171,8 +171,8 @@
 				}
 			}()
 			for i := range 300 {
-				s, ended := attempt(t, fmt.Sprintf("mg k v Oa%d Pc=read,d=900", i), "", 10*time.Second)
-				hs.Send(s)
+				a, ended := newAttempt(t, fmt.Sprintf("mg k v Oa%d Pc=read,d=900", i), "", 10*time.Second)
+				hs.Send(a)
 				r := <-ended
 				if r.Outcome == policy.Fulfilled && string(r.Body) != "right" {
 					t.Fatalf("attempt %d got %q", i, r.Body)
--- a/internal/upstream/fault.go
+++ b/internal/upstream/fault.go
@@ -6,15 +6,15 @@
 	"syscall"
 )
 
-// localFaults are errors of connecting and writing that come of this machine: its ports, descriptors, memory, rules and routes. A
-// refusal, silence or an unreachable host are the other side's.
-var localFaults = []syscall.Errno{
+// localErrors are connect and write errors caused by this machine: its ports, file descriptors, memory, firewall rules and routes.
+// A refused connection, a timeout or an unreachable host is attributed to the other side.
+var localErrors = []syscall.Errno{
 	syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.EAGAIN, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 	syscall.EPERM, syscall.EACCES, syscall.ENETDOWN, syscall.ENETUNREACH,
 }
 
-// isLocal tells whether an error says nothing of the host.
+// isLocal reports whether an error was caused by this machine and so says nothing about the host.
 func isLocal(err error) bool {
-	var number syscall.Errno
-	return errors.As(err, &number) && slices.Contains(localFaults, number)
+	var errno syscall.Errno
+	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
 }
--- a/internal/upstream/fault_test.go
+++ b/internal/upstream/fault_test.go
@@ -12,29 +12,29 @@
 	"streamrail/policy"
 )
 
-// dialFault is how the network tells an error of a system call.
-func dialFault(number syscall.Errno) error {
-	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", number)}
+// dialError is how the network tells an error of a system call.
+func dialError(errno syscall.Errno) error {
+	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
 
-// faultyWrites is a connection of which the system takes so many bytes and then fails.
-type faultyWrites struct {
-	cut
+// failingWrites is a connection of which the system takes so many bytes and then fails.
+type failingWrites struct {
+	truncatedConn
 	fault error
 }
 
-func (c *faultyWrites) Write(p []byte) (int, error) {
-	n, err := c.cut.Write(p)
+func (c *failingWrites) Write(p []byte) (int, error) {
+	n, err := c.truncatedConn.Write(p)
 	if err != nil {
 		err = c.fault
 	}
 	return n, err
 }
 
-// TestFaultsOfSystemCalls has connects and first writes fail in every way: what this machine lacks does no harm to the host, and
+// TestSystemCallErrors has connects and first writes fail in every way: what this machine lacks does no harm to the host, and
 // nothing has run in any of them.
-func TestFaultsOfSystemCalls(t *testing.T) {
-	for number, want := range map[syscall.Errno]policy.Outcome{
+func TestSystemCallErrors(t *testing.T) {
+	for errno, want := range map[syscall.Errno]policy.Outcome{
 		syscall.EADDRNOTAVAIL: policy.NeverSent,
 		syscall.EADDRINUSE:    policy.NeverSent,
 		syscall.EAGAIN:        policy.NeverSent,
@@ -52,43 +52,43 @@
 		syscall.EHOSTDOWN:     policy.ConnectFailed,
 		syscall.ETIMEDOUT:     policy.ConnectFailed,
 	} {
-		t.Run("connect "+number.Error(), func(t *testing.T) {
-			hs, _, _ := stand(t, wide)
-			hs.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, dialFault(number) }
-			s, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-			hs.Send(s)
-			ends(t, ended, want)
+		t.Run("connect "+errno.Error(), func(t *testing.T) {
+			hs, _, _ := newTestHosts(t, testLimits)
+			hs.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, dialError(errno) }
+			a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+			hs.Send(a)
+			expectOutcome(t, ended, want)
 		})
-		t.Run("write "+number.Error(), func(t *testing.T) {
+		t.Run("write "+errno.Error(), func(t *testing.T) {
 			for _, room := range []int{0, 1, 10} {
-				s, _ := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-				hs := New(wide, -1)
-				c := &conn{hosts: hs, host: &host{}, net: &faultyWrites{cut{room: room}, os.NewSyscallError("write", number)}}
-				c.in = newReader(c.net)
-				carried(t, c, s, want)
+				a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+				hs := New(testLimits, -1)
+				c := &conn{hosts: hs, host: &host{}, net: &failingWrites{truncatedConn{remaining: room}, os.NewSyscallError("write", errno)}}
+				c.reader = newReader(c.net)
+				expectExchange(t, c, a, want)
 				hs.Close()
 			}
 		})
 	}
 }
 
-// TestPauseAfterLocalFaults counts the connects of many requests on a machine that has no ports: they are made in growing pauses,
+// TestBackoffAfterLocalFaults counts the connects of many requests on a machine that has no ports: they are made in growing pauses,
 // and at once again when one comes up.
-func TestPauseAfterLocalFaults(t *testing.T) {
-	hs, _, conns := stand(t, wide)
+func TestBackoffAfterLocalFaults(t *testing.T) {
+	hs, _, conns := newTestHosts(t, testLimits)
 	var connects atomic.Int64
-	var mended atomic.Bool
+	var repaired atomic.Bool
 	real := hs.Dial
 	hs.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		connects.Add(1)
-		if mended.Load() {
+		if repaired.Load() {
 			return real(ctx, network, addr)
 		}
-		return nil, dialFault(syscall.EADDRNOTAVAIL)
+		return nil, dialError(syscall.EADDRNOTAVAIL)
 	}
 	ask := func() policy.Outcome {
-		s, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", 200*time.Millisecond)
-		hs.Send(s)
+		a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", 200*time.Millisecond)
+		hs.Send(a)
 		return (<-ended).Outcome
 	}
 	for began := time.Now(); time.Since(began) < 500*time.Millisecond; time.Sleep(time.Millisecond) {
@@ -99,7 +99,7 @@
 	if n := connects.Load(); n < 3 || n > 20 { // 10 ms doubled, each by half at the least, is seven in that time, and some for chance
 		t.Errorf("%d connects in half a second", n)
 	}
-	mended.Store(true)
+	repaired.Store(true)
 	for began := time.Now(); ask() == policy.NeverSent; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
 			t.Fatal("nothing is opened any more")
--- a/internal/upstream/sizes_test.go
+++ b/internal/upstream/sizes_test.go
@@ -31,7 +31,7 @@
 }
 
 // A host costs no goroutine before it has a connection.
-func TestNoGoroutineForAHost(t *testing.T) {
+func TestNoGoroutinePerHost(t *testing.T) {
 	hs := New(Limits{Pool: pool.Terms{Balancers: 350, Most: 378}}, -1)
 	defer hs.Close()
 	before := runtime.NumGoroutine()
@@ -49,7 +49,7 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := pool.New(orders{}, pool.Terms{Balancers: 350, Most: 378}, func() float64 { return 0 })
+			p := pool.New(poolActions{}, pool.Terms{Balancers: 350, Most: 378}, func() float64 { return 0 })
 			for i := range n {
 				p.Up(0, pool.Host(fmt.Sprint("s-", i)), 0, false, 0)
 			}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	// Whole is the longest value that is held whole; a longer one streams. The platform times the first bytes of longer ones.
+	// Whole is the longest value that is buffered completely; longer ones are streamed, and their latency is measured to the first bytes.
 	Whole = 64 << 10
-	// PieceBytes is the buffer of one that streams.
+	// PieceBytes is the buffer size for streaming a value.
 	PieceBytes = 32 << 10
-	// PieceWait is how long a peer may give or take nothing within a value: slow ones pause, but not for so long.
+	// PieceWait is how long a peer may neither send nor accept any byte of a value. Slow peers pause too, but for less than that.
 	PieceWait = 5 * time.Second
 )
 
-// Upload is a long value that is still coming. One attempt takes it; it reads In to its end or not at all any more.
+// Upload is a long value that is still arriving from the client. Only one attempt can take it: In cannot be read a second time.
 type Upload struct {
-	Length   int
-	In       io.Reader         // ends with an error where the value is not whole
-	Wait     time.Duration     // of the client for the answer, from its last byte on
-	Deadline deadline.Deadline // set by In before it gives the last byte
-	Ended    chan struct{}     // closed once nobody reads In any more; by who has taken it
-	told     time.Duration     // to the server
-	taken    atomic.Bool
+	Length    int
+	In        io.Reader         // fails if the value is incomplete
+	Wait      time.Duration     // how long the client waits for the answer after its last byte
+	Deadline  deadline.Deadline // set by In before it gives the last byte
+	Ended     chan struct{}     // closed when In is no longer read, by whoever took the upload
+	announced time.Duration     // remaining time announced to the server
+	taken     atomic.Bool
 }
 
-// TooLate tells that a server to which the last byte was written now would have been told more than the client has left: it has
-// taken the value more slowly than the client wrote it.
-func (u *Upload) TooLate() bool { return u.Deadline.Remaining()+lastByteAllowance < u.told }
+// TooLate reports that the server was announced more time than the client has left, if the last byte were written now. This happens
+// when the server reads the value more slowly than the client sends it.
+func (u *Upload) TooLate() bool { return u.Deadline.Remaining()+lastByteAllowance < u.announced }
 
-// Take makes the caller the one who reads, or who says that nobody will; false where another is.
+// Take claims the upload. The caller then either reads In or declares that nobody will. Take returns false if it was claimed already.
 func (u *Upload) Take() bool { return !u.taken.Swap(true) }
 
-var pieces = sync.Pool{New: func() any { return new([PieceBytes]byte) }}
+var pieceBuffers = sync.Pool{New: func() any { return new([PieceBytes]byte) }}
 
-// Copy moves exactly so many bytes; readerFault tells whether the reader or the writer was at fault.
+// Copy copies exactly length bytes. If it fails, readerFault reports whether the reader or the writer failed.
 func Copy(to io.Writer, from io.Reader, length int) (readerFault bool, err error) {
-	buffer := pieces.Get().(*[PieceBytes]byte)
-	defer pieces.Put(buffer)
+	buffer := pieceBuffers.Get().(*[PieceBytes]byte)
+	defer pieceBuffers.Put(buffer)
 	for length > 0 {
 		n, err := from.Read(buffer[:min(length, PieceBytes)])
 		if n > 0 {
@@ -62,7 +62,7 @@
 	return false, nil
 }
 
-// Patient moves a connection's time limit for writes on with each piece.
+// Patient is a connection whose write deadline is extended with each write.
 type Patient struct{ net.Conn }
 
 func (p Patient) Write(b []byte) (int, error) {
@@ -70,54 +70,54 @@
 	return p.Conn.Write(b)
 }
 
-// Value is a long one as it comes from a host.
+// Value is a long value that is being received from a host.
 type Value struct {
-	Length int
-	c      *conn
-	end    func() error // reads what follows it
-	err    error        // the host's fault
+	Length  int
+	conn    *conn
+	readEnd func() error // reads what follows the value
+	err     error        // failure of the host
 }
 
 func (v *Value) Read(p []byte) (n int, err error) {
-	v.c.net.SetReadDeadline(time.Now().Add(PieceWait))
-	n, err = v.c.in.Read(p)
+	v.conn.net.SetReadDeadline(time.Now().Add(PieceWait))
+	n, err = v.conn.reader.Read(p)
 	if err != nil {
 		v.err = err
 	}
 	return n, err
 }
 
-// End tells whether the value has ended as it should. What follows it belongs to nobody.
+// End reads what follows the value and reports whether the value ended correctly.
 func (v *Value) End() error {
 	if v.err == nil {
-		v.c.net.SetReadDeadline(time.Now().Add(PieceWait))
-		v.err = v.end()
+		v.conn.net.SetReadDeadline(time.Now().Add(PieceWait))
+		v.err = v.readEnd()
 	}
 	return v.err
 }
 
-// pass hands a long value on as it comes. A client that does not take it is no fault of the host's, but the connection is
-// of no more use.
-func (c *conn) pass(s *Attempt, r Result, length int, end func() error) (Result, bool, error) {
-	if !s.Room(PieceBytes) {
-		return r, false, errNoRoom
+// streamValue passes a long value on while it is received. A client that does not read it is not a failure of the host, but the
+// connection cannot be reused.
+func (c *conn) streamValue(a *Attempt, r Result, length int, readEnd func() error) (Result, bool, error) {
+	if !a.Room(PieceBytes) {
+		return r, false, errNoMemory
 	}
-	v, began := &Value{Length: length, c: c, end: end}, time.Now()
-	whole := s.Pass(v)
+	v, began := &Value{Length: length, conn: c, readEnd: readEnd}, time.Now()
+	whole := a.Pass(v)
 	r.Peer = time.Since(began)
 	return r, whole, v.err
 }
 
-// upload writes a long value as it comes from the client; the outcome is Fulfilled where its last byte was written.
-func (c *conn) upload(s *Attempt, told time.Duration) policy.Outcome {
-	defer close(s.Upload.Ended)
-	s.Upload.told = told
+// writeUpload writes a long value while it arrives from the client. The outcome is Fulfilled if the last byte was written.
+func (c *conn) writeUpload(a *Attempt, announced time.Duration) policy.Outcome {
+	defer close(a.Upload.Ended)
+	a.Upload.announced = announced
 	to := Patient{c.net}
-	if _, err := to.Write(c.head); err != nil {
+	if _, err := to.Write(c.writeBuffer); err != nil {
 		return policy.ConnectFailed
 	}
-	if readerFault, err := Copy(to, s.Upload.In, s.Upload.Length); readerFault {
-		return policy.NeverSent // the host is not to blame
+	if readerFault, err := Copy(to, a.Upload.In, a.Upload.Length); readerFault {
+		return policy.NeverSent // the client failed, not the host
 	} else if err != nil {
 		return policy.ConnectFailed
 	}
@@ -126,6 +126,6 @@
 			return policy.ConnectFailed
 		}
 	}
-	c.net.SetReadDeadline(s.Upload.Deadline.Time())
+	c.net.SetReadDeadline(a.Upload.Deadline.Time())
 	return policy.Fulfilled
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream keeps the connections to cache hosts and to the origin and carries attempts over them, as package pool
-// decides. One goroutine serves one connection, which carries one attempt at a time: ending it gives up no other.
+// Package upstream holds the connections to cache hosts and to the origin and sends attempts over them, as package pool decides.
+// Each connection has its own goroutine and serves one attempt at a time, so closing it affects no other attempt.
 package upstream
 
 import (
@@ -18,122 +18,122 @@
 	"streamrail/policy"
 )
 
-// Result is the outcome of an attempt, as far as it is proven.
+// Result is the outcome of an attempt, as far as it is known for certain.
 type Result struct {
 	Outcome policy.Outcome
-	Load    *policy.Load  // of the host, where answers tell it
-	Body    []byte        // the value, or a write's receipt; not of a value that was passed on
-	Peer    time.Duration // of its time, what a long value took at the client's pace
+	Load    *policy.Load  // load of the host, if its answers report it
+	Body    []byte        // the value or the receipt of a write; empty for a value that was streamed
+	Peer    time.Duration // part of the attempt's time that transferring a long value from or to the client took
 }
 
-// Attempt is one order to send. It ends once, through Done, which must not block.
+// Attempt is one sending of a request to a host. It ends exactly once, by a call of Done, which must not block.
 type Attempt struct {
 	To       policy.CacheID
 	Command  *memcache.Command
-	Value    []byte                    // of a write
-	Upload   *Upload                   // the same, where it is long and still coming
-	Deadline deadline.Deadline         // of its request: the attempt is not begun, nor waited for, from then on
-	BeginBy  deadline.Deadline         // not a byte of it is written from then on
-	Room     func(bytes int) bool      // is asked before a value is held
-	Pass     func(*Value) (whole bool) // takes a long value to its end, or not; it may block
-	Gone     func() bool               // tells that nobody waits for the request any more; nil: not known
+	Value    []byte                    // value of a write
+	Upload   *Upload                   // value of a write that is long and still arriving
+	Deadline deadline.Deadline         // deadline of the request: the attempt is neither started nor waited for after it
+	BeginBy  deadline.Deadline         // writing does not start after this time
+	Room     func(bytes int) bool      // reports whether there is memory for a value; called before reading one
+	Pass     func(*Value) (whole bool) // streams a long value to the client and reports whether all of it was read; it may block
+	Gone     func() bool               // reports that the client no longer waits; nil: not known
 	Done     func(Result)
 
 	hosts *Hosts
 	id    pool.Attempt
 
-	mu    sync.Mutex
-	stop  func() // ends the connection that carries it
-	given bool   // up
+	mu      sync.Mutex
+	stop    func() // resets the connection that serves the attempt
+	givenUp bool   // GiveUp was called
 }
 
-// GiveUp stops waiting for the attempt: it leaves those that wait for a connection, or ends the one that carries it.
-func (s *Attempt) GiveUp() {
-	s.mu.Lock()
-	s.given = true
-	if s.stop != nil {
-		s.stop() // under the lock: once the attempt has ended, its connection may carry another
+// GiveUp abandons the attempt: it is removed from the queue for a connection, or the connection that serves it is reset.
+func (a *Attempt) GiveUp() {
+	a.mu.Lock()
+	a.givenUp = true
+	if a.stop != nil {
+		a.stop() // under the lock: after the attempt has ended, its connection may serve another one
 	}
-	hs := s.hosts
-	s.mu.Unlock()
-	if hs != nil && hs.giveUp(s) {
-		s.end(Result{Outcome: policy.NeverSent}, false)
+	hs := a.hosts
+	a.mu.Unlock()
+	if hs != nil && hs.cancelWaiting(a) {
+		a.finish(Result{Outcome: policy.NeverSent}, false)
 	}
 }
 
-// carry tells how to stop the attempt from now on; false where it is given up already.
-func (s *Attempt) carry(stop func()) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.stop = stop
-	return !s.given
+// setStop sets the function that stops the attempt. It returns false if the attempt was given up already.
+func (a *Attempt) setStop(stop func()) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.stop = stop
+	return !a.givenUp
 }
 
-// end reports the outcome. What was given up may have run only if it was written whole.
-func (s *Attempt) end(r Result, written bool) {
-	s.mu.Lock()
-	given := s.given
-	s.stop = nil
-	s.mu.Unlock()
-	if given && r.Outcome != policy.Fulfilled && r.Outcome != policy.Missed {
+// finish reports the outcome. An attempt that was given up can have run only if it was completely written.
+func (a *Attempt) finish(r Result, written bool) {
+	a.mu.Lock()
+	givenUp := a.givenUp
+	a.stop = nil
+	a.mu.Unlock()
+	if givenUp && r.Outcome != policy.Fulfilled && r.Outcome != policy.Missed {
 		r.Outcome = policy.NeverSent
 		if written {
 			r.Outcome = policy.Cancelled
 		}
 	}
-	s.Done(r)
+	a.Done(r)
 }
 
-// Limits bound the connections.
+// Limits configure the connections.
 type Limits struct {
 	Pool    pool.Terms
-	Origin  int           // connections to the origin
-	Reports bool          // answers tell the host's load
-	Connect time.Duration // for a connection to come up
-	Grace   time.Duration // after which nothing new is written to a host that drains or is gone
-	Epoch   policy.Nanos  // the time now on the clock of which hosts' starts are told
+	Origin  int           // maximum connections to the origin
+	Reports bool          // answers contain a load report of the host
+	Connect time.Duration // timeout for opening a connection
+	Grace   time.Duration // how long attempts may still be written to a host after the notice that it drains or is gone
+	Epoch   policy.Nanos  // current time on the clock of the host start times
 }
 
-// Hosts are all hosts that discovery told of.
+// Hosts holds all hosts that discovery has listed, and the connections to them.
 type Hosts struct {
 	limits Limits
 	origin policy.Kind
 	epoch  time.Time
-	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // set before the first attempt, if at all
+	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // may be replaced before the first attempt
 
 	mu       sync.Mutex
 	pool     *pool.Pool
-	all      map[policy.CacheID]*host
+	byID     map[policy.CacheID]*host
 	conns    map[pool.Conn]*conn
-	attempts map[pool.Attempt]*Attempt // that the pool has not carried or refused yet
-	last     pool.Attempt
-	over     chan struct{}           // closed by Close
-	out      map[policy.CacheID]bool // taken out by hand
+	attempts map[pool.Attempt]*Attempt // attempts that the pool has neither sent nor refused yet
+	lastID   pool.Attempt
+	closed   chan struct{}           // closed by Close
+	excluded map[policy.CacheID]bool // hosts excluded by an operator
 
-	sent      atomic.Int64  // attempts written whole, to the origin too
-	afterTold time.Duration // the longest from when a host was told off here to a write there that was still allowed; under mu
+	sent                atomic.Int64  // attempts completely written, including those to the origin
+	maxWriteAfterNotice time.Duration // longest time from a host's notice to a write that was still allowed; guarded by mu
 }
 
 type host struct {
 	discovery.Host
 	isOrigin bool
-	told     time.Time // that it drains or is gone; zero: it does not
+	noticeAt time.Time // when the notice came that the host drains, is gone or is excluded; zero: it is in use
 	open     int
 }
 
-// New makes an empty set; the origin is what discovery lists with that kind.
+// New creates an empty set of hosts. Discovery lists the origin with the given kind.
 func New(limits Limits, origin policy.Kind) *Hosts {
-	hs := &Hosts{limits: limits, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, all: map[policy.CacheID]*host{}, conns: map[pool.Conn]*conn{},
-		attempts: map[pool.Attempt]*Attempt{}, out: map[policy.CacheID]bool{}, over: make(chan struct{})}
-	hs.pool = pool.New(orders{hs}, limits.Pool, rand.Float64)
+	hs := &Hosts{limits: limits, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, byID: map[policy.CacheID]*host{}, conns: map[pool.Conn]*conn{},
+		attempts: map[pool.Attempt]*Attempt{}, excluded: map[policy.CacheID]bool{}, closed: make(chan struct{})}
+	hs.pool = pool.New(poolActions{hs}, limits.Pool, rand.Float64)
 	go hs.tick()
 	return hs
 }
 
-// now is the pool's clock.
+// now returns the time on the pool's clock.
 func (hs *Hosts) now() policy.Nanos { return policy.Nanos(time.Since(hs.epoch)) }
 
-// tick lets the pool do what comes with time.
+// tick calls the pool's periodic work until Close.
 func (hs *Hosts) tick() {
 	t := time.NewTicker(time.Duration(pool.TickEvery))
 	defer t.Stop()
@@ -143,13 +143,13 @@
 			hs.mu.Lock()
 			hs.pool.Tick(hs.now())
 			hs.mu.Unlock()
-		case <-hs.over:
+		case <-hs.closed:
 			return
 		}
 	}
 }
 
-// Listed takes the hosts that discovery tells other than before; one that a whole list does not name any more is among them, as gone.
+// Listed applies the changed hosts of a list from discovery. A host that is missing from a complete list is included as gone.
 func (hs *Hosts) Listed(l discovery.List) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
@@ -158,114 +158,114 @@
 		at = time.Now()
 	}
 	for _, e := range l.Hosts {
-		h, moved := hs.all[e.Cache], false
+		h, moved := hs.byID[e.Cache], false
 		if h == nil {
 			h = &host{isOrigin: e.Kind == hs.origin}
-			hs.all[e.Cache] = h
+			hs.byID[e.Cache] = h
 		} else {
 			moved = h.Addr != e.Addr
 		}
 		h.Host = e
-		hs.mark(h, e.Condition, moved, at)
-		hs.forget(h)
+		hs.applyCondition(h, e.Condition, moved, at)
+		hs.removeIfUnused(h)
 	}
 }
 
-// forget drops a host that is gone once no connection to it is left: others come under new ids all day.
-func (hs *Hosts) forget(h *host) {
-	if h.Condition == policy.Gone && h.open == 0 && hs.all[h.Cache] == h {
-		delete(hs.all, h.Cache)
+// removeIfUnused removes a host that is gone once it has no connections. Otherwise hosts would pile up, since new ones come under new ids.
+func (hs *Hosts) removeIfUnused(h *host) {
+	if h.Condition == policy.Gone && h.open == 0 && hs.byID[h.Cache] == h {
+		delete(hs.byID, h.Cache)
 	}
 }
 
-// mark tells the pool what a host wants from now on; this balancer was told so at a moment.
-func (hs *Hosts) mark(h *host, condition policy.Condition, moved bool, at time.Time) {
+// applyCondition reports a host's condition to the pool. The time at is when this balancer received it.
+func (hs *Hosts) applyCondition(h *host, condition policy.Condition, moved bool, at time.Time) {
 	h.Condition = condition
-	if condition != policy.Up || hs.out[h.Cache] {
-		if h.told.IsZero() {
-			h.told = at
+	if condition != policy.Up || hs.excluded[h.Cache] {
+		if h.noticeAt.IsZero() {
+			h.noticeAt = at
 		}
 		hs.pool.Leaves(pool.Host(h.Cache))
 		return
 	}
-	h.told = time.Time{}
-	most, now := 0, hs.now()
+	h.noticeAt = time.Time{}
+	limit, now := 0, hs.now()
 	if h.isOrigin {
-		most = hs.limits.Origin
+		limit = hs.limits.Origin
 	}
-	born := policy.Nanos(0) // as the list has it: another start is another process
+	startedAt := policy.Nanos(0) // start time from the list: a different one means another process
 	if h.Born > 0 {
-		born = max(1, cmp.Or(h.Started, h.Born)-hs.limits.Epoch)
+		startedAt = max(1, cmp.Or(h.Started, h.Born)-hs.limits.Epoch)
 	}
-	hs.pool.Up(now, pool.Host(h.Cache), born, moved, most)
+	hs.pool.Up(now, pool.Host(h.Cache), startedAt, moved, limit)
 }
 
-// Exclude hears that a host is taken out by hand: it is left alone like one that drains, whatever the list says.
+// Exclude takes a host out of use, on an operator's request. It is treated like a draining host, whatever the list says.
 func (hs *Hosts) Exclude(id policy.CacheID) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.out[id] = true
-	if h := hs.all[id]; h != nil {
-		hs.mark(h, h.Condition, false, time.Now())
+	hs.excluded[id] = true
+	if h := hs.byID[id]; h != nil {
+		hs.applyCondition(h, h.Condition, false, time.Now())
 	}
 }
 
-// Include hears that it is put back. It may have been restarted: no connection of before is used again.
+// Include ends an exclusion. The host may have been restarted meanwhile, so no earlier connection is reused.
 func (hs *Hosts) Include(id policy.CacheID) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	if !hs.out[id] {
+	if !hs.excluded[id] {
 		return
 	}
-	delete(hs.out, id)
-	if h := hs.all[id]; h != nil {
-		hs.mark(h, h.Condition, true, time.Now())
+	delete(hs.excluded, id)
+	if h := hs.byID[id]; h != nil {
+		hs.applyCondition(h, h.Condition, true, time.Now())
 	}
 }
 
-// Grace is after how long nothing is written to a host that was told off.
+// Grace returns how long after the notice attempts may still be written to a host that drains, is gone or is excluded.
 func (hs *Hosts) Grace() time.Duration { return hs.limits.Grace }
 
-// Sent is the number of attempts written whole, to the origin too: the list names it like the cache hosts.
+// Sent returns the number of attempts completely written. It includes those to the origin, which is listed like the cache hosts.
 func (hs *Hosts) Sent() int64 { return hs.sent.Load() }
 
-// Send carries an attempt over a connection that rests, one that is opened or one that comes free, or refuses it.
-func (hs *Hosts) Send(s *Attempt) {
+// Send sends an attempt over an idle connection, a new one or one that comes free, or refuses it.
+func (hs *Hosts) Send(a *Attempt) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.send(s)
+	hs.send(a)
 }
 
-func (hs *Hosts) send(s *Attempt) {
-	hs.last++
-	s.mu.Lock()
-	s.hosts, s.id = hs, hs.last
-	given := s.given
-	s.mu.Unlock()
-	if given {
-		s.end(Result{Outcome: policy.NeverSent}, false)
+func (hs *Hosts) send(a *Attempt) {
+	hs.lastID++
+	a.mu.Lock()
+	a.hosts, a.id = hs, hs.lastID
+	givenUp := a.givenUp
+	a.mu.Unlock()
+	if givenUp {
+		a.finish(Result{Outcome: policy.NeverSent}, false)
 		return
 	}
-	hs.attempts[s.id] = s
-	hs.pool.Ask(hs.now(), pool.Host(s.To), s.id, policy.Nanos(s.BeginBy.Time().Sub(hs.epoch)))
+	hs.attempts[a.id] = a
+	hs.pool.Ask(hs.now(), pool.Host(a.To), a.id, policy.Nanos(a.BeginBy.Time().Sub(hs.epoch)))
 }
 
-// giveUp takes an attempt from those that wait; false where it does not.
-func (hs *Hosts) giveUp(s *Attempt) bool {
+// cancelWaiting removes an attempt from the pool's queue. It returns false if the attempt was not waiting.
+func (hs *Hosts) cancelWaiting(a *Attempt) bool {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	if !hs.pool.GiveUp(s.id) {
+	if !hs.pool.GiveUp(a.id) {
 		return false
 	}
-	delete(hs.attempts, s.id)
+	delete(hs.attempts, a.id)
 	return true
 }
 
-// orders carries out what the pool decides. All is called under Hosts.mu.
-type orders struct{ hs *Hosts }
+// poolActions carries out the decisions of the pool. Its methods are called with Hosts.mu held.
+type poolActions struct{ hs *Hosts }
 
-func (o orders) Open(to pool.Host, id pool.Conn) {
-	h := o.hs.all[policy.CacheID(to)]
+func (o poolActions) Open(to pool.Host, id pool.Conn) {
+	h := o.hs.byID[policy.CacheID(to)]
 	ctx, cancel := context.WithTimeout(context.Background(), o.hs.limits.Connect)
 	c := &conn{id: id, hosts: o.hs, host: h, addr: h.Addr, cancel: cancel}
 	h.open++
@@ -273,98 +273,98 @@
 	go c.run(ctx)
 }
 
-func (o orders) Carry(id pool.Conn, attempt pool.Attempt) {
+func (o poolActions) Carry(id pool.Conn, attempt pool.Attempt) {
 	c := o.hs.conns[id]
 	c.next = o.hs.attempts[attempt]
 	delete(o.hs.attempts, attempt)
-	if c.resting {
-		c.net.SetReadDeadline(longAgo) // wakes its goroutine
+	if c.idle {
+		c.net.SetReadDeadline(pastTime) // interrupts the read in which its goroutine waits
 	}
 }
 
-func (o orders) Close(id pool.Conn, _ pool.Why) {
+func (o poolActions) Close(id pool.Conn, _ pool.Why) {
 	c := o.hs.conns[id]
 	c.closing = true
 	c.cancel()
-	if c.resting {
-		c.net.Close() // its goroutine sees that and leaves
+	if c.idle {
+		c.net.Close() // ends the read in which its goroutine waits
 	}
 }
 
-func (o orders) Refuse(attempt pool.Attempt, why pool.Why) {
-	s := o.hs.attempts[attempt]
+func (o poolActions) Refuse(attempt pool.Attempt, why pool.Why) {
+	a := o.hs.attempts[attempt]
 	delete(o.hs.attempts, attempt)
 	outcome := policy.NeverSent
 	if why == pool.NoConnect {
 		outcome = policy.ConnectFailed
 	}
-	s.end(Result{Outcome: outcome}, false)
+	a.finish(Result{Outcome: outcome}, false)
 }
 
-var longAgo = time.Unix(1, 0)
+var pastTime = time.Unix(1, 0)
 
-// tooLate tells whether a host may not be sent anything new any more.
-func (hs *Hosts) tooLate(h *host) bool {
+// graceExpired reports whether new attempts may no longer be written to a host.
+func (hs *Hosts) graceExpired(h *host) bool {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	if h.told.IsZero() {
+	if h.noticeAt.IsZero() {
 		return false
 	}
-	since := time.Since(h.told)
+	since := time.Since(h.noticeAt)
 	if since > hs.limits.Grace {
 		return true
 	}
-	hs.afterTold = max(hs.afterTold, since)
+	hs.maxWriteAfterNotice = max(hs.maxWriteAfterNotice, since)
 	return false
 }
 
-// AfterTold is how long after a host was told off something was still written to it, at the most since the start: what was on its
-// way to a connection. Near the whole grace means that this process is held up.
+// AfterTold returns the longest time, since the start of this process, between the notice that a host drains, is gone or is excluded
+// and the write of an attempt that was already assigned to a connection. A value close to Grace means that this process runs late.
 func (hs *Hosts) AfterTold() time.Duration {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	return hs.afterTold
+	return hs.maxWriteAfterNotice
 }
 
-// Limit sets the bound on all connections anew.
-func (hs *Hosts) Limit(most int) {
+// Limit changes the maximum number of connections.
+func (hs *Hosts) Limit(limit int) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Limit(most)
+	hs.pool.Limit(limit)
 }
 
-// OpeningNeed is the largest part of what a host bears in new connections that was wanted here in a time that ends now.
-func (hs *Hosts) OpeningNeed(over time.Duration) float64 {
+// OpeningNeed returns the largest fraction of a host's connection openings that this balancer asked for in the period that ends now.
+func (hs *Hosts) OpeningNeed(period time.Duration) float64 {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	return hs.pool.Need(hs.now(), policy.Nanos(over))
+	return hs.pool.Need(hs.now(), policy.Nanos(period))
 }
 
-// OpeningPart tells this balancer's part of them; 0: an equal one.
-func (hs *Hosts) OpeningPart(part float64) {
+// OpeningPart sets this balancer's fraction of the openings of each host; 0 means an equal share.
+func (hs *Hosts) OpeningPart(share float64) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Part(part)
+	hs.pool.Part(share)
 }
 
-// Open is the number of connections.
+// Open returns the number of connections.
 func (hs *Hosts) Open() int {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	return len(hs.conns)
 }
 
-// Bound tells how often bounds on connections refused an attempt, by host, since the last time.
+// Bound returns, by host, how often attempts were refused for lack of a connection since the last call.
 func (hs *Hosts) Bound() map[pool.Host]int {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	return hs.pool.Bound()
 }
 
-// Close ends all idle connections and takes no more attempts.
+// Close closes all idle connections and refuses all attempts from now on.
 func (hs *Hosts) Close() {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	hs.pool.Shut()
-	close(hs.over)
+	close(hs.closed)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,8 +19,8 @@
 	"streamrail/policy"
 )
 
-// stand makes a set with one host at a listener that hands its connections over.
-func stand(t *testing.T, limits Limits) (hs *Hosts, entry discovery.Host, conns chan net.Conn) {
+// newTestHosts makes a set with one host at a listener that hands its connections over.
+func newTestHosts(t *testing.T, limits Limits) (hs *Hosts, entry discovery.Host, conns chan net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	return hs, entry, conns
 }
 
-func attempt(t *testing.T, line, value string, until time.Duration) (*Attempt, chan Result) {
+func newAttempt(t *testing.T, line, value string, until time.Duration) (*Attempt, chan Result) {
 	cmd, fault := memcache.Parse([]byte(line))
 	if fault != nil {
 		t.Fatal(fault)
@@ -53,7 +53,7 @@
 		Room: func(n int) bool { return n < 1<<19 }, Done: func(r Result) { ended <- r }}, ended
 }
 
-func ends(t *testing.T, ended chan Result, want policy.Outcome) {
+func expectOutcome(t *testing.T, ended chan Result, want policy.Outcome) {
 	t.Helper()
 	select {
 	case r := <-ended:
@@ -65,100 +65,100 @@
 	}
 }
 
-// atRest waits until so many connections are idle.
-func atRest(t *testing.T, hs *Hosts, many int) {
+// waitIdle waits until so many connections are idle.
+func waitIdle(t *testing.T, hs *Hosts, count int) {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(time.Millisecond) {
 		hs.mu.Lock()
 		n := 0
 		for _, c := range hs.conns {
-			if c.resting {
+			if c.idle {
 				n++
 			}
 		}
 		hs.mu.Unlock()
-		if n == many {
+		if n == count {
 			return
 		}
 	}
 	t.Fatal("no connection comes to rest")
 }
 
-var wide = Limits{Pool: pool.Terms{Most: 10, Idle: policy.Nanos(time.Minute)}, Origin: 10, Connect: time.Second, Grace: time.Second}
+var testLimits = Limits{Pool: pool.Terms{Most: 10, Idle: policy.Nanos(time.Minute)}, Origin: 10, Connect: time.Second, Grace: time.Second}
 
-// carried is what comes of an attempt over a connection.
-func carried(t *testing.T, c *conn, s *Attempt, want policy.Outcome) {
+// expectExchange is what comes of an attempt over a connection.
+func expectExchange(t *testing.T, c *conn, a *Attempt, want policy.Outcome) {
 	t.Helper()
-	if r, _, _ := c.carry(s); r.Outcome != want {
+	if r, _, _ := c.exchange(a); r.Outcome != want {
 		t.Errorf("outcome %d, expected %d", r.Outcome, want)
 	}
 }
 
-// cut is a connection that breaks after so many bytes.
-type cut struct {
+// truncatedConn is a connection that breaks after so many bytes.
+type truncatedConn struct {
 	net.Conn
-	room int
+	remaining int
 }
 
-func (c *cut) Write(p []byte) (int, error) {
-	n := min(len(p), c.room)
-	c.room -= n
+func (c *truncatedConn) Write(p []byte) (int, error) {
+	n := min(len(p), c.remaining)
+	c.remaining -= n
 	if n < len(p) {
 		return n, io.ErrClosedPipe
 	}
 	return n, nil
 }
-func (c *cut) Read([]byte) (int, error)        { return 0, io.EOF }
-func (c *cut) SetReadDeadline(time.Time) error { return nil }
-func (c *cut) Close() error                    { return nil }
+func (c *truncatedConn) Read([]byte) (int, error)        { return 0, io.EOF }
+func (c *truncatedConn) SetReadDeadline(time.Time) error { return nil }
+func (c *truncatedConn) Close() error                    { return nil }
 
 // One byte decides: a write that broke before its last byte never ran and may go elsewhere, one after it may
 // have credited a phone line.
 func TestBreakAtLastByte(t *testing.T) {
 	const line, value = "ms k 5 O1 Pc=pay,d=900", "hello"
 	var whole bytes.Buffer
-	s, _ := attempt(t, line, value, time.Minute)
-	whole.Write(s.Command.AppendOnward(nil, s.Deadline.Remaining()))
+	a, _ := newAttempt(t, line, value, time.Minute)
+	whole.Write(a.Command.AppendOnward(nil, a.Deadline.Remaining()))
 	total := whole.Len() + len(value) + 2
 	for room, want := range map[int]policy.Outcome{0: policy.ConnectFailed, total - 1: policy.ConnectFailed, total: policy.Reset} {
-		s, _ := attempt(t, line, value, time.Minute)
-		hs := New(wide, -1)
-		c := &conn{hosts: hs, host: &host{}, net: &cut{room: room}}
-		c.in = newReader(c.net)
-		carried(t, c, s, want)
+		a, _ := newAttempt(t, line, value, time.Minute)
+		hs := New(testLimits, -1)
+		c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: room}}
+		c.reader = newReader(c.net)
+		expectExchange(t, c, a, want)
 		hs.Close()
 	}
 }
 
 // An order that waited is not written once its host was told off longer than the grace ago, nor when the API
 // call is over: either would be new work that nobody wants.
-func TestOrderThatWaited(t *testing.T) {
-	limits := wide
+func TestAttemptThatWaited(t *testing.T) {
+	limits := testLimits
 	limits.Grace = 0
-	hs, entry, conns := stand(t, limits)
+	hs, entry, conns := newTestHosts(t, limits)
 	real, hold := hs.Dial, make(chan struct{})
 	hs.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-hold
 		return real(ctx, network, addr)
 	}
-	late, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	late, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(late)
-	given, andEnded := attempt(t, "mg k v O4 Pc=read,d=900", "", time.Minute)
-	hs.Send(given)
-	given.GiveUp()
-	ends(t, andEnded, policy.NeverSent)
+	givenUp, givenUpEnded := newAttempt(t, "mg k v O4 Pc=read,d=900", "", time.Minute)
+	hs.Send(givenUp)
+	givenUp.GiveUp()
+	expectOutcome(t, givenUpEnded, policy.NeverSent)
 	entry.Condition = policy.Draining
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
-	ends(t, ended, policy.NeverSent)
+	expectOutcome(t, ended, policy.NeverSent)
 	close(hold)
-	over, ended := attempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
-	over.GiveUp()
-	hs.Send(over)
-	ends(t, ended, policy.NeverSent)
-	gone, ended := attempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
-	gone.To = "another"
-	hs.Send(gone)
-	ends(t, ended, policy.NeverSent)
+	givenUpEarly, ended := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
+	givenUpEarly.GiveUp()
+	hs.Send(givenUpEarly)
+	expectOutcome(t, ended, policy.NeverSent)
+	unknownHost, ended := newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
+	unknownHost.To = "another"
+	hs.Send(unknownHost)
+	expectOutcome(t, ended, policy.NeverSent)
 	c := <-conns
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if got, _ := io.ReadAll(c); len(got) != 0 {
@@ -168,28 +168,28 @@
 
 // Given up after its last byte, an attempt may have run; its connection ends, so that no answer comes late.
 func TestGivenUp(t *testing.T) {
-	hs, _, conns := stand(t, wide)
-	s, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-	hs.Send(s)
+	hs, _, conns := newTestHosts(t, testLimits)
+	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	hs.Send(a)
 	c := <-conns
 	buf := make([]byte, 100)
 	if n, _ := c.Read(buf); !strings.HasPrefix(string(buf[:n]), "mg k v O1 ") {
 		t.Fatalf("got %q", buf[:n])
 	}
-	s.GiveUp()
-	ends(t, ended, policy.Cancelled)
+	a.GiveUp()
+	expectOutcome(t, ended, policy.Cancelled)
 	if _, err := c.Read(buf); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection is not reset: %v", err)
 	}
 }
 
-// rested is a connection whose host answers one command and closes when told to.
-type rested struct {
-	cut
+// scriptedConn is a connection whose host answers one command and closes when told to.
+type scriptedConn struct {
+	truncatedConn
 	answers chan string
 }
 
-func (c *rested) Read(p []byte) (int, error) {
+func (c *scriptedConn) Read(p []byte) (int, error) {
 	if a, ok := <-c.answers; ok {
 		return copy(p, a), nil
 	}
@@ -198,78 +198,78 @@
 
 // An attempt handed to a connection at rest just as its host closes it goes over another one: not a byte was
 // written, and calling it a reset would forbid a non-idempotent request its next attempt.
-func TestClosedAsHanded(t *testing.T) {
-	hs, _, conns := stand(t, wide)
-	w := &rested{cut{room: 1 << 20}, make(chan string, 1)}
+func TestClosedDuringAssignment(t *testing.T) {
+	hs, _, conns := newTestHosts(t, testLimits)
+	w := &scriptedConn{truncatedConn{remaining: 1 << 20}, make(chan string, 1)}
 	real := hs.Dial
 	hs.Dial = func(context.Context, string, string) (net.Conn, error) { return w, nil }
-	first, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	w.answers <- "EN O1\r\n"
 	hs.Send(first)
-	ends(t, ended, policy.Missed)
-	second, ended := attempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
-	atRest(t, hs, 1)
+	expectOutcome(t, ended, policy.Missed)
+	second, ended := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
+	waitIdle(t, hs, 1)
 	hs.mu.Lock()
 	hs.Dial = real
 	hs.mu.Unlock()
 	hs.Send(second)
 	close(w.answers)
 	io.WriteString(<-conns, "EN O2\r\n")
-	ends(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.Missed)
 }
 
 // The origin takes few connections: its bound holds also where an idle one to a cache host could make room.
-func TestOriginBound(t *testing.T) {
-	limits := wide
+func TestOriginLimit(t *testing.T) {
+	limits := testLimits
 	limits.Pool.Most, limits.Origin = 2, 1
-	hs, entry, conns := stand(t, limits)
+	hs, entry, conns := newTestHosts(t, limits)
 	hs.origin = 7
 	entry.Cache = "i"
 	origin := entry
 	origin.Cache, origin.Kind = "o", 7
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry, origin}})
-	cached, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	cached, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	cached.To = "i"
 	hs.Send(cached)
 	io.WriteString(<-conns, "EN O1\r\n")
-	ends(t, ended, policy.Missed)
-	atRest(t, hs, 1)
-	held, _ := attempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
+	expectOutcome(t, ended, policy.Missed)
+	waitIdle(t, hs, 1)
+	held, _ := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	held.To = "o"
 	hs.Send(held)
 	<-conns
-	more, ended := attempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
+	more, ended := newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
 	more.To = "o"
 	hs.Send(more)
-	ends(t, ended, policy.NeverSent)
+	expectOutcome(t, ended, policy.NeverSent)
 }
 
 // Connections are bounded: one that is idle makes room, and without one the attempt is never sent.
-func TestBound(t *testing.T) {
-	limits := wide
+func TestConnectionLimit(t *testing.T) {
+	limits := testLimits
 	limits.Pool.Most = 1
-	hs, _, conns := stand(t, limits)
-	first, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	hs, _, conns := newTestHosts(t, limits)
+	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(first)
 	c := <-conns
-	second, never := attempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
+	second, refused := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	hs.Send(second)
-	ends(t, never, policy.NeverSent)
+	expectOutcome(t, refused, policy.NeverSent)
 	io.WriteString(c, "EN O1\r\n")
-	ends(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.Missed)
 	entry := discovery.Host{Addr: c.LocalAddr().String(), Entry: policy.Entry{Cache: "i"}}
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
-	atRest(t, hs, 1)
-	third, ended := attempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
+	waitIdle(t, hs, 1)
+	third, ended := newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
 	third.To = "i"
 	hs.Send(third)
 	io.WriteString(<-conns, "EN O3\r\n")
-	ends(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.Missed)
 }
 
 // What comes and is no answer is told apart from a connection that breaks: hosts that only garble now and then
 // were taken for crowded ones.
-func TestSpoilt(t *testing.T) {
+func TestInvalidAnswers(t *testing.T) {
 	for answer, want := range map[string]policy.Outcome{
 		"":                         policy.Reset,
 		"VA 9 O1\r\nshort":         policy.Reset, // broke off
@@ -281,12 +281,12 @@
 		"VA 3000000000 O1\r\nx":    policy.Spoilt,
 		strings.Repeat("x", 1<<16): policy.Spoilt,
 	} {
-		s, _ := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-		hs := New(wide, -1)
-		c := &conn{hosts: hs, host: &host{}, net: &cut{room: 1 << 20}}
-		c.in = newReader(strings.NewReader(answer))
+		a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+		hs := New(testLimits, -1)
+		c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: 1 << 20}}
+		c.reader = newReader(strings.NewReader(answer))
 		t.Logf("%.20q", answer)
-		carried(t, c, s, want)
+		expectExchange(t, c, a, want)
 		hs.Close()
 	}
 }
@@ -300,16 +300,16 @@
 		"EN O1 Lutil=-3,inflight=many\r\n":                  nil,
 		"EN O1\r\n":                                         nil,
 	} {
-		for _, told := range []bool{true, false} {
-			s, _ := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-			limits := wide
-			limits.Reports = told
+		for _, enabled := range []bool{true, false} {
+			a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+			limits := testLimits
+			limits.Reports = enabled
 			hs := New(limits, -1)
-			c := &conn{hosts: hs, host: &host{}, net: &cut{room: 1 << 20}}
-			c.in = newReader(strings.NewReader(answer))
-			r, _, err := c.read(s)
-			if err != nil || (r.Load != nil) != (told && want != nil) || r.Load != nil && *r.Load != *want {
-				t.Errorf("%q, told %v: %+v, %v", answer, told, r.Load, err)
+			c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: 1 << 20}}
+			c.reader = newReader(strings.NewReader(answer))
+			r, _, err := c.read(a)
+			if err != nil || (r.Load != nil) != (enabled && want != nil) || r.Load != nil && *r.Load != *want {
+				t.Errorf("%q, told %v: %+v, %v", answer, enabled, r.Load, err)
 			}
 			hs.Close()
 		}
@@ -318,24 +318,24 @@
 
 // Some hosts close a connection right after an answer. The one at rest longest has been heard closing by then; a
 // attempt written to the last one used would end as one that may have run.
-func TestLongestRested(t *testing.T) {
-	hs, _, conns := stand(t, wide)
+func TestLongestIdleUsedFirst(t *testing.T) {
+	hs, _, conns := newTestHosts(t, testLimits)
 	var held []net.Conn
 	var all []chan Result
 	for range 3 {
-		s, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-		hs.Send(s)
+		a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+		hs.Send(a)
 		c := <-conns
 		c.Read(make([]byte, 100)) // it is this one's: two that are being opened may change their attempts
 		held, all = append(held, c), append(all, ended)
 	}
 	for i, c := range held {
 		io.WriteString(c, "EN O1\r\n")
-		ends(t, all[i], policy.Missed)
-		atRest(t, hs, i+1)
+		expectOutcome(t, all[i], policy.Missed)
+		waitIdle(t, hs, i+1)
 	}
-	s, _ := attempt(t, "mg next v O1 Pc=read,d=900", "", time.Minute)
-	hs.Send(s)
+	a, _ := newAttempt(t, "mg next v O1 Pc=read,d=900", "", time.Minute)
+	hs.Send(a)
 	held[0].SetReadDeadline(time.Now().Add(time.Second))
 	buf := make([]byte, 200)
 	if n, _ := held[0].Read(buf); !strings.Contains(string(buf[:n]), "mg next") {
@@ -344,10 +344,10 @@
 }
 
 // Hosts come and go all day under new ids; what is gone leaves nothing behind once its connections have ended.
-func TestGoneForgotten(t *testing.T) {
-	hs, entry, conns := stand(t, wide)
-	s, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-	hs.Send(s)
+func TestGoneHostsRemoved(t *testing.T) {
+	hs, entry, conns := newTestHosts(t, testLimits)
+	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	hs.Send(a)
 	c := <-conns
 	c.Read(make([]byte, 100)) // the attempt is out
 	gone := func(h discovery.Host) discovery.Host {
@@ -358,13 +358,13 @@
 	known := func() int {
 		hs.mu.Lock()
 		defer hs.mu.Unlock()
-		return len(hs.all)
+		return len(hs.byID)
 	}
 	if known() != 1 {
 		t.Error("forgotten with an attempt out")
 	}
 	io.WriteString(c, "EN O1\r\n")
-	ends(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.Missed)
 	for began := time.Now(); known() > 0; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
 			t.Fatal("never forgotten")
@@ -382,26 +382,26 @@
 
 // A host that is out by hand gets nothing, also where the list names it again, nor what waits for a connection to it; back, it
 // gets no attempt over a connection of before: it may be another process.
-func TestOutByHand(t *testing.T) {
-	hs, entry, conns := stand(t, wide)
-	s, ended := attempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-	hs.Send(s)
+func TestExcludedHost(t *testing.T) {
+	hs, entry, conns := newTestHosts(t, testLimits)
+	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
+	hs.Send(a)
 	first := <-conns
 	first.Read(make([]byte, 100))
 	io.WriteString(first, "EN O1\r\n")
-	ends(t, ended, policy.Missed)
-	atRest(t, hs, 1)
+	expectOutcome(t, ended, policy.Missed)
+	waitIdle(t, hs, 1)
 	hs.Exclude("h")
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
-	s, ended = attempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
-	hs.Send(s)
-	ends(t, ended, policy.NeverSent)
+	a, ended = newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
+	hs.Send(a)
+	expectOutcome(t, ended, policy.NeverSent)
 	if n, _ := first.Read(make([]byte, 1)); n != 0 {
 		t.Error("the connection at rest was used")
 	}
 	hs.Include("h")
-	s, ended = attempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
-	hs.Send(s)
+	a, ended = newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
+	hs.Send(a)
 	select {
 	case second := <-conns:
 		second.Read(make([]byte, 100))
@@ -409,5 +409,5 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("no new connection")
 	}
-	ends(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.Missed)
 }
