--- a/internal/upstream/announce.go
+++ b/internal/upstream/announce.go
@@ -3,7 +3,7 @@
 import "time"
 
 // An attempt announces to its server the time that the client has left at the moment of the write, less the time until the server has
-// received the last byte. A server that is announced more keeps working after the client has given up.
+// received the last byte. A server given more time keeps working after the client has given up.
 const (
 	// networkAllowance is for the transit to the server; at most half of the remaining time.
 	networkAllowance = 25 * time.Millisecond
--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -18,7 +18,7 @@
 	"streamrail/policy"
 )
 
-// TestAnnouncedTime holds what is told against what is left, from a long time to none.
+// TestAnnouncedTime compares the announced time with the remaining time, from long to none.
 func TestAnnouncedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, c := range []struct {
@@ -42,13 +42,13 @@
 				a.Upload = &Upload{Wait: time.Second}
 			}
 			if got := a.announcedTime(); got < c.least || got > c.most {
-				t.Errorf("%+v: told %v", c, got)
+				t.Errorf("%+v: announced %v", c, got)
 			}
 		}
 	})
 }
 
-// TestNoTimeLeft makes sure that not a byte is written where nothing is left, and that the connection goes on.
+// TestNoTimeLeft checks that nothing is written when no time is left, and that the connection stays usable.
 func TestNoTimeLeft(t *testing.T) {
 	hs, _, conns := newTestHosts(t, testLimits)
 	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
@@ -74,7 +74,7 @@
 	expectOutcome(t, ended, policy.Missed)
 }
 
-// setSmallBuffers makes the system hold as little as it can of what is sent.
+// setSmallBuffers makes the system's socket buffers as small as possible.
 func setSmallBuffers(network, address string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
 		syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 4096)
@@ -82,7 +82,7 @@
 	})
 }
 
-// newSmallBufferHost is a host whose connections hold little and that reads when the test does.
+// newSmallBufferHost creates a host with small socket buffers that reads only when the test does.
 func newSmallBufferHost(t *testing.T, dialer net.Dialer) (hs *Hosts, conns chan net.Conn) {
 	hs, entry, _ := newTestHosts(t, testLimits)
 	listener, err := (&net.ListenConfig{Control: setSmallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
@@ -102,7 +102,7 @@
 	return hs, conns
 }
 
-// TestLongWriteNotRead ends a write that its host does not take while what it was told still holds: it never ran.
+// TestLongWriteNotRead checks that a write which the host does not read ends well before the announced time: it never ran.
 func TestLongWriteNotRead(t *testing.T) {
 	hs, conns := newSmallBufferHost(t, net.Dialer{Control: setSmallBuffers})
 	value := strings.Repeat("v", 60<<10)
@@ -111,7 +111,7 @@
 	hs.Send(a)
 	expectOutcome(t, ended, policy.ConnectFailed)
 	if took := time.Since(began); took > 2*time.Second {
-		t.Errorf("it was waited for %v of four seconds", took)
+		t.Errorf("the write took %v of four seconds", took)
 	}
 	got := bytes.Buffer{}
 	host := <-conns
@@ -122,13 +122,13 @@
 	}
 }
 
-// setLargeSendBuffer makes the system hold all that these tests send.
+// setLargeSendBuffer makes the send buffer large enough for everything that these tests send.
 func setLargeSendBuffer(network, address string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) { syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_SNDBUF, 1<<20) })
 }
 
-// TestGivenUpInSendBuffer gives an attempt up that the system holds, as its host takes nothing: the host must not have it whole when it
-// reads on.
+// TestGivenUpInSendBuffer gives up an attempt that is still in the send buffer because its host reads nothing. The host must not get
+// the whole attempt when it reads again.
 func TestGivenUpInSendBuffer(t *testing.T) {
 	for name, giveUp := range map[string]func(a *Attempt){
 		"given up":  (*Attempt).GiveUp,
@@ -141,7 +141,7 @@
 			hs.Send(a)
 			for began := time.Now(); hs.Sent() == 0; time.Sleep(time.Millisecond) {
 				if time.Since(began) > 10*time.Second {
-					t.Fatal("the attempt is never written")
+					t.Fatal("the attempt was never written")
 				}
 			}
 			giveUp(a)
@@ -150,7 +150,7 @@
 			host.SetDeadline(time.Now().Add(10 * time.Second))
 			var got bytes.Buffer
 			if _, err := got.ReadFrom(host); !errors.Is(err, syscall.ECONNRESET) {
-				t.Errorf("the connection ends with %v", err)
+				t.Errorf("the connection ended with %v, expected a reset", err)
 			}
 			if got.Len() >= len(value) {
 				t.Errorf("the host had %d bytes of %d", got.Len(), len(value))
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -11,8 +11,8 @@
 	"streamrail/policy"
 )
 
-// Wherever a host's answer is cut, the outcome is what is proven: nothing that came before its last byte is an answer, and a
-// reset is no end, not even of an answer whose length is not told. What may have run stays so.
+// A host's answer is cut after each byte. An incomplete answer counts as a reset, after which the attempt may have run, and a reset
+// does not complete an answer, not even one without a length.
 func TestAnswersCutAtEachByte(t *testing.T) {
 	const read, write = "mg k v Oa Pc=read,d=900", "ms k 5 Oa Pc=pay,d=900,k=7"
 	head := func(more string) string { return "HTTP/1.1 200 OK\r\n" + more + "\r\n" }
@@ -21,7 +21,7 @@
 		command, text   string
 		body            string
 		whole           policy.Outcome
-		closeEndsAnswer bool // a close in order after the head ends the answer
+		closeEndsAnswer bool // an orderly close after the header ends the answer
 	}{
 		"a value":            {command: read, text: "VA 5 Oa h1 Lutil=0.5\r\nhello\r\n", body: "hello", whole: policy.Fulfilled},
 		"an empty value":     {command: read, text: "VA 0 Oa\r\n\r\n", whole: policy.Fulfilled},
@@ -60,7 +60,7 @@
 						got += string(in[:k])
 					}
 					io.WriteString(c, row.text[:n])
-					if how == "reset" { // once what was written has been read: a reset takes what has not
+					if how == "reset" { // only after the answer was read: a reset discards unread data
 						if n == len(row.text) && !row.closeEndsAnswer {
 							r := <-ended
 							ended <- r
@@ -86,7 +86,7 @@
 	}
 }
 
-// An answer that never ends is waited for until the attempt's time is over, and no longer.
+// An attempt whose answer never ends lasts until its deadline and no longer.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	for name, row := range map[string]struct {
 		origin bool
@@ -134,8 +134,8 @@
 	}
 }
 
-// What a host says on a connection that nothing is out on belongs to no attempt: half a line, a second answer, of the same id
-// even, also just as the connection is handed to the next. Each attempt gets an answer that was made for it, or none.
+// Data that a host sends after its answer belongs to no attempt: half a line, or a second answer, even with the same id and even while
+// the connection is assigned to the next attempt. Each attempt gets the answer made for it, or none.
 func TestSecondAnswers(t *testing.T) {
 	for name, extra := range map[string]string{"half a line": "VA 5 O", "another answer": "VA 5 Oa0\r\nwrong\r\n", "a blank line": "\r\n", "a byte": "x"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/upstream/fault_test.go
+++ b/internal/upstream/fault_test.go
@@ -12,12 +12,12 @@
 	"streamrail/policy"
 )
 
-// dialError is how the network tells an error of a system call.
+// dialError returns a system call error the way package net reports it.
 func dialError(errno syscall.Errno) error {
 	return &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError("connect", errno)}
 }
 
-// failingWrites is a connection of which the system takes so many bytes and then fails.
+// failingWrites is a connection whose writes fail with the given error after a number of bytes.
 type failingWrites struct {
 	truncatedConn
 	fault error
@@ -31,8 +31,8 @@
 	return n, err
 }
 
-// TestSystemCallErrors has connects and first writes fail in every way: what this machine lacks does no harm to the host, and
-// nothing has run in any of them.
+// TestSystemCallErrors fails connects and first writes with each error. Errors of this machine are not attributed to the host,
+// and in no case has the attempt run.
 func TestSystemCallErrors(t *testing.T) {
 	for errno, want := range map[syscall.Errno]policy.Outcome{
 		syscall.EADDRNOTAVAIL: policy.NeverSent,
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestBackoffAfterLocalFaults counts the connects of many requests on a machine that has no ports: they are made in growing pauses,
-// and at once again when one comes up.
+// TestBackoffAfterLocalFaults counts the connects of many attempts on a machine without free ports. They are made at growing
+// intervals, and without delay once a connection opens again.
 func TestBackoffAfterLocalFaults(t *testing.T) {
 	hs, _, conns := newTestHosts(t, testLimits)
 	var connects atomic.Int64
@@ -96,19 +96,19 @@
 			t.Fatalf("outcome %d", o)
 		}
 	}
-	if n := connects.Load(); n < 3 || n > 20 { // 10 ms doubled, each by half at the least, is seven in that time, and some for chance
+	if n := connects.Load(); n < 3 || n > 20 { // pauses doubling from 10 ms, each halved at the least, allow seven; the bound leaves room for randomness
 		t.Errorf("%d connects in half a second", n)
 	}
 	repaired.Store(true)
 	for began := time.Now(); ask() == policy.NeverSent; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
-			t.Fatal("nothing is opened any more")
+			t.Fatal("no connection is opened after the fault has ended")
 		}
 	}
 	<-conns
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	if len(hs.conns) == 0 && hs.Sent() == 0 {
-		t.Error("no connection came up")
+		t.Error("no connection was opened")
 	}
 }
--- a/internal/upstream/sizes_test.go
+++ b/internal/upstream/sizes_test.go
@@ -10,7 +10,7 @@
 	"streamrail/policy"
 )
 
-// What a changed list costs here, while connections are open: half of the hosts leave and as many come.
+// BenchmarkListed measures the cost of a changed list in which half of the hosts leave and as many are new.
 func BenchmarkListed(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// A host costs no goroutine before it has a connection.
+// A host without connections needs no goroutine.
 func TestNoGoroutinePerHost(t *testing.T) {
 	hs := New(Limits{Pool: pool.Terms{Balancers: 350, Most: 378}}, -1)
 	defer hs.Close()
@@ -45,7 +45,7 @@
 	}
 }
 
-// What passes every tenth of a second though nothing happens.
+// BenchmarkTick measures the periodic work of an unused pool, which runs ten times a second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -31,7 +31,7 @@
 	taken     atomic.Bool
 }
 
-// TooLate reports that the server was announced more time than the client has left, if the last byte were written now. This happens
+// TooLate reports that the server was given more time than the client would have left if the last byte were written now. This happens
 // when the server reads the value more slowly than the client sends it.
 func (u *Upload) TooLate() bool { return u.Deadline.Remaining()+lastByteAllowance < u.announced }
 
--- a/internal/upstream/told_test.go
+++ b/internal/upstream/told_test.go
@@ -8,8 +8,8 @@
 	"streamrail/policy"
 )
 
-// TestGraceStartsWhenListArrives applies the end of a host late: nothing is written to it any more once the grace is over that began when
-// the list came, and within it something still may.
+// TestGraceStartsWhenListArrives applies a list with a draining host late. The grace starts when the list arrives: attempts may be
+// written within it and not after it.
 func TestGraceStartsWhenListArrives(t *testing.T) {
 	const grace = time.Second
 	hs := New(Limits{Grace: grace}, -1)
@@ -25,7 +25,7 @@
 		h := hs.byID["h"]
 		hs.Listed(discovery.List{Hosts: entry(policy.Draining), At: time.Now().Add(-c.delay)})
 		if got := hs.graceExpired(h); got != c.tooLate {
-			t.Errorf("applied %v after it came: too late is %v", c.delay, got)
+			t.Errorf("list applied %v after its arrival: grace expired is %v", c.delay, got)
 		}
 	}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -19,7 +19,7 @@
 	"streamrail/policy"
 )
 
-// newTestHosts makes a set with one host at a listener that hands its connections over.
+// newTestHosts creates hosts with one entry. Its listener passes the accepted connections to the channel.
 func newTestHosts(t *testing.T, limits Limits) (hs *Hosts, entry discovery.Host, conns chan net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,11 +61,11 @@
 			t.Errorf("outcome %d, expected %d", r.Outcome, want)
 		}
 	case <-time.After(10 * time.Second):
-		t.Fatal("the attempt never ends")
+		t.Fatal("the attempt never ended")
 	}
 }
 
-// waitIdle waits until so many connections are idle.
+// waitIdle waits until exactly count connections are idle.
 func waitIdle(t *testing.T, hs *Hosts, count int) {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < 10*time.Second; time.Sleep(time.Millisecond) {
@@ -81,12 +81,12 @@
 			return
 		}
 	}
-	t.Fatal("no connection comes to rest")
+	t.Fatal("the expected number of idle connections was not reached")
 }
 
 var testLimits = Limits{Pool: pool.Terms{Most: 10, Idle: policy.Nanos(time.Minute)}, Origin: 10, Connect: time.Second, Grace: time.Second}
 
-// expectExchange is what comes of an attempt over a connection.
+// expectExchange sends an attempt over a connection and checks its outcome.
 func expectExchange(t *testing.T, c *conn, a *Attempt, want policy.Outcome) {
 	t.Helper()
 	if r, _, _ := c.exchange(a); r.Outcome != want {
@@ -94,7 +94,7 @@
 	}
 }
 
-// truncatedConn is a connection that breaks after so many bytes.
+// truncatedConn is a connection that breaks after a number of written bytes.
 type truncatedConn struct {
 	net.Conn
 	remaining int
@@ -112,8 +112,8 @@
 func (c *truncatedConn) SetReadDeadline(time.Time) error { return nil }
 func (c *truncatedConn) Close() error                    { return nil }
 
-// One byte decides: a write that broke before its last byte never ran and may go elsewhere, one after it may
-// have credited a phone line.
+// A write that breaks before its last byte never ran and may be retried elsewhere. One that breaks after it may have taken effect,
+// for example a payment.
 func TestBreakAtLastByte(t *testing.T) {
 	const line, value = "ms k 5 O1 Pc=pay,d=900", "hello"
 	var whole bytes.Buffer
@@ -130,8 +130,8 @@
 	}
 }
 
-// An order that waited is not written once its host was told off longer than the grace ago, nor when the API
-// call is over: either would be new work that nobody wants.
+// An attempt that waited for a connection is not written after the grace of its host has expired, nor after it was given up: either
+// would be new work without use.
 func TestAttemptThatWaited(t *testing.T) {
 	limits := testLimits
 	limits.Grace = 0
@@ -162,11 +162,11 @@
 	c := <-conns
 	c.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if got, _ := io.ReadAll(c); len(got) != 0 {
-		t.Errorf("written all the same: %q", got)
+		t.Errorf("unexpectedly written: %q", got)
 	}
 }
 
-// Given up after its last byte, an attempt may have run; its connection ends, so that no answer comes late.
+// An attempt given up after its last byte was written may have run. Its connection is reset, so that no late answer arrives on it.
 func TestGivenUp(t *testing.T) {
 	hs, _, conns := newTestHosts(t, testLimits)
 	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
@@ -179,11 +179,11 @@
 	a.GiveUp()
 	expectOutcome(t, ended, policy.Cancelled)
 	if _, err := c.Read(buf); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the connection is not reset: %v", err)
+		t.Errorf("the connection was not reset: %v", err)
 	}
 }
 
-// scriptedConn is a connection whose host answers one command and closes when told to.
+// scriptedConn is a connection whose answers come from a channel; closing the channel closes the connection.
 type scriptedConn struct {
 	truncatedConn
 	answers chan string
@@ -196,8 +196,8 @@
 	return 0, io.EOF
 }
 
-// An attempt handed to a connection at rest just as its host closes it goes over another one: not a byte was
-// written, and calling it a reset would forbid a non-idempotent request its next attempt.
+// An attempt assigned to an idle connection just as the host closes it is sent over another connection. None of its bytes was written,
+// and reporting a reset would prevent the retry of a non-idempotent request.
 func TestClosedDuringAssignment(t *testing.T) {
 	hs, _, conns := newTestHosts(t, testLimits)
 	w := &scriptedConn{truncatedConn{remaining: 1 << 20}, make(chan string, 1)}
@@ -218,7 +218,7 @@
 	expectOutcome(t, ended, policy.Missed)
 }
 
-// The origin takes few connections: its bound holds also where an idle one to a cache host could make room.
+// The origin accepts few connections: its limit holds even if an idle connection to a cache host could make room.
 func TestOriginLimit(t *testing.T) {
 	limits := testLimits
 	limits.Pool.Most, limits.Origin = 2, 1
@@ -244,7 +244,7 @@
 	expectOutcome(t, ended, policy.NeverSent)
 }
 
-// Connections are bounded: one that is idle makes room, and without one the attempt is never sent.
+// At the connection limit an idle connection is closed to make room; without an idle one the attempt is refused.
 func TestConnectionLimit(t *testing.T) {
 	limits := testLimits
 	limits.Pool.Most = 1
@@ -267,12 +267,12 @@
 	expectOutcome(t, ended, policy.Missed)
 }
 
-// What comes and is no answer is told apart from a connection that breaks: hosts that only garble now and then
-// were taken for crowded ones.
+// Invalid answers are distinguished from broken connections. Otherwise a host that occasionally sends garbage would be treated as
+// overloaded.
 func TestInvalidAnswers(t *testing.T) {
 	for answer, want := range map[string]policy.Outcome{
 		"":                         policy.Reset,
-		"VA 9 O1\r\nshort":         policy.Reset, // broke off
+		"VA 9 O1\r\nshort":         policy.Reset, // breaks off
 		"EN O1":                    policy.Reset,
 		"noise\r\n":                policy.Spoilt,
 		"EN O1\n":                  policy.Spoilt,
@@ -291,7 +291,7 @@
 	}
 }
 
-// A host's report reaches the module with whatever answer brings it, where the settings say that answers hold one, and nowhere else.
+// A host's load report is returned with every kind of answer that contains one, but only if load reports are enabled in the settings.
 func TestReports(t *testing.T) {
 	for answer, want := range map[string]*policy.Load{
 		"VA 1 O1 h1 Linflight=7,queue=2,util=0.61\r\nx\r\n": {InHand: 7, Busy: 0.61, Took: -1},
@@ -309,15 +309,15 @@
 			c.reader = newReader(strings.NewReader(answer))
 			r, _, err := c.read(a)
 			if err != nil || (r.Load != nil) != (enabled && want != nil) || r.Load != nil && *r.Load != *want {
-				t.Errorf("%q, told %v: %+v, %v", answer, enabled, r.Load, err)
+				t.Errorf("%q, reports enabled %v: %+v, %v", answer, enabled, r.Load, err)
 			}
 			hs.Close()
 		}
 	}
 }
 
-// Some hosts close a connection right after an answer. The one at rest longest has been heard closing by then; a
-// attempt written to the last one used would end as one that may have run.
+// Some hosts close a connection right after an answer. On the connection idle longest the close has been noticed already; an attempt
+// written to the one used last would be lost and count as possibly run.
 func TestLongestIdleUsedFirst(t *testing.T) {
 	hs, _, conns := newTestHosts(t, testLimits)
 	var held []net.Conn
@@ -326,7 +326,7 @@
 		a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 		hs.Send(a)
 		c := <-conns
-		c.Read(make([]byte, 100)) // it is this one's: two that are being opened may change their attempts
+		c.Read(make([]byte, 100)) // wait until this connection serves this attempt: connections being opened may swap their attempts
 		held, all = append(held, c), append(all, ended)
 	}
 	for i, c := range held {
@@ -339,17 +339,17 @@
 	held[0].SetReadDeadline(time.Now().Add(time.Second))
 	buf := make([]byte, 200)
 	if n, _ := held[0].Read(buf); !strings.Contains(string(buf[:n]), "mg next") {
-		t.Errorf("the longest rested got %q", buf[:n])
+		t.Errorf("the connection idle longest got %q", buf[:n])
 	}
 }
 
-// Hosts come and go all day under new ids; what is gone leaves nothing behind once its connections have ended.
+// Hosts that are gone are removed once their connections have ended. Otherwise they would pile up, since new hosts have new ids.
 func TestGoneHostsRemoved(t *testing.T) {
 	hs, entry, conns := newTestHosts(t, testLimits)
 	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(a)
 	c := <-conns
-	c.Read(make([]byte, 100)) // the attempt is out
+	c.Read(make([]byte, 100)) // the attempt is in flight
 	gone := func(h discovery.Host) discovery.Host {
 		h.Condition = policy.Gone
 		return h
@@ -361,13 +361,13 @@
 		return len(hs.byID)
 	}
 	if known() != 1 {
-		t.Error("forgotten with an attempt out")
+		t.Error("removed with an attempt in flight")
 	}
 	io.WriteString(c, "EN O1\r\n")
 	expectOutcome(t, ended, policy.Missed)
 	for began := time.Now(); known() > 0; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
-			t.Fatal("never forgotten")
+			t.Fatal("never removed")
 		}
 	}
 	for i := range 100 {
@@ -376,12 +376,12 @@
 		hs.Listed(discovery.List{Hosts: []discovery.Host{before, entry}})
 	}
 	if known() != 1 {
-		t.Errorf("%d known of one", known())
+		t.Errorf("%d hosts known, expected one", known())
 	}
 }
 
-// A host that is out by hand gets nothing, also where the list names it again, nor what waits for a connection to it; back, it
-// gets no attempt over a connection of before: it may be another process.
+// A host that an operator has excluded gets no attempts, even if the list contains it again. After it is included again, no earlier
+// connection to it is used: it may be another process.
 func TestExcludedHost(t *testing.T) {
 	hs, entry, conns := newTestHosts(t, testLimits)
 	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
@@ -397,7 +397,7 @@
 	hs.Send(a)
 	expectOutcome(t, ended, policy.NeverSent)
 	if n, _ := first.Read(make([]byte, 1)); n != 0 {
-		t.Error("the connection at rest was used")
+		t.Error("the idle connection was used")
 	}
 	hs.Include("h")
 	a, ended = newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
@@ -407,7 +407,7 @@
 		second.Read(make([]byte, 100))
 		io.WriteString(second, "EN O3\r\n")
 	case <-time.After(10 * time.Second):
-		t.Fatal("no new connection")
+		t.Fatal("no new connection was opened")
 	}
 	expectOutcome(t, ended, policy.Missed)
 }
