--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -34,7 +34,7 @@
 	Upload   *Upload                   // value of a write that is long and still arriving
 	Deadline deadline.Deadline         // deadline of the request: the attempt is neither started nor waited for after it
 	BeginBy  deadline.Deadline         // writing does not start after this time
-	Room     func(bytes int) bool      // reports whether there is memory for a value; called before reading one
+	Room     func(bytes int) bool      // reserves memory for a value, false if there is not enough; called before reading one
 	Pass     func(*Value) (whole bool) // streams a long value to the client and reports whether all of it was read; it may block
 	Gone     func() bool               // reports that the client no longer waits; nil: not known
 	Done     func(Result)
