--- a/internal/upstream/sizes_test.go
+++ b/internal/upstream/sizes_test.go
@@ -10,7 +10,7 @@
 	"streamrail/policy"
 )
 
-// What a changed list costs here, while connections are open: half of the hosts leave and as many come.
+// BenchmarkListed measures the cost of a changed list in which half of the hosts leave and as many are new.
 func BenchmarkListed(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -30,8 +30,8 @@
 	}
 }
 
-// A host costs no goroutine before it has a connection.
-func TestNoGoroutineForAHost(t *testing.T) {
+// A host without connections needs no goroutine.
+func TestNoGoroutinePerHost(t *testing.T) {
 	hs := New(Limits{Pool: pool.Terms{Balancers: 350, Most: 378}}, -1)
 	defer hs.Close()
 	before := runtime.NumGoroutine()
@@ -45,11 +45,11 @@
 	}
 }
 
-// What passes every tenth of a second though nothing happens.
+// BenchmarkTick measures the periodic work of an unused pool, which runs ten times a second.
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := pool.New(orders{}, pool.Terms{Balancers: 350, Most: 378}, func() float64 { return 0 })
+			p := pool.New(poolActions{}, pool.Terms{Balancers: 350, Most: 378}, func() float64 { return 0 })
 			for i := range n {
 				p.Up(0, pool.Host(fmt.Sprint("s-", i)), 0, false, 0)
 			}
