--- a/internal/fleet/evidence/evidence.go
+++ b/internal/fleet/evidence/evidence.go
@@ -52,20 +52,20 @@
 }
 
 // Has tells whether words, in order, are of a host among others.
-func Has(words []Word, host string) bool {
-	_, has := slices.BinarySearchFunc(words, host, func(w Word, h string) int { return cmp.Compare(w.Host, h) })
+func Has(summaries []Word, host string) bool {
+	_, has := slices.BinarySearchFunc(summaries, host, func(w Word, h string) int { return cmp.Compare(w.Host, h) })
 	return has
 }
 
 // Tell says what holds now after other words did: of each turn's, as a host that was started again is another one to the module.
-func Tell(was, now []Word, said func(host string, good, bad float64)) {
-	for _, w := range was {
-		if !Has(now, w.Host) {
-			said(w.Host, 0, 0)
+func Tell(before, after []Word, notify func(host string, good, bad float64)) {
+	for _, w := range before {
+		if !Has(after, w.Host) {
+			notify(w.Host, 0, 0)
 		}
 	}
-	for _, w := range now {
-		said(w.Host, w.Good, w.Bad)
+	for _, w := range after {
+		notify(w.Host, w.Good, w.Bad)
 	}
 }
 
@@ -76,78 +76,78 @@
 }
 
 const (
-	Turn   = 500 * time.Millisecond
-	window = 12 // turns whose endings are told
-	// keep is how long a witness counts after its last message: two in a row may be lost.
-	keep = 9 * time.Second
-	// late is how much later than its quickest one a sender's message may come. One that lay in a socket while this process or the
+	Turn        = 500 * time.Millisecond
+	windowTicks = 12 // turns whose endings are told
+	// reportTTL is how long a witness counts after its last message: two in a row may be lost.
+	reportTTL = 9 * time.Second
+	// maxDelay is how much later than its quickest one a sender's message may come. One that lay in a socket while this process or the
 	// other stood still says what was.
-	late = 2 * time.Second
-	// drift lets the quickest one age: clocks go apart, and ways grow longer for good.
-	drift = 0.1
+	maxDelay = 2 * time.Second
+	// offsetDriftRatio lets the quickest one age: clocks go apart, and ways grow longer for good.
+	offsetDriftRatio = 0.1
 	// With a turn of a second 80 balancers sent 515 attempts to nodes that fail where alone they sent 724, with half of one 460.
-	// partners are told by each balancer, atOnce of them a turn, always the same as long as all live: at hundreds of balancers chance
+	// partners are told by each balancer, partnersPerTick of them a turn, always the same as long as all live: at hundreds of balancers chance
 	// would bring nobody two messages of one sender in time. Sixteen witnesses see a bad host sixteen times as soon.
-	partners = 16
-	atOnce   = 4
+	partnerCount    = 16
+	partnersPerTick = 4
 	// Bounds of memory, many times a fleet.
-	mostHosts     = 16384
-	mostWitnesses = 4096
-	mostBytes     = 900 // of rows in a message
-	rowBytes      = 8   // of a row beyond the host's name
-	MostName      = 256
+	maxHosts           = 16384
+	maxReporters       = 4096
+	maxMessageRowBytes = 900 // of rows in a message
+	rowOverheadBytes   = 8   // of a row beyond the host's name
+	MostName           = 256
 )
 
 const (
-	// leastBad witnesses make a word: no single one can.
-	leastBad = 2
-	// mostSaid is what all others together weigh, in endings: a dozen good ones of the module's own outweigh them.
-	mostSaid = 4
-	// mostPart of the hosts may have a word against them at a time, the worst first.
-	mostPart = 0.25
-	// angry is the part of a witness's endings that are bad from which it has a trouble of its own, and hosts that it must have seen.
-	angry, angryHosts = 0.5, 4
+	// minBadWeight witnesses make a word: no single one can.
+	minBadWeight = 2
+	// maxTotalWeight is what all others together weigh, in endings: a dozen good ones of the module's own outweigh them.
+	maxTotalWeight = 4
+	// maxFlaggedRatio of the hosts may have a word against them at a time, the worst first.
+	maxFlaggedRatio = 0.25
+	// biasedBadRatio is the part of a witness's endings that are bad from which it has a trouble of its own, and hosts that it must have seen.
+	biasedBadRatio, biasedMinHosts = 0.5, 4
 )
 
 // Machine is one balancer's evidence.
 type Machine struct {
-	terms    Terms
-	now      Moment
-	turn     int
-	own      map[string]*own
-	heard    map[member.Life]*witness
-	zones    map[member.Life]string // of the members present
-	partners []member.Life
-	cursor   int
-	n        uint64
-	hosts    int // listed
-	sends    []Send
-	words    []Word
+	config       Terms
+	now          Moment
+	tick         int
+	ownCounts    map[string]*attemptCounts
+	reporters    map[member.Life]*reporter
+	zones        map[member.Life]string // of the members present
+	partners     []member.Life
+	partnerIndex int
+	lastSequence uint64
+	hostCount    int // listed
+	sends        []Send
+	summaries    []Word
 }
 
-type own struct {
-	good, bad [window]int
-	turn      int // the last one noted
+type attemptCounts struct {
+	good, bad [windowTicks]int
+	tick      int // the last one noted
 }
 
-type witness struct {
-	n        uint64
-	at       Moment // of the last message that counted
-	quickest Moment // own clock less the sender's, of its quickest message
-	base     Moment // when that was noted
-	rows     map[string]Row
-	biased   bool
+type reporter struct {
+	lastSequence uint64
+	lastReceived Moment // of the last message that counted
+	minOffset    Moment // own clock less the sender's, of its quickest message
+	minOffsetAt  Moment // when that was noted
+	rows         map[string]Row
+	biased       bool
 }
 
 // New makes one that knows nothing.
-func New(t Terms) *Machine {
-	return &Machine{terms: t, own: map[string]*own{}, heard: map[member.Life]*witness{}, zones: map[member.Life]string{}}
+func New(config Terms) *Machine {
+	return &Machine{config: config, ownCounts: map[string]*attemptCounts{}, reporters: map[member.Life]*reporter{}, zones: map[member.Life]string{}}
 }
 
 // Proves tells what the end of an attempt says of its host, if it says anything: an answer within the latency SLO is good, none by then is
 // bad, and so is a failure. One that was turned away, never sent or called back early says nothing.
-func Proves(o policy.Outcome, took, slo policy.Nanos) (good, proves bool) {
-	switch o {
+func Proves(outcome policy.Outcome, took, slo policy.Nanos) (good, proves bool) {
+	switch outcome {
 	case policy.Fulfilled, policy.Missed:
 		return took <= slo, true
 	case policy.Errored, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.Spoilt:
@@ -160,38 +160,38 @@
 
 // Ended notes how an attempt of this balancer's own ended.
 func (m *Machine) Ended(now Moment, host string, good bool) {
-	m.to(now)
-	o := m.own[host]
+	m.advance(now)
+	o := m.ownCounts[host]
 	if o == nil {
-		if len(m.own) >= mostHosts || len(host) > MostName || host == "" {
+		if len(m.ownCounts) >= maxHosts || len(host) > MostName || host == "" {
 			return
 		}
-		o = &own{turn: m.turn}
-		m.own[host] = o
+		o = &attemptCounts{tick: m.tick}
+		m.ownCounts[host] = o
 	}
-	o.to(m.turn)
+	o.advance(m.tick)
 	if good {
-		o.good[m.turn%window]++
+		o.good[m.tick%windowTicks]++
 	} else {
-		o.bad[m.turn%window]++
+		o.bad[m.tick%windowTicks]++
 	}
 }
 
-func (m *Machine) to(now Moment) {
+func (m *Machine) advance(now Moment) {
 	m.now = now
-	m.turn = int(now / Turn)
+	m.tick = int(now / Turn)
 }
 
-// to forgets what has left the window.
-func (o *own) to(turn int) {
-	for k := o.turn + 1; k <= min(turn, o.turn+window); k++ {
-		o.good[k%window], o.bad[k%window] = 0, 0
+// advance forgets what has left the window.
+func (o *attemptCounts) advance(tick int) {
+	for k := o.tick + 1; k <= min(tick, o.tick+windowTicks); k++ {
+		o.good[k%windowTicks], o.bad[k%windowTicks] = 0, 0
 	}
-	o.turn = turn
+	o.tick = tick
 }
 
-func (o *own) sum() (good, bad int) {
-	for i := range window {
+func (o *attemptCounts) total() (good, bad int) {
+	for i := range windowTicks {
 		good, bad = good+o.good[i], bad+o.bad[i]
 	}
 	return good, bad
@@ -199,50 +199,50 @@
 
 // Tick is called once a turn with the members present and the number of hosts listed.
 func (m *Machine) Tick(now Moment, members []Peer, hosts int) {
-	m.to(now)
-	m.hosts = hosts
+	m.advance(now)
+	m.hostCount = hosts
 	clear(m.zones)
 	for _, p := range members {
 		m.zones[p.Life] = p.Zone
 	}
-	maps.DeleteFunc(m.heard, func(l member.Life, w *witness) bool {
+	maps.DeleteFunc(m.reporters, func(l member.Life, w *reporter) bool {
 		_, present := m.zones[l]
-		return !present || now-w.at > 10*keep
+		return !present || now-w.lastReceived > 10*reportTTL
 	})
 	rows := m.rows()
-	m.choose(members)
-	for range min(atOnce, len(m.partners)) {
-		m.cursor = (m.cursor + 1) % len(m.partners)
-		m.n++
-		m.sends = append(m.sends, Send{m.partners[m.cursor], Message{N: m.n, At: now, Rows: rows}})
+	m.choosePartners(members)
+	for range min(partnersPerTick, len(m.partners)) {
+		m.partnerIndex = (m.partnerIndex + 1) % len(m.partners)
+		m.lastSequence++
+		m.sends = append(m.sends, Send{m.partners[m.partnerIndex], Message{N: m.lastSequence, At: now, Rows: rows}})
 	}
-	m.judge()
+	m.summarize()
 }
 
-// choose draws partners by the two lives alone, so that they stay the same.
-func (m *Machine) choose(members []Peer) {
+// choosePartners draws partners by the two lives alone, so that they stay the same.
+func (m *Machine) choosePartners(members []Peer) {
 	type ranked struct {
-		life member.Life
+		id   member.Life
 		rank uint64
 	}
 	all := make([]ranked, 0, len(members))
 	for _, p := range members {
-		if p.Life != m.terms.Self {
-			all = append(all, ranked{p.Life, mix(uint64(m.terms.Self) ^ mix(uint64(p.Life)))})
+		if p.Life != m.config.Self {
+			all = append(all, ranked{p.Life, hashUint64(uint64(m.config.Self) ^ hashUint64(uint64(p.Life)))})
 		}
 	}
 	slices.SortFunc(all, func(a, b ranked) int { return cmp.Compare(a.rank, b.rank) })
 	before := m.partners
 	m.partners = nil
-	for _, r := range all[:min(partners, len(all))] {
-		m.partners = append(m.partners, r.life)
+	for _, r := range all[:min(partnerCount, len(all))] {
+		m.partners = append(m.partners, r.id)
 	}
 	if i := slices.IndexFunc(m.partners, func(l member.Life) bool { return !slices.Contains(before, l) }); i >= 0 {
-		m.cursor = i + len(m.partners) - 1 // a newcomer knows nothing yet: it is told next
+		m.partnerIndex = i + len(m.partners) - 1 // a newcomer knows nothing yet: it is told next
 	}
 }
 
-func mix(x uint64) uint64 {
+func hashUint64(x uint64) uint64 {
 	f := fnv.New64a()
 	var b [8]byte
 	for i := range b {
@@ -256,27 +256,27 @@
 // those seen most often.
 func (m *Machine) rows() []Row {
 	var rows []Row
-	for host, o := range m.own {
-		o.to(m.turn)
-		good, bad := o.sum()
+	for host, o := range m.ownCounts {
+		o.advance(m.tick)
+		good, bad := o.total()
 		if good+bad == 0 {
-			delete(m.own, host)
+			delete(m.ownCounts, host)
 			continue
 		}
 		rows = append(rows, Row{host, good, bad})
 	}
-	useful := func(r Row) int {
-		if Has(m.words, r.Host) || r.Bad > 0 {
+	priority := func(r Row) int {
+		if Has(m.summaries, r.Host) || r.Bad > 0 {
 			return 1
 		}
 		return 0
 	}
 	slices.SortFunc(rows, func(a, b Row) int {
-		return cmp.Or(cmp.Compare(useful(b), useful(a)), cmp.Compare(b.Bad, a.Bad), cmp.Compare(b.Good, a.Good), cmp.Compare(a.Host, b.Host))
+		return cmp.Or(cmp.Compare(priority(b), priority(a)), cmp.Compare(b.Bad, a.Bad), cmp.Compare(b.Good, a.Good), cmp.Compare(a.Host, b.Host))
 	})
-	room := mostBytes
+	remaining := maxMessageRowBytes
 	for i, r := range rows {
-		if room -= len(r.Host) + rowBytes; room < 0 {
+		if remaining -= len(r.Host) + rowOverheadBytes; remaining < 0 {
 			return rows[:i]
 		}
 	}
@@ -285,29 +285,29 @@
 
 // Hear takes a member's message.
 func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
-	m.to(now)
-	if _, present := m.zones[from]; !present && len(m.zones) > 0 || from == m.terms.Self {
+	m.advance(now)
+	if _, present := m.zones[from]; !present && len(m.zones) > 0 || from == m.config.Self {
 		return
 	}
-	w, took := m.heard[from], now-msg.At
+	w, offset := m.reporters[from], now-msg.At
 	if w == nil {
-		if len(m.heard) >= mostWitnesses {
+		if len(m.reporters) >= maxReporters {
 			return
 		}
-		w = &witness{quickest: took, base: now}
-		m.heard[from] = w
+		w = &reporter{minOffset: offset, minOffsetAt: now}
+		m.reporters[from] = w
 	}
-	if msg.N <= w.n {
+	if msg.N <= w.lastSequence {
 		return
 	}
-	usual := w.quickest + Moment(drift*float64(now-w.base))
-	if took-usual > late {
+	expected := w.minOffset + Moment(offsetDriftRatio*float64(now-w.minOffsetAt))
+	if offset-expected > maxDelay {
 		return
 	}
-	if took < usual {
-		w.quickest, w.base = took, now
+	if offset < expected {
+		w.minOffset, w.minOffsetAt = offset, now
 	}
-	w.n, w.at, w.rows = msg.N, now, make(map[string]Row, len(msg.Rows))
+	w.lastSequence, w.lastReceived, w.rows = msg.N, now, make(map[string]Row, len(msg.Rows))
 	good, bad := 0, 0
 	for _, r := range msg.Rows {
 		if r.Good >= 0 && r.Bad >= 0 && r.Good+r.Bad > 0 {
@@ -315,62 +315,62 @@
 			good, bad = good+min(r.Good, 1), bad+min(r.Bad, 1)
 		}
 	}
-	w.biased = len(w.rows) >= angryHosts && float64(bad) > angry*float64(good+bad)
+	w.biased = len(w.rows) >= biasedMinHosts && float64(bad) > biasedBadRatio*float64(good+bad)
 }
 
-// judge makes the words of what counts now.
-func (m *Machine) judge() {
+// summarize makes the words of what counts now.
+func (m *Machine) summarize() {
 	type votes struct{ good, bad float64 }
-	own, others, says := map[string]votes{}, map[string]map[string]votes{}, map[string]int{}
-	for l, w := range m.heard {
+	sameZone, otherZones, badReporters := map[string]votes{}, map[string]map[string]votes{}, map[string]int{}
+	for l, w := range m.reporters {
 		zone, present := m.zones[l]
-		if !present || w.biased || m.now-w.at > keep {
+		if !present || w.biased || m.now-w.lastReceived > reportTTL {
 			continue
 		}
 		for host, r := range w.rows {
-			part := float64(r.Bad) / float64(r.Good+r.Bad)
-			if part > 0.5 {
-				says[host]++
+			badRatio := float64(r.Bad) / float64(r.Good+r.Bad)
+			if badRatio > 0.5 {
+				badReporters[host]++
 			}
-			if zone == m.terms.Zone {
-				v := own[host]
-				own[host] = votes{v.good + 1 - part, v.bad + part}
+			if zone == m.config.Zone {
+				v := sameZone[host]
+				sameZone[host] = votes{v.good + 1 - badRatio, v.bad + badRatio}
 				continue
 			}
-			if others[host] == nil {
-				others[host] = map[string]votes{}
+			if otherZones[host] == nil {
+				otherZones[host] = map[string]votes{}
 			}
-			v := others[host][zone]
-			others[host][zone] = votes{v.good + 1 - part, v.bad + part}
+			v := otherZones[host][zone]
+			otherZones[host][zone] = votes{v.good + 1 - badRatio, v.bad + badRatio}
 		}
 	}
-	words := []Word{}
-	for host := range says {
-		v := own[host]
-		for _, z := range others[host] { // what another zone sees may be its ways': together it counts as one
-			k := 1 / max(1, z.good+z.bad)
-			v.good, v.bad = v.good+z.good*k, v.bad+z.bad*k
+	summaries := []Word{}
+	for host := range badReporters {
+		v := sameZone[host]
+		for _, zoneVotes := range otherZones[host] { // what another zone sees may be its ways': together it counts as one
+			scale := 1 / max(1, zoneVotes.good+zoneVotes.bad)
+			v.good, v.bad = v.good+zoneVotes.good*scale, v.bad+zoneVotes.bad*scale
 		}
-		if v.bad >= leastBad && v.bad > v.good {
-			k := min(1, mostSaid/(v.good+v.bad))
-			words = append(words, Word{host, v.good * k, v.bad * k, says[host]})
+		if v.bad >= minBadWeight && v.bad > v.good {
+			scale := min(1, maxTotalWeight/(v.good+v.bad))
+			summaries = append(summaries, Word{host, v.good * scale, v.bad * scale, badReporters[host]})
 		}
 	}
-	slices.SortFunc(words, func(a, b Word) int {
+	slices.SortFunc(summaries, func(a, b Word) int {
 		return cmp.Or(cmp.Compare(b.Bad/(b.Good+b.Bad), a.Bad/(a.Good+a.Bad)), cmp.Compare(b.Witnesses, a.Witnesses), cmp.Compare(a.Host, b.Host))
 	})
-	words = words[:min(len(words), int(math.Floor(mostPart*float64(m.hosts))))]
-	slices.SortFunc(words, func(a, b Word) int { return cmp.Compare(a.Host, b.Host) })
-	m.words = words
+	summaries = summaries[:min(len(summaries), int(math.Floor(maxFlaggedRatio*float64(m.hostCount))))]
+	slices.SortFunc(summaries, func(a, b Word) int { return cmp.Compare(a.Host, b.Host) })
+	m.summaries = summaries
 }
 
 // Words are what the others say now, by host, in order.
-func (m *Machine) Words() []Word { return slices.Clone(m.words) }
+func (m *Machine) Words() []Word { return slices.Clone(m.summaries) }
 
 // Heard is how many witnesses count now.
 func (m *Machine) Heard() (n int) {
-	for _, w := range m.heard {
-		if m.now-w.at <= keep && !w.biased {
+	for _, w := range m.reporters {
+		if m.now-w.lastReceived <= reportTTL && !w.biased {
 			n++
 		}
 	}
--- a/internal/fleet/evidence/evidence_test.go
+++ b/internal/fleet/evidence/evidence_test.go
@@ -10,7 +10,7 @@
 	"streamrail/internal/fleet/member"
 )
 
-func listens(zones ...string) (*Machine, []Peer) {
+func newMachineWithPeers(zones ...string) (*Machine, []Peer) {
 	m := New(Terms{Self: 1, Zone: "a"})
 	peers := []Peer{{1, "a"}}
 	for i, z := range zones {
@@ -20,9 +20,9 @@
 	return m, peers
 }
 
-func says(host string, good, bad int) []Row { return []Row{{host, good, bad}} }
+func singleRow(host string, good, bad int) []Row { return []Row{{host, good, bad}} }
 
-func said(m *Machine) (text string) {
+func formatSummaries(m *Machine) (text string) {
 	for _, w := range m.Words() {
 		text += fmt.Sprintf("%s %.1f:%.1f ", w.Host, w.Good, w.Bad)
 	}
@@ -31,35 +31,35 @@
 
 // Whom to believe, and how much: one witness takes nobody out, nor does another zone by itself, nor who finds all hosts bad;
 // what is said weighs no more than a few endings, is of a quarter of the hosts at most, and ends by itself.
-func TestWitnesses(t *testing.T) {
-	many := []Row{{"p", 0, 2}, {"q", 0, 2}, {"r", 0, 2}, {"s", 1, 0}}
+func TestSummaries(t *testing.T) {
+	mostlyBad := []Row{{"p", 0, 2}, {"q", 0, 2}, {"r", 0, 2}, {"s", 1, 0}}
 	for name, row := range map[string]struct {
 		zones []string
 		rows  [][]Row
 		want  string
 	}{
-		"one":               {[]string{"a"}, [][]Row{says("h", 0, 900)}, ""},
-		"two":               {[]string{"a", "a"}, [][]Row{says("h", 0, 9), says("h", 0, 1)}, "h 0.0:2.0 "},
-		"outvoted":          {[]string{"a", "a", "a", "a"}, [][]Row{says("h", 0, 9), says("h", 0, 9), says("h", 1, 0), says("h", 1, 0)}, ""},
-		"most":              {[]string{"a", "a", "a"}, [][]Row{says("h", 0, 9), says("h", 0, 9), says("h", 7, 0)}, "h 1.0:2.0 "},
-		"eight weigh four":  {[]string{"a", "a", "a", "a", "a", "a", "a", "a"}, slices.Repeat([][]Row{says("h", 0, 9)}, 8), "h 0.0:4.0 "},
-		"another zone":      {[]string{"b", "b", "b", "b"}, slices.Repeat([][]Row{says("h", 0, 9)}, 4), ""},
-		"two other zones":   {[]string{"b", "b", "c", "c"}, slices.Repeat([][]Row{says("h", 0, 9)}, 4), "h 0.0:2.0 "},
-		"finds all bad":     {[]string{"a", "a", "a"}, [][]Row{many, many, says("p", 0, 1)}, ""},
+		"one":               {[]string{"a"}, [][]Row{singleRow("h", 0, 900)}, ""},
+		"two":               {[]string{"a", "a"}, [][]Row{singleRow("h", 0, 9), singleRow("h", 0, 1)}, "h 0.0:2.0 "},
+		"outvoted":          {[]string{"a", "a", "a", "a"}, [][]Row{singleRow("h", 0, 9), singleRow("h", 0, 9), singleRow("h", 1, 0), singleRow("h", 1, 0)}, ""},
+		"most":              {[]string{"a", "a", "a"}, [][]Row{singleRow("h", 0, 9), singleRow("h", 0, 9), singleRow("h", 7, 0)}, "h 1.0:2.0 "},
+		"eight weigh four":  {[]string{"a", "a", "a", "a", "a", "a", "a", "a"}, slices.Repeat([][]Row{singleRow("h", 0, 9)}, 8), "h 0.0:4.0 "},
+		"another zone":      {[]string{"b", "b", "b", "b"}, slices.Repeat([][]Row{singleRow("h", 0, 9)}, 4), ""},
+		"two other zones":   {[]string{"b", "b", "c", "c"}, slices.Repeat([][]Row{singleRow("h", 0, 9)}, 4), "h 0.0:2.0 "},
+		"finds all bad":     {[]string{"a", "a", "a"}, [][]Row{mostlyBad, mostlyBad, singleRow("p", 0, 1)}, ""},
 		"a quarter of them": {[]string{"a", "a"}, slices.Repeat([][]Row{{{"p", 0, 2}, {"q", 1, 2}, {"r", 0, 2}, {"s", 8, 0}, {"t", 8, 0}, {"u", 8, 0}, {"v", 8, 0}}}, 2), "p 0.0:2.0 r 0.0:2.0 "},
 		"nonsense":          {[]string{"a", "a"}, slices.Repeat([][]Row{{{"p", -3, 5}, {"", 0, 0}}}, 2), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, peers := listens(row.zones...)
+			m, peers := newMachineWithPeers(row.zones...)
 			for i, rows := range row.rows {
 				m.Hear(0, peers[i+1].Life, &Message{N: 1, Rows: rows})
 			}
 			m.Tick(Turn, peers, 8)
-			if got := said(m); got != row.want {
+			if got := formatSummaries(m); got != row.want {
 				t.Errorf("%q, expected %q", got, row.want)
 			}
-			if m.Tick(2*Turn+keep, peers, 8); said(m) != "" {
-				t.Errorf("still said: %q", said(m))
+			if m.Tick(2*Turn+reportTTL, peers, 8); formatSummaries(m) != "" {
+				t.Errorf("still said: %q", formatSummaries(m))
 			}
 		})
 	}
@@ -68,59 +68,59 @@
 // Every sequence, with losses and repeats, of two messages of each of three witnesses: what comes of it hangs on the last message of
 // each that came, and on nothing else.
 func TestAnyOrder(t *testing.T) {
-	states := 0
+	sequences := 0
 	for n := range 6 * 6 * 6 * 6 * 6 {
-		m, peers := listens("a", "a", "a")
-		want, wantPeers := listens("a", "a", "a")
+		m, peers := newMachineWithPeers("a", "a", "a")
+		want, wantPeers := newMachineWithPeers("a", "a", "a")
 		last := map[int]int{}
 		for k, rest := 0, n; k < 5; k, rest = k+1, rest/6 {
-			who, which := rest%6/2, rest%6%2
-			m.Hear(0, peers[who+1].Life, &Message{N: uint64(which + 1), Rows: says("h", which, which*who)})
-			last[who] = max(last[who], which+1)
+			sender, message := rest%6/2, rest%6%2
+			m.Hear(0, peers[sender+1].Life, &Message{N: uint64(message + 1), Rows: singleRow("h", message, message*sender)})
+			last[sender] = max(last[sender], message+1)
 		}
-		for who, which := range last {
-			want.Hear(0, wantPeers[who+1].Life, &Message{N: uint64(which), Rows: says("h", which-1, (which-1)*who)})
+		for sender, message := range last {
+			want.Hear(0, wantPeers[sender+1].Life, &Message{N: uint64(message), Rows: singleRow("h", message-1, (message-1)*sender)})
 		}
 		m.Tick(Turn, peers, 8)
 		want.Tick(Turn, wantPeers, 8)
-		if states++; said(m) != said(want) || m.Heard() != want.Heard() {
-			t.Fatalf("sequence %d: %q, expected %q", n, said(m), said(want))
+		if sequences++; formatSummaries(m) != formatSummaries(want) || m.Heard() != want.Heard() {
+			t.Fatalf("sequence %d: %q, expected %q", n, formatSummaries(m), formatSummaries(want))
 		}
 	}
-	if states != 7776 {
-		t.Errorf("%d sequences", states)
+	if sequences != 7776 {
+		t.Errorf("%d sequences", sequences)
 	}
 }
 
 // Who stood still comes back with messages of before: they do not count, nor does what left its own window meanwhile.
-func TestOldAnger(t *testing.T) {
-	m, peers := listens("a", "a")
-	hear := func(now, at Moment, n uint64) {
+func TestStaleMessages(t *testing.T) {
+	m, peers := newMachineWithPeers("a", "a")
+	receive := func(now, at Moment, n uint64) {
 		for _, p := range peers[1:] {
-			m.Hear(now, p.Life, &Message{N: n, At: at, Rows: says("h", 0, 9)})
+			m.Hear(now, p.Life, &Message{N: n, At: at, Rows: singleRow("h", 0, 9)})
 		}
 		m.Tick(now, peers, 8)
 	}
-	hear(0, 5*time.Hour, 1) // clocks have nothing to do with each other
-	if said(m) == "" {
+	receive(0, 5*time.Hour, 1) // clocks have nothing to do with each other
+	if formatSummaries(m) == "" {
 		t.Fatal("not heard")
 	}
-	hear(20*time.Second, 5*time.Hour+10*time.Second, 2)
-	if said(m) != "" {
-		t.Errorf("ten seconds old, and said: %q", said(m))
+	receive(20*time.Second, 5*time.Hour+10*time.Second, 2)
+	if formatSummaries(m) != "" {
+		t.Errorf("ten seconds old, and said: %q", formatSummaries(m))
 	}
-	hear(21*time.Second, 5*time.Hour+20*time.Second+500*time.Millisecond, 3)
-	if said(m) == "" {
+	receive(21*time.Second, 5*time.Hour+20*time.Second+500*time.Millisecond, 3)
+	if formatSummaries(m) == "" {
 		t.Error("not heard again")
 	}
-	w := New(Terms{Self: 9, Zone: "a"})
-	w.Ended(0, "h", false)
-	w.Tick(time.Second, peers, 8)
-	if out := w.Out(); len(out) != 3 || len(out[0].Msg.Rows) != 1 {
+	sender := New(Terms{Self: 9, Zone: "a"})
+	sender.Ended(0, "h", false)
+	sender.Tick(time.Second, peers, 8)
+	if out := sender.Out(); len(out) != 3 || len(out[0].Msg.Rows) != 1 {
 		t.Fatalf("%+v", out)
 	}
-	w.Tick(11*time.Second, peers, 8)
-	if out := w.Out(); len(out[0].Msg.Rows) != 0 {
+	sender.Tick(11*time.Second, peers, 8)
+	if out := sender.Out(); len(out[0].Msg.Rows) != 0 {
 		t.Errorf("told after ten seconds: %+v", out[0].Msg.Rows)
 	}
 }
@@ -136,7 +136,7 @@
 		peers = append(peers, Peer{member.Life(i + 1), []string{"a", "b"}[i%2]})
 		all = append(all, New(Terms{Self: member.Life(i + 1), Zone: []string{"a", "b"}[i%2]}))
 	}
-	know := func() (bad, good int) {
+	countSummaries := func() (bad, good int) {
 		for _, m := range all {
 			for _, w := range m.Words() {
 				if w.Host == "h0" {
@@ -148,32 +148,32 @@
 		}
 		return bad, good
 	}
-	turn := func(s int, ill bool) {
+	tick := func(s int, failing bool) {
 		now := time.Duration(s) * Turn
 		for _, m := range all {
 			for range hosts / 4 {
 				h := r.IntN(hosts)
-				m.Ended(now, fmt.Sprint("h", h), !(ill && h == 0) && r.IntN(50) > 0)
+				m.Ended(now, fmt.Sprint("h", h), !(failing && h == 0) && r.IntN(50) > 0)
 			}
 			m.Tick(now, peers, hosts)
 			for _, s := range m.Out() {
 				if r.IntN(10) > 0 {
-					all[s.To-1].Hear(now, m.terms.Self, &s.Msg)
+					all[s.To-1].Hear(now, m.config.Self, &s.Msg)
 				}
 			}
 		}
 	}
 	for s := range 16 {
-		turn(s, true)
+		tick(s, true)
 	}
-	bad, good := know()
+	bad, good := countSummaries()
 	if bad < n*9/10 || good > n/50 {
 		t.Errorf("after 8 s %d of %d know the bad host; %d words on good ones", bad, n, good)
 	}
-	for s := 16; s < 16+window+int(keep/Turn)+2; s++ {
-		turn(s, false)
+	for s := 16; s < 16+windowTicks+int(reportTTL/Turn)+2; s++ {
+		tick(s, false)
 	}
-	if bad, good = know(); bad > 0 || good > n/50 {
+	if bad, good = countSummaries(); bad > 0 || good > n/50 {
 		t.Errorf("%d still have a word on a host that is well, %d on others", bad, good)
 	}
 }
--- a/internal/fleet/explore/explore.go
+++ b/internal/fleet/explore/explore.go
@@ -3,7 +3,7 @@
 
 // Orders takes every sequence of steps from a state on, to a depth, and each state once. It tells how many it met, and the first fault
 // that a state has.
-func Orders[S any, K comparable](first S, depth int, clone func(S) S, steps func(S) []func(S), key func(S) K, fault func(S) string) (states int, bad string) {
+func Orders[S any, K comparable](first S, depth int, clone func(S) S, steps func(S) []func(S), key func(S) K, check func(S) string) (states int, failure string) {
 	seen := map[K]struct{}{}
 	level := []S{first}
 	for range depth {
@@ -12,11 +12,11 @@
 			for _, step := range steps(from) {
 				to := clone(from)
 				step(to)
-				if bad = fault(to); bad != "" {
-					return len(seen), bad
+				if failure = check(to); failure != "" {
+					return len(seen), failure
 				}
 				k := key(to)
-				if _, known := seen[k]; !known {
+				if _, visited := seen[k]; !visited {
 					seen[k] = struct{}{}
 					next = append(next, to)
 				}
--- a/internal/fleet/order/explore_test.go
+++ b/internal/fleet/order/explore_test.go
@@ -11,144 +11,144 @@
 	"streamrail/internal/fleet/member"
 )
 
-// deep is how many steps every order of things is explored to.
-var deep = flag.Int("explore", 5, "steps to explore")
+// exploreDepth is how many steps every order of things is explored to.
+var exploreDepth = flag.Int("explore", 5, "steps to explore")
 
-// world is three balancers and what is on its way between them.
-type world struct {
-	at    [3]*Machine
-	life  [3]member.Life
-	lives member.Life
-	way   []letter
-	kept  []Order
-	bad   string
+// model is three balancers and what is on its way between them.
+type model struct {
+	balancers [3]*Machine
+	ids       [3]member.Life
+	lastID    member.Life
+	inFlight  []packet
+	confirmed []Order
+	failure   string
 }
 
-// copied is a world of its own.
-func (w *world) copied() *world {
+// clone is a world of its own.
+func (w *model) clone() *model {
 	c := *w
-	c.way, c.kept = slices.Clone(w.way), slices.Clone(w.kept)
-	for i, m := range w.at {
+	c.inFlight, c.confirmed = slices.Clone(w.inFlight), slices.Clone(w.confirmed)
+	for i, m := range w.balancers {
 		n := *m
-		n.orders, n.latest, n.peers, n.conflicts, n.notices = slices.Clone(m.orders), slices.Clone(m.latest), slices.Clone(m.peers), slices.Clone(m.conflicts), slices.Clone(m.notices)
-		n.chance = rand.New(rand.NewPCG(1, uint64(i))) // the chance of a tick is the same in each state: what differs is what is on its way
-		c.at[i] = &n
+		n.orders, n.recentHosts, n.peers, n.conflicts, n.notices = slices.Clone(m.orders), slices.Clone(m.recentHosts), slices.Clone(m.peers), slices.Clone(m.conflicts), slices.Clone(m.notices)
+		n.rng = rand.New(rand.NewPCG(1, uint64(i))) // the chance of a tick is the same in each state: what differs is what is on its way
+		c.balancers[i] = &n
 	}
 	return &c
 }
 
-func (w *world) start(i int, file []Order) {
-	w.lives++
-	w.life[i] = w.lives
-	w.at[i] = New(Terms{Self: w.lives, Part: 1, Kept: file})
-	w.settle(i)
+func (w *model) start(i int, stored []Order) {
+	w.lastID++
+	w.ids[i] = w.lastID
+	w.balancers[i] = New(Terms{Self: w.lastID, Part: 1, Kept: stored})
+	w.flush(i)
 }
 
-func (w *world) settle(i int) {
-	w.at[i].News()
-	for _, s := range w.at[i].Out() {
-		for k := range w.at {
-			if w.life[k] == s.To && len(w.way) < 4 {
-				w.way = append(w.way, letter{from: w.life[i], to: s.To, i: k, msg: s.Msg})
+func (w *model) flush(i int) {
+	w.balancers[i].News()
+	for _, s := range w.balancers[i].Out() {
+		for k := range w.balancers {
+			if w.ids[k] == s.To && len(w.inFlight) < 4 {
+				w.inFlight = append(w.inFlight, packet{from: w.ids[i], to: s.To, receiver: k, msg: s.Msg})
 			}
 		}
 	}
 }
 
-func (w *world) tick(i int) {
-	for k := range w.at[i].peers {
-		w.at[i].peers[k].sent = -again
+func (w *model) tick(i int) {
+	for k := range w.balancers[i].peers {
+		w.balancers[i].peers[k].lastSent = -resendAfter
 	}
-	w.at[i].Tick(0, w.life[:], false)
-	w.settle(i)
+	w.balancers[i].Tick(0, w.ids[:], false)
+	w.flush(i)
 }
 
-func (w *world) deliver(k int) {
-	l := w.way[k]
-	w.way = slices.Delete(w.way, k, k+1)
-	if w.life[l.i] == l.to {
-		w.at[l.i].Hear(0, l.from, &l.msg)
-		w.settle(l.i)
+func (w *model) deliver(k int) {
+	l := w.inFlight[k]
+	w.inFlight = slices.Delete(w.inFlight, k, k+1)
+	if w.ids[l.receiver] == l.to {
+		w.balancers[l.receiver].Hear(0, l.from, &l.msg)
+		w.flush(l.receiver)
 	}
 }
 
-func (w *world) key() string {
+func (w *model) key() string {
 	text := ""
-	for _, m := range w.at {
-		text += fmt.Sprint(m.orders, m.notices, m.terms.Self)
+	for _, m := range w.balancers {
+		text += fmt.Sprint(m.orders, m.notices, m.config.Self)
 		for _, p := range m.peers {
-			text += fmt.Sprint(p.life, p.heard, p.sum, p.from)
+			text += fmt.Sprint(p.id, p.reported, p.digest, p.sentOrders)
 		}
 	}
-	var way []string
-	for _, l := range w.way {
-		way = append(way, fmt.Sprint(l.from, l.to, l.msg))
+	var inFlight []string
+	for _, l := range w.inFlight {
+		inFlight = append(inFlight, fmt.Sprint(l.from, l.to, l.msg))
 	}
-	slices.Sort(way)
-	return text + fmt.Sprint(way)
+	slices.Sort(inFlight)
+	return text + fmt.Sprint(inFlight)
 }
 
 // steps are all that may happen: one of two orders at their doors, a turn, a delivery, a loss, a repeat, a kill with its file.
-func (w *world) steps() (all []func(*world)) {
-	do := func(f func(*world)) {
-		all = append(all, func(c *world) {
+func (w *model) steps() (all []func(*model)) {
+	do := func(f func(*model)) {
+		all = append(all, func(c *model) {
 			f(c)
 			if err := check(w, c); err != nil {
-				c.bad = err.Error()
+				c.failure = err.Error()
 			}
 		})
 	}
-	if len(w.kept) < 2 {
+	if len(w.confirmed) < 2 {
 		for i := range 2 {
-			do(func(c *world) {
-				o, _ := c.at[i].Give("h", i == 0, true, 4)
-				c.settle(i)
-				c.kept = append(c.kept, o)
+			do(func(c *model) {
+				o, _ := c.balancers[i].Give("h", i == 0, true, 4)
+				c.flush(i)
+				c.confirmed = append(c.confirmed, o)
 			})
 		}
 	}
-	for i := range w.at {
-		do(func(c *world) { c.tick(i) })
-		if w.lives < 5 {
-			do(func(c *world) { c.start(i, c.at[i].All()) })
+	for i := range w.balancers {
+		do(func(c *model) { c.tick(i) })
+		if w.lastID < 5 {
+			do(func(c *model) { c.start(i, c.balancers[i].All()) })
 		}
 	}
-	for k := range w.way {
-		do(func(c *world) { c.deliver(k) })
-		do(func(c *world) { c.way = slices.Delete(c.way, k, k+1) })
-		if len(w.way) < 4 {
-			do(func(c *world) { c.way = append(c.way, c.way[k]) })
+	for k := range w.inFlight {
+		do(func(c *model) { c.deliver(k) })
+		do(func(c *model) { c.inFlight = slices.Delete(c.inFlight, k, k+1) })
+		if len(w.inFlight) < 4 {
+			do(func(c *model) { c.inFlight = append(c.inFlight, c.inFlight[k]) })
 		}
 	}
 	return all
 }
 
 // check looks at a step, and at what comes of the state when all is well from now on.
-func check(was, is *world) error {
-	for i := range is.at {
-		for _, o := range was.at[i].orders {
-			k, held := is.at[i].find(o.Host)
-			if !held || o.beats(&is.at[i].orders[k]) {
+func check(before, after *model) error {
+	for i := range after.balancers {
+		for _, o := range before.balancers[i].orders {
+			k, held := after.balancers[i].find(o.Host)
+			if !held || o.supersedes(&after.balancers[i].orders[k]) {
 				return fmt.Errorf("balancer %d held %+v, then another that does not beat it", i, o)
 			}
 		}
 	}
-	c := is.copied()
+	c := after.clone()
 	for range 6 {
-		for i := range c.at {
+		for i := range c.balancers {
 			c.tick(i)
-			for len(c.way) > 0 {
+			for len(c.inFlight) > 0 {
 				c.deliver(0)
 			}
 		}
 	}
-	for i, m := range c.at {
-		if m.sum != c.at[0].sum {
-			return fmt.Errorf("balancer %d ends with %+v, balancer 0 with %+v", i, m.orders, c.at[0].orders)
+	for i, m := range c.balancers {
+		if m.digest != c.balancers[0].digest {
+			return fmt.Errorf("balancer %d ends with %+v, balancer 0 with %+v", i, m.orders, c.balancers[0].orders)
 		}
 	}
-	for _, o := range c.kept {
-		if k, held := c.at[0].find(o.Host); !held || o.beats(&c.at[0].orders[k]) {
+	for _, o := range c.confirmed {
+		if k, held := c.balancers[0].find(o.Host); !held || o.supersedes(&c.balancers[0].orders[k]) {
 			return fmt.Errorf("%+v was confirmed and is lost", o)
 		}
 	}
@@ -157,13 +157,13 @@
 
 // Every order of two orders, turns, deliveries, losses, repeats and kills among three balancers, to a stated depth.
 func TestEveryOrder(t *testing.T) {
-	first := &world{}
-	for i := range first.at {
+	first := &model{}
+	for i := range first.balancers {
 		first.start(i, nil)
 	}
-	states, bad := explore.Orders(first, *deep, (*world).copied, (*world).steps, (*world).key, func(w *world) string { return w.bad })
-	t.Logf("%d states to depth %d", states, *deep)
-	if bad != "" {
-		t.Error(bad)
+	states, failure := explore.Orders(first, *exploreDepth, (*model).clone, (*model).steps, (*model).key, func(w *model) string { return w.failure })
+	t.Logf("%d states to depth %d", states, *exploreDepth)
+	if failure != "" {
+		t.Error(failure)
 	}
 }
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -1,6 +1,7 @@
-// Package order holds what operators have ordered by hand for the whole fleet: which cache hosts are out. Orders on a host are told
-// apart by a count and not by a clock; every balancer keeps the greatest, so that all come to the same whatever gets lost, repeated or
-// late. It is a state machine without I/O, clock or goroutine; docs/notes/verdicts.md has the rules and the bounds.
+// Package order replicates operators' fleet-wide exclusion orders: which cache hosts are excluded at every balancer. Orders on the
+// same host are ranked by a counter and not by a clock. Every balancer keeps the highest-ranked order, so all balancers converge even
+// when messages are lost, repeated or delayed. The package is a state machine without I/O, clock or goroutines;
+// docs/notes/verdicts.md describes the rules and their bounds.
 package order
 
 import (
@@ -15,257 +16,269 @@
 	"streamrail/internal/fleet/member"
 )
 
-// Moment is a time on this process's own steady clock.
+// Moment is a time on this process's own monotonic clock.
 type Moment = time.Duration
 
-// What an order may meet at its door.
+// Errors that Give returns when it rejects an order.
 var (
 	ErrTooMany = errors.New("with this order more cache hosts would be out than the part that is allowed; force it if that is meant")
 	ErrFull    = errors.New("too many orders are held already")
 )
 
-// ID names an order on a host.
+// ID identifies an order among those on the same host.
 type ID struct {
-	Count uint64 // one more than that of the order that it replaces
-	By    member.Life
+	Count uint64      // one more than that of the order it replaces
+	By    member.Life // the process that took the order from the operator
 }
 
-// Order takes a host out, or puts it back.
+// Order excludes a host from use, or includes it again.
 type Order struct {
 	Host string
 	ID
-	Out   bool
-	Force bool   // in force however many are out
-	Door  string // the balancer at whose door it was given
-	Past  []ID   // the orders on this host before it, the last first
+	Out   bool   // true: excluded
+	Force bool   // takes effect however many hosts are excluded
+	Door  string // name of the balancer whose admin API took the order
+	Past  []ID   // earlier orders on this host, newest first, at most maxPast
 }
 
 const (
-	mostPast = 4    // of Past: more orders on one host within a cut are told of as replaced, not as in conflict
-	mostHost = 256  // bytes of a host's name
-	mostDoor = 64   // bytes of a balancer's
-	mostKept = 4096 // orders, as many as hosts may be out at one balancer
-	mostTold = 4096 // conflicts, one for each order that may be held
-	// A message has orders of so many bytes, which leaves room in a datagram for what else it carries.
-	mostBytes = 900
+	// maxPast limits Order.Past. If more orders than this are given on one host during a network partition, older ones that conflict
+	// with them are treated as replaced and not reported as conflicts.
+	maxPast              = 4
+	maxHostBytes         = 256  // length of a host's name
+	maxBalancerNameBytes = 64   // length of a balancer's name
+	maxOrders            = 4096 // as many as hosts may be excluded at one balancer
+	maxConflicts         = 4096 // one for each order that may be held
+	// maxMessageBytes limits the orders in one message, so that the datagram has room for its other contents.
+	maxMessageBytes = 900
 )
 
-// size is what an order takes in a message, at most.
+// size is the maximum number of bytes that an order takes in a message.
 func (o *Order) size() int { return 40 + len(o.Host) + len(o.Door) + 20*len(o.Past) }
 
-// beats tells which of two orders on a host holds, everywhere the same: the greater count, then out before in (a host that is kept out
-// in vain costs less than one that is used against an order), then the greater life.
-func (o *Order) beats(p *Order) bool {
-	if c := cmp.Compare(o.Count, p.Count); c != 0 {
+// supersedes reports whether o takes precedence over other, an order on the same host. Every balancer decides alike: the higher count
+// wins, then exclusion wins over inclusion (needlessly excluding a host costs less than using one against an order), then the higher
+// process id.
+func (o *Order) supersedes(other *Order) bool {
+	if c := cmp.Compare(o.Count, other.Count); c != 0 {
 		return c > 0
 	}
-	if o.Out != p.Out {
+	if o.Out != other.Out {
 		return o.Out
 	}
-	return o.By > p.By
+	return o.By > other.By
 }
 
-// knew tells that who gave an order knew of another one on the same host; also where that is too long ago to tell.
-func (o *Order) knew(p ID) bool {
-	return slices.Contains(o.Past, p) || len(o.Past) == mostPast && p.Count < o.Past[mostPast-1].Count
+// knewOf reports whether the process that took the order knew of another order on the same host. It also returns true if the other
+// order is too old to be listed in Past.
+func (o *Order) knewOf(other ID) bool {
+	return slices.Contains(o.Past, other) || len(o.Past) == maxPast && other.Count < o.Past[maxPast-1].Count
 }
 
-func (o *Order) sum() uint64 {
+// digest hashes the host, the ID and the direction of the order; Machine.digest combines them by XOR.
+func (o *Order) digest() uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(o.Host))
-	var rest [17]byte
-	binary.LittleEndian.PutUint64(rest[:], o.Count)
-	binary.LittleEndian.PutUint64(rest[8:], uint64(o.By))
+	var buf [17]byte
+	binary.LittleEndian.PutUint64(buf[:], o.Count)
+	binary.LittleEndian.PutUint64(buf[8:], uint64(o.By))
 	if o.Out {
-		rest[16] = 1
+		buf[16] = 1
 	}
-	h.Write(rest[:])
+	h.Write(buf[:])
 	return h.Sum64()
 }
 
-// Usable tells that an order that came from elsewhere can be one.
+// Usable reports whether an order from a file or another balancer has valid field values.
 func (o *Order) Usable() bool {
-	return o.Host != "" && len(o.Host) <= mostHost && len(o.Door) <= mostDoor && o.Count > 0 && o.Count < 1<<48 && o.By != 0 && len(o.Past) <= mostPast
+	return o.Host != "" && len(o.Host) <= maxHostBytes && len(o.Door) <= maxBalancerNameBytes && o.Count > 0 && o.Count < 1<<48 && o.By != 0 && len(o.Past) <= maxPast
 }
 
-// Terms are fixed for a process.
+// Terms is the configuration of a Machine; it does not change during the life of a process.
 type Terms struct {
 	Self member.Life
 	Name string  // of this balancer
-	Part float64 // of the hosts that may be out without force
-	Kept []Order // from its file
-	Seed uint64
+	Part float64 // fraction of the hosts that may be excluded without force
+	Kept []Order // orders read from this balancer's file
+	Seed uint64  // of the random choice of peers
 }
 
-// Message is what one balancer tells another: what it holds as a sum, and some of it.
+// Message is what one balancer sends another: a digest of all orders it holds, and some of these orders.
 type Message struct {
-	Sum    uint64
-	Answer bool
+	Sum    uint64 // digest of all orders that the sender holds
+	Answer bool   // true for replies and notices: the receiver replies only if the digests differ and it has orders left to send
 	Orders []Order
 }
 
-// Send is a message for a member.
+// Send is a message and the member it goes to.
 type Send struct {
 	To  member.Life
 	Msg Message
 }
 
-// Conflict is two orders on a host neither of whose givers knew of the other.
+// Conflict is a pair of orders on one host that were given without knowledge of each other.
 type Conflict struct{ Won, Lost Order }
 
-// peer is what is known of what another balancer holds.
+// peer is what this balancer knows of the orders that another balancer holds.
 type peer struct {
-	life  member.Life
-	heard bool
-	sum   uint64
-	sent  Moment // the last message to it
-	from  int    // so many of the latest orders it has been sent since it was found to differ
+	id         member.Life
+	reported   bool // it has sent a message, so digest is valid
+	digest     uint64
+	lastSent   Moment // when the last message was sent to it
+	sentOrders int    // how many of the most recent orders it has been sent since its digest was found to differ
 }
 
 // Machine holds a balancer's orders.
 type Machine struct {
-	terms     Terms
-	chance    *rand.Rand
-	orders    []Order  // by host
-	latest    []string // their hosts, the last to change first
-	sum       uint64
-	peers     []peer // the members, by life
-	news      []Order
-	conflicts []Conflict
-	notices   []notice
-	sends     []Send
+	config      Terms
+	rng         *rand.Rand
+	orders      []Order  // sorted by host
+	recentHosts []string // hosts of all orders, most recently changed first
+	digest      uint64   // XOR of the digests of all orders
+	peers       []peer   // the other members, sorted by id
+	changes     []Order  // orders adopted since the last call of News
+	conflicts   []Conflict
+	notices     []lossNotice
+	sends       []Send
 }
 
-// notice is an order that lost, to be told to a door which would never hear of it: what won has reached all before it could.
-type notice struct {
-	to   member.Life
-	lost Order
-	left int // so many times more: it may get lost
+// lossNotice is an order that lost a conflict, to be sent to one of the two balancers that took the conflicting orders. Without the
+// notice that balancer might never learn of the conflict, because the winning order reaches all others before the losing one can
+// reach it.
+type lossNotice struct {
+	to        member.Life
+	lost      Order
+	remaining int // how many more times to send it
 }
 
-const noticed = 3
+// noticeRepeats is how often a lossNotice is sent, because datagrams may be lost.
+const noticeRepeats = 3
 
-// Turn is how often others are told.
+// Turn is the interval at which Tick is to be called.
 const Turn = 200 * time.Millisecond
 
 const (
-	// spread others that hold something else are told in a turn: four times as many know after each, 400 after five, in a second.
-	spread = 3
-	// fromDoor more are told in a turn by who was given an order last: most are there after the first turn.
-	fromDoor = 32
-	// again is when one that has not answered is told again.
-	again = 2 * Turn
-	// calm is how often one other, drawn, is asked what it holds when all seem to hold the same.
-	calm = 5
+	// peersPerTick is how many peers with a different or unknown digest get a message per tick. The number of balancers that have an
+	// order thus grows fourfold each tick: an order reaches 400 balancers in five ticks, one second.
+	peersPerTick = 3
+	// extraPeersPerTick is added to peersPerTick at a balancer that has just taken an order from an operator, so that most of the
+	// fleet gets it in the first tick.
+	extraPeersPerTick = 32
+	// resendAfter is the time until a peer that has not answered is sent another message.
+	resendAfter = 2 * Turn
+	// ticksPerIdleSync is the mean number of ticks between messages to a randomly chosen peer that are sent even if no difference is
+	// known, so that an unnoticed difference is found.
+	ticksPerIdleSync = 5
 )
 
-// New makes a process's machine.
-func New(t Terms) *Machine {
-	m := &Machine{terms: t, chance: rand.New(rand.NewPCG(t.Seed, uint64(t.Self)))}
-	for i := range t.Kept {
-		if t.Kept[i].Usable() {
-			m.take(t.Kept[i])
+// New returns a Machine that holds the usable orders of Terms.Kept.
+func New(config Terms) *Machine {
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)))}
+	for i := range config.Kept {
+		if config.Kept[i].Usable() {
+			m.apply(config.Kept[i])
 		}
 	}
 	return m
 }
 
+// find returns the position of a host's order in m.orders, or where it would be inserted, and whether there is one.
 func (m *Machine) find(host string) (int, bool) {
 	return slices.BinarySearchFunc(m.orders, host, func(o Order, h string) int { return cmp.Compare(o.Host, h) })
 }
 
-// take holds an order if it beats what is held.
-func (m *Machine) take(o Order) {
+// apply adopts an order if it supersedes the order held on the same host, and records a conflict if there is one.
+func (m *Machine) apply(o Order) {
 	i, held := m.find(o.Host)
 	switch {
-	case !held && len(m.orders) >= mostKept:
+	case !held && len(m.orders) >= maxOrders:
 		return
 	case !held:
 		m.orders = slices.Insert(m.orders, i, o)
 	default:
-		was := m.orders[i]
-		if was.ID == o.ID {
+		current := m.orders[i]
+		if current.ID == o.ID {
 			return
 		}
-		won, lost := &o, &was
-		if !o.beats(&was) {
-			won, lost = &was, &o
+		won, lost := &o, &current
+		if !o.supersedes(&current) {
+			won, lost = &current, &o
 		}
-		if !won.knew(lost.ID) && !lost.knew(won.ID) {
-			m.clash(*won, *lost)
+		if !won.knewOf(lost.ID) && !lost.knewOf(won.ID) {
+			m.recordConflict(*won, *lost)
 		}
 		if won != &o {
 			return
 		}
 		m.orders[i] = o
-		m.sum ^= was.sum()
+		m.digest ^= current.digest()
 	}
-	m.sum ^= o.sum()
-	m.news = append(m.news, o)
-	m.latest = slices.Insert(slices.DeleteFunc(m.latest, func(h string) bool { return h == o.Host }), 0, o.Host)
+	m.digest ^= o.digest()
+	m.changes = append(m.changes, o)
+	m.recentHosts = slices.Insert(slices.DeleteFunc(m.recentHosts, func(h string) bool { return h == o.Host }), 0, o.Host)
 	for i := range m.peers {
-		m.peers[i].from = 0
+		m.peers[i].sentOrders = 0
 	}
 }
 
-// clash notes a conflict once.
-func (m *Machine) clash(won, lost Order) {
+// recordConflict records a conflict, once per losing order, and schedules notices to the other balancers that took the two orders.
+func (m *Machine) recordConflict(won, lost Order) {
 	if slices.ContainsFunc(m.conflicts, func(c Conflict) bool { return c.Lost.Host == lost.Host && c.Lost.ID == lost.ID }) {
 		return
 	}
-	if len(m.conflicts) == mostTold {
+	if len(m.conflicts) == maxConflicts {
 		m.conflicts = m.conflicts[1:]
 	}
 	m.conflicts = append(m.conflicts, Conflict{won, lost})
-	for _, door := range []member.Life{won.By, lost.By} {
-		if door != m.terms.Self && len(m.notices) < 2*mostTold {
-			m.notices = append(m.notices, notice{door, lost, noticed})
+	for _, giver := range []member.Life{won.By, lost.By} {
+		if giver != m.config.Self && len(m.notices) < 2*maxConflicts {
+			m.notices = append(m.notices, lossNotice{giver, lost, noticeRepeats})
 		}
 	}
 }
 
-// Give takes an operator's order. hosts is how many cache hosts this balancer knows. One that says what holds already is taken as
-// a new one: two doors that say the same are in no conflict, and the last word counts.
+// Give takes an operator's order; hosts is the number of cache hosts this balancer knows. An order that repeats the current state
+// still counts as a new one: giving the same order at two balancers is no conflict, and the most recent order takes precedence.
 func (m *Machine) Give(host string, out, force bool, hosts int) (Order, error) {
-	o := Order{Host: host, ID: ID{1, m.terms.Self}, Out: out, Force: force, Door: m.terms.Name}
+	o := Order{Host: host, ID: ID{1, m.config.Self}, Out: out, Force: force, Door: m.config.Name}
 	i, held := m.find(host)
 	if held {
-		was := &m.orders[i]
-		o.Count = was.Count + 1
-		o.Past = append([]ID{was.ID}, was.Past...)
-		o.Past = o.Past[:min(len(o.Past), mostPast)]
-	} else if len(m.orders) >= mostKept {
+		current := &m.orders[i]
+		o.Count = current.Count + 1
+		o.Past = append([]ID{current.ID}, current.Past...)
+		o.Past = o.Past[:min(len(o.Past), maxPast)]
+	} else if len(m.orders) >= maxOrders {
 		return o, ErrFull
 	}
-	if n := len(m.unforced()); out && !force && !(held && m.orders[i].Out) && n+1 > m.allowed(hosts) {
+	if n := len(m.unforced()); out && !force && !(held && m.orders[i].Out) && n+1 > m.maxUnforced(hosts) {
 		return o, ErrTooMany
 	}
-	m.take(o)
+	m.apply(o)
 	for i := range m.peers {
-		m.peers[i].sent = -again
+		m.peers[i].lastSent = -resendAfter
 	}
 	return o, nil
 }
 
-// allowed is how many hosts may be out without force.
-func (m *Machine) allowed(hosts int) int { return max(1, int(m.terms.Part*float64(hosts))) }
+// maxUnforced is how many hosts may be excluded without force.
+func (m *Machine) maxUnforced(hosts int) int { return max(1, int(m.config.Part*float64(hosts))) }
 
-// unforced are the orders that take a host out without force, in the order in which they count.
-func (m *Machine) unforced() (some []Order) {
+// unforced returns the orders that exclude a host without force, in the order in which they count towards maxUnforced.
+func (m *Machine) unforced() (orders []Order) {
 	for _, o := range m.orders {
 		if o.Out && !o.Force {
-			some = append(some, o)
+			orders = append(orders, o)
 		}
 	}
-	slices.SortFunc(some, func(a, b Order) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.Host, b.Host)) })
-	return some
+	slices.SortFunc(orders, func(a, b Order) int { return cmp.Or(cmp.Compare(a.By, b.By), cmp.Compare(a.Host, b.Host)) })
+	return orders
 }
 
-// Excluded are the hosts that are out. Where two doors, each without word of the other, have taken out more than is allowed together,
-// those beyond it stay in, the same at all that know the same hosts.
+// Excluded returns the hosts that are excluded, sorted. Two balancers that do not know of each other's orders may together exceed the
+// allowed number; the hosts beyond it are not excluded, and all balancers with the same host list leave out the same ones.
 func (m *Machine) Excluded(hosts int) (out []string) {
-	some := m.unforced()
-	for _, o := range some[:min(len(some), m.allowed(hosts))] {
+	unforced := m.unforced()
+	for _, o := range unforced[:min(len(unforced), m.maxUnforced(hosts))] {
 		out = append(out, o.Host)
 	}
 	for _, o := range m.orders {
@@ -277,117 +290,120 @@
 	return out
 }
 
-// Hear takes a member's message, and answers it.
+// Hear processes a member's message and queues a reply where one is needed.
 func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
 	for _, o := range msg.Orders {
 		if o.Usable() {
-			m.take(o)
+			m.apply(o)
 		}
 	}
 	p := m.peer(from)
 	if p == nil {
-		return // no member any more, or not yet: it says it again
+		return // no longer a member, or not yet one: a member sends again
 	}
-	p.heard, p.sum = true, msg.Sum
-	if p.sum == m.sum {
-		p.from = 0
+	p.reported, p.digest = true, msg.Sum
+	if p.digest == m.digest {
+		p.sentOrders = 0
 	}
 	switch {
 	case !msg.Answer:
-		m.tell(now, p, true)
-	case p.sum != m.sum && p.from < len(m.latest): // it is there, and has not been sent all of it yet
-		m.tell(now, p, false)
+		m.sendTo(now, p, true)
+	case p.digest != m.digest && p.sentOrders < len(m.recentHosts): // the peer responds, and has not been sent all orders yet
+		m.sendTo(now, p, false)
 	}
 }
 
-func (m *Machine) peer(l member.Life) *peer {
-	if i, ok := slices.BinarySearchFunc(m.peers, l, func(p peer, l member.Life) int { return cmp.Compare(p.life, l) }); ok {
+// peer returns the state of a member, or nil.
+func (m *Machine) peer(id member.Life) *peer {
+	if i, ok := slices.BinarySearchFunc(m.peers, id, func(p peer, id member.Life) int { return cmp.Compare(p.id, id) }); ok {
 		return &m.peers[i]
 	}
 	return nil
 }
 
-// tell says what is held; where the other holds something else, some of it, the latest first and the next part each time.
-func (m *Machine) tell(now Moment, p *peer, answer bool) {
-	msg := Message{Sum: m.sum, Answer: answer}
-	if p.sum != m.sum {
-		if p.from >= len(m.latest) {
-			p.from = 0
+// sendTo queues a message with this balancer's digest. If the peer's digest differs, the message also carries as many orders as fit,
+// the most recent first; successive messages continue through the list.
+func (m *Machine) sendTo(now Moment, p *peer, answer bool) {
+	msg := Message{Sum: m.digest, Answer: answer}
+	if p.digest != m.digest {
+		if p.sentOrders >= len(m.recentHosts) {
+			p.sentOrders = 0
 		}
-		for room := mostBytes; p.from < len(m.latest); p.from++ {
-			i, _ := m.find(m.latest[p.from])
-			if room -= m.orders[i].size(); room < 0 {
+		for remaining := maxMessageBytes; p.sentOrders < len(m.recentHosts); p.sentOrders++ {
+			i, _ := m.find(m.recentHosts[p.sentOrders])
+			if remaining -= m.orders[i].size(); remaining < 0 {
 				break
 			}
 			msg.Orders = append(msg.Orders, m.orders[i])
 		}
 	}
-	p.sent = now
-	m.sends = append(m.sends, Send{p.life, msg})
+	p.lastSent = now
+	m.sends = append(m.sends, Send{p.id, msg})
 }
 
-// Tick tells some of those that hold something else, or of whom that is not known. door: this balancer was given an order lately.
-func (m *Machine) Tick(now Moment, members []member.Life, door bool) {
-	next := make([]peer, 0, len(members))
-	for _, l := range slices.Sorted(slices.Values(members)) {
-		if l == m.terms.Self {
+// Tick takes the present members and queues messages to some of those whose digest differs or is unknown. recentOrder says that this
+// balancer has recently taken an order from an operator, and makes it contact more of them.
+func (m *Machine) Tick(now Moment, members []member.Life, recentOrder bool) {
+	peers := make([]peer, 0, len(members))
+	for _, id := range slices.Sorted(slices.Values(members)) {
+		if id == m.config.Self {
 			continue
-		} else if p := m.peer(l); p != nil {
-			next = append(next, *p)
+		} else if p := m.peer(id); p != nil {
+			peers = append(peers, *p)
 		} else {
-			next = append(next, peer{life: l, sent: -again})
+			peers = append(peers, peer{id: id, lastSent: -resendAfter})
 		}
 	}
-	m.peers = next
-	if len(next) == 0 {
+	m.peers = peers
+	if len(peers) == 0 {
 		return
 	}
-	m.notices = slices.DeleteFunc(m.notices, func(n notice) bool { return n.left == 0 })
+	m.notices = slices.DeleteFunc(m.notices, func(n lossNotice) bool { return n.remaining == 0 })
 	for i := range m.notices {
 		n := &m.notices[i]
-		n.left--
+		n.remaining--
 		if m.peer(n.to) != nil {
-			m.sends = append(m.sends, Send{n.to, Message{Sum: m.sum, Answer: true, Orders: []Order{n.lost}}})
+			m.sends = append(m.sends, Send{n.to, Message{Sum: m.digest, Answer: true, Orders: []Order{n.lost}}})
 		}
 	}
-	most := spread
-	if door {
-		most += fromDoor
+	remaining := peersPerTick
+	if recentOrder {
+		remaining += extraPeersPerTick
 	}
-	at := m.chance.IntN(len(next))
-	for k := range next {
-		p := &m.peers[(at+k)%len(next)]
-		if differs := !p.heard || p.sum != m.sum; differs && most > 0 && now-p.sent >= again {
-			most--
-			m.tell(now, p, false)
+	start := m.rng.IntN(len(peers))
+	for k := range peers {
+		p := &m.peers[(start+k)%len(peers)]
+		if differs := !p.reported || p.digest != m.digest; differs && remaining > 0 && now-p.lastSent >= resendAfter {
+			remaining--
+			m.sendTo(now, p, false)
 		}
 	}
-	if m.chance.IntN(calm) == 0 {
-		m.tell(now, &m.peers[at], false)
+	if m.rng.IntN(ticksPerIdleSync) == 0 {
+		m.sendTo(now, &m.peers[start], false)
 	}
 }
 
-// Out gives what is to be sent since the last time, News what has come to hold; that has to be kept before any of it is sent.
+// Out returns the messages queued since the last call. The orders that News returns must be stored before any of them is sent.
 func (m *Machine) Out() (sends []Send) { sends, m.sends = m.sends, nil; return sends }
 
-// News are the orders that have come to hold since the last time.
-func (m *Machine) News() (news []Order) { news, m.news = m.news, nil; return news }
+// News returns the orders adopted since the last call.
+func (m *Machine) News() (changes []Order) { changes, m.changes = m.changes, nil; return changes }
 
-// All are the orders held, by host.
+// All returns the orders held, sorted by host.
 func (m *Machine) All() []Order { return slices.Clone(m.orders) }
 
-// Conflicts are the last ones that were seen.
+// Conflicts returns the most recent conflicts, at most maxConflicts.
 func (m *Machine) Conflicts() []Conflict { return slices.Clone(m.conflicts) }
 
-// Confirmed are the members of whom it is known that they hold all that is held here, and nothing else.
-func (m *Machine) Confirmed() (some []member.Life) {
+// Confirmed returns the members whose last reported digest equals this balancer's: they hold exactly the same orders.
+func (m *Machine) Confirmed() (confirmed []member.Life) {
 	for _, p := range m.peers {
-		if p.heard && p.sum == m.sum {
-			some = append(some, p.life)
+		if p.reported && p.digest == m.digest {
+			confirmed = append(confirmed, p.id)
 		}
 	}
-	return some
+	return confirmed
 }
 
-// Sum is what is held, as one figure.
-func (m *Machine) Sum() uint64 { return m.sum }
+// Sum returns a digest of all orders held.
+func (m *Machine) Sum() uint64 { return m.digest }
--- a/internal/fleet/order/order_test.go
+++ b/internal/fleet/order/order_test.go
@@ -12,42 +12,42 @@
 	"streamrail/internal/fleet/member"
 )
 
-// histories is how many drawn histories of orders are played.
-var histories = flag.Int("histories", 300, "drawn histories to play")
+// historyCount is how many drawn histories of orders are played.
+var historyCount = flag.Int("histories", 300, "drawn histories to play")
 
-// place is one balancer of a play: its process, and the file that outlives it.
-type place struct {
+// testBalancer is one balancer of a play: its process, and the file that outlives it.
+type testBalancer struct {
 	*Machine
-	life  member.Life
-	file  []Order
-	stood time.Duration
+	id          member.Life
+	file        []Order
+	pausedUntil time.Duration
 }
 
-type letter struct {
-	at       time.Duration
+type packet struct {
+	arrival  time.Duration
 	from, to member.Life
-	i        int
+	receiver int
 	msg      Message
 }
 
-// play is some balancers on a bad network.
-type play struct {
-	now   time.Duration
-	at    []*place
-	way   []letter
-	dice  *rand.Rand
-	lives int
-	loss  float64
-	cut   [][]bool
-	kept  []Order // every order that was confirmed at its door
-	lost  bool    // a file was lost: what only it had may be
-	wrong func(p *play, i int)
+// simulation is some balancers on a bad network.
+type simulation struct {
+	now       time.Duration
+	balancers []*testBalancer
+	inFlight  []packet
+	rng       *rand.Rand
+	lastID    int
+	lossRate  float64
+	blocked   [][]bool
+	confirmed []Order // every order that was confirmed at its door
+	fileLost  bool    // a file was lost: what only it had may be
+	tamper    func(p *simulation, i int)
 }
 
-func newPlay(n int, seed uint64) *play {
-	p := &play{dice: rand.New(rand.NewPCG(seed, 3))}
+func newSimulation(n int, seed uint64) *simulation {
+	p := &simulation{rng: rand.New(rand.NewPCG(seed, 3))}
 	for range n {
-		p.at, p.cut = append(p.at, &place{}), append(p.cut, make([]bool, n))
+		p.balancers, p.blocked = append(p.balancers, &testBalancer{}), append(p.blocked, make([]bool, n))
 	}
 	for i := range n {
 		p.start(i)
@@ -55,95 +55,95 @@
 	return p
 }
 
-func (p *play) start(i int) {
-	p.lives++
-	m := p.at[i]
-	m.life, m.stood = member.Life(p.lives), 0
-	m.Machine = New(Terms{Self: m.life, Name: fmt.Sprint("b", i), Part: 0.5, Kept: m.file, Seed: p.dice.Uint64()})
-	p.settle(i)
+func (p *simulation) start(i int) {
+	p.lastID++
+	m := p.balancers[i]
+	m.id, m.pausedUntil = member.Life(p.lastID), 0
+	m.Machine = New(Terms{Self: m.id, Name: fmt.Sprint("b", i), Part: 0.5, Kept: m.file, Seed: p.rng.Uint64()})
+	p.flush(i)
 }
 
-// settle keeps what has come to hold, then sends.
-func (p *play) settle(i int) {
-	m := p.at[i]
+// flush keeps what has come to hold, then sends.
+func (p *simulation) flush(i int) {
+	m := p.balancers[i]
 	if len(m.News()) > 0 {
 		m.file = m.All()
 	}
 	for _, s := range m.Out() {
-		for k, o := range p.at {
-			if o.Machine == nil || o.life != s.To || p.cut[i][k] || p.dice.Float64() < p.loss {
+		for k, o := range p.balancers {
+			if o.Machine == nil || o.id != s.To || p.blocked[i][k] || p.rng.Float64() < p.lossRate {
 				continue
 			}
-			for range 1 + p.dice.IntN(8)/7 {
-				p.way = append(p.way, letter{p.now + time.Duration(1+p.dice.IntN(60))*time.Millisecond + time.Duration(p.dice.IntN(20)/19)*time.Second, m.life, s.To, k, s.Msg})
+			for range 1 + p.rng.IntN(8)/7 {
+				p.inFlight = append(p.inFlight, packet{p.now + time.Duration(1+p.rng.IntN(60))*time.Millisecond + time.Duration(p.rng.IntN(20)/19)*time.Second, m.id, s.To, k, s.Msg})
 			}
 		}
 	}
 }
 
-func (p *play) step(by time.Duration) error {
+func (p *simulation) step(by time.Duration) error {
 	p.now += by
-	for k := 0; k < len(p.way); {
-		l := p.way[k]
-		if l.at > p.now {
+	for k := 0; k < len(p.inFlight); {
+		l := p.inFlight[k]
+		if l.arrival > p.now {
 			k++
 			continue
 		}
-		p.way = slices.Delete(p.way, k, k+1)
-		if m := p.at[l.i]; m.Machine != nil && m.life == l.to && m.stood <= p.now {
-			if err := p.grows(l.i, func() { m.Hear(p.now, l.from, &l.msg) }); err != nil {
+		p.inFlight = slices.Delete(p.inFlight, k, k+1)
+		if m := p.balancers[l.receiver]; m.Machine != nil && m.id == l.to && m.pausedUntil <= p.now {
+			if err := p.applyChecked(l.receiver, func() { m.Hear(p.now, l.from, &l.msg) }); err != nil {
 				return err
 			}
 		}
 	}
-	var lives []member.Life
-	for _, m := range p.at {
+	var ids []member.Life
+	for _, m := range p.balancers {
 		if m.Machine != nil {
-			lives = append(lives, m.life)
+			ids = append(ids, m.id)
 		}
 	}
-	for i, m := range p.at {
-		if m.Machine != nil && m.stood <= p.now && int(p.now/by)%10 == i%10 {
-			m.Tick(p.now, lives, false)
-			p.settle(i)
-			if p.wrong != nil {
-				p.wrong(p, i)
+	for i, m := range p.balancers {
+		if m.Machine != nil && m.pausedUntil <= p.now && int(p.now/by)%10 == i%10 {
+			m.Tick(p.now, ids, false)
+			p.flush(i)
+			if p.tamper != nil {
+				p.tamper(p, i)
 			}
 		}
 	}
 	return nil
 }
 
-// grows checks that what a process holds never goes back.
-func (p *play) grows(i int, do func()) error {
-	was := p.at[i].All()
+// applyChecked checks that what a process holds never goes back.
+func (p *simulation) applyChecked(i int, do func()) error {
+	before := p.balancers[i].All()
 	do()
-	p.settle(i)
-	for _, o := range was {
-		k, held := p.at[i].find(o.Host)
-		if !held || o.beats(&p.at[i].orders[k]) {
+	p.flush(i)
+	for _, o := range before {
+		k, held := p.balancers[i].find(o.Host)
+		if !held || o.supersedes(&p.balancers[i].orders[k]) {
 			return fmt.Errorf("at %v: balancer %d held %+v, then another that does not beat it", p.now, i, o)
 		}
 	}
 	return nil
 }
 
-func (p *play) give(i int, host string, out bool) {
-	m := p.at[i]
-	if m.Machine != nil && m.stood <= p.now {
+func (p *simulation) submit(i int, host string, out bool) {
+	m := p.balancers[i]
+	if m.Machine != nil && m.pausedUntil <= p.now {
 		if o, err := m.Give(host, out, true, 10); err == nil {
-			p.settle(i)
-			p.kept = append(p.kept, o)
+			p.flush(i)
+			p.confirmed = append(p.confirmed, o)
 		}
 	}
 }
 
-// end heals all, starts all and checks that all hold the same, and nothing that was confirmed is lost.
-func (p *play) end() error {
-	p.loss = 0
-	for i, m := range p.at {
-		clear(p.cut[i])
-		m.stood = 0
+// healAndCheck heals all, starts all and checks that all hold the same, and nothing that was confirmed is lost.
+func (p *simulation) healAndCheck() error {
+	p.lossRate = 0
+	for i, m := range p.balancers {
+		clear(p.blocked[i])
+		m.pausedUntil = 0
 		if m.Machine == nil {
 			p.start(i)
 		}
@@ -153,86 +153,86 @@
 			return err
 		}
 	}
-	for i, m := range p.at {
-		if m.Sum() != p.at[0].Sum() || !slices.Equal(m.Excluded(10), p.at[0].Excluded(10)) {
-			return fmt.Errorf("balancer %d holds %+v, balancer 0 %+v", i, m.All(), p.at[0].All())
+	for i, m := range p.balancers {
+		if m.Sum() != p.balancers[0].Sum() || !slices.Equal(m.Excluded(10), p.balancers[0].Excluded(10)) {
+			return fmt.Errorf("balancer %d holds %+v, balancer 0 %+v", i, m.All(), p.balancers[0].All())
 		}
 	}
-	for _, o := range p.kept {
-		k, held := p.at[0].find(o.Host)
-		if !p.lost && (!held || o.beats(&p.at[0].orders[k])) {
+	for _, o := range p.confirmed {
+		k, held := p.balancers[0].find(o.Host)
+		if !p.fileLost && (!held || o.supersedes(&p.balancers[0].orders[k])) {
 			return fmt.Errorf("%+v was confirmed and is lost", o)
 		}
 	}
 	return nil
 }
 
-// history draws one: orders at doors, cuts, losses, stalls, kills, and in one of four lost files.
-func history(seed uint64, wrong func(*play, int)) error {
-	dice := rand.New(rand.NewPCG(seed, 5))
-	n := 3 + dice.IntN(5)
-	p := newPlay(n, seed)
-	p.wrong = wrong
+// runHistory draws one: orders at doors, cuts, losses, stalls, kills, and in one of four lost files.
+func runHistory(seed uint64, tamper func(*simulation, int)) error {
+	rng := rand.New(rand.NewPCG(seed, 5))
+	n := 3 + rng.IntN(5)
+	p := newSimulation(n, seed)
+	p.tamper = tamper
 	for p.now < 20*time.Second {
-		switch i := dice.IntN(n); dice.IntN(120) {
+		switch i := rng.IntN(n); rng.IntN(120) {
 		case 0:
-			p.at[i].Machine = nil
-			if seed%4 == 0 && dice.IntN(4) == 0 {
-				p.at[i].file, p.lost = nil, true
+			p.balancers[i].Machine = nil
+			if seed%4 == 0 && rng.IntN(4) == 0 {
+				p.balancers[i].file, p.fileLost = nil, true
 			}
 		case 1, 2:
-			if p.at[i].Machine == nil {
+			if p.balancers[i].Machine == nil {
 				p.start(i)
 			}
 		case 3:
-			p.at[i].stood = p.now + time.Duration(dice.IntN(4000))*time.Millisecond
+			p.balancers[i].pausedUntil = p.now + time.Duration(rng.IntN(4000))*time.Millisecond
 		case 4, 5:
-			p.cut[i][dice.IntN(n)] = true
+			p.blocked[i][rng.IntN(n)] = true
 		case 6:
-			clear(p.cut[i])
+			clear(p.blocked[i])
 		case 7:
-			p.loss = dice.Float64() / 2
+			p.lossRate = rng.Float64() / 2
 		case 8, 9, 10, 11:
-			p.give(i, string(rune('a'+dice.IntN(3))), dice.IntN(2) == 0)
+			p.submit(i, string(rune('a'+rng.IntN(3))), rng.IntN(2) == 0)
 		}
 		if err := p.step(20 * time.Millisecond); err != nil {
 			return err
 		}
 	}
-	return p.end()
+	return p.healAndCheck()
 }
 
 // Whatever gets lost, stands still, dies and starts again: no confirmed order is lost while a file has it, none that was replaced
 // comes back, and all hold the same four seconds after all is well.
 func TestHistories(t *testing.T) {
-	for seed := range uint64(*histories) {
-		if err := history(seed, nil); err != nil {
+	for seed := range uint64(*historyCount) {
+		if err := runHistory(seed, nil); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
 // The histories find balancers that are wrong on purpose.
-func TestWrongFound(t *testing.T) {
-	for name, wrong := range map[string]func(*play, int){
-		"takes the last it heard": func(p *play, i int) {
-			if m := p.at[i]; i == 1 && m.Machine != nil && len(m.orders) > 0 {
-				m.sum ^= m.orders[0].sum()
+func TestFaultyBalancersFound(t *testing.T) {
+	for name, tamper := range map[string]func(*simulation, int){
+		"takes the last it heard": func(p *simulation, i int) {
+			if m := p.balancers[i]; i == 1 && m.Machine != nil && len(m.orders) > 0 {
+				m.digest ^= m.orders[0].digest()
 				m.orders[0].Count = max(1, m.orders[0].Count-1)
-				m.sum ^= m.orders[0].sum()
+				m.digest ^= m.orders[0].digest()
 			}
 		},
-		"forgets at its end": func(p *play, i int) { p.at[1].file = nil },
-		"tells and is told nothing": func(p *play, i int) {
-			if m := p.at[1]; m.Machine != nil {
+		"forgets at its end": func(p *simulation, i int) { p.balancers[1].file = nil },
+		"tells and is told nothing": func(p *simulation, i int) {
+			if m := p.balancers[1]; m.Machine != nil {
 				m.peers = nil
-				p.way = slices.DeleteFunc(p.way, func(l letter) bool { return l.i == 1 || l.from == m.life })
+				p.inFlight = slices.DeleteFunc(p.inFlight, func(l packet) bool { return l.receiver == 1 || l.from == m.id })
 			}
 		},
 	} {
 		found := false
 		for seed := uint64(1); seed < 400 && !found; seed += 2 { // files are not lost in these
-			found = history(seed, wrong) != nil
+			found = runHistory(seed, tamper) != nil
 		}
 		if !found {
 			t.Errorf("%s: not found", name)
@@ -241,14 +241,14 @@
 }
 
 // Of three orders in any arrangement the same one holds, and each that was given without word of another is told of.
-func TestOneDecides(t *testing.T) {
+func TestSupersedingOrder(t *testing.T) {
 	a := Order{Host: "h", ID: ID{1, 7}, Out: true}
 	b := Order{Host: "h", ID: ID{1, 9}}
 	c := Order{Host: "h", ID: ID{2, 9}, Past: []ID{b.ID}}
 	for _, row := range [][]Order{{a, b, c}, {a, c, b}, {b, a, c}, {b, c, a}, {c, a, b}, {c, b, a}} {
 		m := New(Terms{Self: 1})
 		for _, o := range row {
-			m.take(o)
+			m.apply(o)
 		}
 		if got := m.All(); len(got) != 1 || got[0].ID != c.ID {
 			t.Errorf("%v: %v holds", row, got)
@@ -277,10 +277,10 @@
 		t.Errorf("a third of four: %v", err)
 	}
 	for _, o := range b.All() {
-		a.take(o)
+		a.apply(o)
 	}
 	for _, o := range a.All() {
-		b.take(o)
+		b.apply(o)
 	}
 	if x, y := a.Excluded(4), b.Excluded(4); !slices.Equal(x, y) || len(x) != 2 {
 		t.Errorf("%v and %v are out of four", x, y)
@@ -292,20 +292,20 @@
 
 // Thousands of orders reach one who has none within seconds, and each message fits a datagram.
 func TestMany(t *testing.T) {
-	p := newPlay(2, 1)
+	p := newSimulation(2, 1)
 	for i := range 600 {
-		p.give(0, fmt.Sprintf("host-%04d-%0200d", i, 0), true)
+		p.submit(0, fmt.Sprintf("host-%04d-%0200d", i, 0), true)
 	}
-	for p.now < 60*time.Second && p.at[0].Sum() != p.at[1].Sum() {
+	for p.now < 60*time.Second && p.balancers[0].Sum() != p.balancers[1].Sum() {
 		if err := p.step(5 * time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if p.at[0].Sum() != p.at[1].Sum() {
-		t.Errorf("%d of %d orders after a minute", len(p.at[1].All()), len(p.at[0].All()))
+	if p.balancers[0].Sum() != p.balancers[1].Sum() {
+		t.Errorf("%d of %d orders after a minute", len(p.balancers[1].All()), len(p.balancers[0].All()))
 	}
-	slices.SortFunc(p.kept, func(a, b Order) int { return cmp.Compare(a.size(), b.size()) })
-	if p.kept[len(p.kept)-1].size() > mostBytes {
+	slices.SortFunc(p.confirmed, func(a, b Order) int { return cmp.Compare(a.size(), b.size()) })
+	if p.confirmed[len(p.confirmed)-1].size() > maxMessageBytes {
 		t.Error("an order does not fit")
 	}
 }
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -39,33 +39,33 @@
 }
 
 const (
-	// skew is how far off a second any clock may be, either way; the note's proof stands on it.
-	skew = 0.02
-	// head is how much beyond its need a balancer wants: what comes in differs from one second to the next.
-	head = 1.3
+	// maxClockSkew is how far off a second any clock may be, either way; the note's proof stands on it.
+	maxClockSkew = 0.02
+	// demandMargin is how much beyond its need a balancer wants: what comes in differs from one second to the next.
+	demandMargin = 1.3
 	// A balancer asks once its need is two deviations over its part, and then until it has enough of its need. Asking for what comes
 	// and goes with chance took 49 KB/s of each of 24 whose tenants call them four times a second. It keeps as much beyond its need,
 	// and gives back what is over when it has twice what it wants.
-	chance = 2
-	enough = 1.1
-	// asksAtOnce members, and one in asksOf of all, are asked in a turn; the next turn asks others for what is still missing. So a
+	deviationFactor = 2
+	satisfiedMargin = 1.1
+	// baseAsksPerTick members, and one in membersPerExtraAsk of all, are asked in a turn; the next turn asks others for what is still missing. So a
 	// whole is gathered in a second and a half from any number. Half as many are asked after each turn whose answers brought nothing,
-	// down to one: where all want more than there is, asking everybody took 24 KB/s of each of eight. mostRenewed bounds those who
+	// down to one: where all want more than there is, asking everybody took 24 KB/s of each of eight. maxRenewalsPerTick bounds those who
 	// are asked to go on lending.
-	asksAtOnce  = 16
-	asksOf      = 8
-	mostRenewed = 1024 // in a turn; the rest in the next
-	mostAskers  = 4096 // of one bound
-	mostLeases  = 4096 // either way
-	mostWants   = 32   // in one message
-	// rollout is how far the settings of two balancers may differ while a new configuration goes round; the smaller figure holds.
+	baseAsksPerTick    = 16
+	membersPerExtraAsk = 8
+	maxRenewalsPerTick = 1024 // in a turn; the rest in the next
+	maxAskers          = 4096 // of one bound
+	maxLeases          = 4096 // either way
+	maxWants           = 32   // in one message
+	// maxSettingsRatio is how far the settings of two balancers may differ while a new configuration goes round; the smaller figure holds.
 	// Beyond that it is a fault, which must not starve all.
-	rollout = 2
-	// least is the smallest part worth a message.
-	least = All / 10000
-	// demandFades is the half-life of what is remembered of a need beyond the second over which it is measured. At a second it
+	maxSettingsRatio = 2
+	// minPart is the smallest part worth a message.
+	minPart = All / 10000
+	// demandHalfLife is the half-life of what is remembered of a need beyond the second over which it is measured. At a second it
 	// took 4.5 s until an allowance had followed its calls to another balancer.
-	demandFades = 100 * time.Millisecond
+	demandHalfLife = 100 * time.Millisecond
 )
 
 // LeastFloor of a home part is never lent: a process that was killed and starts from nothing has it at once, whatever its life
@@ -112,109 +112,109 @@
 // lease is a part that is elsewhere for now, as either side has it. A later one between the same two takes the place of those
 // before: the taker uses the newest that it has, and the giver reckons with the largest that has not ended.
 type lease struct {
-	name  int
-	with  member.Life
-	n     uint64 // of the taker's ask
-	part  Part
-	until Moment
+	limit   int
+	peer    member.Life
+	askID   uint64 // of the taker's ask
+	part    Part
+	expires Moment
 }
 
 // Machine is one balancer's parts.
 type Machine struct {
-	terms  Terms
-	chance *rand.Rand
-	now    Moment
-	born   Moment
-	among  int // the most that anybody names
+	config    Terms
+	rng       *rand.Rand
+	now       Moment
+	startedAt Moment
+	fleetSize int // the most that anybody names
 
 	lent, borrowed []lease
-	next           uint64 // number of the last ask
-	asks           []ask
-	bounds         []bound
-	sum            uint64
-	half           bool // another process of an upgrade has the other half
-	vain           int  // turns in a row that asked and were given nothing
+	lastAskID      uint64 // number of the last ask
+	pendingAsks    []pendingAsk
+	limits         []limit
+	namesHash      uint64
+	halved         bool // another process of an upgrade has the other half
+	fruitlessTicks int  // turns in a row that asked and were given nothing
 	sends          []Send
 }
 
-// bound is one limit of the fleet.
-type bound struct {
-	most   float64 // the smallest that anybody names
-	grain  float64
-	asking bool    // for more
-	need   float64 // of this balancer, in the bound's unit
-	needAt Moment
-	lent   Part // sums of the leases
-	got    Part
-	askers []asker
+// limit is one limit of the fleet.
+type limit struct {
+	value         float64 // the smallest that anybody names
+	needPerItem   float64
+	asking        bool    // for more
+	need          float64 // of this balancer, in the bound's unit
+	needUpdatedAt Moment
+	lent          Part // sums of the leases
+	borrowed      Part
+	askers        []asker
 }
 
 // asker is who wanted a part lately.
 type asker struct {
-	life member.Life
-	part Part
-	at   Moment
+	id      member.Life
+	wanted  Part
+	askedAt Moment
 }
 
-// ask is an Ask without its answer.
-type ask struct {
-	n  uint64
-	to member.Life
-	at Moment
+// pendingAsk is an Ask without its answer.
+type pendingAsk struct {
+	id     uint64
+	to     member.Life
+	sentAt Moment
 }
 
 // New makes a process's machine. Nothing is known of what its life before has lent.
-func New(t Terms, now Moment) *Machine {
-	m := &Machine{terms: t, chance: rand.New(rand.NewPCG(t.Seed, uint64(t.Self))), now: now, born: now, among: max(1, t.Among),
-		next: t.First}
-	for i, name := range t.Names {
-		b := bound{most: t.Bound[i]}
-		if t.Grain != nil {
-			b.grain = t.Grain[i]
+func New(config Terms, now Moment) *Machine {
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self))), now: now, startedAt: now, fleetSize: max(1, config.Among),
+		lastAskID: config.First}
+	for i, name := range config.Names {
+		lim := limit{value: config.Bound[i]}
+		if config.Grain != nil {
+			lim.needPerItem = config.Grain[i]
 		}
-		m.bounds = append(m.bounds, b)
+		m.limits = append(m.limits, lim)
 		for _, c := range []byte(name) {
-			m.sum = m.sum*1099511628211 ^ uint64(c)
+			m.namesHash = m.namesHash*1099511628211 ^ uint64(c)
 		}
-		m.sum = m.sum*1099511628211 ^ uint64(i)
+		m.namesHash = m.namesHash*1099511628211 ^ uint64(i)
 	}
 	return m
 }
 
-// home is this balancer's own part of every bound, lent or not.
-func (m *Machine) home() Part {
-	h := All / Part(m.among)
-	if m.half {
+// homePart is this balancer's own part of every bound, lent or not.
+func (m *Machine) homePart() Part {
+	h := All / Part(m.fleetSize)
+	if m.halved {
 		h /= 2
 	}
 	return h
 }
 
-// floor is what of it is never lent.
-func (m *Machine) floor(name int) Part {
-	return Part(min(1, max(LeastFloor, m.terms.Floor[name])) * float64(m.home()))
+// reservedPart is what of it is never lent.
+func (m *Machine) reservedPart(index int) Part {
+	return Part(min(1, max(LeastFloor, m.config.Floor[index])) * float64(m.homePart()))
 }
 
-// after is when the giver may use again what it lends now.
-func (m *Machine) after(d time.Duration) time.Duration {
-	return time.Duration(float64(d) * (1 + skew) / (1 - skew))
+// lenderDuration is when the giver may use again what it lends now.
+func (m *Machine) lenderDuration(d time.Duration) time.Duration {
+	return time.Duration(float64(d) * (1 + maxClockSkew) / (1 - maxClockSkew))
 }
 
-// fresh tells that the life before may still have parts lent.
-func (m *Machine) fresh() bool { return m.now-m.born < m.after(m.terms.Lease) }
+// recentlyStarted tells that the life before may still have parts lent.
+func (m *Machine) recentlyStarted() bool { return m.now-m.startedAt < m.lenderDuration(m.config.Lease) }
 
 // Part is what this balancer may use of a bound now. What was borrowed counts to the end of its lease by this clock.
-func (m *Machine) Part(now Moment, name int) Part {
-	m.begin(now)
-	return m.part(name)
+func (m *Machine) Part(now Moment, index int) Part {
+	m.advance(now)
+	return m.currentPart(index)
 }
 
-func (m *Machine) part(name int) Part {
-	b := &m.bounds[name]
-	if m.fresh() {
-		return min(m.floor(name), m.home()-b.lent) + b.got
+func (m *Machine) currentPart(index int) Part {
+	lim := &m.limits[index]
+	if m.recentlyStarted() {
+		return min(m.reservedPart(index), m.homePart()-lim.lent) + lim.borrowed
 	}
-	return max(0, m.home()-b.lent) + b.got
+	return max(0, m.homePart()-lim.lent) + lim.borrowed
 }
 
 // State is what a door shows of one bound.
@@ -227,13 +227,13 @@
 }
 
 // State tells how a bound stands here.
-func (m *Machine) State(now Moment, name int) State {
-	s := State{Part: m.Part(now, name), Lent: m.bounds[name].lent, Borrowed: m.bounds[name].got, Need: m.needed(&m.bounds[name]), Fresh: m.fresh()}
+func (m *Machine) State(now Moment, index int) State {
+	s := State{Part: m.Part(now, index), Lent: m.limits[index].lent, Borrowed: m.limits[index].borrowed, Need: m.currentNeed(&m.limits[index]), Fresh: m.recentlyStarted()}
 	for _, list := range [][]lease{m.lent, m.borrowed} {
 		for _, l := range list {
-			if l.name == name {
+			if l.limit == index {
 				s.Leases++
-				if left := l.until - m.now; s.Ends == 0 || left < s.Ends {
+				if left := l.expires - m.now; s.Ends == 0 || left < s.Ends {
 					s.Ends = left
 				}
 			}
@@ -243,13 +243,13 @@
 }
 
 // Bound is the figure that the part is of: the smallest that any balancer names.
-func (m *Machine) Bound(name int) float64 { return m.bounds[name].most }
+func (m *Machine) Bound(index int) float64 { return m.limits[index].value }
 
 // Ends is when some part changes by itself: who spends has to ask again from then on.
 func (m *Machine) Ends() Moment {
 	ends := Moment(math.MaxInt64)
 	for i := range m.borrowed {
-		ends = min(ends, m.borrowed[i].until)
+		ends = min(ends, m.borrowed[i].expires)
 	}
 	return ends
 }
@@ -260,38 +260,38 @@
 	return sends
 }
 
-// begin takes the time and ends the leases that are over. A borrowed one ends first: both sides count from the ask.
-func (m *Machine) begin(now Moment) {
+// advance takes the time and ends the leases that are over. A borrowed one ends first: both sides count from the ask.
+func (m *Machine) advance(now Moment) {
 	m.now = max(m.now, now)
 	m.borrowed = slices.DeleteFunc(m.borrowed, func(l lease) bool {
-		if over := m.now >= l.until; over {
-			m.bounds[l.name].got -= l.part
+		if over := m.now >= l.expires; over {
+			m.limits[l.limit].borrowed -= l.part
 			return true
 		}
 		return false
 	})
-	m.dropLent(func(l lease) bool { return m.now >= l.until })
+	m.removeLent(func(l lease) bool { return m.now >= l.expires })
 }
 
-// dropLent ends leases that this balancer has given.
-func (m *Machine) dropLent(over func(lease) bool) {
-	was := len(m.lent)
-	if m.lent = slices.DeleteFunc(m.lent, over); len(m.lent) == was {
+// removeLent ends leases that this balancer has given.
+func (m *Machine) removeLent(over func(lease) bool) {
+	before := len(m.lent)
+	if m.lent = slices.DeleteFunc(m.lent, over); len(m.lent) == before {
 		return
 	}
-	for i := range m.bounds {
-		m.bounds[i].lent = m.lentOf(i, 0)
+	for i := range m.limits {
+		m.limits[i].lent = m.totalLent(i, 0)
 	}
 }
 
-// lentOf sums what is lent of a bound to all others than one: of each taker the largest lease that has not ended.
-func (m *Machine) lentOf(name int, but member.Life) (sum Part) {
+// totalLent sums what is lent of a bound to all others than one: of each taker the largest lease that has not ended.
+func (m *Machine) totalLent(index int, except member.Life) (sum Part) {
 	for i, l := range m.lent {
-		if l.name != name || l.with == but {
+		if l.limit != index || l.peer == except {
 			continue
 		}
-		largest := !slices.ContainsFunc(m.lent[:i], func(o lease) bool { return o.name == name && o.with == l.with && o.part >= l.part }) &&
-			!slices.ContainsFunc(m.lent[i+1:], func(o lease) bool { return o.name == name && o.with == l.with && o.part > l.part })
+		largest := !slices.ContainsFunc(m.lent[:i], func(o lease) bool { return o.limit == index && o.peer == l.peer && o.part >= l.part }) &&
+			!slices.ContainsFunc(m.lent[i+1:], func(o lease) bool { return o.limit == index && o.peer == l.peer && o.part > l.part })
 		if largest {
 			sum += l.part
 		}
@@ -300,149 +300,155 @@
 }
 
 // Beside halves what this process has, while another one of an upgrade has the other half.
-func (m *Machine) Beside(on bool) { m.half = on }
+func (m *Machine) Beside(on bool) { m.halved = on }
 
 // Need tells how much of a bound came in for lately, in its unit.
-func (m *Machine) Need(now Moment, name int, need float64) {
-	m.begin(now)
-	b := &m.bounds[name]
-	b.need, b.needAt = max(need, b.need*fades(m.now-b.needAt)), m.now
+func (m *Machine) Need(now Moment, index int, need float64) {
+	m.advance(now)
+	lim := &m.limits[index]
+	lim.need, lim.needUpdatedAt = max(need, lim.need*decay(m.now-lim.needUpdatedAt)), m.now
 }
 
-// needed is what is left of the need that was last told: all of it until the next is owed.
-func (m *Machine) needed(b *bound) float64 {
-	return b.need * fades(m.now-b.needAt-Turn)
+// currentNeed is what is left of the need that was last told: all of it until the next is owed.
+func (m *Machine) currentNeed(lim *limit) float64 {
+	return lim.need * decay(m.now-lim.needUpdatedAt-Turn)
 }
 
-func fades(age time.Duration) float64 { return math.Exp2(-float64(max(0, age)) / float64(demandFades)) }
+func decay(age time.Duration) float64 {
+	return math.Exp2(-float64(max(0, age)) / float64(demandHalfLife))
+}
 
-// strays is how far a need strays by chance.
-func (m *Machine) strays(b *bound) float64 { return chance * math.Sqrt(m.needed(b)*b.grain) }
+// needFluctuation is how far a need strays by chance.
+func (m *Machine) needFluctuation(lim *limit) float64 {
+	return deviationFactor * math.Sqrt(m.currentNeed(lim)*lim.needPerItem)
+}
 
-// wanted is the part that would meet a need, with what comes beyond it by chance.
-func (m *Machine) wanted(b *bound) Part {
-	need := m.needed(b)
-	return b.partOf(max(need*head, need+m.strays(b)))
+// wantedPart is the part that would meet a need, with what comes beyond it by chance.
+func (m *Machine) wantedPart(lim *limit) Part {
+	need := m.currentNeed(lim)
+	return lim.partOf(max(need*demandMargin, need+m.needFluctuation(lim)))
 }
 
-// short tells that this balancer has too little of a bound.
-func (m *Machine) short(name int) bool {
-	b, part := &m.bounds[name], m.part(name)
-	if b.asking {
-		b.asking = b.partOf(m.needed(b)*enough) > part+least
+// needsMore tells that this balancer has too little of a bound.
+func (m *Machine) needsMore(index int) bool {
+	lim, part := &m.limits[index], m.currentPart(index)
+	if lim.asking {
+		lim.asking = lim.partOf(m.currentNeed(lim)*satisfiedMargin) > part+minPart
 	} else {
-		b.asking = b.partOf(m.needed(b)-m.strays(b)) > part+least
+		lim.asking = lim.partOf(m.currentNeed(lim)-m.needFluctuation(lim)) > part+minPart
 	}
-	return b.asking
+	return lim.asking
 }
 
 // partOf is a figure as a part of the bound.
-func (b *bound) partOf(x float64) Part {
-	if b.most <= 0 {
+func (lim *limit) partOf(x float64) Part {
+	if lim.value <= 0 {
 		return 0
 	}
-	return Part(max(0, min(1, x/b.most)) * float64(All))
+	return Part(max(0, min(1, x/lim.value)) * float64(All))
 }
 
 // Tick looks at all needs: asks members for what is missing, gives back what is over.
 func (m *Machine) Tick(now Moment, members []member.Life) {
-	m.begin(now)
-	m.asks = slices.DeleteFunc(m.asks, func(a ask) bool { return m.now-a.at > m.terms.Lease/2 })
-	if m.half {
-		m.giveBack(func(*bound) bool { return true })
+	m.advance(now)
+	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return m.now-a.sentAt > m.config.Lease/2 })
+	if m.halved {
+		m.returnBorrowed(func(*limit) bool { return true })
 		return
 	}
-	m.giveBack(func(b *bound) bool { return m.wanted(b)*2 < m.home()-b.lent+b.got-least && b.got > 0 })
-	m.askMissing(members)
+	m.returnBorrowed(func(lim *limit) bool {
+		return m.wantedPart(lim)*2 < m.homePart()-lim.lent+lim.borrowed-minPart && lim.borrowed > 0
+	})
+	m.askMembers(members)
 }
 
-// giveBack ends leases of bounds of which there is too much.
-func (m *Machine) giveBack(over func(*bound) bool) {
+// returnBorrowed ends leases of bounds of which there is too much.
+func (m *Machine) returnBorrowed(excess func(*limit) bool) {
 	m.borrowed = slices.DeleteFunc(m.borrowed, func(l lease) bool {
-		b := &m.bounds[l.name]
-		if !over(b) {
+		lim := &m.limits[l.limit]
+		if !excess(lim) {
 			return false
 		}
-		b.got -= l.part
-		m.asks = slices.DeleteFunc(m.asks, func(a ask) bool { return a.to == l.with && a.n <= l.n }) // what comes late is given back too
-		m.send(l.with, Message{Kind: Back, N: l.n, Wants: []Want{{Name: uint16(l.name)}}})
+		lim.borrowed -= l.part
+		m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l.peer && a.id <= l.askID }) // what comes late is given back too
+		m.send(l.peer, Message{Kind: Back, N: l.askID, Wants: []Want{{Name: uint16(l.limit)}}})
 		return true
 	})
 }
 
-// askMissing asks some members, others each time, for what is missing, and those who lend already to go on in time.
-func (m *Machine) askMissing(members []member.Life) {
+// askMembers asks some members, others each time, for what is missing, and those who lend already to go on in time.
+func (m *Machine) askMembers(members []member.Life) {
 	others := slices.DeleteFunc(slices.Clone(members), func(l member.Life) bool {
-		return l == m.terms.Self || slices.ContainsFunc(m.asks, func(a ask) bool { return a.to == l && m.now-a.at < m.terms.Lease/4 })
+		return l == m.config.Self || slices.ContainsFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l && m.now-a.sentAt < m.config.Lease/4 })
 	})
 	if len(others) == 0 {
 		return
 	}
 	renew := map[member.Life]bool{}
 	for _, l := range m.borrowed {
-		if l.until-m.now < m.terms.Lease*2/3 { // three tries before it ends
-			renew[l.with] = true
+		if l.expires-m.now < m.config.Lease*2/3 { // three tries before it ends
+			renew[l.peer] = true
 		}
 	}
 	missing := false
-	for i := range m.bounds {
-		missing = m.short(i) || missing
+	for i := range m.limits {
+		missing = m.needsMore(i) || missing
 	}
-	m.chance.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	asked, renewed, most := 0, 0, max(1, (asksAtOnce+len(others)/asksOf)>>min(m.vain, 30))
+	m.rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	asked, renewed, maxAsks := 0, 0, max(1, (baseAsksPerTick+len(others)/membersPerExtraAsk)>>min(m.fruitlessTicks, 30))
 	if missing {
-		m.vain++
+		m.fruitlessTicks++
 	}
 	for _, to := range others {
 		switch {
-		case renew[to] && renewed < mostRenewed:
+		case renew[to] && renewed < maxRenewalsPerTick:
 			renewed++
-		case missing && asked < most:
+		case missing && asked < maxAsks:
 			asked++
 		default:
 			continue
 		}
-		m.askOne(to)
+		m.askMember(to)
 	}
 }
 
-// askOne asks a member for what this balancer would have of it: what it lends now and its part of what is missing.
-func (m *Machine) askOne(to member.Life) {
-	m.next++
-	msg := Message{Kind: Ask, N: m.next}
-	for i := range m.bounds {
-		b := &m.bounds[i]
-		want := m.wanted(b) - m.part(i)
+// askMember asks a member for what this balancer would have of it: what it lends now and its part of what is missing.
+func (m *Machine) askMember(to member.Life) {
+	m.lastAskID++
+	msg := Message{Kind: Ask, N: m.lastAskID}
+	for i := range m.limits {
+		lim := &m.limits[i]
+		want := m.wantedPart(lim) - m.currentPart(i)
 		for _, l := range m.borrowed {
-			if l.with == to && l.name == i {
+			if l.peer == to && l.limit == i {
 				want += l.part
 			}
 		}
-		if want > least && len(msg.Wants) < mostWants {
-			msg.Wants = append(msg.Wants, Want{Name: uint16(i), Part: min(want, All), Bound: m.terms.Bound[i]})
+		if want > minPart && len(msg.Wants) < maxWants {
+			msg.Wants = append(msg.Wants, Want{Name: uint16(i), Part: min(want, All), Bound: m.config.Bound[i]})
 		}
 	}
 	if len(msg.Wants) == 0 {
 		return
 	}
-	m.asks = append(m.asks, ask{m.next, to, m.now})
+	m.pendingAsks = append(m.pendingAsks, pendingAsk{m.lastAskID, to, m.now})
 	m.send(to, msg)
 }
 
 func (m *Machine) send(to member.Life, msg Message) {
-	msg.Among, msg.Sum = m.terms.Among, m.sum
+	msg.Among, msg.Sum = m.config.Among, m.namesHash
 	m.sends = append(m.sends, Send{to, msg})
 }
 
 // Hear takes a message of a member.
 func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
-	m.begin(now)
-	if msg.Sum != m.sum || from == m.terms.Self || msg.Among < 1 {
+	m.advance(now)
+	if msg.Sum != m.namesHash || from == m.config.Self || msg.Among < 1 {
 		return
 	}
-	m.among = max(m.among, min(msg.Among, rollout*m.terms.Among)) // the smaller part holds
+	m.fleetSize = max(m.fleetSize, min(msg.Among, maxSettingsRatio*m.config.Among)) // the smaller part holds
 	for _, w := range msg.Wants {
-		if int(w.Name) >= len(m.bounds) {
+		if int(w.Name) >= len(m.limits) {
 			return
 		}
 	}
@@ -450,12 +456,12 @@
 	case Ask:
 		m.grant(from, msg)
 	case Grant:
-		m.take(from, msg)
+		m.acceptGrant(from, msg)
 	case Back:
 		for _, w := range msg.Wants {
-			m.dropLent(func(l lease) bool { return l.with == from && l.name == int(w.Name) && l.n <= msg.N })
-			if !slices.ContainsFunc(m.lent, func(l lease) bool { return l.with == from && l.name == int(w.Name) }) {
-				m.bounds[w.Name].forget(from) // what it asked before would halve for a lease what others get
+			m.removeLent(func(l lease) bool { return l.peer == from && l.limit == int(w.Name) && l.askID <= msg.N })
+			if !slices.ContainsFunc(m.lent, func(l lease) bool { return l.peer == from && l.limit == int(w.Name) }) {
+				m.limits[w.Name].removeAsker(from) // what it asked before would halve for a lease what others get
 			}
 		}
 	}
@@ -465,84 +471,84 @@
 func (m *Machine) grant(to member.Life, msg *Message) {
 	answer := Message{Kind: Grant, N: msg.N}
 	for _, w := range msg.Wants {
-		b, name := &m.bounds[w.Name], int(w.Name)
-		b.most = min(b.most, max(w.Bound, m.terms.Bound[w.Name]/rollout))
-		b.heard(to, w.Part, m.now, m.terms.Lease)
-		n := Part(0)
-		if !m.fresh() && !m.half && len(m.lent) < mostLeases {
-			own := min(max(m.floor(name), m.wanted(b)), m.home()) // its own need goes first, up to its own part
-			spare := m.home() - own
-			n = max(0, min(w.Part, b.fair(to, spare), spare-m.lentOf(name, to)))
+		lim, index := &m.limits[w.Name], int(w.Name)
+		lim.value = min(lim.value, max(w.Bound, m.config.Bound[w.Name]/maxSettingsRatio))
+		lim.recordAsk(to, w.Part, m.now, m.config.Lease)
+		granted := Part(0)
+		if !m.recentlyStarted() && !m.halved && len(m.lent) < maxLeases {
+			ownPart := min(max(m.reservedPart(index), m.wantedPart(lim)), m.homePart()) // its own need goes first, up to its own part
+			spare := m.homePart() - ownPart
+			granted = max(0, min(w.Part, lim.fairPart(to, spare), spare-m.totalLent(index, to)))
 		}
-		if n > 0 {
-			m.lent = append(m.lent, lease{name, to, msg.N, n, m.now + m.after(m.terms.Lease)})
-			b.lent = m.lentOf(name, 0)
+		if granted > 0 {
+			m.lent = append(m.lent, lease{index, to, msg.N, granted, m.now + m.lenderDuration(m.config.Lease)})
+			lim.lent = m.totalLent(index, 0)
 		}
-		answer.Wants = append(answer.Wants, Want{Name: w.Name, Part: n, Bound: b.most})
+		answer.Wants = append(answer.Wants, Want{Name: w.Name, Part: granted, Bound: lim.value})
 	}
 	m.send(to, answer)
 }
 
-// heard notes who wants how much.
-func (b *bound) heard(who member.Life, part Part, now Moment, keep time.Duration) {
-	b.askers = slices.DeleteFunc(b.askers, func(a asker) bool { return a.life == who || now-a.at > keep })
-	if len(b.askers) < mostAskers {
-		b.askers = append(b.askers, asker{who, max(0, part), now})
+// recordAsk notes who wants how much.
+func (lim *limit) recordAsk(id member.Life, wanted Part, now Moment, keep time.Duration) {
+	lim.askers = slices.DeleteFunc(lim.askers, func(a asker) bool { return a.id == id || now-a.askedAt > keep })
+	if len(lim.askers) < maxAskers {
+		lim.askers = append(lim.askers, asker{id, max(0, wanted), now})
 	}
 }
 
-// forget takes out who wants nothing any more.
-func (b *bound) forget(who member.Life) {
-	b.askers = slices.DeleteFunc(b.askers, func(a asker) bool { return a.life == who })
+// removeAsker takes out who wants nothing any more.
+func (lim *limit) removeAsker(id member.Life) {
+	lim.askers = slices.DeleteFunc(lim.askers, func(a asker) bool { return a.id == id })
 }
 
-// fair is what one of the askers gets of what can be spared: all get the same, none more than it wants.
-func (b *bound) fair(who member.Life, spare Part) Part {
-	sorted := slices.SortedFunc(slices.Values(b.askers), func(x, y asker) int { return cmp.Compare(x.part, y.part) })
+// fairPart is what one of the askers gets of what can be spared: all get the same, none more than it wants.
+func (lim *limit) fairPart(id member.Life, spare Part) Part {
+	sorted := slices.SortedFunc(slices.Values(lim.askers), func(x, y asker) int { return cmp.Compare(x.wanted, y.wanted) })
 	for i, a := range sorted {
 		each := spare / Part(len(sorted)-i)
-		n := min(a.part, each)
-		if a.life == who {
-			return n
+		part := min(a.wanted, each)
+		if a.id == id {
+			return part
 		}
-		spare -= n
+		spare -= part
 	}
 	return 0
 }
 
-// take adds what was lent, from the moment of the ask on: the giver counts from a later one.
-func (m *Machine) take(from member.Life, msg *Message) {
-	i := slices.IndexFunc(m.asks, func(a ask) bool { return a.n == msg.N && a.to == from })
+// acceptGrant adds what was lent, from the moment of the ask on: the giver counts from a later one.
+func (m *Machine) acceptGrant(from member.Life, msg *Message) {
+	i := slices.IndexFunc(m.pendingAsks, func(a pendingAsk) bool { return a.id == msg.N && a.to == from })
 	if i < 0 {
 		return // repeated, or too late to count on
 	}
-	at := m.asks[i].at
-	m.asks = slices.DeleteFunc(m.asks, func(a ask) bool { return a.to == from && a.n <= msg.N }) // what was asked before is answered by this
-	until := at + time.Duration(float64(m.terms.Lease)*(1-skew))
+	askedAt := m.pendingAsks[i].sentAt
+	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == from && a.id <= msg.N }) // what was asked before is answered by this
+	until := askedAt + time.Duration(float64(m.config.Lease)*(1-maxClockSkew))
 	for _, w := range msg.Wants {
-		b, name := &m.bounds[w.Name], int(w.Name)
-		b.most = min(b.most, max(w.Bound, m.terms.Bound[w.Name]/rollout))
-		if w.Part < 0 || w.Part > All || slices.ContainsFunc(m.borrowed, func(l lease) bool { return l.with == from && l.name == name && l.n > msg.N }) {
+		lim, index := &m.limits[w.Name], int(w.Name)
+		lim.value = min(lim.value, max(w.Bound, m.config.Bound[w.Name]/maxSettingsRatio))
+		if w.Part < 0 || w.Part > All || slices.ContainsFunc(m.borrowed, func(l lease) bool { return l.peer == from && l.limit == index && l.askID > msg.N }) {
 			continue
 		}
-		had := Part(0)
+		previous := Part(0)
 		m.borrowed = slices.DeleteFunc(m.borrowed, func(l lease) bool {
-			before := l.with == from && l.name == name
-			if before {
-				b.got -= l.part
-				had += l.part
+			replaced := l.peer == from && l.limit == index
+			if replaced {
+				lim.borrowed -= l.part
+				previous += l.part
 			}
-			if before && l.part > w.Part { // else the giver reckons with the larger one until that ends
-				m.send(from, Message{Kind: Back, N: l.n, Wants: []Want{{Name: w.Name}}})
+			if replaced && l.part > w.Part { // else the giver reckons with the larger one until that ends
+				m.send(from, Message{Kind: Back, N: l.askID, Wants: []Want{{Name: w.Name}}})
 			}
-			return before
+			return replaced
 		})
-		if w.Part > had+least {
-			m.vain = 0
+		if w.Part > previous+minPart {
+			m.fruitlessTicks = 0
 		}
-		if w.Part > 0 && until > m.now && len(m.borrowed) < mostLeases {
-			m.borrowed = append(m.borrowed, lease{name, from, msg.N, w.Part, until})
-			b.got += w.Part
+		if w.Part > 0 && until > m.now && len(m.borrowed) < maxLeases {
+			m.borrowed = append(m.borrowed, lease{index, from, msg.N, w.Part, until})
+			lim.borrowed += w.Part
 		}
 	}
 }
