--- a/internal/fleet/evidence/evidence.go
+++ b/internal/fleet/evidence/evidence.go
@@ -1,6 +1,7 @@
-// Package evidence tells balancers of one fleet how attempts at hosts ended at the others, and makes of what is heard a word on each
-// host for the module to weigh: a few numbers, bounded in age and in what they can do. It is a state machine without I/O, clock or
-// goroutine: moments and messages come in, messages go out, chance is a seed's. docs/notes/verdicts.md has what can fail and the bounds.
+// Package evidence exchanges observations between the balancers of a fleet: how recent attempts at each host ended. It summarises what
+// the other balancers report of a host in a few numbers, limited in age and weight, which the policy takes into account when it judges
+// the host. The package is a state machine without I/O, clock or goroutines: it takes times and messages, and returns messages to send.
+// docs/notes/verdicts.md describes what can fail and the bounds.
 package evidence
 
 import (
@@ -15,49 +16,51 @@
 	"streamrail/policy"
 )
 
-// Moment is a time on this process's own steady clock.
+// Moment is a time on this process's own monotonic clock.
 type Moment = time.Duration
 
-// Row is how the attempts of one balancer at one host ended lately.
+// Row counts how one balancer's recent attempts at one host ended.
 type Row struct {
 	Host      string
 	Good, Bad int
 }
 
-// Message is all that one balancer has seen lately, as far as it fits: each one stands for itself and replaces those before it, so
-// that one that is lost, late or repeated makes nothing count twice.
+// Message holds all recent observations of one balancer, as far as they fit. Each message is complete in itself and replaces the
+// sender's earlier ones, so that a lost, late or repeated message makes nothing count twice.
 type Message struct {
-	N    uint64 // counts the sender's
-	At   Moment // by the sender's clock
+	N    uint64 // sequence number of the sender's messages
+	At   Moment // when it was sent, by the sender's clock
 	Rows []Row
 }
 
-// Send is a message for a member.
+// Send is a message and the member it goes to.
 type Send struct {
 	To  member.Life
 	Msg Message
 }
 
-// Peer is a member that may be told, or heard.
+// Peer is a member with which observations are exchanged.
 type Peer struct {
 	Life member.Life
 	Zone string
 }
 
-// Word is what the others say of a host: how many endings of each kind it is worth beside one's own. Both 0: nothing any more.
+// Word summarises what the other balancers report of a host. Good and Bad are the weight of their reports, in attempts, to be added to
+// the balancer's own observations; both are 0 if there is no longer anything to report.
 type Word struct {
 	Host      string
 	Good, Bad float64
-	Witnesses int // who say that it is bad, of those heard
+	Witnesses int // how many balancers report more bad attempts than good ones
 }
 
-// Has tells whether words, in order, are of a host among others.
+// Has reports whether summaries, which are sorted by host, contain one of this host.
 func Has(summaries []Word, host string) bool {
 	_, has := slices.BinarySearchFunc(summaries, host, func(w Word, h string) int { return cmp.Compare(w.Host, h) })
 	return has
 }
 
-// Tell says what holds now after other words did: of each turn's, as a host that was started again is another one to the module.
+// Tell calls notify for each host that has a summary now, and with zeros for each host that had one before and has none now. It
+// repeats unchanged summaries, because the policy treats a restarted host as a new one that has none yet.
 func Tell(before, after []Word, notify func(host string, good, bad float64)) {
 	for _, w := range before {
 		if !Has(after, w.Host) {
@@ -69,83 +72,91 @@
 	}
 }
 
-// Terms are fixed for a process.
+// Terms is the configuration of a Machine; it does not change during the life of a process.
 type Terms struct {
 	Self member.Life
 	Zone string
 }
 
 const (
+	// Turn is the interval at which Tick is to be called. With 1 s instead, 80 balancers sent 515 attempts to failing hosts, where
+	// they sent 460 with 0.5 s and 724 without any exchange of observations.
 	Turn        = 500 * time.Millisecond
-	windowTicks = 12 // turns whose endings are told
-	// reportTTL is how long a witness counts after its last message: two in a row may be lost.
+	windowTicks = 12 // ticks whose attempts are reported
+	// reportTTL is how long a balancer's report counts after its last message, long enough for two messages in a row to be lost.
 	reportTTL = 9 * time.Second
-	// maxDelay is how much later than its quickest one a sender's message may come. One that lay in a socket while this process or the
-	// other stood still says what was.
+	// maxDelay is how much longer than the sender's fastest message a message may take. One that waited in a socket while this process
+	// or the sender was paused is out of date.
 	maxDelay = 2 * time.Second
-	// offsetDriftRatio lets the quickest one age: clocks go apart, and ways grow longer for good.
+	// offsetDriftRatio is the rate at which the offset of the fastest message is raised as it ages, because clocks drift apart and
+	// network paths can become longer for good.
 	offsetDriftRatio = 0.1
-	// With a turn of a second 80 balancers sent 515 attempts to nodes that fail where alone they sent 724, with half of one 460.
-	// partners are told by each balancer, partnersPerTick of them a turn, always the same as long as all live: at hundreds of balancers chance
-	// would bring nobody two messages of one sender in time. Sixteen witnesses see a bad host sixteen times as soon.
+	// Each balancer reports to partnerCount members, partnersPerTick of them per tick, and keeps the same ones as long as they live. If
+	// they were drawn anew each tick, in a fleet of hundreds no balancer would receive two messages of one sender in time. Sixteen
+	// reporters together detect a bad host sixteen times as fast as one.
 	partnerCount    = 16
 	partnersPerTick = 4
-	// Bounds of memory, many times a fleet.
+	// These limits bound memory and allow for many times the size of a fleet.
 	maxHosts           = 16384
 	maxReporters       = 4096
-	maxMessageRowBytes = 900 // of rows in a message
-	rowOverheadBytes   = 8   // of a row beyond the host's name
-	MostName           = 256
+	maxMessageRowBytes = 900 // all rows of a message
+	rowOverheadBytes   = 8   // a row without the host's name
+	MostName           = 256 // MostName is the maximum length of a host's name
 )
 
 const (
-	// minBadWeight witnesses make a word: no single one can.
+	// minBadWeight is the weight of bad reports from which a host is reported bad: a single balancer cannot reach it.
 	minBadWeight = 2
-	// maxTotalWeight is what all others together weigh, in endings: a dozen good ones of the module's own outweigh them.
+	// maxTotalWeight limits what all other balancers' reports of a host weigh together, in attempts: a dozen good attempts of this
+	// balancer's own outweigh them.
 	maxTotalWeight = 4
-	// maxFlaggedRatio of the hosts may have a word against them at a time, the worst first.
+	// maxFlaggedRatio is the largest fraction of the hosts that can have a summary at a time; the worst are kept.
 	maxFlaggedRatio = 0.25
-	// biasedBadRatio is the part of a witness's endings that are bad from which it has a trouble of its own, and hosts that it must have seen.
+	// A balancer that reports on biasedMinHosts or more, and finds more than biasedBadRatio of them bad, is presumed to have a problem
+	// of its own, and its reports are ignored.
 	biasedBadRatio, biasedMinHosts = 0.5, 4
 )
 
-// Machine is one balancer's evidence.
+// Machine holds one balancer's observations and the reports of the others.
 type Machine struct {
 	config       Terms
 	now          Moment
 	tick         int
 	ownCounts    map[string]*attemptCounts
 	reporters    map[member.Life]*reporter
-	zones        map[member.Life]string // of the members present
+	zones        map[member.Life]string // zone of each member present
 	partners     []member.Life
-	partnerIndex int
-	lastSequence uint64
-	hostCount    int // listed
+	partnerIndex int    // of the partner that got the last message
+	lastSequence uint64 // of the messages sent
+	hostCount    int    // number of hosts in the host list
 	sends        []Send
 	summaries    []Word
 }
 
+// attemptCounts counts this balancer's attempts at one host for each tick of the window, as ring buffers.
 type attemptCounts struct {
 	good, bad [windowTicks]int
-	tick      int // the last one noted
+	tick      int // the last tick that was counted
 }
 
+// reporter is another balancer, with its last accepted message.
 type reporter struct {
 	lastSequence uint64
-	lastReceived Moment // of the last message that counted
-	minOffset    Moment // own clock less the sender's, of its quickest message
-	minOffsetAt  Moment // when that was noted
+	lastReceived Moment // when the last accepted message arrived
+	minOffset    Moment // arrival time by the own clock minus sending time by the sender's, for its fastest message
+	minOffsetAt  Moment // when that message arrived
 	rows         map[string]Row
-	biased       bool
+	biased       bool // see biasedBadRatio
 }
 
-// New makes one that knows nothing.
+// New returns a Machine without any observations.
 func New(config Terms) *Machine {
 	return &Machine{config: config, ownCounts: map[string]*attemptCounts{}, reporters: map[member.Life]*reporter{}, zones: map[member.Life]string{}}
 }
 
-// Proves tells what the end of an attempt says of its host, if it says anything: an answer within the latency SLO is good, none by then is
-// bad, and so is a failure. One that was turned away, never sent or called back early says nothing.
+// Proves reports whether the outcome of an attempt is evidence about its host (proves), and whether it is good. An answer within the
+// latency SLO is good; a later answer, no answer by then, and a failure are bad. An attempt that was rejected, never sent or cancelled
+// before the SLO elapsed is no evidence.
 func Proves(outcome policy.Outcome, took, slo policy.Nanos) (good, proves bool) {
 	switch outcome {
 	case policy.Fulfilled, policy.Missed:
@@ -158,7 +169,7 @@
 	return false, false
 }
 
-// Ended notes how an attempt of this balancer's own ended.
+// Ended counts the result of one of this balancer's own attempts.
 func (m *Machine) Ended(now Moment, host string, good bool) {
 	m.advance(now)
 	o := m.ownCounts[host]
@@ -177,12 +188,13 @@
 	}
 }
 
+// advance sets the current time.
 func (m *Machine) advance(now Moment) {
 	m.now = now
 	m.tick = int(now / Turn)
 }
 
-// advance forgets what has left the window.
+// advance moves to the given tick and clears the counts of ticks that have left the window.
 func (o *attemptCounts) advance(tick int) {
 	for k := o.tick + 1; k <= min(tick, o.tick+windowTicks); k++ {
 		o.good[k%windowTicks], o.bad[k%windowTicks] = 0, 0
@@ -190,6 +202,7 @@
 	o.tick = tick
 }
 
+// total sums the counts over the window.
 func (o *attemptCounts) total() (good, bad int) {
 	for i := range windowTicks {
 		good, bad = good+o.good[i], bad+o.bad[i]
@@ -197,7 +210,8 @@
 	return good, bad
 }
 
-// Tick is called once a turn with the members present and the number of hosts listed.
+// Tick queues messages to the next partners and updates the summaries. It is to be called once per Turn, with the members present and
+// the number of hosts in the host list.
 func (m *Machine) Tick(now Moment, members []Peer, hosts int) {
 	m.advance(now)
 	m.hostCount = hosts
@@ -219,7 +233,7 @@
 	m.summarize()
 }
 
-// choosePartners draws partners by the two lives alone, so that they stay the same.
+// choosePartners selects partners by a hash of the two process ids alone, so that they stay the same while their processes live.
 func (m *Machine) choosePartners(members []Peer) {
 	type ranked struct {
 		id   member.Life
@@ -238,10 +252,11 @@
 		m.partners = append(m.partners, r.id)
 	}
 	if i := slices.IndexFunc(m.partners, func(l member.Life) bool { return !slices.Contains(before, l) }); i >= 0 {
-		m.partnerIndex = i + len(m.partners) - 1 // a newcomer knows nothing yet: it is told next
+		m.partnerIndex = i + len(m.partners) - 1 // a new partner has received nothing yet: it is the next to get a message
 	}
 }
 
+// hashUint64 hashes the bytes of x, least significant first.
 func hashUint64(x uint64) uint64 {
 	f := fnv.New64a()
 	var b [8]byte
@@ -252,8 +267,8 @@
 	return f.Sum64()
 }
 
-// rows are those of this balancer, the most useful first, as many as a message holds: hosts that are bad here or that others call bad, then
-// those seen most often.
+// rows returns this balancer's observations, as many as a message holds. Hosts with bad attempts here or with a summary come first,
+// sorted by the number of bad attempts, then the other hosts, by the number of good attempts.
 func (m *Machine) rows() []Row {
 	var rows []Row
 	for host, o := range m.ownCounts {
@@ -283,7 +298,7 @@
 	return rows
 }
 
-// Hear takes a member's message.
+// Hear processes a member's message.
 func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
 	m.advance(now)
 	if _, present := m.zones[from]; !present && len(m.zones) > 0 || from == m.config.Self {
@@ -318,7 +333,8 @@
 	w.biased = len(w.rows) >= biasedMinHosts && float64(bad) > biasedBadRatio*float64(good+bad)
 }
 
-// summarize makes the words of what counts now.
+// summarize computes the summaries from the reports that count now. A balancer's report on a host weighs one attempt in total, split by
+// the fraction of bad ones; all balancers of another zone together weigh no more than one.
 func (m *Machine) summarize() {
 	type votes struct{ good, bad float64 }
 	sameZone, otherZones, badReporters := map[string]votes{}, map[string]map[string]votes{}, map[string]int{}
@@ -347,7 +363,7 @@
 	summaries := []Word{}
 	for host := range badReporters {
 		v := sameZone[host]
-		for _, zoneVotes := range otherZones[host] { // what another zone sees may be its ways': together it counts as one
+		for _, zoneVotes := range otherZones[host] { // another zone's failures may be due to its network paths: together it weighs at most one
 			scale := 1 / max(1, zoneVotes.good+zoneVotes.bad)
 			v.good, v.bad = v.good+zoneVotes.good*scale, v.bad+zoneVotes.bad*scale
 		}
@@ -364,10 +380,10 @@
 	m.summaries = summaries
 }
 
-// Words are what the others say now, by host, in order.
+// Words returns the current summaries of the others' reports, sorted by host.
 func (m *Machine) Words() []Word { return slices.Clone(m.summaries) }
 
-// Heard is how many witnesses count now.
+// Heard returns the number of balancers whose reports count now.
 func (m *Machine) Heard() (n int) {
 	for _, w := range m.reporters {
 		if m.now-w.lastReceived <= reportTTL && !w.biased {
@@ -377,7 +393,7 @@
 	return n
 }
 
-// Out are the messages to send.
+// Out returns the messages queued since the last call.
 func (m *Machine) Out() []Send {
 	s := m.sends
 	m.sends = nil
--- a/internal/fleet/explore/explore.go
+++ b/internal/fleet/explore/explore.go
@@ -1,8 +1,8 @@
-// Package explore goes through every order of steps from a state, for tests of the fleet's state machines.
+// Package explore enumerates all sequences of steps from a state, for tests of the state machines in internal/fleet.
 package explore
 
-// Orders takes every sequence of steps from a state on, to a depth, and each state once. It tells how many it met, and the first fault
-// that a state has.
+// Orders runs every sequence of up to depth steps from a state, continuing from each distinct state (by key) once. It returns the number
+// of distinct states reached, and the first non-empty result of check.
 func Orders[S any, K comparable](first S, depth int, clone func(S) S, steps func(S) []func(S), key func(S) K, check func(S) string) (states int, failure string) {
 	seen := map[K]struct{}{}
 	level := []S{first}
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -1,6 +1,7 @@
-// Package share hands each balancer its present part of the bounds that hold for a whole fleet. Parts move by leases: what is
-// lent is taken off the giver before the taker has it, and comes back to it after the taker has stopped using it. It is a state
-// machine without I/O, clock or goroutine; docs/notes/limits.md has the proof and the bounds.
+// Package share computes each balancer's current part of limits that apply to a whole fleet, such as a customer's quota. Balancers
+// lend each other parts by leases. The lender stops using a part before the borrower can use it, and gets it back only after the
+// borrower has stopped using it, so that the parts never add up to more than the limit. The package is a state machine without I/O,
+// clock or goroutines; docs/notes/limits.md has the proof and the bounds.
 package share
 
 import (
@@ -13,157 +14,165 @@
 	"streamrail/internal/fleet/member"
 )
 
-// Moment is a time on this process's own steady clock.
+// Moment is a time on this process's own monotonic clock.
 type Moment = time.Duration
 
-// Part is a part of a bound, in billionths: whole numbers, so that what moves is what is left.
+// Part is a part of a limit, in billionths. It is an integer so that lending and returning lose nothing to rounding.
 type Part int64
 
-// All is a whole bound.
+// All is the whole of a limit.
 const All Part = 1e9
 
-// Of is a part of a figure.
+// Of returns this part of a limit's value.
 func (p Part) Of(bound float64) float64 { return bound * float64(p) / float64(All) }
 
-// Terms are fixed for a process.
+// Terms is the configuration of a Machine; it does not change during the life of a process.
 type Terms struct {
 	Self  member.Life
-	Among int           // balancers that the settings name
-	Names []string      // of the bounds
-	Bound []float64     // what each is, in its own unit
-	Grain []float64     // what a single thing that came in adds to a need: needs differ from turn to turn by the root of what they count
-	Floor []float64     // of a home part, never lent; LeastFloor at the least
-	Lease time.Duration // for which a part is lent
-	First uint64        // asks count from here; more than any process before under this life has counted to
-	Seed  uint64
+	Among int       // number of balancers according to the settings
+	Names []string  // of the limits
+	Bound []float64 // value of each limit, in its own unit
+	// Grain is what a single request or connection adds to the need for a limit. The random fluctuation of a need is estimated from it,
+	// as the square root of the number counted.
+	Grain []float64
+	Floor []float64     // fraction of the home part of each limit that is never lent; at least LeastFloor
+	Lease time.Duration // how long a part is lent
+	First uint64        // asks are numbered from here; must exceed the numbers used by earlier processes with the same Self
+	Seed  uint64        // of the random choice of members to ask
 }
 
 const (
-	// maxClockSkew is how far off a second any clock may be, either way; the note's proof stands on it.
+	// maxClockSkew is the largest relative error of any balancer's clock rate, fast or slow, that the proof in docs/notes/limits.md
+	// allows for.
 	maxClockSkew = 0.02
-	// demandMargin is how much beyond its need a balancer wants: what comes in differs from one second to the next.
+	// demandMargin is the ratio of the part that a balancer wants to its need: demand varies from one second to the next.
 	demandMargin = 1.3
-	// A balancer asks once its need is two deviations over its part, and then until it has enough of its need. Asking for what comes
-	// and goes with chance took 49 KB/s of each of 24 whose tenants call them four times a second. It keeps as much beyond its need,
-	// and gives back what is over when it has twice what it wants.
+	// A balancer starts to ask when its need exceeds its part by deviationFactor standard deviations, and goes on until its part is
+	// satisfiedMargin times its need. Asking for random fluctuations as well took 49 KB/s of bandwidth at each of 24 balancers whose
+	// customers sent each of them four requests per second. A balancer also wants deviationFactor deviations beyond its need, and
+	// returns parts only when it has twice what it wants.
 	deviationFactor = 2
 	satisfiedMargin = 1.1
-	// baseAsksPerTick members, and one in membersPerExtraAsk of all, are asked in a turn; the next turn asks others for what is still missing. So a
-	// whole is gathered in a second and a half from any number. Half as many are asked after each turn whose answers brought nothing,
-	// down to one: where all want more than there is, asking everybody took 24 KB/s of each of eight. maxRenewalsPerTick bounds those who
-	// are asked to go on lending.
+	// In one tick a balancer asks baseAsksPerTick members plus one in membersPerExtraAsk of all; the next tick asks others for what is
+	// still missing. It so collects a whole limit within 1.5 s from a fleet of any size. The number is halved, down to one, after each
+	// tick whose answers brought nothing: when all balancers want more than there is, asking everybody took 24 KB/s at each of eight
+	// balancers.
 	baseAsksPerTick    = 16
 	membersPerExtraAsk = 8
-	maxRenewalsPerTick = 1024 // in a turn; the rest in the next
-	maxAskers          = 4096 // of one bound
-	maxLeases          = 4096 // either way
+	maxRenewalsPerTick = 1024 // leases renewed in one tick; the others are renewed in later ticks
+	maxAskers          = 4096 // of one limit
+	maxLeases          = 4096 // lent, and as many borrowed
 	maxWants           = 32   // in one message
-	// maxSettingsRatio is how far the settings of two balancers may differ while a new configuration goes round; the smaller figure holds.
-	// Beyond that it is a fault, which must not starve all.
+	// maxSettingsRatio is how far the settings of two balancers may differ while a new configuration is rolled out; meanwhile the
+	// stricter value applies. A larger difference is a fault: values beyond this ratio do not
+	// apply, so that one wrong setting cannot starve the whole fleet.
 	maxSettingsRatio = 2
 	// minPart is the smallest part worth a message.
 	minPart = All / 10000
-	// demandHalfLife is the half-life of what is remembered of a need beyond the second over which it is measured. At a second it
-	// took 4.5 s until an allowance had followed its calls to another balancer.
+	// demandHalfLife is how fast an earlier need is forgotten after the second over which it was measured. With a half-life of 1 s a
+	// quota took 4.5 s to follow its requests to another balancer.
 	demandHalfLife = 100 * time.Millisecond
 )
 
-// LeastFloor of a home part is never lent: a process that was killed and starts from nothing has it at once, whatever its life
-// before has lent, and borrows from then on. More of it, and one balancer could not have nine tenths of a bound.
+// LeastFloor is the minimum fraction of a home part that is never lent. A process that restarts without state may use it at once,
+// whatever its predecessor has lent, and borrows more from then on. With a larger fraction one balancer could not obtain nine tenths
+// of a limit.
 const LeastFloor = 0.08
 
-// Turn is how often needs are looked at: several times within the second in which parts are to follow demand.
+// Turn is the interval at which Tick is to be called: several times within the second in which parts should follow demand.
 const Turn = 200 * time.Millisecond
 
-// NeedTurns make the second over which a need is measured: in one turn a few calls more or less say nothing.
+// NeedTurns is the number of ticks over which a need is measured, one second: the number of requests in a single tick varies too much.
 const NeedTurns = 5
 
-// Kind is what a message is for.
+// Kind is the purpose of a message.
 type Kind uint8
 
 const (
-	Ask   Kind = 1 + iota // the sender wants parts
-	Grant                 // answers an Ask: what is lent, for Lease from the Ask on
-	Back                  // the sender uses no more what it was lent of these on asks up to N
+	Ask   Kind = 1 + iota // the sender wants to borrow parts
+	Grant                 // answers an Ask: the parts lent, for the duration of Lease from the time of the Ask
+	Back                  // the sender no longer uses the parts of these limits that it was lent for asks up to number N
 )
 
-// Want is one line of a message.
+// Want is the entry of a message for one limit.
 type Want struct {
-	Name  uint16 // place among the bounds' names, which have to be the same at both
-	Part  Part   // wanted, or lent
-	Bound float64
+	Name  uint16  // index of the limit in Terms.Names, which must be the same at both balancers
+	Part  Part    // wanted in an Ask, lent in a Grant
+	Bound float64 // the limit's value according to the sender
 }
 
-// Message is what one balancer tells another.
+// Message is what one balancer sends another.
 type Message struct {
 	Kind  Kind
-	N     uint64 // of the Ask; it grows with each
-	Among int
-	Sum   uint64 // of the names: who has others cannot lend
+	N     uint64 // number of the Ask, greater for each
+	Among int    // number of balancers according to the sender's settings
+	Sum   uint64 // hash of Terms.Names; a message from a balancer with other names is ignored
 	Wants []Want
 }
 
-// Send is a message for a member.
+// Send is a message and the member it goes to.
 type Send struct {
 	To  member.Life
 	Msg Message
 }
 
-// lease is a part that is elsewhere for now, as either side has it. A later one between the same two takes the place of those
-// before: the taker uses the newest that it has, and the giver reckons with the largest that has not ended.
+// lease is a part lent for a time, as recorded by the lender or the borrower. A newer lease of a limit between the same two balancers
+// replaces older ones: the borrower uses only the newest one that it has, and the lender assumes that the largest unexpired one is in
+// use.
 type lease struct {
-	limit   int
-	peer    member.Life
-	askID   uint64 // of the taker's ask
+	limit   int         // index of the limit
+	peer    member.Life // the other balancer
+	askID   uint64      // number of the borrower's Ask
 	part    Part
 	expires Moment
 }
 
-// Machine is one balancer's parts.
+// Machine manages one balancer's parts of all limits.
 type Machine struct {
 	config    Terms
 	rng       *rand.Rand
 	now       Moment
 	startedAt Moment
-	fleetSize int // the most that anybody names
+	fleetSize int // the largest number of balancers that any balancer's settings name
 
 	lent, borrowed []lease
-	lastAskID      uint64 // number of the last ask
+	lastAskID      uint64 // number of the most recent ask
 	pendingAsks    []pendingAsk
 	limits         []limit
-	namesHash      uint64
-	halved         bool // another process of an upgrade has the other half
-	fruitlessTicks int  // turns in a row that asked and were given nothing
+	namesHash      uint64 // hash of the limits' names
+	halved         bool   // during an upgrade, another process of this balancer uses the other half
+	fruitlessTicks int    // consecutive ticks that asked and got nothing
 	sends          []Send
 }
 
-// limit is one limit of the fleet.
+// limit is the state of one fleet-wide limit.
 type limit struct {
-	value         float64 // the smallest that anybody names
-	needPerItem   float64
-	asking        bool    // for more
-	need          float64 // of this balancer, in the bound's unit
+	value         float64 // the smallest that any balancer's settings name
+	needPerItem   float64 // see Terms.Grain
+	asking        bool    // this balancer is asking for more
+	need          float64 // this balancer's need, in the limit's unit
 	needUpdatedAt Moment
-	lent          Part // sums of the leases
-	borrowed      Part
+	lent          Part // sum over all borrowers
+	borrowed      Part // sum over all lenders
 	askers        []asker
 }
 
-// asker is who wanted a part lately.
+// asker is a member that recently asked for a part.
 type asker struct {
 	id      member.Life
 	wanted  Part
 	askedAt Moment
 }
 
-// pendingAsk is an Ask without its answer.
+// pendingAsk is an Ask that has not been answered yet.
 type pendingAsk struct {
 	id     uint64
 	to     member.Life
 	sentAt Moment
 }
 
-// New makes a process's machine. Nothing is known of what its life before has lent.
+// New returns a Machine with no leases. It does not know what an earlier process of this balancer has lent, so for one lease it uses
+// only its reserved part and what it borrows.
 func New(config Terms, now Moment) *Machine {
 	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self))), now: now, startedAt: now, fleetSize: max(1, config.Among),
 		lastAskID: config.First}
@@ -181,7 +190,7 @@
 	return m
 }
 
-// homePart is this balancer's own part of every bound, lent or not.
+// homePart is this balancer's own part of every limit, whether lent or not.
 func (m *Machine) homePart() Part {
 	h := All / Part(m.fleetSize)
 	if m.halved {
@@ -190,25 +199,27 @@
 	return h
 }
 
-// reservedPart is what of it is never lent.
+// reservedPart is what of the home part is never lent.
 func (m *Machine) reservedPart(index int) Part {
 	return Part(min(1, max(LeastFloor, m.config.Floor[index])) * float64(m.homePart()))
 }
 
-// lenderDuration is when the giver may use again what it lends now.
+// lenderDuration is how long a lender waits before it uses again what it lends now for a duration d: even if its clock is fast and
+// the borrower's is slow, the borrower's lease has then expired.
 func (m *Machine) lenderDuration(d time.Duration) time.Duration {
 	return time.Duration(float64(d) * (1 + maxClockSkew) / (1 - maxClockSkew))
 }
 
-// recentlyStarted tells that the life before may still have parts lent.
+// recentlyStarted reports whether parts lent by an earlier process of this balancer may still be in use.
 func (m *Machine) recentlyStarted() bool { return m.now-m.startedAt < m.lenderDuration(m.config.Lease) }
 
-// Part is what this balancer may use of a bound now. What was borrowed counts to the end of its lease by this clock.
+// Part returns what this balancer may use of a limit now. A borrowed part counts until its lease expires by this process's clock.
 func (m *Machine) Part(now Moment, index int) Part {
 	m.advance(now)
 	return m.currentPart(index)
 }
 
+// currentPart is Part without setting the time.
 func (m *Machine) currentPart(index int) Part {
 	lim := &m.limits[index]
 	if m.recentlyStarted() {
@@ -217,16 +228,16 @@
 	return max(0, m.homePart()-lim.lent) + lim.borrowed
 }
 
-// State is what a door shows of one bound.
+// State describes one limit for the admin API.
 type State struct {
 	Part, Lent, Borrowed Part
 	Need                 float64
-	Leases               int    // both ways
-	Ends                 Moment // from now to the first of their ends; 0 without one
-	Fresh                bool   // this process has its floor only
+	Leases               int    // lent and borrowed
+	Ends                 Moment // time until the first of the leases expires; 0 if there is none
+	Fresh                bool   // recently started: of its home part this process uses only the reserved part
 }
 
-// State tells how a bound stands here.
+// State returns the current state of a limit.
 func (m *Machine) State(now Moment, index int) State {
 	s := State{Part: m.Part(now, index), Lent: m.limits[index].lent, Borrowed: m.limits[index].borrowed, Need: m.currentNeed(&m.limits[index]), Fresh: m.recentlyStarted()}
 	for _, list := range [][]lease{m.lent, m.borrowed} {
@@ -242,10 +253,10 @@
 	return s
 }
 
-// Bound is the figure that the part is of: the smallest that any balancer names.
+// Bound returns the value of a limit: the smallest that any balancer names.
 func (m *Machine) Bound(index int) float64 { return m.limits[index].value }
 
-// Ends is when some part changes by itself: who spends has to ask again from then on.
+// Ends returns when the next borrowed part expires. From then on, results of Part are out of date.
 func (m *Machine) Ends() Moment {
 	ends := Moment(math.MaxInt64)
 	for i := range m.borrowed {
@@ -254,13 +265,14 @@
 	return ends
 }
 
-// Out gives what is to be sent since the last time.
+// Out returns the messages queued since the last call.
 func (m *Machine) Out() (sends []Send) {
 	sends, m.sends = m.sends, nil
 	return sends
 }
 
-// advance takes the time and ends the leases that are over. A borrowed one ends first: both sides count from the ask.
+// advance sets the current time and removes expired leases. A lease always expires at the borrower first: the borrower counts from
+// the time it sent the ask, the lender from the later time it granted it.
 func (m *Machine) advance(now Moment) {
 	m.now = max(m.now, now)
 	m.borrowed = slices.DeleteFunc(m.borrowed, func(l lease) bool {
@@ -273,7 +285,7 @@
 	m.removeLent(func(l lease) bool { return m.now >= l.expires })
 }
 
-// removeLent ends leases that this balancer has given.
+// removeLent removes leases that this balancer has granted.
 func (m *Machine) removeLent(over func(lease) bool) {
 	before := len(m.lent)
 	if m.lent = slices.DeleteFunc(m.lent, over); len(m.lent) == before {
@@ -284,7 +296,7 @@
 	}
 }
 
-// totalLent sums what is lent of a bound to all others than one: of each taker the largest lease that has not ended.
+// totalLent sums what is lent of a limit to all members but one. For each borrower, the largest unexpired lease counts.
 func (m *Machine) totalLent(index int, except member.Life) (sum Part) {
 	for i, l := range m.lent {
 		if l.limit != index || l.peer == except {
@@ -299,37 +311,38 @@
 	return sum
 }
 
-// Beside halves what this process has, while another one of an upgrade has the other half.
+// Beside sets whether another process of an upgrade runs at the same time; while it does, each of the two has half the home part.
 func (m *Machine) Beside(on bool) { m.halved = on }
 
-// Need tells how much of a bound came in for lately, in its unit.
+// Need reports the recent demand for a limit, in the limit's unit.
 func (m *Machine) Need(now Moment, index int, need float64) {
 	m.advance(now)
 	lim := &m.limits[index]
 	lim.need, lim.needUpdatedAt = max(need, lim.need*decay(m.now-lim.needUpdatedAt)), m.now
 }
 
-// currentNeed is what is left of the need that was last told: all of it until the next is owed.
+// currentNeed is the last reported need, which decays once the next report is overdue.
 func (m *Machine) currentNeed(lim *limit) float64 {
 	return lim.need * decay(m.now-lim.needUpdatedAt-Turn)
 }
 
+// decay is the factor by which a need of this age is reduced.
 func decay(age time.Duration) float64 {
 	return math.Exp2(-float64(max(0, age)) / float64(demandHalfLife))
 }
 
-// needFluctuation is how far a need strays by chance.
+// needFluctuation is the deviation of a need that is attributed to random variation.
 func (m *Machine) needFluctuation(lim *limit) float64 {
 	return deviationFactor * math.Sqrt(m.currentNeed(lim)*lim.needPerItem)
 }
 
-// wantedPart is the part that would meet a need, with what comes beyond it by chance.
+// wantedPart is the part that covers a need and its random variation.
 func (m *Machine) wantedPart(lim *limit) Part {
 	need := m.currentNeed(lim)
 	return lim.partOf(max(need*demandMargin, need+m.needFluctuation(lim)))
 }
 
-// needsMore tells that this balancer has too little of a bound.
+// needsMore reports whether this balancer has too little of a limit, with hysteresis: see deviationFactor.
 func (m *Machine) needsMore(index int) bool {
 	lim, part := &m.limits[index], m.currentPart(index)
 	if lim.asking {
@@ -340,7 +353,7 @@
 	return lim.asking
 }
 
-// partOf is a figure as a part of the bound.
+// partOf converts a value in the limit's unit to a part of the limit.
 func (lim *limit) partOf(x float64) Part {
 	if lim.value <= 0 {
 		return 0
@@ -348,7 +361,7 @@
 	return Part(max(0, min(1, x/lim.value)) * float64(All))
 }
 
-// Tick looks at all needs: asks members for what is missing, gives back what is over.
+// Tick asks members for parts that are missing and returns borrowed parts that are not needed. During an upgrade it returns all.
 func (m *Machine) Tick(now Moment, members []member.Life) {
 	m.advance(now)
 	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return m.now-a.sentAt > m.config.Lease/2 })
@@ -362,7 +375,7 @@
 	m.askMembers(members)
 }
 
-// returnBorrowed ends leases of bounds of which there is too much.
+// returnBorrowed returns the borrowed parts of limits of which this balancer has too much.
 func (m *Machine) returnBorrowed(excess func(*limit) bool) {
 	m.borrowed = slices.DeleteFunc(m.borrowed, func(l lease) bool {
 		lim := &m.limits[l.limit]
@@ -370,13 +383,13 @@
 			return false
 		}
 		lim.borrowed -= l.part
-		m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l.peer && a.id <= l.askID }) // what comes late is given back too
+		m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l.peer && a.id <= l.askID }) // a grant that arrives late is returned too
 		m.send(l.peer, Message{Kind: Back, N: l.askID, Wants: []Want{{Name: uint16(l.limit)}}})
 		return true
 	})
 }
 
-// askMembers asks some members, others each time, for what is missing, and those who lend already to go on in time.
+// askMembers asks randomly chosen members for parts that are missing, and lenders to renew leases that expire soon.
 func (m *Machine) askMembers(members []member.Life) {
 	others := slices.DeleteFunc(slices.Clone(members), func(l member.Life) bool {
 		return l == m.config.Self || slices.ContainsFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l && m.now-a.sentAt < m.config.Lease/4 })
@@ -386,7 +399,7 @@
 	}
 	renew := map[member.Life]bool{}
 	for _, l := range m.borrowed {
-		if l.expires-m.now < m.config.Lease*2/3 { // three tries before it ends
+		if l.expires-m.now < m.config.Lease*2/3 { // early enough for three attempts to renew it
 			renew[l.peer] = true
 		}
 	}
@@ -412,7 +425,7 @@
 	}
 }
 
-// askMember asks a member for what this balancer would have of it: what it lends now and its part of what is missing.
+// askMember asks a member for the parts it lends now plus what is missing.
 func (m *Machine) askMember(to member.Life) {
 	m.lastAskID++
 	msg := Message{Kind: Ask, N: m.lastAskID}
@@ -435,18 +448,19 @@
 	m.send(to, msg)
 }
 
+// send queues a message to a member.
 func (m *Machine) send(to member.Life, msg Message) {
 	msg.Among, msg.Sum = m.config.Among, m.namesHash
 	m.sends = append(m.sends, Send{to, msg})
 }
 
-// Hear takes a message of a member.
+// Hear processes a message from a member.
 func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
 	m.advance(now)
 	if msg.Sum != m.namesHash || from == m.config.Self || msg.Among < 1 {
 		return
 	}
-	m.fleetSize = max(m.fleetSize, min(msg.Among, maxSettingsRatio*m.config.Among)) // the smaller part holds
+	m.fleetSize = max(m.fleetSize, min(msg.Among, maxSettingsRatio*m.config.Among)) // the larger number gives the smaller home part
 	for _, w := range msg.Wants {
 		if int(w.Name) >= len(m.limits) {
 			return
@@ -461,13 +475,14 @@
 		for _, w := range msg.Wants {
 			m.removeLent(func(l lease) bool { return l.peer == from && l.limit == int(w.Name) && l.askID <= msg.N })
 			if !slices.ContainsFunc(m.lent, func(l lease) bool { return l.peer == from && l.limit == int(w.Name) }) {
-				m.limits[w.Name].removeAsker(from) // what it asked before would halve for a lease what others get
+				m.limits[w.Name].removeAsker(from) // otherwise its earlier ask would reduce other members' parts until that expires
 			}
 		}
 	}
 }
 
-// grant lends what can be spared, by max-min among those who asked lately; it may be less than before, or nothing.
+// grant answers an Ask with what can be spared, shared max-min fairly among the members that asked recently. This may be less than
+// the member has borrowed before, or nothing.
 func (m *Machine) grant(to member.Life, msg *Message) {
 	answer := Message{Kind: Grant, N: msg.N}
 	for _, w := range msg.Wants {
@@ -476,7 +491,7 @@
 		lim.recordAsk(to, w.Part, m.now, m.config.Lease)
 		granted := Part(0)
 		if !m.recentlyStarted() && !m.halved && len(m.lent) < maxLeases {
-			ownPart := min(max(m.reservedPart(index), m.wantedPart(lim)), m.homePart()) // its own need goes first, up to its own part
+			ownPart := min(max(m.reservedPart(index), m.wantedPart(lim)), m.homePart()) // its own need comes first, up to its home part
 			spare := m.homePart() - ownPart
 			granted = max(0, min(w.Part, lim.fairPart(to, spare), spare-m.totalLent(index, to)))
 		}
@@ -489,7 +504,7 @@
 	m.send(to, answer)
 }
 
-// recordAsk notes who wants how much.
+// recordAsk records how much a member wants, and removes outdated entries.
 func (lim *limit) recordAsk(id member.Life, wanted Part, now Moment, keep time.Duration) {
 	lim.askers = slices.DeleteFunc(lim.askers, func(a asker) bool { return a.id == id || now-a.askedAt > keep })
 	if len(lim.askers) < maxAskers {
@@ -497,12 +512,12 @@
 	}
 }
 
-// removeAsker takes out who wants nothing any more.
+// removeAsker removes a member that wants nothing any more.
 func (lim *limit) removeAsker(id member.Life) {
 	lim.askers = slices.DeleteFunc(lim.askers, func(a asker) bool { return a.id == id })
 }
 
-// fairPart is what one of the askers gets of what can be spared: all get the same, none more than it wants.
+// fairPart is one asker's max-min fair share of what can be spared: all get the same, but none more than it wants.
 func (lim *limit) fairPart(id member.Life, spare Part) Part {
 	sorted := slices.SortedFunc(slices.Values(lim.askers), func(x, y asker) int { return cmp.Compare(x.wanted, y.wanted) })
 	for i, a := range sorted {
@@ -516,14 +531,15 @@
 	return 0
 }
 
-// acceptGrant adds what was lent, from the moment of the ask on: the giver counts from a later one.
+// acceptGrant records the parts that a member has lent. The lease counts from the time of the ask, which is before the time from which
+// the lender counts.
 func (m *Machine) acceptGrant(from member.Life, msg *Message) {
 	i := slices.IndexFunc(m.pendingAsks, func(a pendingAsk) bool { return a.id == msg.N && a.to == from })
 	if i < 0 {
-		return // repeated, or too late to count on
+		return // a duplicate, or too late
 	}
 	askedAt := m.pendingAsks[i].sentAt
-	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == from && a.id <= msg.N }) // what was asked before is answered by this
+	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == from && a.id <= msg.N }) // this also answers earlier asks
 	until := askedAt + time.Duration(float64(m.config.Lease)*(1-maxClockSkew))
 	for _, w := range msg.Wants {
 		lim, index := &m.limits[w.Name], int(w.Name)
@@ -538,7 +554,7 @@
 				lim.borrowed -= l.part
 				previous += l.part
 			}
-			if replaced && l.part > w.Part { // else the giver reckons with the larger one until that ends
+			if replaced && l.part > w.Part { // otherwise the lender counts the larger one as in use until it expires
 				m.send(from, Message{Kind: Back, N: l.askID, Wants: []Want{{Name: w.Name}}})
 			}
 			return replaced
