--- a/internal/fleet/evidence/evidence_test.go
+++ b/internal/fleet/evidence/evidence_test.go
@@ -29,8 +29,8 @@
 	return text
 }
 
-// Whom to believe, and how much: one witness takes nobody out, nor does another zone by itself, nor who finds all hosts bad;
-// what is said weighs no more than a few endings, is of a quarter of the hosts at most, and ends by itself.
+// Which reports lead to a summary, and of what weight: a single reporter, a single other zone, or a reporter that finds most hosts bad
+// does not suffice. A summary weighs no more than a few attempts, exists for at most a quarter of the hosts, and expires by itself.
 func TestSummaries(t *testing.T) {
 	mostlyBad := []Row{{"p", 0, 2}, {"q", 0, 2}, {"r", 0, 2}, {"s", 1, 0}}
 	for name, row := range map[string]struct {
@@ -56,17 +56,17 @@
 			}
 			m.Tick(Turn, peers, 8)
 			if got := formatSummaries(m); got != row.want {
-				t.Errorf("%q, expected %q", got, row.want)
+				t.Errorf("summaries %q, expected %q", got, row.want)
 			}
 			if m.Tick(2*Turn+reportTTL, peers, 8); formatSummaries(m) != "" {
-				t.Errorf("still said: %q", formatSummaries(m))
+				t.Errorf("summaries not expired: %q", formatSummaries(m))
 			}
 		})
 	}
 }
 
-// Every sequence, with losses and repeats, of two messages of each of three witnesses: what comes of it hangs on the last message of
-// each that came, and on nothing else.
+// For every sequence of five messages out of two of each of three reporters, with losses and duplicates, the summaries depend only on
+// the latest message received from each reporter.
 func TestAnyOrder(t *testing.T) {
 	sequences := 0
 	for n := range 6 * 6 * 6 * 6 * 6 {
@@ -84,15 +84,16 @@
 		m.Tick(Turn, peers, 8)
 		want.Tick(Turn, wantPeers, 8)
 		if sequences++; formatSummaries(m) != formatSummaries(want) || m.Heard() != want.Heard() {
-			t.Fatalf("sequence %d: %q, expected %q", n, formatSummaries(m), formatSummaries(want))
+			t.Fatalf("sequence %d: summaries %q, expected %q", n, formatSummaries(m), formatSummaries(want))
 		}
 	}
 	if sequences != 7776 {
-		t.Errorf("%d sequences", sequences)
+		t.Errorf("%d sequences, want 7776", sequences)
 	}
 }
 
-// Who stood still comes back with messages of before: they do not count, nor does what left its own window meanwhile.
+// Messages that were delayed because a process was paused do not count, and a sender does not report attempts that have left its
+// window.
 func TestStaleMessages(t *testing.T) {
 	m, peers := newMachineWithPeers("a", "a")
 	receive := func(now, at Moment, n uint64) {
@@ -101,32 +102,32 @@
 		}
 		m.Tick(now, peers, 8)
 	}
-	receive(0, 5*time.Hour, 1) // clocks have nothing to do with each other
+	receive(0, 5*time.Hour, 1) // the sender's clock is unrelated to the receiver's
 	if formatSummaries(m) == "" {
-		t.Fatal("not heard")
+		t.Fatal("no summary after the first messages")
 	}
 	receive(20*time.Second, 5*time.Hour+10*time.Second, 2)
 	if formatSummaries(m) != "" {
-		t.Errorf("ten seconds old, and said: %q", formatSummaries(m))
+		t.Errorf("summaries from messages that are ten seconds old: %q", formatSummaries(m))
 	}
 	receive(21*time.Second, 5*time.Hour+20*time.Second+500*time.Millisecond, 3)
 	if formatSummaries(m) == "" {
-		t.Error("not heard again")
+		t.Error("no summary from messages that are in time again")
 	}
 	sender := New(Terms{Self: 9, Zone: "a"})
 	sender.Ended(0, "h", false)
 	sender.Tick(time.Second, peers, 8)
 	if out := sender.Out(); len(out) != 3 || len(out[0].Msg.Rows) != 1 {
-		t.Fatalf("%+v", out)
+		t.Fatalf("sent %+v, want three messages with one row", out)
 	}
 	sender.Tick(11*time.Second, peers, 8)
 	if out := sender.Out(); len(out[0].Msg.Rows) != 0 {
-		t.Errorf("told after ten seconds: %+v", out[0].Msg.Rows)
+		t.Errorf("rows reported ten seconds later: %+v", out[0].Msg.Rows)
 	}
 }
 
-// A hundred that each meet a host every other second, a tenth of what they say lost: most have the word on a bad host within the bound,
-// hardly one ever has one on a good host that fails now and then, and it ends within the staleness once the host is well.
+// A hundred balancers each send attempts to random hosts, and a tenth of their messages is lost. Within 8 s most of them have a summary
+// of a failing host, while hardly any has one of a good host that fails now and then. The summary expires once the host has recovered.
 func TestFleet(t *testing.T) {
 	const n, hosts = 100, 40
 	r := rand.New(rand.NewPCG(1, 2))
@@ -168,12 +169,12 @@
 	}
 	bad, good := countSummaries()
 	if bad < n*9/10 || good > n/50 {
-		t.Errorf("after 8 s %d of %d know the bad host; %d words on good ones", bad, n, good)
+		t.Errorf("after 8 s %d of %d balancers have a summary of the failing host; %d summaries of good ones", bad, n, good)
 	}
 	for s := 16; s < 16+windowTicks+int(reportTTL/Turn)+2; s++ {
 		tick(s, false)
 	}
 	if bad, good = countSummaries(); bad > 0 || good > n/50 {
-		t.Errorf("%d still have a word on a host that is well, %d on others", bad, good)
+		t.Errorf("%d balancers still have a summary of the recovered host, %d of others", bad, good)
 	}
 }
--- a/internal/fleet/order/explore_test.go
+++ b/internal/fleet/order/explore_test.go
@@ -11,10 +11,10 @@
 	"streamrail/internal/fleet/member"
 )
 
-// exploreDepth is how many steps every order of things is explored to.
+// exploreDepth is the length of the explored sequences of steps.
 var exploreDepth = flag.Int("explore", 5, "steps to explore")
 
-// model is three balancers and what is on its way between them.
+// model is three balancers and the messages in flight between them.
 type model struct {
 	balancers [3]*Machine
 	ids       [3]member.Life
@@ -24,14 +24,14 @@
 	failure   string
 }
 
-// clone is a world of its own.
+// clone returns a deep copy.
 func (w *model) clone() *model {
 	c := *w
 	c.inFlight, c.confirmed = slices.Clone(w.inFlight), slices.Clone(w.confirmed)
 	for i, m := range w.balancers {
 		n := *m
 		n.orders, n.recentHosts, n.peers, n.conflicts, n.notices = slices.Clone(m.orders), slices.Clone(m.recentHosts), slices.Clone(m.peers), slices.Clone(m.conflicts), slices.Clone(m.notices)
-		n.rng = rand.New(rand.NewPCG(1, uint64(i))) // the chance of a tick is the same in each state: what differs is what is on its way
+		n.rng = rand.New(rand.NewPCG(1, uint64(i))) // ticks draw the same random numbers in each state, so that states differ only in the machines and the messages in flight
 		c.balancers[i] = &n
 	}
 	return &c
@@ -88,7 +88,8 @@
 	return text + fmt.Sprint(inFlight)
 }
 
-// steps are all that may happen: one of two orders at their doors, a turn, a delivery, a loss, a repeat, a kill with its file.
+// steps returns all steps possible in a state: giving an order at balancer 0 or 1 (two in all), a tick, delivering, losing or
+// duplicating a message, and killing a balancer and restarting it with its file.
 func (w *model) steps() (all []func(*model)) {
 	do := func(f func(*model)) {
 		all = append(all, func(c *model) {
@@ -123,13 +124,14 @@
 	return all
 }
 
-// check looks at a step, and at what comes of the state when all is well from now on.
+// check checks that no balancer's orders went back in a step, and that all balancers converge without losing a confirmed order if
+// nothing fails from now on.
 func check(before, after *model) error {
 	for i := range after.balancers {
 		for _, o := range before.balancers[i].orders {
 			k, held := after.balancers[i].find(o.Host)
 			if !held || o.supersedes(&after.balancers[i].orders[k]) {
-				return fmt.Errorf("balancer %d held %+v, then another that does not beat it", i, o)
+				return fmt.Errorf("balancer %d replaced %+v by an order that does not supersede it", i, o)
 			}
 		}
 	}
@@ -149,13 +151,13 @@
 	}
 	for _, o := range c.confirmed {
 		if k, held := c.balancers[0].find(o.Host); !held || o.supersedes(&c.balancers[0].orders[k]) {
-			return fmt.Errorf("%+v was confirmed and is lost", o)
+			return fmt.Errorf("confirmed order %+v is lost", o)
 		}
 	}
 	return nil
 }
 
-// Every order of two orders, turns, deliveries, losses, repeats and kills among three balancers, to a stated depth.
+// Explores every sequence of steps (see model.steps) among three balancers, up to a given depth.
 func TestEveryOrder(t *testing.T) {
 	first := &model{}
 	for i := range first.balancers {
--- a/internal/fleet/order/order_test.go
+++ b/internal/fleet/order/order_test.go
@@ -12,10 +12,10 @@
 	"streamrail/internal/fleet/member"
 )
 
-// historyCount is how many drawn histories of orders are played.
-var historyCount = flag.Int("histories", 300, "drawn histories to play")
+// historyCount is the number of random histories that are simulated.
+var historyCount = flag.Int("histories", 300, "random histories to simulate")
 
-// testBalancer is one balancer of a play: its process, and the file that outlives it.
+// testBalancer is one balancer of a simulation: its process, nil while killed, and the file that outlives it.
 type testBalancer struct {
 	*Machine
 	id          member.Life
@@ -30,7 +30,7 @@
 	msg      Message
 }
 
-// simulation is some balancers on a bad network.
+// simulation is some balancers on an unreliable network.
 type simulation struct {
 	now       time.Duration
 	balancers []*testBalancer
@@ -39,8 +39,8 @@
 	lastID    int
 	lossRate  float64
 	blocked   [][]bool
-	confirmed []Order // every order that was confirmed at its door
-	fileLost  bool    // a file was lost: what only it had may be
+	confirmed []Order // every order that was confirmed to an operator
+	fileLost  bool    // a file was lost, and orders that only it held may be lost too
 	tamper    func(p *simulation, i int)
 }
 
@@ -63,7 +63,7 @@
 	p.flush(i)
 }
 
-// flush keeps what has come to hold, then sends.
+// flush stores newly adopted orders, then sends.
 func (p *simulation) flush(i int) {
 	m := p.balancers[i]
 	if len(m.News()) > 0 {
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// applyChecked checks that what a process holds never goes back.
+// applyChecked applies an input to a process and checks that none of its orders is replaced by one that does not supersede it.
 func (p *simulation) applyChecked(i int, do func()) error {
 	before := p.balancers[i].All()
 	do()
@@ -122,7 +122,7 @@
 	for _, o := range before {
 		k, held := p.balancers[i].find(o.Host)
 		if !held || o.supersedes(&p.balancers[i].orders[k]) {
-			return fmt.Errorf("at %v: balancer %d held %+v, then another that does not beat it", p.now, i, o)
+			return fmt.Errorf("at %v: balancer %d replaced %+v by an order that does not supersede it", p.now, i, o)
 		}
 	}
 	return nil
@@ -138,7 +138,8 @@
 	}
 }
 
-// healAndCheck heals all, starts all and checks that all hold the same, and nothing that was confirmed is lost.
+// healAndCheck repairs the network, starts all balancers and checks that after four seconds all hold the same orders and no confirmed
+// order is lost.
 func (p *simulation) healAndCheck() error {
 	p.lossRate = 0
 	for i, m := range p.balancers {
@@ -161,13 +162,14 @@
 	for _, o := range p.confirmed {
 		k, held := p.balancers[0].find(o.Host)
 		if !p.fileLost && (!held || o.supersedes(&p.balancers[0].orders[k])) {
-			return fmt.Errorf("%+v was confirmed and is lost", o)
+			return fmt.Errorf("confirmed order %+v is lost", o)
 		}
 	}
 	return nil
 }
 
-// runHistory draws one: orders at doors, cuts, losses, stalls, kills, and in one of four lost files.
+// runHistory simulates a random history of orders, network cuts, message losses, pauses and kills; files are lost only with every
+// fourth seed.
 func runHistory(seed uint64, tamper func(*simulation, int)) error {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	n := 3 + rng.IntN(5)
@@ -202,8 +204,8 @@
 	return p.healAndCheck()
 }
 
-// Whatever gets lost, stands still, dies and starts again: no confirmed order is lost while a file has it, none that was replaced
-// comes back, and all hold the same four seconds after all is well.
+// Whatever messages are lost and processes paused, killed and restarted: no confirmed order is lost while a file has it, no replaced
+// order comes back, and all balancers hold the same orders four seconds after all faults have ended.
 func TestHistories(t *testing.T) {
 	for seed := range uint64(*historyCount) {
 		if err := runHistory(seed, nil); err != nil {
@@ -212,18 +214,18 @@
 	}
 }
 
-// The histories find balancers that are wrong on purpose.
+// The histories detect balancers with deliberate faults.
 func TestFaultyBalancersFound(t *testing.T) {
 	for name, tamper := range map[string]func(*simulation, int){
-		"takes the last it heard": func(p *simulation, i int) {
+		"reverts to an older order": func(p *simulation, i int) {
 			if m := p.balancers[i]; i == 1 && m.Machine != nil && len(m.orders) > 0 {
 				m.digest ^= m.orders[0].digest()
 				m.orders[0].Count = max(1, m.orders[0].Count-1)
 				m.digest ^= m.orders[0].digest()
 			}
 		},
-		"forgets at its end": func(p *simulation, i int) { p.balancers[1].file = nil },
-		"tells and is told nothing": func(p *simulation, i int) {
+		"loses its file when it ends": func(p *simulation, i int) { p.balancers[1].file = nil },
+		"sends and receives nothing": func(p *simulation, i int) {
 			if m := p.balancers[1]; m.Machine != nil {
 				m.peers = nil
 				p.inFlight = slices.DeleteFunc(p.inFlight, func(l packet) bool { return l.receiver == 1 || l.from == m.id })
@@ -231,16 +233,17 @@
 		},
 	} {
 		found := false
-		for seed := uint64(1); seed < 400 && !found; seed += 2 { // files are not lost in these
+		for seed := uint64(1); seed < 400 && !found; seed += 2 { // files are not lost with these seeds
 			found = runHistory(seed, tamper) != nil
 		}
 		if !found {
-			t.Errorf("%s: not found", name)
+			t.Errorf("fault %q: not detected", name)
 		}
 	}
 }
 
-// Of three orders in any arrangement the same one holds, and each that was given without word of another is told of.
+// Whatever the sequence in which three orders arrive, the same one takes effect, and orders given without knowledge of each other are
+// reported as conflicts.
 func TestSupersedingOrder(t *testing.T) {
 	a := Order{Host: "h", ID: ID{1, 7}, Out: true}
 	b := Order{Host: "h", ID: ID{1, 9}}
@@ -251,19 +254,19 @@
 			m.apply(o)
 		}
 		if got := m.All(); len(got) != 1 || got[0].ID != c.ID {
-			t.Errorf("%v: %v holds", row, got)
+			t.Errorf("%v: %v in effect, want only the order with count 2", row, got)
 		}
 		if !slices.ContainsFunc(m.Conflicts(), func(x Conflict) bool { return x.Lost.ID == a.ID }) {
 			t.Errorf("%v: conflicts %v, want one that %v lost", row, m.Conflicts(), a.ID)
 		}
 		if slices.ContainsFunc(m.Conflicts(), func(x Conflict) bool { return x.Won.ID == c.ID && x.Lost.ID == b.ID }) {
-			t.Errorf("%v: %v knew of %v", row, c.ID, b.ID)
+			t.Errorf("%v: conflict reported although %v was given with knowledge of %v", row, c.ID, b.ID)
 		}
 	}
 }
 
-// More than the allowed part is refused without force, also where two doors have half each and neither has word of the other: then
-// the same ones are out everywhere.
+// Excluding more than the allowed part of the hosts is refused without force. Where two balancers that do not know of each other's
+// orders exceed it together, both settle on the same excluded hosts.
 func TestTooMany(t *testing.T) {
 	a, b := New(Terms{Self: 1, Part: 0.5}), New(Terms{Self: 2, Part: 0.5})
 	for i := range 2 {
@@ -274,7 +277,7 @@
 		}
 	}
 	if _, err := a.Give("a3", true, false, 4); err != ErrTooMany {
-		t.Errorf("a third of four: %v", err)
+		t.Errorf("excluding a third host of four: %v, want ErrTooMany", err)
 	}
 	for _, o := range b.All() {
 		a.apply(o)
@@ -283,14 +286,14 @@
 		b.apply(o)
 	}
 	if x, y := a.Excluded(4), b.Excluded(4); !slices.Equal(x, y) || len(x) != 2 {
-		t.Errorf("%v and %v are out of four", x, y)
+		t.Errorf("the balancers exclude %v and %v of four hosts, want the same two", x, y)
 	}
 	if _, err := b.Give("b3", true, true, 4); err != nil || len(b.Excluded(4)) != 3 {
-		t.Errorf("with force: %v, %v are out", err, b.Excluded(4))
+		t.Errorf("with force: error %v, %v excluded, want three hosts", err, b.Excluded(4))
 	}
 }
 
-// Thousands of orders reach one who has none within seconds, and each message fits a datagram.
+// Hundreds of large orders reach a balancer that has none within a minute, and each order fits a message.
 func TestMany(t *testing.T) {
 	p := newSimulation(2, 1)
 	for i := range 600 {
@@ -302,10 +305,10 @@
 		}
 	}
 	if p.balancers[0].Sum() != p.balancers[1].Sum() {
-		t.Errorf("%d of %d orders after a minute", len(p.balancers[1].All()), len(p.balancers[0].All()))
+		t.Errorf("%d of %d orders arrived within a minute", len(p.balancers[1].All()), len(p.balancers[0].All()))
 	}
 	slices.SortFunc(p.confirmed, func(a, b Order) int { return cmp.Compare(a.size(), b.size()) })
 	if p.confirmed[len(p.confirmed)-1].size() > maxMessageBytes {
-		t.Error("an order does not fit")
+		t.Error("an order does not fit a message")
 	}
 }
--- a/internal/fleet/share/explore_test.go
+++ b/internal/fleet/share/explore_test.go
@@ -13,15 +13,15 @@
 	"streamrail/internal/fleet/member"
 )
 
-// exploreDepth is how many steps the explorer goes: 6 takes a second, 8 some minutes.
+// exploreDepth is the length of the explored sequences of steps: 6 takes a second, 8 some minutes.
 var exploreDepth = flag.Int("explore", 6, "steps to explore")
 
 const exploreLease = 4 * Turn
 
-// clone copies a machine whole.
+// clone returns a deep copy without queued messages.
 func (m *Machine) clone() *Machine {
 	c := *m
-	c.rng = rand.New(rand.NewPCG(1, 1)) // drawn are only the order of asks, and three have but two others
+	c.rng = rand.New(rand.NewPCG(1, 1)) // only the sequence of asks is random, and a balancer has at most two others to ask
 	c.lent, c.borrowed, c.pendingAsks, c.limits = slices.Clone(m.lent), slices.Clone(m.borrowed), slices.Clone(m.pendingAsks), slices.Clone(m.limits)
 	for i := range c.limits {
 		c.limits[i].askers = slices.Clone(m.limits[i].askers)
@@ -30,14 +30,14 @@
 	return &c
 }
 
-// model is a few machines on one true clock, with what is on the way between them.
+// model is a few balancers with the true time and the messages in flight between them.
 type model struct {
 	now       time.Duration
 	balancers []*Machine
 	ids       []member.Life
 	lastID    int
 	inFlight  []modelPacket
-	tamper    func(t *model, i int) // a bug put in on purpose
+	tamper    func(t *model, i int) // introduces a deliberate fault
 	failure   string
 }
 
@@ -47,7 +47,8 @@
 	msg  Message
 }
 
-// clock runs fast at the first, who gives, and slow at the others: the worst that the note allows.
+// clock runs fast at balancer 0, the lender, and slow at the others, the borrowers: the worst skew that the proof in
+// docs/notes/limits.md allows for.
 func (t *model) clock(i int) Moment {
 	if i == 0 {
 		return Moment(float64(t.now) * (1 + maxClockSkew))
@@ -66,7 +67,7 @@
 	for i := range n {
 		t.start(i)
 	}
-	t.now = 2 * exploreLease // none is newborn
+	t.now = 2 * exploreLease // no balancer counts as recently started
 	for i := 1; i < n; i++ {
 		t.balancers[i].Need(t.clock(i), 0, 100)
 	}
@@ -84,9 +85,10 @@
 	return &c
 }
 
-// maxInFlight bounds what is on the way.
+// maxInFlight limits the messages in flight; the oldest are lost.
 const maxInFlight = 3
 
+// flush puts the queued messages of a balancer in flight and checks the sum of all parts.
 func (t *model) flush(i int) {
 	for _, s := range t.balancers[i].Out() {
 		if slices.Contains(t.ids, s.To) {
@@ -106,10 +108,11 @@
 		}
 	}
 	if sum > All && t.failure == "" {
-		t.failure = fmt.Sprintf("at %v parts add up to %.3f", t.now, float64(sum)/float64(All))
+		t.failure = fmt.Sprintf("at %v the parts add up to %.3f of the limit", t.now, float64(sum)/float64(All))
 	}
 }
 
+// steps returns all steps possible in a state.
 func (t *model) steps() (all []func(*model)) {
 	for i, m := range t.balancers {
 		if m == nil {
@@ -120,10 +123,10 @@
 			t.balancers[i].Tick(t.clock(i), t.ids)
 			t.flush(i)
 		})
-		if i == 0 { // the giver
+		if i == 0 { // the lender
 			all = append(all, func(t *model) { t.balancers[i] = nil })
 		} else {
-			all = append(all, func(t *model) { // it needs nothing any more
+			all = append(all, func(t *model) { // its need ends
 				t.balancers[i].limits[0].need = 0
 				t.balancers[i].Tick(t.clock(i), t.ids)
 				t.flush(i)
@@ -184,43 +187,43 @@
 	return h.Sum64()
 }
 
-// exploreAll goes through every order of steps from a table and tells how many states it met, and the first that is bad.
+// exploreAll explores every sequence of steps from a model; see explore.Orders for the results.
 func exploreAll(t *model, depth int) (states int, failure string) {
 	return explore.Orders(t, depth, (*model).clone, (*model).steps, (*model).key, func(t *model) string { return t.failure })
 }
 
-// In no order of turns, deliveries, repeats, losses, kills, starts and ends of leases do the parts add up to more than the whole,
-// with clocks as far apart as they may be.
+// In no sequence of ticks, deliveries, duplicates, losses, kills, restarts and expiries of leases do the parts add up to more than the
+// limit, with the largest clock skew allowed.
 func TestEveryOrder(t *testing.T) {
 	for n := 2; n <= 3; n++ {
 		states, failure := exploreAll(newModel(n, nil), *exploreDepth-n+2)
-		t.Logf("%d holders: %d states", n, states)
+		t.Logf("%d balancers: %d states", n, states)
 		if failure != "" {
-			t.Errorf("%d holders: %s", n, failure)
+			t.Errorf("%d balancers: %s", n, failure)
 		}
 	}
 }
 
-// faultyBehaviours are balancers that do one thing wrong.
+// faultyBehaviours returns functions that each introduce one fault into a balancer.
 func faultyBehaviours() map[string]func(m *Machine) {
 	return map[string]func(m *Machine){
-		"spends an ended lease": func(m *Machine) {
+		"uses an expired lease": func(m *Machine) {
 			for i := range m.borrowed {
 				m.borrowed[i].expires += 10 * m.config.Lease
 			}
 		},
-		"gives without taking off": func(m *Machine) {
+		"lends without reducing its own part": func(m *Machine) {
 			m.lent = nil
 			for i := range m.limits {
 				m.limits[i].lent = 0
 			}
 		},
-		"forgets what it lent after a restart": func(m *Machine) { m.startedAt = -1000 * time.Second },
-		"adds parts of the dead to its own":    func(m *Machine) { m.fleetSize = max(1, m.fleetSize-1) },
+		"forgets what it lent after a restart":      func(m *Machine) { m.startedAt = -1000 * time.Second },
+		"adds the parts of dead members to its own": func(m *Machine) { m.fleetSize = max(1, m.fleetSize-1) },
 	}
 }
 
-// Each wrong balancer is found, by the explorer or by drawn days.
+// Each fault is detected both by the exploration and by the random scenarios.
 func TestFaultyBalancersFound(t *testing.T) {
 	for name, tamper := range faultyBehaviours() {
 		_, explored := exploreAll(newModel(2, func(t *model, i int) {
@@ -234,9 +237,9 @@
 				drawn = err.Error()
 			}
 		}
-		t.Logf("%s: explored %q, drawn %q", name, explored, drawn)
+		t.Logf("%s: exploration found %q, random scenarios found %q", name, explored, drawn)
 		if drawn == "" || explored == "" {
-			t.Errorf("%s: explored %q, drawn %q", name, explored, drawn)
+			t.Errorf("%s: exploration found %q, random scenarios found %q", name, explored, drawn)
 		}
 	}
 }
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -13,13 +13,13 @@
 
 const testLease = 2 * time.Second
 
-// scenarioCount is how many drawn days are played: 100000 take four minutes.
-var scenarioCount = flag.Int("days", 150, "drawn days to play")
+// scenarioCount is the number of random scenarios that are simulated: 100000 take four minutes.
+var scenarioCount = flag.Int("days", 150, "random scenarios to simulate")
 
-// scenarioSize is how many balancers a drawn day has.
-var scenarioSize = flag.Int("size", 0, "balancers of each drawn day; 0: 3 to 8, in one of fifty to 40")
+// scenarioSize is the number of balancers in a random scenario.
+var scenarioSize = flag.Int("size", 0, "balancers in each random scenario; 0: 3 to 8, in one of fifty up to 40")
 
-// simulation is some balancers with clocks of their own on a bad network.
+// simulation is some balancers with clocks of their own on an unreliable network.
 type simulation struct {
 	now            time.Duration // true time
 	balancers      []*testBalancer
@@ -28,19 +28,19 @@
 	lastID         int
 	lossRate       float64
 	blocked        [][]bool
-	tamper         func(p *simulation, i int) // a wrong balancer, for tests
+	tamper         func(p *simulation, i int) // introduces a deliberate fault
 	largestSum     Part
 	olderProcesses []olderProcess
 }
 
-// olderProcess is the older process of an upgrade, which goes on with what it had when it gave the place up.
+// olderProcess is the older process of an upgrade, which goes on using the parts it had when the newer one took over.
 type olderProcess struct {
 	balancer int
 	parts    [2]Part
 	endsAt   time.Duration
 }
 
-// upgrade has a newer process take over from a mate's, under the same life.
+// upgrade has a newer process take over from a balancer's process, with the same id.
 func (p *simulation) upgrade(i int, duration time.Duration) {
 	m := p.balancers[i]
 	m.Beside(true)
@@ -58,9 +58,9 @@
 type testBalancer struct {
 	*Machine
 	id          member.Life
-	clockRate   float64 // of its clock
+	clockRate   float64 // rate of its clock relative to true time
 	clockZero   time.Duration
-	pausedUntil time.Duration // until then it stands still
+	pausedUntil time.Duration // true time until which the process is paused
 	nextTick    time.Duration
 }
 
@@ -69,7 +69,7 @@
 	to       member.Life
 	from     member.Life
 	msg      Message
-	receiver int // place of the receiver
+	receiver int // index of the receiving balancer
 }
 
 func newSimulation(n int, seed uint64) *simulation {
@@ -92,7 +92,7 @@
 	p.balancers[i] = m
 }
 
-// clock is what a mate's own clock shows.
+// clock converts the true time to the time of the balancer's own clock.
 func (m *testBalancer) clock(now time.Duration) Moment {
 	return Moment(float64(now-m.clockZero) * m.clockRate)
 }
@@ -106,7 +106,7 @@
 	return ids
 }
 
-// step goes on by a moment: letters, turns, and the check that all parts together are no more than the whole.
+// step advances the time, delivers packets, runs ticks and checks that all parts together are no more than the limit.
 func (p *simulation) step(by time.Duration) error {
 	p.now += by
 	for k := 0; k < len(p.inFlight); {
@@ -166,20 +166,21 @@
 			if m != nil && m.pausedUntil <= p.now {
 				part := m.Part(m.clock(p.now), name)
 				if part < 0 {
-					return fmt.Errorf("at %v: a part of %d", p.now, part)
+					return fmt.Errorf("at %v: negative part %d", p.now, part)
 				}
 				sum += part
 			}
 		}
 		p.largestSum = max(p.largestSum, sum)
 		if sum > All {
-			return fmt.Errorf("at %v: parts of bound %d add up to %.4f", p.now, name, float64(sum)/float64(All))
+			return fmt.Errorf("at %v: parts of limit %d add up to %.4f of it", p.now, name, float64(sum)/float64(All))
 		}
 	}
 	return nil
 }
 
-// runScenario draws one: what is wanted where, cuts, loss, stalls, kills and starts.
+// runScenario simulates random demand, network cuts, message losses, pauses, kills, restarts and upgrades. It returns the largest sum
+// of parts that it saw.
 func runScenario(seed uint64, tamper func(*simulation, int)) (Part, error) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	n := 3 + rng.IntN(6)
@@ -192,7 +193,8 @@
 	p := newSimulation(n, seed)
 	p.tamper = tamper
 	for p.now < 30*time.Second {
-		// One day in four has something each half second; in the others it is calm enough between for leases to run out.
+		// In one scenario of four something happens about twice a second; in the others events are far enough apart for leases
+		// to expire.
 		switch i := rng.IntN(n); rng.IntN(30 * (1 + int(seed%4)*15)) {
 		case 0:
 			p.balancers[i] = nil
@@ -219,7 +221,7 @@
 				m.Need(m.clock(p.now), rng.IntN(2), rng.Float64()*float64(1+seed%2*149))
 			}
 		}
-		if m := p.balancers[int(p.now/(7*time.Second))%n]; m != nil && m.pausedUntil <= p.now { // all comes to one, then to another
+		if m := p.balancers[int(p.now/(7*time.Second))%n]; m != nil && m.pausedUntil <= p.now { // demand for limit 0 moves from balancer to balancer
 			m.Need(m.clock(p.now), 0, 60)
 		}
 		if err := p.step(20 * time.Millisecond); err != nil {
@@ -229,7 +231,7 @@
 	return p.largestSum, nil
 }
 
-// Whatever gets lost, stands still, dies and starts again, the parts never add up to more than the whole.
+// Whatever messages are lost and processes paused, killed and restarted, the parts never add up to more than the limit.
 func TestNeverMoreThanTheWhole(t *testing.T) {
 	largestSum := Part(0)
 	for seed := range uint64(*scenarioCount) {
@@ -239,14 +241,14 @@
 		}
 		largestSum = max(largestSum, sum)
 	}
-	t.Logf("the largest sum was %.4f of the whole", float64(largestSum)/float64(All))
+	t.Logf("the largest sum was %.4f of the limit", float64(largestSum)/float64(All))
 	if largestSum < All*9/10 {
-		t.Error("the plays never come near the whole: they show nothing")
+		t.Error("the sum of the parts never comes near the limit, so the scenarios show nothing")
 	}
 }
 
-// A tenant whose calls all come to one balancer gets nine tenths of its allowance within two seconds of the move, wherever that is;
-// two that want all get half each.
+// A balancer that gets all requests of a customer has nine tenths of the quota within two seconds of the move and keeps it; two
+// balancers that both want all of it get about half each.
 func TestFollowsDemand(t *testing.T) {
 	for _, n := range []int{3, 8, 16} {
 		p := newSimulation(n, 3)
@@ -264,23 +266,23 @@
 		for _, i := range []int{0, n - 1} {
 			run(2*time.Second, i)
 			if got := p.balancers[i].Part(p.balancers[i].clock(p.now), 0); got < All*9/10 {
-				t.Errorf("%d balancers: %.3f of the allowance at the one that has its calls", n, float64(got)/float64(All))
+				t.Errorf("%d balancers: %.3f of the quota at the one that gets the requests, two seconds after the move", n, float64(got)/float64(All))
 			}
-			run(6*time.Second, i) // it goes on without a gap
+			run(6*time.Second, i) // long enough for leases to be renewed several times
 			if got := p.balancers[i].Part(p.balancers[i].clock(p.now), 0); got < All*9/10 {
-				t.Errorf("%d balancers: %.3f of the allowance some seconds later", n, float64(got)/float64(All))
+				t.Errorf("%d balancers: %.3f of the quota some seconds later", n, float64(got)/float64(All))
 			}
 			run(time.Second)
 		}
 		run(12*time.Second, 0, n-1)
 		a, b := p.balancers[0].Part(p.balancers[0].clock(p.now), 0), p.balancers[n-1].Part(p.balancers[n-1].clock(p.now), 0)
 		if min(a, b) < All*35/100 {
-			t.Errorf("%d balancers: %.3f and %.3f where both want all", n, float64(a)/float64(All), float64(b)/float64(All))
+			t.Errorf("%d balancers: %.3f and %.3f of the quota at two that both want all of it", n, float64(a)/float64(All), float64(b)/float64(All))
 		}
 	}
 }
 
-// An answer to an ask that came before one answered with nothing is not taken: its giver has that part back by then.
+// A late grant for an ask is not accepted once a later ask was answered with nothing: by then the lender uses that part again.
 func TestLateAnswer(t *testing.T) {
 	const self, lender = member.Life(8), member.Life(16)
 	m := New(Terms{Self: self, Among: 4, Names: []string{"a"}, Bound: []float64{100}, Floor: []float64{0}, Lease: 2 * time.Second, First: 1, Seed: 1}, 0)
@@ -292,7 +294,7 @@
 				return s.Msg.N
 			}
 		}
-		t.Fatalf("nothing asked at %v", now)
+		t.Fatalf("no Ask sent at %v", now)
 		return 0
 	}
 	receive := func(now Moment, n uint64, part Part) {
@@ -305,10 +307,10 @@
 	receive(750*time.Millisecond, third, 0)
 	returned := m.Out()
 	if len(returned) != 1 || returned[0].Msg.Kind != Back || returned[0].Msg.N != second {
-		t.Errorf("%+v sent for a part that is no more, want it given back", returned)
+		t.Errorf("sent %+v after the lender stopped lending, want one Back for the earlier grant", returned)
 	}
 	receive(800*time.Millisecond, first, All/10)
 	if got := m.limits[0].borrowed; got != 0 {
-		t.Errorf("%d taken of an answer that was late", got)
+		t.Errorf("borrowed %d from a late grant, want 0", got)
 	}
 }
