--- a/internal/deadline/wallclock_test.go
+++ b/internal/deadline/wallclock_test.go
@@ -12,27 +12,27 @@
 	"testing"
 )
 
-// wallFunctions make a number of a time, or a time of a number. What is worked out from those jumps when the wall clock is stepped.
-var wallFunctions = []string{"Unix", "UnixNano", "UnixMicro", "UnixMilli"}
+// wallClockFunctions convert a time to or from a number. Values derived this way jump when the wall clock is stepped.
+var wallClockFunctions = []string{"Unix", "UnixNano", "UnixMicro", "UnixMilli"}
 
-// allowedWallTime tells which functions may use the wall clock, how often, and why.
-var allowedWallTime = map[string]struct {
+// allowedWallClockUses lists the functions that may use the wall clock, how often, and why.
+var allowedWallClockUses = map[string]struct {
 	uses   int
 	reason string
 }{
-	"internal/balancer/balancer.go:New":       {1, "the reading with which the decisions' own clock starts; it runs on monotonic time"},
-	"internal/balancer/starts.go:place":       {1, "discovery tells starts by the wall clock; each is placed once, by its age"},
+	"internal/balancer/balancer.go:New":       {1, "the start value of the policy's clock, which then advances by monotonic time"},
+	"internal/balancer/starts.go:place":       {1, "discovery gives start times by the wall clock; each is converted once, by its age"},
 	"internal/balancer/ends.go:longAgo":       {1, "a constant in the past, which ends a wait"},
 	"internal/upstream/upstream.go:longAgo":   {1, "a constant in the past, which ends a wait"},
-	"internal/fleet/carry/codec.go:newCodec":  {1, "numbers of datagrams; after a step back by a restart they are not newer: open"},
-	"internal/fleet/carry/codec.go:encode":    {1, "datagrams tell the wall time at which they were written"},
-	"internal/fleet/carry/codec.go:decode":    {1, "the same; a step by over five minutes at one machine cuts it off: open"},
-	"internal/balancer/fleet.go:takePlace":    {1, "a life's mark begins with the wall time of its birth; a step back makes a restart look older: open"},
-	"internal/balancer/limits.go:shareLimits": {1, "numbers of asks between balancers: open, as for datagrams"},
+	"internal/fleet/carry/codec.go:newCodec":  {1, "datagram numbers; known issue: after the clock is stepped back, a restarted process's numbers are not newer"},
+	"internal/fleet/carry/codec.go:encode":    {1, "datagrams contain the wall time at which they were written"},
+	"internal/fleet/carry/codec.go:decode":    {1, "checks that wall time; known issue: a machine whose clock is off by over five minutes is cut off"},
+	"internal/balancer/fleet.go:takePlace":    {1, "a process id begins with the wall time of the start; known issue: if the clock is stepped back, a restarted process looks older"},
+	"internal/balancer/limits.go:shareLimits": {1, "numbers of lease requests between balancers; known issue: as for datagram numbers"},
 }
 
-// wallUses finds the uses in a file, by the function or the variable that they stand in.
-func wallUses(file *ast.File) (in []string) {
+// wallClockUses returns, for each use of the wall clock in a file, the function or variable whose declaration contains it.
+func wallClockUses(file *ast.File) (functions []string) {
 	for _, declaration := range file.Decls {
 		name := "?"
 		switch d := declaration.(type) {
@@ -40,27 +40,28 @@
 			name = d.Name.Name
 		case *ast.GenDecl:
 			if len(d.Specs) > 0 {
-				if v, is := d.Specs[0].(*ast.ValueSpec); is {
+				if v, ok := d.Specs[0].(*ast.ValueSpec); ok {
 					name = v.Names[0].Name
 				}
 			}
 		}
 		ast.Inspect(declaration, func(n ast.Node) bool {
-			call, is := n.(*ast.CallExpr)
-			if !is {
+			call, ok := n.(*ast.CallExpr)
+			if !ok {
 				return true
 			}
-			if s, is := call.Fun.(*ast.SelectorExpr); is && slices.Contains(wallFunctions, s.Sel.Name) {
-				in = append(in, name)
+			if s, ok := call.Fun.(*ast.SelectorExpr); ok && slices.Contains(wallClockFunctions, s.Sel.Name) {
+				functions = append(functions, name)
 			}
 			return true
 		})
 	}
-	return in
+	return functions
 }
 
-// TestNoWallTime keeps the wall clock out of deadlines, windows, waits and ages: each use stands in the list, with its reason.
-func TestNoWallTime(t *testing.T) {
+// TestNoWallClock keeps the wall clock out of deadlines, windows, waits and ages: each use must be listed in
+// allowedWallClockUses.
+func TestNoWallClock(t *testing.T) {
 	root := filepath.Join("..", "..")
 	found := map[string]int{}
 	for _, folder := range []string{"policy", "internal", "cmd/streamrail"} {
@@ -69,7 +70,7 @@
 			case err != nil:
 				return err
 			case entry.IsDir() && entry.Name() == "rehearsal":
-				return fs.SkipDir // a program of its own, on a clock of its own
+				return fs.SkipDir // a separate program with its own clock
 			case entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
 			}
@@ -78,7 +79,7 @@
 				return err
 			}
 			name, err := filepath.Rel(root, path)
-			for _, in := range wallUses(file) {
+			for _, in := range wallClockUses(file) {
 				found[filepath.ToSlash(name)+":"+in]++
 			}
 			return err
@@ -88,19 +89,19 @@
 		}
 	}
 	for where, uses := range found {
-		if allowed := allowedWallTime[where]; uses > allowed.uses {
-			t.Errorf("%s uses the wall clock %d times, %d are known", where, uses, allowed.uses)
+		if allowed := allowedWallClockUses[where]; uses > allowed.uses {
+			t.Errorf("%s uses the wall clock %d times, allowed are %d", where, uses, allowed.uses)
 		}
 	}
-	for where, allowed := range allowedWallTime {
+	for where, allowed := range allowedWallClockUses {
 		if found[where] < allowed.uses {
-			t.Errorf("%s is in the list and uses the wall clock %d times, not %d", where, found[where], allowed.uses)
+			t.Errorf("%s uses the wall clock %d times, listed are %d", where, found[where], allowed.uses)
 		}
 	}
 }
 
-// TestWallUses shows that the search bites.
-func TestWallUses(t *testing.T) {
+// TestWallClockUses checks that wallClockUses finds the uses.
+func TestWallClockUses(t *testing.T) {
 	const text = `package p
 var past = time.Unix(1, 0)
 func a() int64 { return time.Now().UnixNano() }
@@ -110,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := fmt.Sprint(wallUses(file)); got != "[past a b]" {
-		t.Errorf("found in %s", got)
+	if got := fmt.Sprint(wallClockUses(file)); got != "[past a b]" {
+		t.Errorf("found uses in %s, expected [past a b]", got)
 	}
 }
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -12,23 +12,24 @@
 	"streamrail/policy"
 )
 
-// Names maps the names that discovery uses to the places in the settings' lists.
+// Names maps the zone and machine type names that discovery uses to their indexes in the settings' lists.
 type Names struct {
 	Zones map[string]policy.Zone
 	Kinds map[string]policy.Kind
-	// Pause is called by Parse between each so many entries, so that a long list keeps nothing else waiting; nil: it is not.
+	// Pause is called by Parse after every entriesPerPause entries, so that parsing a long list does not block other work.
+	// It may be nil.
 	Pause func()
 }
 
-// pauseEvery is how many entries are read in one go: a quarter of a millisecond's work.
-const pauseEvery = 32
+// entriesPerPause is how many entries Parse reads between two calls of Pause; they take about 0.25 ms.
+const entriesPerPause = 32
 
 var conditions = map[string]policy.Condition{
 	"active": policy.Up, "leaving": policy.Draining, "left": policy.Gone,
 }
 
-// answer is what discovery says, as JSON.
-type answer struct {
+// listResponse is the JSON body of a response from discovery.
+type listResponse struct {
 	Generation int64      `json:"generation"`
 	Reset      bool       `json:"reset"`
 	Instances  []instance `json:"instances"`
@@ -41,12 +42,13 @@
 	MachineType string   `json:"machineType"`
 	Cell        int      `json:"cell"`
 	Lifecycle   string   `json:"lifecycle"`
-	Weight      *float64 `json:"weight"` // absent: 1
+	Weight      *float64 `json:"weight"` // nil means 1
 	StartedAtMs int64    `json:"startedAtMs"`
 }
 
-// Parse reads an answer. An entry that cannot be used is set apart: were the whole answer thrown away for it, the hosts
-// beside it that leave would be sent to for as long as it stands there.
+// Parse reads the body of a response. Entries that cannot be used are returned in List.Unread instead of failing the whole
+// response: otherwise this balancer would keep sending to the other hosts that are leaving for as long as discovery
+// returned the faulty entry.
 func (n Names) Parse(text []byte) (l List, err error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	first, err := d.Token()
@@ -60,22 +62,22 @@
 			return l, err
 		}
 	default:
-		return l, fmt.Errorf("a list that begins with %v", first)
+		return l, fmt.Errorf("expected a JSON object, got %v", first)
 	}
 	if _, err = d.Token(); err != io.EOF {
-		return l, errors.New("more text behind the list")
+		return l, errors.New("unexpected text after the list")
 	}
 	return l, nil
 }
 
-// parseFields reads the fields of an answer, up to its end.
+// parseFields reads the fields of the response object up to its closing brace.
 func (n Names) parseFields(d *json.Decoder, l *List) error {
 	for d.More() {
 		token, err := d.Token()
 		if err != nil {
 			return err
 		}
-		name, _ := token.(string) // nothing else stands there
+		name, _ := token.(string) // the decoder returns only strings as keys
 		switch {
 		case strings.EqualFold(name, "generation"):
 			err = d.Decode(&l.Generation)
@@ -94,7 +96,7 @@
 	return err
 }
 
-// parseInstances reads the entries one by one.
+// parseInstances reads the array of entries one entry at a time.
 func (n Names) parseInstances(d *json.Decoder, l *List) error {
 	l.Hosts, l.Unread = nil, nil
 	first, err := d.Token()
@@ -102,21 +104,21 @@
 		return err
 	}
 	if first != json.Delim('[') {
-		return fmt.Errorf("instances that begin with %v", first)
+		return fmt.Errorf("instances: expected an array, got %v", first)
 	}
-	for read := 1; d.More(); read++ {
-		var in instance
-		err := d.Decode(&in) // of a field of a wrong kind it reads the others all the same
+	for count := 1; d.More(); count++ {
+		var entry instance
+		err := d.Decode(&entry) // on a field of the wrong type it still decodes the other fields
 		if err != nil && !errors.As(err, new(*json.UnmarshalTypeError)) {
 			return err
 		}
-		h, err := n.host(&in, err)
+		h, err := n.parseHost(&entry, err)
 		if err != nil {
 			l.Unread = append(l.Unread, Unread{h.Cache, h.Condition, err})
 		} else {
 			l.Hosts = append(l.Hosts, h)
 		}
-		if read%pauseEvery == 0 && n.Pause != nil {
+		if count%entriesPerPause == 0 && n.Pause != nil {
 			n.Pause()
 		}
 	}
@@ -124,39 +126,39 @@
 	return err
 }
 
-// host is the host of an entry, or what can be made out of it and what is wrong with it.
-func (n Names) host(in *instance, faulty error) (h Host, err error) {
-	h = Host{Addr: in.HostPort, Entry: policy.Entry{Cache: policy.CacheID(in.InstanceID),
-		Cell: policy.Cell(in.Cell), Size: 1, Born: policy.Nanos(in.StartedAtMs) * policy.Millisecond}}
+// parseHost converts an entry to a host. If the entry is unusable, it returns an error and the fields that could be read.
+func (n Names) parseHost(entry *instance, decodeErr error) (h Host, err error) {
+	h = Host{Addr: entry.HostPort, Entry: policy.Entry{Cache: policy.CacheID(entry.InstanceID),
+		Cell: policy.Cell(entry.Cell), Size: 1, Born: policy.Nanos(entry.StartedAtMs) * policy.Millisecond}}
 	var ok bool
-	if h.Condition, ok = conditions[in.Lifecycle]; !ok && in.Lifecycle != "" {
-		h.Condition = policy.Draining // a state not known here is none in which it asks for work
+	if h.Condition, ok = conditions[entry.Lifecycle]; !ok && entry.Lifecycle != "" {
+		h.Condition = policy.Draining // an unknown state does not ask for new requests
 	}
 	switch {
-	case faulty != nil:
-		return h, faulty
-	case in.Lifecycle == "" || in.InstanceID == "":
-		return h, fmt.Errorf("an entry %.100q with lifecycle %.100q", in.InstanceID, in.Lifecycle)
+	case decodeErr != nil:
+		return h, decodeErr
+	case entry.Lifecycle == "" || entry.InstanceID == "":
+		return h, fmt.Errorf("entry with instanceId %.100q and lifecycle %.100q: expected both to be set", entry.InstanceID, entry.Lifecycle)
 	case h.Condition != policy.Gone:
-		if _, _, err := net.SplitHostPort(in.HostPort); err != nil {
-			return h, fmt.Errorf("entry %.100q: %w", in.InstanceID, err)
+		if _, _, err := net.SplitHostPort(entry.HostPort); err != nil {
+			return h, fmt.Errorf("entry %.100q: %w", entry.InstanceID, err)
 		}
 	}
-	if h.Zone, ok = n.Zones[in.Zone]; !ok {
-		h.Zone = policy.Zone(len(n.Zones)) // not in the settings: no balancer's own
+	if h.Zone, ok = n.Zones[entry.Zone]; !ok {
+		h.Zone = policy.Zone(len(n.Zones)) // an index that no zone in the settings has, so it is never the balancer's own zone
 	}
-	if h.Kind, ok = n.Kinds[in.MachineType]; !ok {
+	if h.Kind, ok = n.Kinds[entry.MachineType]; !ok {
 		h.Kind = policy.Kind(len(n.Kinds))
 	}
-	if in.Weight != nil {
-		h.Size = *in.Weight
+	if entry.Weight != nil {
+		h.Size = *entry.Weight
 	}
 	return h, nil
 }
 
-// Format writes a list as Parse reads it.
+// Format encodes a list in the form that Parse reads.
 func (n Names) Format(l List) []byte {
-	body := answer{Generation: l.Generation, Reset: l.Whole, Instances: []instance{}}
+	body := listResponse{Generation: l.Generation, Reset: l.Whole, Instances: []instance{}}
 	for _, h := range l.Hosts {
 		body.Instances = append(body.Instances, instance{string(h.Cache), h.Addr, nameOf(n.Zones, h.Zone), nameOf(n.Kinds, h.Kind),
 			int(h.Cell), nameOf(conditions, h.Condition), &h.Size, int64(h.Born / policy.Millisecond)})
@@ -165,10 +167,10 @@
 	return text
 }
 
-// nameOf is empty where nothing has that place, which Parse takes for a place of its own.
-func nameOf[T comparable](names map[string]T, of T) string {
+// nameOf returns the name that maps to a value, or "" if none does. Parse maps "" to an index that no name in the settings has.
+func nameOf[T comparable](names map[string]T, value T) string {
 	for name, v := range names {
-		if v == of {
+		if v == value {
 			return name
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery follows the list of cache hosts.
+// Package discovery fetches the list of cache hosts from the discovery service and follows its changes by long polling.
 package discovery
 
 import (
@@ -17,65 +17,68 @@
 	"streamrail/policy"
 )
 
-// Host is one entry of the list with its address.
+// Host is one entry of the host list and the host's address.
 type Host struct {
 	policy.Entry
 	Addr string
 }
 
-// List is one answer of discovery.
+// List is one response from discovery: a snapshot of all hosts, or the changes since an earlier generation.
 type List struct {
 	Generation int64
-	Whole      bool
+	Whole      bool // a snapshot, not changes
 	Hosts      []Host
 	Unread     []Unread
-	At         time.Time // it had begun to arrive; what it tells holds from then on. Zero: not known
+	At         time.Time // when its first byte arrived, from which on the list applies; zero if unknown
 }
 
-// Unread is an entry that cannot be used: of an id, empty where it has none, and what can be made out of its condition.
+// Unread is an entry that cannot be used, with its id (empty if missing) and the condition as far as it could be read.
 type Unread struct {
 	Cache     policy.CacheID
-	Condition policy.Condition // Up where nothing else is said
+	Condition policy.Condition // Up if none was given
 	Why       error
 }
 
-// olderThan tells whether a whole list is of a state before a known version.
+// olderThan reports whether the list is a snapshot of a generation before the known one.
 func (l List) olderThan(known int64) bool { return l.Whole && l.Generation < known }
 
-// Stands tells that an answer, as nearly all do, says all by itself: Over would leave it as it is, whatever the list of the known
-// version holds.
+// Stands reports whether the list needs nothing from the list known before, so that Over would return it unchanged. This holds
+// for nearly all responses.
 func (l List) Stands(known int64) bool { return !l.olderThan(known) && len(l.Unread) == 0 }
 
-// Over completes an answer by what was known before it. A host whose entry cannot be read stays as it was, but for leaving;
-// where an entry of a whole list does not even tell its id, it may be that of any host not named. A whole list of a version
-// before the known one is an older state, or another discovery's: it cannot take back that a process leaves; a later change can.
+// Over fills the gaps of the list from the list known before:
+//   - A known host whose entry cannot be read keeps its earlier entry, except that the unread entry may mark it as leaving or
+//     gone. If an entry of a snapshot lacks even its id, it may belong to any host that the snapshot does not name, so all
+//     those hosts are kept.
+//   - A snapshot of a generation before the known one is an earlier state or comes from another discovery server. It cannot
+//     revoke that a host process is leaving; a later change can.
 func (l List) Over(known List) List {
 	if l.Stands(known.Generation) {
 		return l
 	}
-	older := l.olderThan(known.Generation)
-	was := make(map[policy.CacheID]Host, len(known.Hosts))
+	outdated := l.olderThan(known.Generation)
+	knownByID := make(map[policy.CacheID]Host, len(known.Hosts))
 	for _, h := range known.Hosts {
-		was[h.Cache] = h
+		knownByID[h.Cache] = h
 	}
-	if older {
+	if outdated {
 		for i, h := range l.Hosts {
-			if o, ok := was[h.Cache]; ok && o.Born == h.Born {
-				l.Hosts[i].Condition = max(h.Condition, o.Condition)
+			if previous, ok := knownByID[h.Cache]; ok && previous.Born == h.Born {
+				l.Hosts[i].Condition = max(h.Condition, previous.Condition)
 			}
 		}
 	}
-	nameless, worse := false, map[policy.CacheID]policy.Condition{}
+	unidentified, unreadConditions := false, map[policy.CacheID]policy.Condition{}
 	for _, u := range l.Unread {
-		nameless = nameless || u.Cache == ""
-		worse[u.Cache] = max(worse[u.Cache], u.Condition)
+		unidentified = unidentified || u.Cache == ""
+		unreadConditions[u.Cache] = max(unreadConditions[u.Cache], u.Condition)
 	}
 	for _, h := range l.Hosts {
-		delete(was, h.Cache)
+		delete(knownByID, h.Cache)
 	}
 	for _, h := range known.Hosts {
-		condition, unread := worse[h.Cache]
-		if _, left := was[h.Cache]; left && (unread || l.Whole && nameless) {
+		condition, unread := unreadConditions[h.Cache]
+		if _, absent := knownByID[h.Cache]; absent && (unread || l.Whole && unidentified) {
 			h.Condition = max(h.Condition, condition)
 			l.Hosts = append(l.Hosts, h)
 		}
@@ -83,62 +86,62 @@
 	return l
 }
 
-const mostBytes = 8 << 20 // a list of some ten thousand hosts
+const maxListBytes = 8 << 20 // room for about ten thousand hosts
 
-// ErrAgain is of a call that is to be made anew at once: what the list at hand misses must hold soon. It waited as long as it may
-// and got no answer, or not the whole of one; or the first of its answers that cannot be taken.
+// ErrAgain marks a failed call of Next that is to be repeated at once, because changes that the current list lacks must take
+// effect soon. Either no complete response arrived in time, or the response was unusable and the one before was not.
 var ErrAgain = errors.New("asked anew at once")
 
-// Watch asks for the list, then for what changes.
+// Watch requests the host list and then, by long polling, its changes.
 type Watch struct {
-	Addr   string
-	Names  Names
-	Pace   Pace
-	Has    bool                                                              // a list is at hand, from wherever
-	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // nil: the network's
-	conn   net.Conn
-	in     *bufio.Reader
-	pieces *pieces
-	after  int64
-	begun  bool // it asks for changes
-	spoilt bool // the last answer could not be taken
+	Addr         string
+	Names        Names
+	Pace         Pace
+	Has          bool                                                              // a list is known, from discovery or another source
+	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil means net.Dialer
+	conn         net.Conn
+	reader       *bufio.Reader
+	timed        *timedConn
+	generation   int64
+	watching     bool // polls for changes instead of a snapshot
+	lastUnusable bool // the last response could not be used
 }
 
-// From has the watch ask for what changed after a list that is known already.
-func (w *Watch) From(generation int64) { w.begun, w.Has, w.after = true, true, generation }
+// From makes the watch poll for changes after a generation that is already known.
+func (w *Watch) From(generation int64) { w.watching, w.Has, w.generation = true, true, generation }
 
-// unusable is an answer that came and cannot be taken.
-type unusable struct{ error }
+// unusableError marks a response that arrived but cannot be used.
+type unusableError struct{ error }
 
-// Next waits for the next answer; it may bring no hosts. After an answer that cannot be taken the next call starts
-// over with the whole list. After a call that failed it does not: the list at hand is as good as it was, and whole
-// lists for all, asked for again and again, are what keeps a discovery that was busy for a moment busy for good.
+// Next waits for the next response, which may contain no hosts. After an unusable response the next call requests a snapshot.
+// After a call that failed it does not: the known list is still valid, and if all balancers kept requesting snapshots, a
+// discovery service that was overloaded for a moment would stay overloaded.
 func (w *Watch) Next(ctx context.Context) (List, error) {
-	l, err := w.ask(ctx)
+	l, err := w.poll(ctx)
 	if err != nil {
 		w.Close()
-		again := errors.Is(err, os.ErrDeadlineExceeded)
-		if errors.As(err, &unusable{}) {
-			again, w.begun, w.spoilt = !w.spoilt, false, true
+		retryNow := errors.Is(err, os.ErrDeadlineExceeded)
+		if errors.As(err, &unusableError{}) {
+			retryNow, w.watching, w.lastUnusable = !w.lastUnusable, false, true
 		}
 		switch {
-		case !w.Has || !again:
-		case w.spoilt:
+		case !w.Has || !retryNow:
+		case w.lastUnusable:
 			err = fmt.Errorf("%w: %w", ErrAgain, err)
 		default:
-			err = fmt.Errorf("the watch has fallen silent, %w: %w", ErrAgain, err)
+			err = fmt.Errorf("no complete response in time, %w: %w", ErrAgain, err)
 		}
 		return List{}, err
 	}
 	w.From(l.Generation)
-	w.spoilt = false
+	w.lastUnusable = false
 	if !l.Whole && slices.ContainsFunc(l.Unread, func(u Unread) bool { return u.Cache == "" }) {
-		w.begun = false // a change of nobody knows whom; the whole list may tell
+		w.watching = false // a change of an unidentified host; a snapshot may name it
 	}
 	return l, nil
 }
 
-// Close drops the connection.
+// Close closes the connection to discovery, if there is one.
 func (w *Watch) Close() {
 	if w.conn != nil {
 		w.conn.Close()
@@ -146,24 +149,24 @@
 	}
 }
 
-// pieces reads an answer that has begun, each piece in its time and all of them in theirs.
-type pieces struct {
+// timedConn limits the time of each read, and of all reads together, once a response has begun to arrive.
+type timedConn struct {
 	net.Conn
-	each time.Duration // 0: it has not begun
-	end  time.Time
+	readTimeout  time.Duration // of one read; 0 until the response begins
+	bodyDeadline time.Time
 }
 
-func (p *pieces) next() {
-	if at := time.Now().Add(p.each); p.each > 0 && at.Before(p.end) {
-		p.SetDeadline(at)
-	} else if p.each > 0 {
-		p.SetDeadline(p.end)
+func (p *timedConn) extendDeadline() {
+	if deadline := time.Now().Add(p.readTimeout); p.readTimeout > 0 && deadline.Before(p.bodyDeadline) {
+		p.SetDeadline(deadline)
+	} else if p.readTimeout > 0 {
+		p.SetDeadline(p.bodyDeadline)
 	}
 }
 
-func (p *pieces) Read(b []byte) (int, error) {
+func (p *timedConn) Read(b []byte) (int, error) {
 	n, err := p.Conn.Read(b)
-	p.next()
+	p.extendDeadline()
 	return n, err
 }
 
@@ -176,55 +179,55 @@
 	return new(net.Dialer).DialContext(ctx, "tcp", w.Addr)
 }
 
-func (w *Watch) ask(ctx context.Context) (l List, err error) {
-	target, wait := "/api/targets", w.Pace.Whole
-	if w.begun {
-		may := w.Pace.draw(rand.Float64())
-		target += "?after=" + strconv.FormatInt(w.after, 10) + "&wait_ms=" + strconv.FormatInt(may.Milliseconds(), 10)
-		wait = may + w.Pace.Answer
+func (w *Watch) poll(ctx context.Context) (l List, err error) {
+	target, timeout := "/api/targets", w.Pace.Whole
+	if w.watching {
+		pollWait := w.Pace.drawPollWait(rand.Float64())
+		target += "?after=" + strconv.FormatInt(w.generation, 10) + "&wait_ms=" + strconv.FormatInt(pollWait.Milliseconds(), 10)
+		timeout = pollWait + w.Pace.Answer
 	}
 	if w.conn == nil {
 		if w.conn, err = w.dial(ctx); err != nil {
 			return l, err
 		}
-		w.pieces = &pieces{Conn: w.conn}
-		w.in = bufio.NewReader(w.pieces)
+		w.timed = &timedConn{Conn: w.conn}
+		w.reader = bufio.NewReader(w.timed)
 	}
-	conn, pieces := w.conn, w.pieces
-	pieces.each = 0
+	conn, timed := w.conn, w.timed
+	timed.readTimeout = 0
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	conn.SetDeadline(time.Now().Add(wait))
+	conn.SetDeadline(time.Now().Add(timeout))
 	if _, err = conn.Write(httpwire.AppendRequest(nil, "GET", target, w.Addr, -1)); err != nil {
 		return l, err
 	}
-	if _, err = w.in.Peek(1); err != nil {
-		return l, fmt.Errorf("nothing for %v: %w", wait, err)
+	if _, err = w.reader.Peek(1); err != nil {
+		return l, fmt.Errorf("no response within %v: %w", timeout, err)
 	}
-	begun := time.Now()
-	pieces.end, pieces.each = begun.Add(w.Pace.Pieces), w.Pace.Piece // it has begun, and a long list may come in pieces
-	pieces.next()
-	r, err := httpwire.Read(w.in, mostBytes, mostBytes, func(int) bool { return true })
+	firstByteAt := time.Now()
+	timed.bodyDeadline, timed.readTimeout = firstByteAt.Add(w.Pace.Pieces), w.Pace.Piece // a long list may arrive in many parts
+	timed.extendDeadline()
+	response, err := httpwire.Read(w.reader, maxListBytes, maxListBytes, func(int) bool { return true })
 	if err != nil {
 		return l, err
 	}
-	if r.Status/100 == 4 { // it does not know the version, say
-		return l, unusable{fmt.Errorf("status %d", r.Status)}
+	if response.Status/100 == 4 { // for example because it does not know the generation
+		return l, unusableError{fmt.Errorf("status %d", response.Status)}
 	}
-	if r.Status != 200 {
-		return l, fmt.Errorf("status %d", r.Status)
+	if response.Status != 200 {
+		return l, fmt.Errorf("status %d", response.Status)
 	}
-	if l, err = w.Names.Parse(r.Body); err != nil {
-		return l, unusable{err}
+	if l, err = w.Names.Parse(response.Body); err != nil {
+		return l, unusableError{err}
 	}
-	l.At = begun
+	l.At = firstByteAt
 	switch {
 	case l.Whole:
-	case !w.begun:
-		return l, unusable{errors.New("changes where the whole list was asked for")}
-	case l.Generation < w.after: // another discovery, or one that has lost its past
-		return l, unusable{fmt.Errorf("changes of version %d after version %d", l.Generation, w.after)}
+	case !w.watching:
+		return l, unusableError{errors.New("got changes, expected a snapshot")}
+	case l.Generation < w.generation: // another discovery server, or one that lost its state
+		return l, unusableError{fmt.Errorf("got changes of generation %d after generation %d", l.Generation, w.generation)}
 	}
-	if r.Close {
+	if response.Close {
 		w.Close()
 	}
 	return l, nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,15 +13,15 @@
 	"streamrail/policy"
 )
 
-// A call that failed leaves the list as good as it was: the next asks for what changed since. An answer that cannot be
-// taken, or of a version before the one at hand, leaves doubt about the list: the next asks for the whole.
-func TestWhatIsAskedFor(t *testing.T) {
+// TestRequestedVersions checks what each call asks for. A failed call leaves the known list valid, so the next call asks for
+// changes since. After an unusable response, or changes of a generation before the known one, the next asks for a snapshot.
+func TestRequestedVersions(t *testing.T) {
 	const whole = `{"generation":7,"reset":true,"instances":[]}`
 	changes := func(version string) string { return `{"generation":` + version + `,"reset":false,"instances":[]}` }
 	for name, row := range map[string]struct {
-		from    int64 // a version known at the start; 0: none
+		from    int64 // generation known at the start; 0: none
 		answers []string
-		asked   string // the version in each call, "-" for the whole list
+		asked   string // the generation in each call, "-" for a snapshot
 	}{
 		"turned away":           {0, []string{whole, "503", "503", changes("8"), changes("8")}, "- 7 7 7 8"},
 		"known":                 {41, []string{"503", changes("44"), changes("44")}, "41 41 44"},
@@ -57,13 +57,13 @@
 				w.Next(context.Background())
 			}
 			if got := strings.Join(asked, " "); got != row.asked {
-				t.Errorf("asked for %s, expected %s", got, row.asked)
+				t.Errorf("requested %s, expected %s", got, row.asked)
 			}
 		})
 	}
 }
 
-// Whatever is wrong with an answer, a host that leaves stays left alone and the list at hand is not emptied by it.
+// TestBadLists checks that a faulty response neither makes a leaving host usable again nor empties the known list.
 func TestBadLists(t *testing.T) {
 	names := Names{Zones: map[string]policy.Zone{"z": 0}, Kinds: map[string]policy.Kind{"k": 0}}
 	entry := func(id, state, more string) string {
@@ -96,7 +96,7 @@
 		"empty, whole":                    {list("42", true), "42"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			at, err := names.Parse([]byte(known))
+			previous, err := names.Parse([]byte(known))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -107,7 +107,7 @@
 				}
 				return
 			}
-			l = l.Over(at)
+			l = l.Over(previous)
 			got := strconv.FormatInt(l.Generation, 10)
 			for _, h := range l.Hosts {
 				got += " " + string(h.Cache) + ":" + [...]string{"up", "draining", "gone"}[h.Condition]
@@ -119,7 +119,7 @@
 	}
 }
 
-// A list of a thousand hosts with long names is far under the bound, and told whole.
+// TestLongList checks that a list of 5000 hosts with long names stays under maxListBytes and is parsed completely.
 func TestLongList(t *testing.T) {
 	var l List
 	for i := range 5000 {
@@ -128,12 +128,12 @@
 	names := Names{Kinds: map[string]policy.Kind{"k": 0}, Zones: map[string]policy.Zone{"z": 0}}
 	text := names.Format(l)
 	got, err := names.Parse(text)
-	if err != nil || len(got.Hosts) != 5000 || len(text) > mostBytes {
+	if err != nil || len(got.Hosts) != 5000 || len(text) > maxListBytes {
 		t.Errorf("%v: %d hosts of %d bytes", err, len(got.Hosts), len(text))
 	}
 }
 
-// What reading a whole list costs.
+// BenchmarkParse measures parsing a snapshot.
 func BenchmarkParse(b *testing.B) {
 	for _, n := range []int{200, 3200} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -2,47 +2,50 @@
 
 import "time"
 
-// toldAfter is when a change of the list counts as told at the latest, whether or not it arrived: so long after discovery had it
-// and could be reached, whatever became of earlier calls, and whether a watch is open, silent or none.
-const toldAfter = 6 * time.Second
+// maxNotificationDelay is the time after which a balancer counts as notified of a change of the list, whether or not it received
+// it. It is measured from when discovery has the change and is reachable, regardless of earlier calls and of whether a
+// watch is open, unresponsive or absent.
+const maxNotificationDelay = 6 * time.Second
 
-// Pace holds all waits of discovery. They are parts of one sum: fell silent, noticed, asked again, answered and applied, all
-// before what was missed must hold. See docs/notes/drain.md.
+// Pace holds the timeouts and delays of a Watch. Together they have to fit one budget: a watch that stops responding must be
+// detected and polled again, and the response be applied, before the missed change has to take effect. See
+// docs/notes/drain.md.
 type Pace struct {
-	Wait    time.Duration // what one call may wait for news; drawn from seven eighths of it on, lest all balancers ask in step
-	Answer  time.Duration // beyond that until an answer begins: then the watch has fallen silent
-	Whole   time.Duration // until the answer begins to a call that waits for nothing
-	Piece   time.Duration // between two pieces of an answer that has begun
-	Pieces  time.Duration // for all of them
-	Connect time.Duration
-	First   time.Duration // before a try after one that failed, doubled up to
-	Last    time.Duration
+	Wait    time.Duration // how long one call may wait for changes; drawn from 7/8 of it up, so that balancers do not poll in step
+	Answer  time.Duration // beyond Wait, until a response begins; after that the watch counts as unresponsive
+	Whole   time.Duration // until the response to a request for a snapshot begins
+	Piece   time.Duration // of one read, once a response has begun
+	Pieces  time.Duration // of the whole response, once it has begun
+	Connect time.Duration // to open the connection
+	First   time.Duration // delay after a failed call; doubled with each further failure, up to Last
+	Last    time.Duration // upper bound of that delay
 }
 
 const (
-	longAgain = 2 * time.Second // between tries, however long the grace
-	leastWait = 10 * time.Millisecond
+	maxRetryDelay = 2 * time.Second // caps Pace.Last however long the grace
+	minWait       = 10 * time.Millisecond
 )
 
-// PaceOf makes a pace for a grace in which sends to a host that leaves must end. Where lists are pushed, calls to the agent cost
-// nothing and what it has counts as told whether or not a watch is open.
+// PaceOf returns the pace for a drain grace, the time within which sends to a leaving host must end. Where lists are pushed to
+// a local agent, calls to it do not load discovery, and the balancer counts as notified of what the agent has whether or not a watch
+// is open.
 func PaceOf(grace time.Duration, pushed bool) Pace {
-	p := Pace{Answer: toldAfter / 6, Whole: toldAfter / 2, Piece: toldAfter / 4, Pieces: toldAfter * 5 / 6}
-	if pushed { // two watches in a row may fall silent, and the grace is left for the third
-		p.Wait = toldAfter / 3
+	p := Pace{Answer: maxNotificationDelay / 6, Whole: maxNotificationDelay / 2, Piece: maxNotificationDelay / 4, Pieces: maxNotificationDelay * 5 / 6}
+	if pushed { // two watches in a row may get no response; the grace is left for the third
+		p.Wait = maxNotificationDelay / 3
 		p.Connect = grace / 4
-		p.Last = max(leastWait, min(grace/4, longAgain))
-	} else { // each call loads discovery: as few as leave a sixth, and the grace, for the one that follows a silent one
-		p.Wait = toldAfter * 2 / 3
-		p.Connect = (toldAfter/6 + grace) / 4
-		p.Last = longAgain
+		p.Last = max(minWait, min(grace/4, maxRetryDelay))
+	} else { // each call loads discovery, so poll as rarely as leaves 1/6 and the grace for the call after an unresponsive one
+		p.Wait = maxNotificationDelay * 2 / 3
+		p.Connect = (maxNotificationDelay/6 + grace) / 4
+		p.Last = maxRetryDelay
 	}
-	p.Connect = max(leastWait, min(p.Connect, time.Second)) // the agent is on this machine
+	p.Connect = max(minWait, min(p.Connect, time.Second)) // the agent is on this machine
 	p.First = min(100*time.Millisecond, p.Last)
 	return p
 }
 
-// draw is what the next call may wait; chance is in [0, 1).
-func (p Pace) draw(chance float64) time.Duration {
-	return (p.Wait - time.Duration(chance*float64(p.Wait/8))).Truncate(time.Millisecond)
+// drawPollWait returns how long the next call may wait for changes; fraction is a random number in [0, 1).
+func (p Pace) drawPollWait(fraction float64) time.Duration {
+	return (p.Wait - time.Duration(fraction*float64(p.Wait/8))).Truncate(time.Millisecond)
 }
