--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -27,8 +27,8 @@
 )
 
 // PaceOf returns the pace for a drain grace, the time within which sends to a leaving host must end. Where lists are pushed to
-// a local agent, calls to it do not load discovery, and the balancer counts as notified of what the agent has whether or not a watch
-// is open.
+// a local agent, calls to it do not load discovery, and the balancer counts as notified of what the agent has whether or not
+// a watch is open.
 func PaceOf(grace time.Duration, pushed bool) Pace {
 	p := Pace{Answer: maxNotificationDelay / 6, Whole: maxNotificationDelay / 2, Piece: maxNotificationDelay / 4, Pieces: maxNotificationDelay * 5 / 6}
 	if pushed { // two watches in a row may get no response; the grace is left for the third
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -1,4 +1,4 @@
-// Package httpwire writes HTTP/1.1 requests and parses responses, for the origin and for discovery.
+// Package httpwire writes HTTP/1.1 requests and parses responses, for talking to the origin and to discovery.
 package httpwire
 
 import (
@@ -9,13 +9,13 @@
 	"strconv"
 )
 
-// Response is what comes back.
+// Response is a parsed response.
 type Response struct {
 	Status       int
-	NotProcessed bool // it never ran
-	Close        bool // the connection ends with it
+	NotProcessed bool // the server declares that the request never ran
+	Close        bool // the connection cannot be reused
 	Body         []byte
-	Coming       int // bytes of a long body, which the caller reads; Body is empty
+	Coming       int // length of a long body, which the caller has to read; Body is empty
 }
 
 var (
@@ -24,19 +24,19 @@
 )
 
 const (
-	mostFields  = 100
-	mostInterim = 8 // answers ahead of the final one
+	maxHeaderFields     = 100
+	maxInterimResponses = 8 // 1xx responses before the final one
 )
 
-// The header fields that the origin reads and writes.
+// Header fields of requests to the origin and of its responses.
 const (
-	ID           = "X-Request-ID"
-	Attrs        = "X-Attrs"
-	notProcessed = "X-Not-Processed"
+	ID                 = "X-Request-ID"
+	Attrs              = "X-Attrs"
+	notProcessedHeader = "X-Not-Processed"
 )
 
-// AppendRequest appends a request's head. Header fields come in pairs of name and value; a length under 0
-// means no body.
+// AppendRequest appends a request line and its headers. Header fields are given as pairs of name and value; a negative
+// length means that the request has no body.
 func AppendRequest(to []byte, method, target, host string, length int, fields ...string) []byte {
 	to = append(to, method...)
 	to = append(to, ' ')
@@ -56,7 +56,7 @@
 	return append(to, "\r\n\r\n"...)
 }
 
-// AppendPath appends a key as a path, with what a path may not hold escaped.
+// AppendPath appends a key as a path, percent-encoding bytes that are not allowed in a path.
 func AppendPath(to []byte, key []byte) []byte {
 	to = append(to, '/')
 	for _, ch := range key {
@@ -72,36 +72,37 @@
 	return to
 }
 
-// Read parses one response, with a body of at most so many bytes. It asks for room for them before they are held. The body
-// of a response with status 200 that is longer than whole is left to the caller, if its length is told.
-func Read(in *bufio.Reader, most, whole int, room func(bytes int) bool) (r Response, err error) {
-	for range mostInterim + 1 {
+// Read parses one response, with a body of at most maxBytes bytes. It calls reserve before it keeps bytes of the body and
+// returns ErrTooLarge if reserve refuses them. If a response with status 200 has a Content-Length above maxBuffered, its body
+// is left for the caller to read.
+func Read(in *bufio.Reader, maxBytes, maxBuffered int, reserve func(bytes int) bool) (r Response, err error) {
+	for range maxInterimResponses + 1 {
 		var chunked bool
 		length := -1
-		r, length, chunked, err = head(in)
+		r, length, chunked, err = readHead(in)
 		if err != nil {
 			return r, err
 		}
 		if r.Status/100 == 1 {
-			continue // an interim answer; the final one follows
+			continue // an interim response; the final one follows
 		}
 		switch {
-		case chunked && length >= 0: // framed in two ways, which an attacker in between could use
+		case chunked && length >= 0: // two ways of framing allow request smuggling
 			return r, ErrMalformed
 		case r.Status == 204 || r.Status == 304:
 		case chunked:
-			r.Body, err = chunks(in, most, room)
-		case r.Status == 200 && length > whole && length <= most:
+			r.Body, err = readChunks(in, maxBytes, reserve)
+		case r.Status == 200 && length > maxBuffered && length <= maxBytes:
 			r.Coming = length
-		case length > most || length > 0 && !room(length):
+		case length > maxBytes || length > 0 && !reserve(length):
 			return r, ErrTooLarge
 		case length >= 0:
 			r.Body = make([]byte, length)
 			_, err = io.ReadFull(in, r.Body)
-		default: // up to the connection's end
+		default: // the body ends with the connection
 			r.Close = true
-			r.Body, err = io.ReadAll(io.LimitReader(in, int64(most)+1))
-			if len(r.Body) > most || !room(len(r.Body)) {
+			r.Body, err = io.ReadAll(io.LimitReader(in, int64(maxBytes)+1))
+			if len(r.Body) > maxBytes || !reserve(len(r.Body)) {
 				return r, ErrTooLarge
 			}
 		}
@@ -110,8 +111,8 @@
 	return r, ErrMalformed
 }
 
-// line reads one line without its end. The result is valid until the next read.
-func line(in *bufio.Reader) ([]byte, error) {
+// readLine reads one line and returns it without its line end. The result is valid until the next read.
+func readLine(in *bufio.Reader) ([]byte, error) {
 	s, err := in.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
 		return nil, ErrTooLarge
@@ -122,9 +123,9 @@
 	return bytes.TrimSuffix(s, []byte("\r\n")), err
 }
 
-func head(in *bufio.Reader) (r Response, length int, chunked bool, err error) {
+func readHead(in *bufio.Reader) (r Response, length int, chunked bool, err error) {
 	length = -1
-	s, err := line(in)
+	s, err := readLine(in)
 	if err != nil {
 		return r, length, chunked, err
 	}
@@ -135,8 +136,8 @@
 		return r, length, chunked, ErrMalformed
 	}
 	r.Close = s[7] == '0'
-	for range mostFields {
-		if s, err = line(in); err != nil || len(s) == 0 {
+	for range maxHeaderFields {
+		if s, err = readLine(in); err != nil || len(s) == 0 {
 			return r, length, chunked, err
 		}
 		name, v, ok := bytes.Cut(s, []byte(":"))
@@ -162,16 +163,16 @@
 			} else if bytes.EqualFold(v, []byte("keep-alive")) {
 				r.Close = false
 			}
-		case bytes.EqualFold(name, []byte(notProcessed)):
+		case bytes.EqualFold(name, []byte(notProcessedHeader)):
 			r.NotProcessed = string(v) == "1"
 		}
 	}
 	return r, length, chunked, ErrTooLarge
 }
 
-func chunks(in *bufio.Reader, most int, room func(int) bool) (body []byte, err error) {
+func readChunks(in *bufio.Reader, maxBytes int, reserve func(int) bool) (body []byte, err error) {
 	for {
-		s, err := line(in)
+		s, err := readLine(in)
 		if err != nil {
 			return nil, err
 		}
@@ -180,23 +181,23 @@
 		if err != nil {
 			return nil, ErrMalformed
 		}
-		if len(body)+int(n) > most || !room(int(n)) {
+		if len(body)+int(n) > maxBytes || !reserve(int(n)) {
 			return nil, ErrTooLarge
 		}
 		if n == 0 {
-			for range mostFields { // trailers
-				if s, err = line(in); err != nil || len(s) == 0 {
+			for range maxHeaderFields { // trailers
+				if s, err = readLine(in); err != nil || len(s) == 0 {
 					return body, err
 				}
 			}
 			return nil, ErrTooLarge
 		}
-		at := len(body)
+		start := len(body)
 		body = append(body, make([]byte, n)...)
-		if _, err = io.ReadFull(in, body[at:]); err != nil {
+		if _, err = io.ReadFull(in, body[start:]); err != nil {
 			return nil, err
 		}
-		if s, err = line(in); err != nil {
+		if s, err = readLine(in); err != nil {
 			return nil, err
 		}
 		if len(s) != 0 {
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -12,9 +12,10 @@
 	"pgregory.net/rapid"
 )
 
-func roomy(int) bool { return true }
+func unlimited(int) bool { return true }
 
-// What two readers could frame differently must not pass: bytes left over would answer the next request.
+// TestRead checks that responses with ambiguous framing are refused: bytes left over would be taken for the answer to the
+// next request.
 func TestRead(t *testing.T) {
 	for _, row := range []struct {
 		in, body string
@@ -38,7 +39,7 @@
 		{strings.Repeat("HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\n", 3) + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nmade", "made", 200, nil},
 		{strings.Repeat("HTTP/1.1 102 Processing\r\n\r\n", 100), "", 102, ErrMalformed},
 	} {
-		r, err := Read(bufio.NewReader(strings.NewReader(row.in)), 4096, 4096, roomy)
+		r, err := Read(bufio.NewReader(strings.NewReader(row.in)), 4096, 4096, unlimited)
 		if !errors.Is(err, row.err) || r.Status != row.status || err == nil && string(r.Body) != row.body {
 			t.Errorf("%.60q: %d %q %v", row.in, r.Status, r.Body, err)
 		}
@@ -50,36 +51,36 @@
 	f.Add([]byte("HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nConnection: close\r\n\r\n"))
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		r, err := Read(bufio.NewReader(bytes.NewReader(in)), 64, 64, roomy)
+		r, err := Read(bufio.NewReader(bytes.NewReader(in)), 64, 64, unlimited)
 		if err == nil && (len(r.Body) > 64 || r.Status < 200) {
 			t.Fatalf("%+v", r)
 		}
 	})
 }
 
-// cuts gives a text in pieces that end at drawn places.
-type cuts struct {
-	t    *rapid.T
-	left string
+// splitReader returns a text in parts of randomly drawn lengths.
+type splitReader struct {
+	t         *rapid.T
+	remaining string
 }
 
-func (c *cuts) Read(p []byte) (int, error) {
-	if c.left == "" {
+func (c *splitReader) Read(p []byte) (int, error) {
+	if c.remaining == "" {
 		return 0, io.EOF
 	}
-	n := copy(p, c.left[:rapid.IntRange(1, min(len(c.left), len(p))).Draw(c.t, "piece")])
-	c.left = c.left[n:]
+	n := copy(p, c.remaining[:rapid.IntRange(1, min(len(c.remaining), len(p))).Draw(c.t, "piece")])
+	c.remaining = c.remaining[n:]
 	return n, nil
 }
 
-// A peer writes in pieces of any size: where they end must change nothing, and a long body is left for the caller from its
-// first byte on.
+// TestPieces checks that the result does not depend on how the response is split into reads, and that a long body is left for
+// the caller from its first byte on.
 func TestPieces(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.IntRange(0, 200).Draw(t, "length")
 		body := strings.Repeat("b", length)
-		in := bufio.NewReaderSize(&cuts{t, fmt.Sprintf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%snext", length, body)}, 64)
-		r, err := Read(in, 150, 100, roomy)
+		in := bufio.NewReaderSize(&splitReader{t, fmt.Sprintf("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%snext", length, body)}, 64)
+		r, err := Read(in, 150, 100, unlimited)
 		switch {
 		case length > 150:
 			if !errors.Is(err, ErrTooLarge) {
--- a/internal/memcache/memcache.go
+++ b/internal/memcache/memcache.go
@@ -1,5 +1,5 @@
 // Package memcache parses and writes the meta commands of the memcache text protocol, as clients send them to
-// a balancer and a balancer sends them on. It does no I/O; what it returns points into what it was given.
+// a balancer and a balancer forwards them to cache hosts. It does no I/O. Byte slices in its results point into its input.
 package memcache
 
 import (
@@ -11,53 +11,53 @@
 )
 
 const (
-	MostLine  = 2048    // bytes of a command's or an answer's line; keys hold 250 at most
-	MostValue = 4 << 20 // bytes of a value, the longest that operators have
-	mostKey   = 250
+	MostLine    = 2048    // bytes of a command's or an answer's line; a key takes at most 250 of them
+	MostValue   = 4 << 20 // bytes of a value; the largest that operators store
+	maxKeyBytes = 250
 )
 
 var crlf = []byte("\r\n")
 
-// Command is one mg, ms or mn.
+// Command is a parsed mg, ms or mn command.
 type Command struct {
-	Line              []byte // as it came, without its line end
+	Line              []byte // as received, without its line end
 	Key, ID, Attrs    []byte
 	Product, Customer []byte
-	Mark              []byte        // against repeats
-	Left              time.Duration // that the client waits, from when it sent the command
+	Mark              []byte        // deduplication token of a write
+	Left              time.Duration // how long the client waits, from when it sent the command
 	Length            int           // of the value that follows the line of a write
 	Write, Noop       bool
-	Repeat            bool
-	left              [2]int // where the digits of Left stand in Line
-	attrsAt           int    // where Attrs stand there
+	Repeat            bool   // a client retry
+	timeoutDigits     [2]int // start and end of Left's digits in Line
+	attrsStart        int    // start of Attrs in Line
 }
 
-// Fault is what is wrong with a command, in the protocol's words.
+// Fault is the error reply to a faulty command.
 type Fault struct {
 	Text string
-	Lost bool // where the next command starts is not known
+	Lost bool // the start of the next command is unknown, so the connection cannot go on
 }
 
-// Line is what the client is answered.
+// Line returns the line that the client is sent.
 func (f *Fault) Line() string { return f.Text + "\r\n" }
 
-// What a line can be besides a command, and what is wrong with commands for other reasons than their line.
+// Faults that Parse returns or that the balancer detects later. Quit is not an error: the client ends the connection.
 var (
 	Quit            = &Fault{Text: "quit"}
-	unknown         = &Fault{Text: "ERROR"}
-	twice           = bad("given twice", false)
-	TooLong         = bad("line too long", true)
-	BadChunk        = bad("bad data chunk", true)
-	UnknownProduct  = bad("unknown product", false)
-	UnknownCustomer = bad("unknown customer", false)
-	NoMark          = bad("no mark against repeats", false)
-	IDInHand        = bad("id is in hand", false)
+	unknownCommand  = &Fault{Text: "ERROR"}
+	duplicateFlag   = clientError("given twice", false)
+	TooLong         = clientError("line too long", true)
+	BadChunk        = clientError("bad data chunk", true)
+	UnknownProduct  = clientError("unknown product", false)
+	UnknownCustomer = clientError("unknown customer", false)
+	NoMark          = clientError("no mark against repeats", false)
+	IDInHand        = clientError("id is in hand", false)
 )
 
-func bad(text string, lost bool) *Fault { return &Fault{"CLIENT_ERROR " + text, lost} }
+func clientError(text string, lost bool) *Fault { return &Fault{"CLIENT_ERROR " + text, lost} }
 
-// word cuts the next word off a line.
-func word(s []byte) (w, rest []byte) {
+// nextWord splits the next word off a line.
+func nextWord(s []byte) (word, rest []byte) {
 	for len(s) > 0 && s[0] == ' ' {
 		s = s[1:]
 	}
@@ -67,35 +67,35 @@
 	return s, nil
 }
 
-// flags are the words of the rest of a line.
+// flags iterates over the words of the rest of a line.
 func flags(rest []byte) iter.Seq[[]byte] {
 	return func(yield func([]byte) bool) {
 		for len(rest) > 0 {
-			var w []byte
-			if w, rest = word(rest); len(w) > 0 && !yield(w) {
+			var word []byte
+			if word, rest = nextWord(rest); len(word) > 0 && !yield(word) {
 				return
 			}
 		}
 	}
 }
 
-// printable tells that a line holds no control characters, nor anything else under the least one.
-func printable(s []byte, least byte) bool {
+// printable reports whether a text has no byte below lowest and no DEL character.
+func printable(s []byte, lowest byte) bool {
 	for _, ch := range s {
-		if ch < least || ch == 0x7f {
+		if ch < lowest || ch == 0x7f {
 			return false
 		}
 	}
 	return true
 }
 
-// Parse reads a command's line. With a fault it still tells the length of a write's value, if that was read.
+// Parse parses a command's line. If it returns a fault, Length is still set for a write whose length was read.
 func Parse(line []byte) (c Command, fault *Fault) {
 	c.Line = line
 	if !printable(line, ' ') {
-		return c, bad("control character", true) // it could pass for a line end further on
+		return c, clientError("control character", true) // a cache host could take it for a line end
 	}
-	verb, rest := word(line)
+	verb, rest := nextWord(line)
 	switch string(verb) {
 	case "mn":
 		c.Noop = true
@@ -106,28 +106,28 @@
 	case "ms":
 		c.Write = true
 	default:
-		return c, unknown
+		return c, unknownCommand
 	}
-	c.Key, rest = word(rest)
+	c.Key, rest = nextWord(rest)
 	if c.Write {
 		var digits []byte
-		digits, rest = word(rest)
-		n, ok := number(digits)
+		digits, rest = nextWord(rest)
+		n, ok := parseNumber(digits)
 		if !ok {
 			return c, BadChunk
 		}
 		c.Length = int(n)
 		if c.Length > MostValue {
-			return c, bad("value too large", true)
+			return c, clientError("value too large", true)
 		}
 	}
-	if len(c.Key) == 0 || len(c.Key) > mostKey {
-		return c, bad("bad key", false)
+	if len(c.Key) == 0 || len(c.Key) > maxKeyBytes {
+		return c, clientError("bad key", false)
 	}
 	for flag := range flags(rest) {
 		switch {
 		case flag[0] == 'O' && c.ID != nil, flag[0] == 'P' && c.Attrs != nil:
-			return c, twice // a host may take the other one
+			return c, duplicateFlag // a host may use the other one
 		case flag[0] == 'O':
 			c.ID = flag[1:]
 		case flag[0] == 'P':
@@ -135,14 +135,14 @@
 		}
 	}
 	if len(c.ID) == 0 {
-		return c, bad("no id", false)
+		return c, clientError("no id", false)
 	}
-	return c, c.attrs()
+	return c, c.parseAttrs()
 }
 
-// attrs reads the list of names and values.
-func (c *Command) attrs() *Fault {
-	list, again := c.Attrs, false
+// parseAttrs parses the list of attributes, name=value pairs separated by commas.
+func (c *Command) parseAttrs() *Fault {
+	list, duplicate := c.Attrs, false
 	for len(list) > 0 {
 		pair := list
 		if i := bytes.IndexByte(list, ','); i >= 0 {
@@ -150,45 +150,45 @@
 		} else {
 			list = nil
 		}
-		name, v, _ := bytes.Cut(pair, []byte("="))
+		name, value, _ := bytes.Cut(pair, []byte("="))
 		switch string(name) {
 		case "c":
-			again = again || c.Product != nil
-			c.Product = v
+			duplicate = duplicate || c.Product != nil
+			c.Product = value
 		case "t":
-			again = again || c.Customer != nil
-			c.Customer = v
+			duplicate = duplicate || c.Customer != nil
+			c.Customer = value
 		case "k":
-			again = again || c.Mark != nil
-			c.Mark = v
+			duplicate = duplicate || c.Mark != nil
+			c.Mark = value
 		case "r":
-			c.Repeat = string(v) == "1"
+			c.Repeat = string(value) == "1"
 		case "d":
-			n, ok := number(v)
-			again = again || c.Left != 0
+			n, ok := parseNumber(value)
+			duplicate = duplicate || c.Left != 0
 			if !ok || n == 0 {
-				return bad("bad time to wait", false)
+				return clientError("bad time to wait", false)
 			}
 			c.Left = time.Duration(n) * time.Millisecond
-			// v is a part of Line: the difference of the capacities is where it starts.
-			at := cap(c.Line) - cap(v)
-			c.left = [2]int{at, at + len(v)}
-			c.attrsAt = cap(c.Line) - cap(c.Attrs)
+			// value is a subslice of Line, so the difference of the capacities is its offset.
+			start := cap(c.Line) - cap(value)
+			c.timeoutDigits = [2]int{start, start + len(value)}
+			c.attrsStart = cap(c.Line) - cap(c.Attrs)
 		}
 	}
-	if again {
-		return twice
+	if duplicate {
+		return duplicateFlag
 	}
 	if c.Left == 0 {
-		return bad("no time to wait", false)
+		return clientError("no time to wait", false)
 	}
 	if len(c.Product) == 0 {
-		return bad("no product", false)
+		return clientError("no product", false)
 	}
 	return nil
 }
 
-func number(s []byte) (n int64, ok bool) {
+func parseNumber(s []byte) (n int64, ok bool) {
 	if len(s) == 0 || len(s) > 9 {
 		return 0, false
 	}
@@ -201,24 +201,26 @@
 	return n, true
 }
 
-// AppendOnward appends the command's line as it came, but for the time that is left, in whole milliseconds, rounded down.
-func (c *Command) AppendOnward(to []byte, left time.Duration) []byte {
-	return append(c.appendPart(to, 0, len(c.Line), left), crlf...)
+// AppendOnward appends the command's line as received, with the client's timeout replaced by the remaining time in whole
+// milliseconds, rounded down.
+func (c *Command) AppendOnward(to []byte, remaining time.Duration) []byte {
+	return append(c.appendWithTimeout(to, 0, len(c.Line), remaining), crlf...)
 }
 
-// AppendAttrs appends the list of names and values as it came, but for the time that is left, like AppendOnward.
-func (c *Command) AppendAttrs(to []byte, left time.Duration) []byte {
-	return c.appendPart(to, c.attrsAt, c.attrsAt+len(c.Attrs), left)
+// AppendAttrs appends the list of attributes as received, with the client's timeout replaced as in AppendOnward.
+func (c *Command) AppendAttrs(to []byte, remaining time.Duration) []byte {
+	return c.appendWithTimeout(to, c.attrsStart, c.attrsStart+len(c.Attrs), remaining)
 }
 
-// appendPart appends a part of the line that holds the time that is left, with another time in its place.
-func (c *Command) appendPart(to []byte, from, until int, left time.Duration) []byte {
-	to = append(to, c.Line[from:c.left[0]]...)
-	to = strconv.AppendInt(to, left.Milliseconds(), 10)
-	return append(to, c.Line[c.left[1]:until]...)
+// appendWithTimeout appends the part of the line between two offsets with the client's timeout, which must lie within it,
+// replaced by the remaining time.
+func (c *Command) appendWithTimeout(to []byte, from, until int, remaining time.Duration) []byte {
+	to = append(to, c.Line[from:c.timeoutDigits[0]]...)
+	to = strconv.AppendInt(to, remaining.Milliseconds(), 10)
+	return append(to, c.Line[c.timeoutDigits[1]:until]...)
 }
 
-// Reply is the kind of a host's answer.
+// Reply is the kind of a cache host's answer.
 type Reply int
 
 const (
@@ -229,27 +231,27 @@
 	Errored
 )
 
-// Answer is the line of a host's answer.
+// Answer is the parsed first line of a cache host's answer.
 type Answer struct {
 	Reply   Reply
 	ID      []byte
 	Length  int // of the value that follows
 	Receipt []byte
-	Report  []byte // of the host's load, as it stands
+	Report  []byte // load report of the host, unparsed
 }
 
-var errAnswer = errors.New("not an answer")
+var errMalformedAnswer = errors.New("malformed answer line")
 
-// ParseAnswer reads a host's line; an error means that nothing behind it can be made out.
+// ParseAnswer parses the line of a cache host's answer. After an error, what follows on the connection cannot be parsed.
 func ParseAnswer(line []byte) (a Answer, err error) {
-	verb, rest := word(line)
+	verb, rest := nextWord(line)
 	switch string(verb) {
 	case "VA":
 		var digits []byte
-		digits, rest = word(rest)
-		n, ok := number(digits)
+		digits, rest = nextWord(rest)
+		n, ok := parseNumber(digits)
 		if !ok || n > MostValue {
-			return a, errAnswer
+			return a, errMalformedAnswer
 		}
 		a.Length = int(n)
 	case "HD":
@@ -257,10 +259,10 @@
 	case "EN":
 		a.Reply = Miss
 	case "SERVER_ERROR":
-		// Only the very words prove anything: noise that begins like them may hide work that was done.
-		text, report := word(rest)
-		if len(report) > 0 && !a.report(report) {
-			return a, errAnswer
+		// Only the exact words prove anything: after a corrupted line that begins like them, the host may have done the work.
+		text, report := nextWord(rest)
+		if len(report) > 0 && !a.takeReport(report) {
+			return a, errMalformedAnswer
 		}
 		switch string(text) {
 		case "busy":
@@ -268,44 +270,44 @@
 		case "failed":
 			a.Reply = Errored
 		default:
-			return a, errAnswer
+			return a, errMalformedAnswer
 		}
 		return a, nil
 	default:
-		return a, errAnswer
+		return a, errMalformedAnswer
 	}
 	for flag := range flags(rest) {
 		switch flag[0] {
 		default:
-			if !a.report(flag) && a.Reply == Miss {
-				return a, errAnswer // a miss proves that nothing ran
+			if !a.takeReport(flag) && a.Reply == Miss {
+				return a, errMalformedAnswer // a miss proves that nothing ran, so accept only a well-formed one
 			}
 		case 'O':
 			if a.ID != nil {
-				return a, errAnswer
+				return a, errMalformedAnswer
 			}
 			a.ID = flag[1:]
 		case 'c':
 			a.Receipt = flag[1:]
-		case 'h', 'Z': // how a read went
+		case 'h', 'Z': // hit status of a read, not used
 		}
 	}
 	return a, nil
 }
 
-// report takes a word that is a load report, the first if there are more; what it holds does not matter here, so that
-// it may be spoilt.
-func (a *Answer) report(word []byte) bool {
-	if word[0] != 'L' {
+// takeReport reports whether a flag is a load report, and stores the first one. Its content is not checked here, because a
+// malformed report must not spoil the answer.
+func (a *Answer) takeReport(flag []byte) bool {
+	if flag[0] != 'L' {
 		return false
 	}
 	if a.Report == nil {
-		a.Report = word[1:]
+		a.Report = flag[1:]
 	}
 	return true
 }
 
-// AppendValue appends the line of a value; the value and a line end follow it.
+// AppendValue appends the first line of an answer with a value; the caller sends the value and a line end after it.
 func AppendValue(to, id []byte, length int) []byte {
 	to = append(to, "VA "...)
 	to = strconv.AppendInt(to, int64(length), 10)
@@ -320,23 +322,24 @@
 	return append(to, crlf...)
 }
 
-// What is answered besides.
+// Other answers to clients.
 const (
 	Alive      = "MN\r\n"
 	NotServing = "SERVER_ERROR draining\r\n"
-	NoAnswer   = "SERVER_ERROR failed\r\n" // a request errored; promises nothing
+	NoAnswer   = "SERVER_ERROR failed\r\n" // final answer errored: promises nothing
 )
 
-// AppendRateLimited appends a rate-limit reply: trying again is harmless, after so long if it is not 0.
-func AppendRateLimited(to []byte, comeBack time.Duration) []byte {
+// AppendRateLimited appends the rate-limited answer, after which a client retry is harmless. If retryAfter is at least a
+// millisecond, it is sent as the delay before the retry.
+func AppendRateLimited(to []byte, retryAfter time.Duration) []byte {
 	to = append(to, "SERVER_ERROR busy"...)
-	if ms := comeBack.Milliseconds(); ms > 0 {
+	if ms := retryAfter.Milliseconds(); ms > 0 {
 		to = strconv.AppendInt(append(to, ' '), ms, 10)
 	}
 	return append(to, crlf...)
 }
 
-// IsReceipt tells whether a receipt can stand in an answer's line.
+// IsReceipt reports whether a receipt is valid in an answer's line.
 func IsReceipt(s []byte) bool {
-	return len(s) > 0 && len(s) <= mostKey && printable(s, '!')
+	return len(s) > 0 && len(s) <= maxKeyBytes && printable(s, '!')
 }
--- a/internal/memcache/memcache_test.go
+++ b/internal/memcache/memcache_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// A line that was taken goes on as it came but for the time: one changed byte voids the work of a cache host.
+// FuzzParse checks that an accepted line is forwarded unchanged except for the timeout: with any other changed byte the cache
+// host's work would be useless.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"mg 7f3a9c21e0b4d655 v O9b1f Pc=read,t=acme,d=480", "ms 7f3a 5 O9b1f Pc=put,t=acme,d=480,k=5c0f,r=1",
 		"mn", "mg", "ms k -1", "mg k v O Pd=", "mg  k  Pd=1,c=x,d=22 O1 Pc=y,d=3", "mg k O1 Pc=x,d=0007", "quit", "GET / HTTP/1.1",
@@ -19,21 +20,21 @@
 			return
 		}
 		if len(c.ID) == 0 || len(c.Product) == 0 || c.Left <= 0 || c.Length < 0 || c.Length > MostValue {
-			t.Fatalf("taken: %+v", c)
+			t.Fatalf("accepted: %+v", c)
 		}
-		onward := c.AppendOnward(nil, 7*time.Millisecond)
-		again, fault := Parse(bytes.TrimSuffix(onward, crlf))
-		if fault != nil || again.Left != 7*time.Millisecond {
-			t.Fatalf("%q goes on as %q: %v", line, onward, fault)
+		forwarded := c.AppendOnward(nil, 7*time.Millisecond)
+		reparsed, fault := Parse(bytes.TrimSuffix(forwarded, crlf))
+		if fault != nil || reparsed.Left != 7*time.Millisecond {
+			t.Fatalf("%q is forwarded as %q: %v", line, forwarded, fault)
 		}
-		if back := again.AppendOnward(nil, c.Left); !bytes.Equal(bytes.TrimSuffix(back, crlf), withTime(line, c)) {
-			t.Fatalf("%q comes back as %q", line, back)
+		if restored := reparsed.AppendOnward(nil, c.Left); !bytes.Equal(bytes.TrimSuffix(restored, crlf), canonicalLine(line, c)) {
+			t.Fatalf("%q with its own timeout restored is %q", line, restored)
 		}
 	})
 }
 
-// withTime is the line with its time written plainly, without leading zeros.
-func withTime(line []byte, c Command) []byte {
+// canonicalLine returns the line with its timeout written without leading zeros.
+func canonicalLine(line []byte, c Command) []byte {
 	return bytes.TrimSuffix(c.AppendOnward(nil, c.Left), crlf)
 }
 
