--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -1,4 +1,5 @@
-// Package benchwire reads and writes the bench's wire and decodes its settings.
+// Package benchwire connects balancers to the simulator: it reads and writes the simulator's line protocol and decodes its
+// settings.
 package benchwire
 
 import (
@@ -24,7 +25,7 @@
 
 var conditions = map[string]policy.Condition{"U": policy.Up, "L": policy.Draining, "D": policy.Gone}
 
-// fields reads the values of one line and remembers the first that is malformed.
+// fields reads the tab-separated values of one line and records the first malformed one.
 type fields struct {
 	parts []string
 	err   error
@@ -36,7 +37,7 @@
 	}
 }
 
-// text is the i-th value, "" where it is absent.
+// text returns the i-th value, or "" if it is absent.
 func (f *fields) text(i int) string {
 	if i >= len(f.parts) || f.parts[i] == "-" {
 		return ""
@@ -44,11 +45,11 @@
 	return f.parts[i]
 }
 
-func (f *fields) must(i int) string {
+func (f *fields) required(i int) string {
 	if v := f.text(i); v != "" {
 		return v
 	}
-	f.fail("line, lacking a value", strings.Join(f.parts, " "))
+	f.fail("line with a missing value", strings.Join(f.parts, " "))
 	return ""
 }
 
@@ -66,8 +67,8 @@
 
 func (f *fields) nanos(i int) policy.Nanos { return policy.Nanos(f.number(i)) }
 
-func pick[T any](f *fields, what string, of map[string]T, v string) T {
-	t, ok := of[v]
+func lookUp[T any](f *fields, what string, values map[string]T, v string) T {
+	t, ok := values[v]
 	if !ok {
 		f.fail(what, v)
 	}
@@ -76,8 +77,8 @@
 
 func (f *fields) entry() policy.Entry {
 	e := policy.Entry{
-		Cache: policy.CacheID(f.must(1)), Zone: policy.Zone(f.number(2)), Kind: policy.Kind(f.number(3)),
-		Cell: policy.Cell(f.number(4)), Condition: pick(f, "condition", conditions, f.text(5)),
+		Cache: policy.CacheID(f.required(1)), Zone: policy.Zone(f.number(2)), Kind: policy.Kind(f.number(3)),
+		Cell: policy.Cell(f.number(4)), Condition: lookUp(f, "condition", conditions, f.text(5)),
 		Size: 1, Born: f.nanos(7),
 	}
 	if v := f.text(6); v != "" {
@@ -90,37 +91,37 @@
 	return e
 }
 
-func (f *fields) call(now policy.Nanos) policy.Call {
+func (f *fields) request(now policy.Nanos) policy.Call {
 	bits := f.number(4)
 	return policy.Call{
-		ID: policy.CallID(f.must(2)), Customer: policy.Customer(f.number(3)), Key: policy.Key(f.text(5)),
-		Repeat: bits&2 != 0, Write: bits&4 != 0, Deadline: now + f.nanos(6), Work: f.hint(bits), Product: policy.Product(f.number(9)),
+		ID: policy.CallID(f.required(2)), Customer: policy.Customer(f.number(3)), Key: policy.Key(f.text(5)),
+		Repeat: bits&2 != 0, Write: bits&4 != 0, Deadline: now + f.nanos(6), Work: f.expectedWork(bits), Product: policy.Product(f.number(9)),
 	}
 }
 
-// hint is the expected work, 0 where the line says that it is not valid.
-func (f *fields) hint(bits int64) policy.Nanos {
+// expectedWork returns the expected work of a request, or 0 if the line marks it as invalid.
+func (f *fields) expectedWork(bits int64) policy.Nanos {
 	if n := f.nanos(7); bits&1 != 0 {
 		return max(0, n)
 	}
 	return 0
 }
 
-func (f *fields) ending() policy.Ending {
-	code, known := outcomes[f.text(5)]
+func (f *fields) attemptResult() policy.Ending {
+	outcome, known := outcomes[f.text(5)]
 	if !known {
-		code = policy.Unknown
+		outcome = policy.Unknown
 	}
-	f.number(7) // how a read went: nothing is made of it, but a malformed line is refused
+	f.number(7) // hit status of a read: not used, but a malformed value is an error
 	return policy.Ending{
-		Call: policy.CallID(f.must(2)), Attempt: int(f.number(3)), Final: f.text(4) == "1", Outcome: code,
-		Took: f.nanos(6), Cache: policy.CacheID(f.must(8)),
+		Call: policy.CallID(f.required(2)), Attempt: int(f.number(3)), Final: f.text(4) == "1", Outcome: outcome,
+		Took: f.nanos(6), Cache: policy.CacheID(f.required(8)),
 		Load: loadreport.Parse(f.text(9), ":"),
 	}
 }
 
-// terms decodes the settings.
-func (f *fields) terms() policy.Terms {
+// config decodes the settings, given as path=value pairs.
+func (f *fields) config() policy.Terms {
 	pairs := deployment.Pairs{}
 	for _, p := range f.parts {
 		if path, v, ok := strings.Cut(p, "="); ok && v != "-" {
--- a/internal/benchwire/link_test.go
+++ b/internal/benchwire/link_test.go
@@ -8,8 +8,8 @@
 const launch = "LAUNCH\t0\t7\tbalancers=3\textra.mode=aside\textra.originKind=1\tcaps.mostShots=4\ttickNs=5000000\treport.source=answers\t" +
 	"rules.rampTimeNs=1000000000\tproducts.count=1\tproducts.0.effect=idempotent\tproducts.0.latencySloNs=300000000"
 
-// played gives the actions that a batch of lines leads to, after a start with two caches.
-func played(t *testing.T, lines ...string) string {
+// runBatch starts a balancer with two cache hosts and returns the actions that a batch of lines then causes.
+func runBatch(t *testing.T, lines ...string) string {
 	t.Helper()
 	in := "SYNC\t1000000000\n" + launch + "\nSNAPSHOT_ROWS\t0\t2\nROW\ta\t0\t0\t0\tU\t1\t-\nROW\tb\t0\t0\t0\tU\t1\t-\n" +
 		"MEMBERS\t0\trestored\t1\t0\nFLUSH\nSYNC\t1005000000\n" + strings.Join(lines, "\n") + "\nFLUSH\n"
@@ -21,36 +21,37 @@
 	return second
 }
 
-// A hint counts only where its bit says that it is valid; none, zero and a negative one are no hint.
-func TestHints(t *testing.T) {
+// TestExpectedWork checks that the expected work is used only if its bit marks it as valid, and is ignored if it is absent, zero
+// or negative.
+func TestExpectedWork(t *testing.T) {
 	for order, want := range map[string]string{
 		"1\tk\t600000000\t301000000": "REFUSE", "1\tk\t600000000\t299000000": "FORWARD", "0\tk\t600000000\t301000000": "FORWARD",
 		"1\tk\t600000000\t-": "FORWARD", "1\tk\t600000000\t0": "FORWARD", "1\tk\t600000000\t-301000000": "FORWARD",
 	} {
-		got := played(t, "ORDER\t0\t00565ee75d3a91c4\t0\t"+order+"\t-\t0")
+		got := runBatch(t, "ORDER\t0\t00565ee75d3a91c4\t0\t"+order+"\t-\t0")
 		if !strings.Contains(got, want+"\t0\t00565ee75d3a91c4") {
 			t.Errorf("%q: %q", order, got)
 		}
 	}
 }
 
-// A report that cannot be read takes nothing from the outcome that it came with, and messages of other balancers, which nothing
-// here asks for, change nothing however they look.
-func TestReportsAndMessagesAsTheyCome(t *testing.T) {
+// TestMalformedReportsAndMessages checks that an outcome counts even if its load report is malformed, and that messages of other
+// balancers, well-formed or not, change nothing.
+func TestMalformedReportsAndMessages(t *testing.T) {
 	order := "ORDER\t0\t00565ee75d3a91c4\t0\t0\tk\t600000000\t-\t-\t0"
-	plain := played(t, order)
+	plain := runBatch(t, order)
 	for _, line := range []string{"WHISPER\t0\t2\taGkgNw==", "WHISPER\t0\t2\t!!", "WHISPER\t0\t99\t-", "WHISPER\t0"} {
-		if got := played(t, line, order, line); got != plain {
+		if got := runBatch(t, line, order, line); got != plain {
 			t.Errorf("%q: %q, expected %q", line, got, plain)
 		}
 	}
-	at := "a"
+	host := "a"
 	if strings.Contains(plain, "\tb\t") {
-		at = "b"
+		host = "b"
 	}
 	for _, report := range []string{"-", "", "util:", "util:x,inflight:-1", "qps:1", "util:NaN", ",,,:::"} {
-		done := "DONE\t0\t00565ee75d3a91c4\t0\t0\t8\t5000000\t-\t" + at + "\t" + report
-		got := played(t, order, done)
+		done := "DONE\t0\t00565ee75d3a91c4\t0\t0\t8\t5000000\t-\t" + host + "\t" + report
+		got := runBatch(t, order, done)
 		if strings.Count(got, "FORWARD\t0\t00565ee75d3a91c4") != 2 {
 			t.Errorf("report %q: %q", report, got)
 		}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment reads, checks and defaults everything that a balancer is told: the environment, the
-// configuration file and the settings in it.
+// Package deployment reads and checks the configuration of a balancer and fills in defaults. The configuration consists of
+// environment variables, the configuration file and the settings in it.
 package deployment
 
 import (
@@ -16,13 +16,13 @@
 	"streamrail/policy"
 )
 
-// Deployment is what one balancer is told.
+// Deployment is the configuration of one balancer.
 type Deployment struct {
 	Name, Listen, Discovery string
-	Admin                   string // the operators' address; empty: there is no door
+	Admin                   string // address of the admin API; empty if there is none
 	Seed                    uint64
 	MemoryMB, Sockets       int
-	Known                   json.RawMessage // the list as this balancer last had it; may be absent
+	Known                   json.RawMessage // host list that the balancer last had; may be absent
 
 	Terms     policy.Terms
 	Products  map[string]policy.Product
@@ -31,25 +31,25 @@
 	Kinds     map[string]policy.Kind
 
 	ConnectTimeout, IdleLimit, DrainGrace time.Duration
-	ClientTimeout                         time.Duration // the longest of all products
-	MostOpen                              int           // requests in hand
-	Reports                               bool          // answers tell the load of the host that gave them
+	ClientTimeout                         time.Duration // the longest of all products' timeouts
+	MostOpen                              int           // limit of requests being processed at a time
+	Reports                               bool          // answers of hosts contain load reports
 
-	settings any // as they stand in the file
+	settings any // as decoded from the file, to detect changes
 }
 
-// FromEnvironment reads the file that GW_CONFIG names; GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR win over it.
+// FromEnvironment reads the file that GW_CONFIG names. GW_NAME, GW_LISTEN, GW_DISCOVERY and GW_ADMIN_ADDR override its keys.
 func FromEnvironment(getenv func(string) string) (*Deployment, error) {
-	return read(getenv, false)
+	return readFile(getenv, false)
 }
 
-// Again reads the file once more, while the balancer runs. What it says now wins over the variables, which are
-// as old as the process.
+// Again reads the file again while the balancer runs. Here the file overrides the environment variables, because they are as
+// old as the process.
 func Again(getenv func(string) string) (*Deployment, error) {
-	return read(getenv, true)
+	return readFile(getenv, true)
 }
 
-// Fixed names the keys in which another deployment differs and that only a restart can change.
+// Fixed returns those keys in which the other deployment differs that only a restart can change.
 func (d *Deployment) Fixed(other *Deployment) (keys []string) {
 	for _, v := range []struct {
 		key    string
@@ -66,7 +66,7 @@
 	return keys
 }
 
-func read(getenv func(string) string, fileWins bool) (*Deployment, error) {
+func readFile(getenv func(string) string, fileOverrides bool) (*Deployment, error) {
 	path := getenv("GW_CONFIG")
 	if path == "" {
 		return nil, errors.New("GW_CONFIG: expected the path of the configuration file")
@@ -75,10 +75,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	return parse(text, getenv, fileWins)
+	return parse(text, getenv, fileOverrides)
 }
 
-func parse(text []byte, getenv func(string) string, fileWins bool) (*Deployment, error) {
+func parse(text []byte, getenv func(string) string, fileOverrides bool) (*Deployment, error) {
 	var file struct {
 		Name, Listen, Discovery string
 		Admin                   string `json:"admin_addr"`
@@ -99,7 +99,7 @@
 		name string
 		to   *string
 	}{{"GW_NAME", &d.Name}, {"GW_LISTEN", &d.Listen}, {"GW_DISCOVERY", &d.Discovery}, {"GW_ADMIN_ADDR", &d.Admin}} {
-		if s := getenv(v.name); s != "" && !(fileWins && *v.to != "") {
+		if s := getenv(v.name); s != "" && !(fileOverrides && *v.to != "") {
 			*v.to = s
 		}
 	}
@@ -125,14 +125,14 @@
 	if d.MemoryMB < 16 {
 		return nil, fmt.Errorf("limits.memory_mb: expected at least 16, got %d", d.MemoryMB)
 	}
-	if d.Sockets < 64 { // the balancer's own, and a few on either side
+	if d.Sockets < 64 { // the balancer's own sockets and a few for clients and for cache hosts
 		return nil, fmt.Errorf("limits.sockets: expected at least 64, got %d", d.Sockets)
 	}
-	return d, d.settle(file.Settings)
+	return d, d.applySettings(file.Settings)
 }
 
-// settle takes what is read of the settings.
-func (d *Deployment) settle(settings json.RawMessage) error {
+// applySettings decodes and checks the settings.
+func (d *Deployment) applySettings(settings json.RawMessage) error {
 	dec := json.NewDecoder(bytes.NewReader(settings))
 	dec.UseNumber()
 	var tree map[string]any
@@ -149,34 +149,34 @@
 	if len(d.Terms.Products) == 0 {
 		return errors.New("settings.products: expected at least one")
 	}
-	if d.Products, err = names[policy.Product](pairs, "products", ".name"); err != nil {
+	if d.Products, err = indexNames[policy.Product](pairs, "products", ".name"); err != nil {
 		return err
 	}
-	if d.Customers, err = names[policy.Customer](pairs, "customers", ".name"); err != nil {
+	if d.Customers, err = indexNames[policy.Customer](pairs, "customers", ".name"); err != nil {
 		return err
 	}
-	if d.Zones, err = names[policy.Zone](pairs, "areas", ""); err != nil {
+	if d.Zones, err = indexNames[policy.Zone](pairs, "areas", ""); err != nil {
 		return err
 	}
-	if d.Kinds, err = names[policy.Kind](pairs, "hostTypes", ""); err != nil {
+	if d.Kinds, err = indexNames[policy.Kind](pairs, "hostTypes", ""); err != nil {
 		return err
 	}
-	r := &reader{pairs: pairs}
-	d.ConnectTimeout = time.Duration(r.within("caps.connectTimeoutNs", float64(250*time.Millisecond), float64(time.Millisecond), float64(time.Hour)))
-	d.IdleLimit = time.Duration(r.span("caps.keepaliveNs"))
-	if _, told := pairs["caps.keepaliveNs"]; !told {
+	r := &settingsReader{pairs: pairs}
+	d.ConnectTimeout = time.Duration(r.numberWithin("caps.connectTimeoutNs", float64(250*time.Millisecond), float64(time.Millisecond), float64(time.Hour)))
+	d.IdleLimit = time.Duration(r.duration("caps.keepaliveNs"))
+	if _, given := pairs["caps.keepaliveNs"]; !given {
 		d.IdleLimit = 10 * time.Second
 	}
-	d.DrainGrace = time.Duration(r.within("rules.drainGraceNs", float64(time.Second), 0, float64(time.Hour)))
+	d.DrainGrace = time.Duration(r.numberWithin("rules.drainGraceNs", float64(time.Second), 0, float64(time.Hour)))
 	for i := range d.Terms.Products {
-		d.ClientTimeout = max(d.ClientTimeout, time.Duration(r.within(fmt.Sprintf("products.%d.clientTimeoutNs", i), 3e9, 1, float64(longest))))
+		d.ClientTimeout = max(d.ClientTimeout, time.Duration(r.numberWithin(fmt.Sprintf("products.%d.clientTimeoutNs", i), 3e9, 1, float64(maxDuration))))
 	}
-	d.MostOpen = int(r.within("caps.maxOpen", 1024, 1, 1<<30))
+	d.MostOpen = int(r.numberWithin("caps.maxOpen", 1024, 1, 1<<30))
 	d.Reports = reportSources[pairs["report.source"]]
 	return r.err
 }
 
-// flatten lays nested settings out as the simulator's wire does.
+// flatten converts nested settings to Pairs, the form in which the simulator sends them.
 func flatten(to Pairs, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
@@ -197,8 +197,8 @@
 	}
 }
 
-// names maps the names of a list's items to their places in it.
-func names[T ~int](pairs Pairs, list, field string) (map[string]T, error) {
+// indexNames maps the names of a list's items to their indexes.
+func indexNames[T ~int](pairs Pairs, list, field string) (map[string]T, error) {
 	n, _ := strconv.Atoi(pairs[list+".count"])
 	m := make(map[string]T, n)
 	for i := range n {
@@ -207,7 +207,7 @@
 		if !ok {
 			return nil, fmt.Errorf("settings.%s: expected a name", path)
 		}
-		if _, twice := m[name]; twice {
+		if _, duplicate := m[name]; duplicate {
 			return nil, fmt.Errorf("settings.%s: %q stands twice", path, name)
 		}
 		m[name] = T(i)
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -9,9 +9,9 @@
 	"streamrail/policy"
 )
 
-// The simulator's pairs and a balancer's JSON must give the module the same terms: figures measured with one
-// would else say nothing of the other.
-func TestOneTruth(t *testing.T) {
+// TestPairsAndJSONAgree checks that the simulator's pairs and a balancer's JSON give the policy the same configuration.
+// Otherwise results of simulations would not apply to real balancers.
+func TestPairsAndJSONAgree(t *testing.T) {
 	pairs := Pairs{}
 	for _, p := range strings.Fields(`balancers=3 locality=1 areas=a,b discovery=subscribe extra.mode=aside extra.originKind=2
 		caps.mayCancel=true caps.mostShots=6 caps.retryAfter=true caps.maxRetryAfterNs=2000000000
@@ -31,7 +31,7 @@
 		t.Errorf("from pairs: %+v", want)
 	}
 	d := &Deployment{}
-	if err = d.settle(json.RawMessage(`{"balancers":3,"locality":1,"areas":["a","b"],"discovery":"subscribe",
+	if err = d.applySettings(json.RawMessage(`{"balancers":3,"locality":1,"areas":["a","b"],"discovery":"subscribe",
 		"extra":{"mode":"aside","originKind":2},"caps":{"mayCancel":true,"mostShots":6,"retryAfter":true,
 		"maxRetryAfterNs":2e9},"weights":"live","rules":{"coldFrom":0.14,"rampTimeNs":24000000000,"fallMultiple":3,
 		"fallNs":2000000000,"askEveryNs":10000000000},"tickNs":5000000,"products":[{"name":"p","latencySloNs":500000000,
@@ -47,7 +47,8 @@
 	}
 }
 
-// The variable wins over the file's key at a start; an address that is none is named; a changed one waits for a restart.
+// TestAdminAddress checks that the variable overrides the file's key at the start, that an invalid address is reported by its key
+// and that a changed address is reported as needing a restart.
 func TestAdminAddress(t *testing.T) {
 	text := `{"listen":"a:1","discovery":"a:2","admin_addr":"a:3","seed":"1","settings":{"products":[{"name":"p","effect":"idempotent"}]}}`
 	env := map[string]string{}
@@ -62,15 +63,16 @@
 		t.Fatalf("%v %v", other, err)
 	}
 	if keys := d.Fixed(other); !reflect.DeepEqual(keys, []string{"admin_addr"}) {
-		t.Errorf("kept until restart: %q", keys)
+		t.Errorf("keys that need a restart: %q, expected admin_addr", keys)
 	}
 	env["GW_ADMIN_ADDR"] = "nowhere"
 	if _, err = parse([]byte(text), getenv, false); err == nil || !strings.Contains(err.Error(), "admin_addr") {
-		t.Errorf("a faulty one: %v", err)
+		t.Errorf("invalid address: got error %v, expected one that names admin_addr", err)
 	}
 }
 
-// What the module and the shell read of reports, prices, sizes and the grace is checked, and absent it changes nothing.
+// TestReportsAndPrices checks that faulty settings of load reports, prices, the number of balancers and the drain grace are
+// refused, and that absent ones give the defaults.
 func TestReportsAndPrices(t *testing.T) {
 	for _, row := range []struct {
 		settings     string
@@ -92,7 +94,7 @@
 		{`"rules":{"drainGraceNs":"NaN"}`, false, 0, 0, "settings.rules.drainGraceNs"},
 	} {
 		d := &Deployment{}
-		err := d.settle(json.RawMessage(`{` + row.settings + `,"products":[{"name":"p","effect":"idempotent"}]}`))
+		err := d.applySettings(json.RawMessage(`{` + row.settings + `,"products":[{"name":"p","effect":"idempotent"}]}`))
 		if row.key != "" {
 			if err == nil || !strings.Contains(err.Error(), row.key) {
 				t.Errorf("%s: %v", row.settings, err)
--- a/internal/deployment/terms.go
+++ b/internal/deployment/terms.go
@@ -8,8 +8,8 @@
 	"streamrail/policy"
 )
 
-// Pairs are settings by their path: objects and list items are set apart by dots, a list of objects gives
-// its length under "count".
+// Pairs holds settings by their path. The parts of a path, names and list indexes, are separated by dots; the length of a list
+// is under "count".
 type Pairs map[string]string
 
 var effects = map[string]policy.Effect{
@@ -17,29 +17,29 @@
 	"at_most_once": policy.NonIdempotent,
 }
 
-var groups = map[string]policy.Group{
+var dedupScopes = map[string]policy.Group{
 	"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
 }
 
-// reportSources are where hosts may tell their load, and whether that is with answers.
+// reportSources maps the permitted sources of load reports to whether the reports come with answers.
 var reportSources = map[string]bool{"": false, "none": false, "probe": false, "answers": true}
 
-// reader reads pairs and remembers the first that is faulty.
-type reader struct {
+// settingsReader reads values from pairs and records the first faulty one.
+type settingsReader struct {
 	pairs Pairs
 	err   error
 }
 
-func (r *reader) fail(path, v, want string) {
+func (r *settingsReader) fail(path, v, want string) {
 	if r.err == nil {
 		r.err = fmt.Errorf("settings.%s: %q is not %s", path, v, want)
 	}
 }
 
-func (r *reader) num(path string, absent float64) float64 {
+func (r *settingsReader) number(path string, defaultValue float64) float64 {
 	v, ok := r.pairs[path]
 	if !ok {
-		return absent
+		return defaultValue
 	}
 	n, err := strconv.ParseFloat(v, 64)
 	if err != nil {
@@ -48,88 +48,88 @@
 	return n
 }
 
-// price is what one of something takes off a request's billed value; 0 where it is not told.
-func (r *reader) price(path string) float64 {
-	n := r.num(path, 0)
+// price reads a cost that is subtracted from a request's billed value; it is 0 if absent.
+func (r *settingsReader) price(path string) float64 {
+	n := r.number(path, 0)
 	if !(n >= 0 && n < math.Inf(1)) {
 		r.fail(path, r.pairs[path], "a price of 0 or more")
 	}
 	return n
 }
 
-// These stop slips; no list is as long, and no request is tried so often.
+// Limits that catch mistakes in the settings: no real list is as long, and no request needs as many attempts.
 const (
-	mostBalancers = 1 << 20
-	mostAttempts  = 1 << 10
+	maxListLength = 1 << 20
+	maxAttempts   = 1 << 10
 )
 
-// within is a number in a range.
-func (r *reader) within(path string, absent, least, most float64) float64 {
-	n := r.num(path, absent)
-	if !(n >= least && n <= most) {
-		r.fail(path, r.pairs[path], fmt.Sprintf("a number from %.0f to %.0f", least, most))
+// numberWithin reads a number and checks that it is in a range.
+func (r *settingsReader) numberWithin(path string, defaultValue, lowest, highest float64) float64 {
+	n := r.number(path, defaultValue)
+	if !(n >= lowest && n <= highest) {
+		r.fail(path, r.pairs[path], fmt.Sprintf("a number from %.0f to %.0f", lowest, highest))
 	}
 	return n
 }
 
-// longest is as good as for ever, and can still be added to a moment of the clock.
-const longest = 100 * 365 * 24 * 3600 * policy.Second
+// maxDuration stands for unlimited; it is small enough to be added to a clock reading without overflow.
+const maxDuration = 100 * 365 * 24 * 3600 * policy.Second
 
-// span is a number of nanoseconds; 0 where it is not told.
-func (r *reader) span(path string) policy.Nanos {
-	return policy.Nanos(min(r.within(path, 0, 0, math.MaxFloat64), float64(longest)))
+// duration reads a number of nanoseconds; it is 0 if absent and at most maxDuration.
+func (r *settingsReader) duration(path string) policy.Nanos {
+	return policy.Nanos(min(r.numberWithin(path, 0, 0, math.MaxFloat64), float64(maxDuration)))
 }
 
-func pick[T any](r *reader, path, want string, of map[string]T) T {
-	t, ok := of[r.pairs[path]]
+func lookUp[T any](r *settingsReader, path, want string, values map[string]T) T {
+	t, ok := values[r.pairs[path]]
 	if !ok {
 		r.fail(path, r.pairs[path], want)
 	}
 	return t
 }
 
-// TermsOf decodes what the module reads of the settings; what it does not know it skips.
+// TermsOf decodes the part of the settings that the policy uses and ignores unknown keys.
 func TermsOf(pairs Pairs) (policy.Terms, error) {
-	r := &reader{pairs: pairs}
+	r := &settingsReader{pairs: pairs}
 	t := policy.Terms{
-		Balancers: max(1, int(r.within("balancers", 1, 0, mostBalancers))), Zone: policy.Zone(r.within("locality", 0, -1, mostBalancers)),
+		Balancers: max(1, int(r.numberWithin("balancers", 1, 0, maxListLength))), Zone: policy.Zone(r.numberWithin("locality", 0, -1, maxListLength)),
 		MustSubscribe: pairs["discovery"] == "subscribe", Aside: pairs["extra.mode"] == "aside",
-		OriginKind:   policy.Kind(r.within("extra.originKind", -1, -1, mostBalancers)),
+		OriginKind:   policy.Kind(r.numberWithin("extra.originKind", -1, -1, maxListLength)),
 		MayCancel:    pairs["caps.mayCancel"] == "true",
-		MostAttempts: int(r.within("caps.mostShots", 1, 1, mostAttempts)),
+		MostAttempts: int(r.numberWithin("caps.mostShots", 1, 1, maxAttempts)),
 		LiveSizes:    pairs["weights"] == "live", SizesEqual: pairs["weights"] == "none",
-		ColdFrom: r.within("rules.coldFrom", 0.1, 0, 1), RampTime: r.span("rules.rampTimeNs"),
-		FallMultiple: r.within("rules.fallMultiple", 1, 0, 1e6), FallWindow: r.span("rules.fallNs"),
-		AskEvery: r.span("rules.askEveryNs"), Tick: r.span("tickNs"),
-		KeepAlive: r.span("caps.keepaliveNs"),
+		ColdFrom: r.numberWithin("rules.coldFrom", 0.1, 0, 1), RampTime: r.duration("rules.rampTimeNs"),
+		FallMultiple: r.numberWithin("rules.fallMultiple", 1, 0, 1e6), FallWindow: r.duration("rules.fallNs"),
+		AskEvery: r.duration("rules.askEveryNs"), Tick: r.duration("tickNs"),
+		KeepAlive: r.duration("caps.keepaliveNs"),
 	}
 	if t.AskEvery == 0 {
-		t.AskEvery = 10 * policy.Second // failed calls would else be made anew without end
+		t.AskEvery = 10 * policy.Second // 0 would make failed calls repeat without a pause
 	}
 	if t.FallWindow == 0 {
-		t.RampTime = 0 // nothing falls, so nothing is held back
+		t.RampTime = 0 // no host fails under load, so slow start is not needed
 	}
 	t.CrossPrice, t.FetchPrice = r.price("prices.crossZone"), r.price("prices.origin")
-	pick(r, "report.source", "answers, probe or none", reportSources)
+	lookUp(r, "report.source", "answers, probe or none", reportSources)
 	if pairs["caps.retryAfter"] == "true" {
-		t.MaxComeBack = r.span("caps.maxRetryAfterNs")
+		t.MaxComeBack = r.duration("caps.maxRetryAfterNs")
 	}
-	for i := range int(r.num("products.count", 0)) {
-		at := fmt.Sprintf("products.%d.", i)
+	for i := range int(r.number("products.count", 0)) {
+		prefix := fmt.Sprintf("products.%d.", i)
 		p := policy.ProductTerms{
-			LatencySLO:  r.span(at + "latencySloNs"),
-			BilledValue: r.within(at+"billedValue", 1, 0, 1e12), OverdueValue: r.within(at+"overdueBilledValue", 0, 0, 1e12),
-			Effect: pick(r, at+"effect", "idempotent, deduplicated or at_most_once", effects),
-			Window: r.span(at + "windowNs"),
+			LatencySLO:  r.duration(prefix + "latencySloNs"),
+			BilledValue: r.numberWithin(prefix+"billedValue", 1, 0, 1e12), OverdueValue: r.numberWithin(prefix+"overdueBilledValue", 0, 0, 1e12),
+			Effect: lookUp(r, prefix+"effect", "idempotent, deduplicated or at_most_once", effects),
+			Window: r.duration(prefix + "windowNs"),
 		}
-		if pairs[at+"group"] != "" {
-			p.Group = pick(r, at+"group", "all, zone or cell", groups)
+		if pairs[prefix+"group"] != "" {
+			p.Group = lookUp(r, prefix+"group", "all, zone or cell", dedupScopes)
 		}
 		t.Products = append(t.Products, p)
 	}
-	for i := range int(r.num("customers.count", 0)) {
+	for i := range int(r.number("customers.count", 0)) {
 		t.Customers = append(t.Customers, policy.CustomerTerms{
-			AllowancePerS: r.num(fmt.Sprintf("customers.%d.allowancePerS", i), 0),
+			AllowancePerS: r.number(fmt.Sprintf("customers.%d.allowancePerS", i), 0),
 		})
 	}
 	return t, r.err
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads what a cache host tells of its load. It is the same on all wires but for the sign
-// between a name and its value.
+// Package loadreport parses the load reports of cache hosts. Their format is the same in all protocols except for the
+// separator between a name and its value.
 package loadreport
 
 import (
@@ -9,17 +9,17 @@
 	"streamrail/policy"
 )
 
-// most bounds the values of a report; hosts send four at most.
-const most = 16
+// maxPairs limits the pairs of a report that are read; hosts send at most four.
+const maxPairs = 16
 
-// Parse reads name and value pairs that are set apart by commas. A name that is not known here, a value that is
-// no number or one that no host can have, and a name that comes again are passed over; nil: nothing is left.
-func Parse(text, sign string) *policy.Load {
+// Parse parses name and value pairs separated by commas, with separator between a name and its value. Unknown names, values that
+// are not a number or out of range, and repeated names are ignored. It returns nil if no usable pair remains.
+func Parse(text, separator string) *policy.Load {
 	l := policy.Load{InHand: -1, Busy: -1, Took: -1}
-	for n := 0; n < most && text != ""; n++ {
+	for n := 0; n < maxPairs && text != ""; n++ {
 		var pair string
 		pair, text, _ = strings.Cut(text, ",")
-		name, value, _ := strings.Cut(pair, sign)
+		name, value, _ := strings.Cut(pair, separator)
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil || !(v >= 0 && v < 1e9) {
 			continue
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -12,23 +12,23 @@
 	"streamrail/internal/strict"
 )
 
-// Fleet lets this balancer speak with the others of its fleet; see docs/guide/members.md.
+// Fleet configures how this balancer communicates with the others of its fleet; see docs/guide/members.md.
 type Fleet struct {
-	Name    string            `toml:"name"`     // of the fleet; balancers of another one are not heard
+	Name    string            `toml:"name"`     // of the fleet; datagrams of other fleets are ignored
 	Address string            `toml:"address"`  // IP:port of this balancer, UDP
-	Peers   []string          `toml:"peers"`    // some others, asked first; not all need be there
-	Via     map[string]string `toml:"via"`      // where a balancer is reached from here, by its name, if not at its own address
-	Period  strict.Span       `toml:"period"`   // between looks at the others
-	Suspect strict.Span       `toml:"suspect"`  // how long a suspected one may still answer
-	Budget  int               `toml:"budget"`   // bytes a second for what goes beyond looks
-	KeyFile string            `toml:"key_file"` // its content keys the checksum of each datagram
-	Limits  bool              `toml:"limits"`   // parts of the tenants' allowances move to where their calls are
-	Lease   strict.Span       `toml:"lease"`    // for which a part is lent
-	Orders  bool              `toml:"orders"`   // hosts out by hand are out at all balancers
-	// Evidence has balancers tell each other how attempts at hosts ended.
+	Peers   []string          `toml:"peers"`    // some other balancers, contacted first; not all have to be running
+	Via     map[string]string `toml:"via"`      // addresses to use for some balancers, by name, instead of their own
+	Period  strict.Span       `toml:"period"`   // between probes of other balancers
+	Suspect strict.Span       `toml:"suspect"`  // time a suspected balancer has to answer before it is declared dead
+	Budget  int               `toml:"budget"`   // bytes per second for messages other than probes
+	KeyFile string            `toml:"key_file"` // file whose content is the key of each datagram's checksum
+	Limits  bool              `toml:"limits"`   // move quota shares to the balancers that get the customers' requests
+	Lease   strict.Span       `toml:"lease"`    // for which a quota share is lent
+	Orders  bool              `toml:"orders"`   // an operator's exclusion of a host holds at all balancers
+	// Evidence makes balancers report to each other how attempts at cache hosts ended.
 	Evidence bool `toml:"evidence"`
 
-	OrdersPart float64 `toml:"orders_part"` // of the cache hosts that may be out by hand without force
+	OrdersPart float64 `toml:"orders_part"` // fraction of the cache hosts that may be excluded without force
 
 	addr  netip.AddrPort
 	peers []netip.AddrPort
@@ -36,83 +36,84 @@
 	key   []byte
 }
 
-// What holds where the file says nothing: a death is known within six seconds in a fleet of 400, see docs/notes/members.md.
+// Defaults. With them, the death of a balancer is known within six seconds in a fleet of 400; see docs/notes/members.md.
 const (
-	fleetPeriod  = strict.Span(400 * time.Millisecond)
-	fleetSuspect = strict.Span(2 * time.Second)
-	fleetBudget  = 3000
-	fleetLease   = strict.Span(3 * time.Second) // a process that starts has its floor for as long
-	fleetOut     = 0.5                          // of the hosts: a zone of two goes out without force, more is more often a slip
+	defaultPeriod     = strict.Span(400 * time.Millisecond)
+	defaultSuspect    = strict.Span(2 * time.Second)
+	defaultBudget     = 3000
+	defaultLease      = strict.Span(3 * time.Second) // for this time a starting process has only the part of its share that is never lent
+	defaultOrdersPart = 0.5                          // one zone of two can be excluded without force; more is likely a mistake
 )
 
-// leastMembers is how many lives a balancer keeps room for at the least: four fleets of a thousand, for those that have died and
-// were started again, or that the settings do not count yet. A life that is not known takes no memory.
-const leastMembers = 4096
+// minMemberCapacity is the lowest limit of balancer processes that the member table may hold. It is four times a fleet of a
+// thousand, to include processes that died and were restarted and balancers that the settings do not count yet. Unused
+// capacity takes no memory.
+const minMemberCapacity = 4096
 
 const (
-	mostPeers = 4096 // more than a fleet has; a slip that repeats a block is told of
-	leastKey  = 16   // bytes; a shorter one is a slip
-	mostKey   = 4096
+	maxPeers    = 4096 // more than any fleet has; catches a block repeated by mistake
+	minKeyBytes = 16   // a shorter key is a mistake
+	maxKeyBytes = 4096
 )
 
 func (f *Fleet) check(s *strict.File) {
-	const at = "fleet."
-	f.Period, f.Suspect, f.Budget = cmp.Or(f.Period, fleetPeriod), cmp.Or(f.Suspect, fleetSuspect), cmp.Or(f.Budget, fleetBudget)
-	f.Lease, f.OrdersPart = cmp.Or(f.Lease, fleetLease), cmp.Or(f.OrdersPart, fleetOut)
+	const section = "fleet."
+	f.Period, f.Suspect, f.Budget = cmp.Or(f.Period, defaultPeriod), cmp.Or(f.Suspect, defaultSuspect), cmp.Or(f.Budget, defaultBudget)
+	f.Lease, f.OrdersPart = cmp.Or(f.Lease, defaultLease), cmp.Or(f.OrdersPart, defaultOrdersPart)
 	if f.Name == "" || len(f.Name) > member.MostName {
-		s.Bad(at+"name", "expected the fleet's name, of 1 to %d bytes, got %q", member.MostName, f.Name)
+		s.Bad(section+"name", "expected the fleet's name, of 1 to %d bytes, got %q", member.MostName, f.Name)
 	}
-	f.addr = address(s, at+"address", f.Address)
-	if len(f.Peers) > mostPeers {
-		s.Bad(at+"peers", "expected %d at most, got %d", mostPeers, len(f.Peers))
+	f.addr = parseAddress(s, section+"address", f.Address)
+	if len(f.Peers) > maxPeers {
+		s.Bad(section+"peers", "expected %d at most, got %d", maxPeers, len(f.Peers))
 	}
 	for i, p := range f.Peers {
-		if a := address(s, at+"peers", p); a != f.addr {
+		if a := parseAddress(s, section+"peers", p); a != f.addr {
 			f.peers = append(f.peers, a)
 		} else if a.IsValid() && len(f.Peers) == 1 {
-			s.Bad(at+"peers", "entry %d is this balancer's own address, and there is no other", i+1)
+			s.Bad(section+"peers", "entry %d is this balancer's own address, and there is no other", i+1)
 		}
 	}
 	f.via = map[string]netip.AddrPort{}
 	for name, p := range f.Via {
-		f.via[name] = address(s, at+"via", p)
+		f.via[name] = parseAddress(s, section+"via", p)
 	}
-	strict.Within(s, at+"period", f.Period, strict.Span(50*time.Millisecond), strict.Span(time.Minute))
-	strict.Within(s, at+"suspect", f.Suspect, 2*f.Period, strict.Span(10*time.Minute))
-	strict.Within(s, at+"budget", f.Budget, 500, 1<<20)
-	strict.Within(s, at+"orders_part", f.OrdersPart, 0.01, 1)
-	strict.Within(s, at+"lease", f.Lease, strict.Span(time.Second), strict.Span(time.Minute))
+	strict.Within(s, section+"period", f.Period, strict.Span(50*time.Millisecond), strict.Span(time.Minute))
+	strict.Within(s, section+"suspect", f.Suspect, 2*f.Period, strict.Span(10*time.Minute))
+	strict.Within(s, section+"budget", f.Budget, 500, 1<<20)
+	strict.Within(s, section+"orders_part", f.OrdersPart, 0.01, 1)
+	strict.Within(s, section+"lease", f.Lease, strict.Span(time.Second), strict.Span(time.Minute))
 	if f.KeyFile == "" {
-		if s.Given(at + "key_file") {
-			s.Bad(at+"key_file", "expected a path; leave the key out for no key")
+		if s.Given(section + "key_file") {
+			s.Bad(section+"key_file", "expected a path; leave the key out for no key")
 		}
 		return
 	}
 	text, err := os.ReadFile(f.KeyFile)
 	if err != nil {
-		s.Bad(at+"key_file", "%v", err)
+		s.Bad(section+"key_file", "%v", err)
 		return
 	}
 	f.key = bytes.TrimSpace(text)
-	if len(f.key) < leastKey || len(f.key) > mostKey {
-		s.Bad(at+"key_file", "expected a key of %d to %d bytes in %s, got %d", leastKey, mostKey, f.KeyFile, len(f.key))
+	if len(f.key) < minKeyBytes || len(f.key) > maxKeyBytes {
+		s.Bad(section+"key_file", "expected a key of %d to %d bytes in %s, got %d", minKeyBytes, maxKeyBytes, f.KeyFile, len(f.key))
 	}
 }
 
-// address reads IP:port at which a balancer can be reached.
-func address(s *strict.File, key, text string) netip.AddrPort {
+// parseAddress parses an IP:port at which a balancer can be reached, and reports an unusable one as a fault of the key.
+func parseAddress(s *strict.File, key, text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || !member.Usable(a) {
-		why := "a port of 1 to 65535 and an address that others can reach, no wildcard"
-		s.Bad(key, "expected IP:port with %s, got %q", why, text)
+		requirement := "a port of 1 to 65535 and an address that others can reach, no wildcard"
+		s.Bad(key, "expected IP:port with %s, got %q", requirement, text)
 		return netip.AddrPort{}
 	}
 	return a
 }
 
-// Terms are the carrier's and the membership's, for a process of a balancer.
+// Terms returns the configuration of the transport and of the membership for one process of a balancer.
 func (f *Fleet) Terms(self member.Record, expected int, seed uint64) (carry.Terms, member.Terms) {
 	self.Addr = f.addr
 	return carry.Terms{Fleet: f.Name, Key: f.key}, member.Terms{Self: self, Expected: expected, Seeds: f.peers, Via: f.via,
-		Period: f.Period.D(), Suspect: f.Suspect.D(), Budget: f.Budget, Most: max(leastMembers, 4*expected), Seed: seed}
+		Period: f.Period.D(), Suspect: f.Suspect.D(), Budget: f.Budget, Most: max(minMemberCapacity, 4*expected), Seed: seed}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator reads the operator's own file: what an installation sets beyond what its platform tells each
-// balancer. An absent file, and each absent key, changes nothing.
+// Package operator reads the operator's own file, with settings beyond those that the platform gives each balancer. An absent
+// file or key leaves the defaults.
 package operator
 
 import (
@@ -13,29 +13,29 @@
 	"streamrail/policy"
 )
 
-// File is what the operator sets.
+// File is the content of the operator's file.
 type File struct {
 	Connections Connections `toml:"connections"`
-	Fleet       *Fleet      `toml:"fleet"` // nil: this balancer speaks with no other
+	Fleet       *Fleet      `toml:"fleet"` // nil if this balancer communicates with no other
 }
 
-// Connections bound those to cache hosts; see docs/guide/connections.md.
+// Connections configures the connections to cache hosts; see docs/guide/connections.md.
 type Connections struct {
-	HostMost     int         `toml:"host_most"`     // that a host takes from all balancers
-	Openings     float64     `toml:"openings"`      // a second that a host bears from all balancers
-	ColdOpenings float64     `toml:"cold_openings"` // the same while it is cold
-	ColdFor      strict.Span `toml:"cold_for"`      // since its start
-	Age          strict.Span `toml:"age"`           // at which one is retired
-	Reuse        string      `toml:"reuse"`         // longest or last
-	Wait         float64     `toml:"wait"`          // part of its remaining time that an attempt may wait for one in use
-	Ahead        float64     `toml:"ahead"`         // deviations beyond the mean need that are opened ahead
-	Shrink       strict.Span `toml:"shrink"`        // what nobody used for so long goes
+	HostMost     int         `toml:"host_most"`     // limit of connections to one host from all balancers
+	Openings     float64     `toml:"openings"`      // limit of connections opened per second to one host by all balancers
+	ColdOpenings float64     `toml:"cold_openings"` // the same while the host is cold
+	ColdFor      strict.Span `toml:"cold_for"`      // time after its start for which a host is cold
+	Age          strict.Span `toml:"age"`           // at which a connection is retired
+	Reuse        string      `toml:"reuse"`         // which idle connection to use: longest (idle) or last (used)
+	Wait         float64     `toml:"wait"`          // fraction of its remaining time that an attempt may wait for a connection in use
+	Ahead        float64     `toml:"ahead"`         // connections opened in advance, in standard deviations above the mean need
+	Shrink       strict.Span `toml:"shrink"`        // connections not needed for this time are closed
 }
 
-// ErrFaulty is in all errors about the file's content.
+// ErrFaulty is wrapped by all errors about the file's content.
 var ErrFaulty = errors.New("faulty operator's file")
 
-// Read reads and checks a file; an empty path is an empty file.
+// Read reads and checks a file; an empty path counts as an empty file.
 func Read(path string) (*File, error) {
 	if path == "" {
 		return &File{}, nil
@@ -47,7 +47,7 @@
 	return Parse(path, text)
 }
 
-// Parse checks a file's text as a whole.
+// Parse parses and checks a file's text and reports all faults at once.
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
 	s := strict.Decode(name, text, f)
@@ -63,43 +63,44 @@
 	return f, nil
 }
 
-var reuses = map[string]pool.Reuse{"": pool.Longest, "longest": pool.Longest, "last": pool.Last}
+var reuseOrders = map[string]pool.Reuse{"": pool.Longest, "longest": pool.Longest, "last": pool.Last}
 
 func (c *Connections) check(s *strict.File) {
-	const at = "connections."
+	const section = "connections."
 	day := strict.Span(24 * time.Hour)
-	strict.Within(s, at+"host_most", c.HostMost, 0, 1<<20)
-	strict.Within(s, at+"openings", c.Openings, 0, 1e6)
-	strict.Within(s, at+"cold_openings", c.ColdOpenings, 0, 1e6)
-	strict.Within(s, at+"cold_for", c.ColdFor, 0, day)
-	strict.Within(s, at+"age", c.Age, 0, 30*day)
-	strict.Within(s, at+"wait", c.Wait, 0, 1)
-	strict.Within(s, at+"ahead", c.Ahead, 0, 10)
-	strict.Within(s, at+"shrink", c.Shrink, 0, day)
-	if _, known := reuses[c.Reuse]; !known {
-		s.Bad(at+"reuse", "expected longest or last, got %q", c.Reuse)
+	strict.Within(s, section+"host_most", c.HostMost, 0, 1<<20)
+	strict.Within(s, section+"openings", c.Openings, 0, 1e6)
+	strict.Within(s, section+"cold_openings", c.ColdOpenings, 0, 1e6)
+	strict.Within(s, section+"cold_for", c.ColdFor, 0, day)
+	strict.Within(s, section+"age", c.Age, 0, 30*day)
+	strict.Within(s, section+"wait", c.Wait, 0, 1)
+	strict.Within(s, section+"ahead", c.Ahead, 0, 10)
+	strict.Within(s, section+"shrink", c.Shrink, 0, day)
+	if _, known := reuseOrders[c.Reuse]; !known {
+		s.Bad(section+"reuse", "expected longest or last, got %q", c.Reuse)
 	}
-	if s.Given(at+"host_most") && c.HostMost == 0 {
-		s.Bad(at+"host_most", "no connection at all; leave the key out for no bound")
+	if s.Given(section+"host_most") && c.HostMost == 0 {
+		s.Bad(section+"host_most", "no connection at all; leave the key out for no bound")
 	}
 	if c.ColdOpenings > 0 && c.Openings == 0 {
-		s.Bad(at+"cold_openings", "it needs openings too")
+		s.Bad(section+"cold_openings", "it needs openings too")
 	}
 	if c.ColdOpenings > c.Openings {
-		s.Bad(at+"cold_openings", "a cold host does not bear more than a warm one (openings, %v), got %v", c.Openings, c.ColdOpenings)
+		s.Bad(section+"cold_openings", "a cold host does not bear more than a warm one (openings, %v), got %v", c.Openings, c.ColdOpenings)
 	}
 	if (c.ColdOpenings > 0) != (c.ColdFor > 0) && c.Ahead == 0 {
-		s.Bad(at+"cold_for", "it and cold_openings need each other")
+		s.Bad(section+"cold_for", "it and cold_openings need each other")
 	}
 	if c.Age > 0 && c.Age < strict.Span(time.Second) {
-		s.Bad(at+"age", "expected a second at least, got %v", c.Age)
+		s.Bad(section+"age", "expected a second at least, got %v", c.Age)
 	}
 }
 
-// Terms are the pool's, over what the platform fixes: the balancers, all connections and the idle limit.
+// Terms returns the connection pool's configuration. base holds what the platform sets: the number of balancers, the limit of
+// all connections and the idle limit.
 func (c *Connections) Terms(base pool.Terms) pool.Terms {
 	base.HostMost, base.Openings, base.ColdOpenings = c.HostMost, c.Openings, c.ColdOpenings
 	base.ColdFor, base.Age, base.Shrink = policy.Nanos(c.ColdFor), policy.Nanos(c.Age), policy.Nanos(c.Shrink)
-	base.Reuse, base.Wait, base.Ahead = reuses[c.Reuse], c.Wait, c.Ahead
+	base.Reuse, base.Wait, base.Ahead = reuseOrders[c.Reuse], c.Wait, c.Ahead
 	return base
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,5 +1,5 @@
-// Package stall tells when this process was held up: stopped, starved of the processor or of memory. Bytes that arrived
-// meanwhile are read late, and what is counted from the moment of the read would be too long.
+// Package stall detects when this process was stalled: stopped, or short of processor time or memory. Bytes that arrived
+// during a stall are read late, so a timeout that is counted from the read would end too late.
 package stall
 
 import (
@@ -8,46 +8,46 @@
 )
 
 const (
-	// Period is how often Beat wants to be called.
+	// Period is the interval at which Beat is to be called.
 	Period = 30 * time.Millisecond
-	// noticed is the pause between two beats from which the process counts as held up.
-	noticed = 2 * Period
-	// aftermath is how long after a stall reads may still bring what arrived within it.
-	aftermath = 2 * Period
+	// stallThreshold is the time between two calls of Beat above which the process counts as stalled.
+	stallThreshold = 2 * Period
+	// delayedReadWindow is how long after a stall reads may still return data that arrived during it.
+	delayedReadWindow = 2 * Period
 )
 
-// Detector learns of stalls from the pauses between its beats. It reads no clock itself and is safe for concurrent use.
+// Detector detects stalls from the time between calls of Beat. It reads no clock itself and is safe for concurrent use.
 type Detector struct {
-	mu       sync.Mutex
-	lastBeat time.Time
-	from     time.Time // the last stall
-	until    time.Time
+	mu         sync.Mutex
+	lastTick   time.Time
+	stallStart time.Time // of the last stall
+	stallEnd   time.Time // zero if there was none
 }
 
-// New makes a detector of which the first beat is now.
-func New(now time.Time) *Detector { return &Detector{lastBeat: now} }
+// New returns a detector whose first tick is now.
+func New(now time.Time) *Detector { return &Detector{lastTick: now} }
 
-// Beat notes that the process runs.
+// Beat records that the process is running now.
 func (d *Detector) Beat(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now.Sub(d.lastBeat) > noticed {
-		d.from, d.until = d.lastBeat, now
+	if now.Sub(d.lastTick) > stallThreshold {
+		d.stallStart, d.stallEnd = d.lastTick, now
 	}
-	d.lastBeat = now
+	d.lastTick = now
 }
 
-// Earliest is when what a wait from began to ended brought may have happened at the earliest: at its end where the process
-// ran, and no earlier than its beginning.
+// Earliest returns the earliest instant at which the event that ended a wait may have happened. If the process was running,
+// this is the end of the wait; after a stall it is the start of the stall, but not before the wait began.
 func (d *Detector) Earliest(began, ended time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	earliest := ended
 	switch {
-	case ended.Sub(d.lastBeat) > noticed: // held up until just now, or still
-		earliest = d.lastBeat
-	case !d.until.IsZero() && ended.Sub(d.until) < aftermath:
-		earliest = d.from
+	case ended.Sub(d.lastTick) > stallThreshold: // the stall lasts or has only just ended
+		earliest = d.lastTick
+	case !d.stallEnd.IsZero() && ended.Sub(d.stallEnd) < delayedReadWindow:
+		earliest = d.stallStart
 	}
 	if earliest.Before(began) {
 		return began
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// TestEarliest moves a wait across a stall: what it brought may have happened as early as the stall began, not as the wait did.
+// TestEarliest checks waits before, during and after a stall: the event that ended the wait may have happened as early as the
+// start of the stall, but not before the wait began.
 func TestEarliest(t *testing.T) {
 	start := time.Now()
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	for _, c := range []struct {
 		name               string
-		beats              []int
+		ticks              []int
 		began, ended, want int
 	}{
 		{"no stall", []int{30, 60, 90}, 10, 100, 100},
@@ -25,7 +26,7 @@
 		{"two stalls", []int{30, 300, 330, 600}, 310, 610, 330},
 	} {
 		d := New(start)
-		for _, ms := range c.beats {
+		for _, ms := range c.ticks {
 			d.Beat(at(ms))
 		}
 		if got := d.Earliest(at(c.began), at(c.ended)); got != at(c.want) {
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -1,5 +1,5 @@
-// Package strict reads TOML files so that nothing in them is passed over: unknown keys, wrong types, units and figures are
-// all found in one pass, each named with file, line and key.
+// Package strict decodes TOML files and ignores nothing in them: unknown keys, wrong types, wrong units and values out of range
+// are reported in one pass, each with file, line and key.
 package strict
 
 import (
@@ -15,10 +15,10 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Span is a length of time, written like 250ms.
+// Span is a duration, written like 250ms.
 type Span time.Duration
 
-// UnmarshalText reads a span; a bare number has no unit and is refused.
+// UnmarshalText parses a span; a number without a unit is refused.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -28,90 +28,90 @@
 	return nil
 }
 
-// MarshalText writes a span as it is read.
+// MarshalText writes a span in the form that UnmarshalText reads.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D is the span as a duration.
+// D returns the span as a time.Duration.
 func (s Span) D() time.Duration { return time.Duration(s) }
 
 func (s Span) String() string { return time.Duration(s).String() }
 
-// File is one file's text as it is read, with what is wrong in it.
+// File holds the positions of the keys in one file and the faults found in it.
 type File struct {
 	name   string
 	lines  map[string]int
 	faults []string
 }
 
-// Decode reads a file's text into a value. Where the form is wrong already, Sound tells so.
+// Decode decodes a file's text into a value. If the text is malformed or has unknown keys, Sound returns false.
 func Decode(name string, text []byte, into any) *File {
-	f := &File{name: name, lines: lines(text)}
+	f := &File{name: name, lines: keyLines(text)}
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := dec.Decode(into)
 	var unknown *toml.StrictMissingError
-	var wrong *toml.DecodeError
+	var malformed *toml.DecodeError
 	switch {
 	case err == nil:
 	case errors.As(err, &unknown):
 		for _, e := range unknown.Errors {
 			line, _ := e.Position()
-			f.at(line, strings.Join(e.Key(), "."), "unknown key")
+			f.addFault(line, strings.Join(e.Key(), "."), "unknown key")
 		}
-	case errors.As(err, &wrong):
-		line, _ := wrong.Position()
-		f.at(line, cmp.Or(strings.Join(wrong.Key(), "."), f.keyAt(line)), strings.TrimPrefix(wrong.Error(), "toml: "))
+	case errors.As(err, &malformed):
+		line, _ := malformed.Position()
+		f.addFault(line, cmp.Or(strings.Join(malformed.Key(), "."), f.keyAt(line)), strings.TrimPrefix(malformed.Error(), "toml: "))
 	default:
-		f.at(0, "", err.Error())
+		f.addFault(0, "", err.Error())
 	}
 	return f
 }
 
-// Sound tells that nothing wrong was found so far.
+// Sound reports whether no fault was found so far.
 func (f *File) Sound() bool { return len(f.faults) == 0 }
 
-// Err holds all that is wrong, a line each; nil where nothing is.
-func (f *File) Err(kind error) error {
+// Err returns an error that wraps sentinel and lists all faults, one per line, or nil if there are none.
+func (f *File) Err(sentinel error) error {
 	if f.Sound() {
 		return nil
 	}
-	return fmt.Errorf("%w\n%s", kind, strings.Join(f.faults, "\n"))
+	return fmt.Errorf("%w\n%s", sentinel, strings.Join(f.faults, "\n"))
 }
 
-// Given tells whether a key stands in the file. Entries of lists of tables are counted from 1: fault[2].at.
+// Given reports whether the file contains a key. Entries of arrays of tables are numbered from 1, as in fault[2].at.
 func (f *File) Given(key string) bool {
 	_, ok := f.lines[key]
 	return ok
 }
 
-// Bad names a fault of a key, on its own line or that of the table it is missing in.
-func (f *File) Bad(key, form string, args ...any) {
+// Bad records a fault of a key, at the key's line or, if the key is missing, at the line of its table.
+func (f *File) Bad(key, format string, args ...any) {
 	line, ok := f.lines[key]
-	for up := key; !ok && up != ""; {
-		up = up[:max(0, strings.LastIndexByte(up, '.'))]
-		line, ok = f.lines[up]
+	for parent := key; !ok && parent != ""; {
+		parent = parent[:max(0, strings.LastIndexByte(parent, '.'))]
+		line, ok = f.lines[parent]
 	}
-	f.at(line, key, fmt.Sprintf(form, args...))
+	f.addFault(line, key, fmt.Sprintf(format, args...))
 }
 
-// Within holds a figure to a range.
-func Within[T int | float64 | Span](f *File, key string, v, least, most T) {
-	if v < least || v > most {
-		f.Bad(key, "expected %v to %v, got %v", least, most, v)
+// Within records a fault if a value is out of range.
+func Within[T int | float64 | Span](f *File, key string, v, lowest, highest T) {
+	if v < lowest || v > highest {
+		f.Bad(key, "expected %v to %v, got %v", lowest, highest, v)
 	}
 }
 
-func (f *File) at(line int, key, what string) {
-	where := f.name
+func (f *File) addFault(line int, key, text string) {
+	message := f.name
 	if line > 0 {
-		where += ":" + strconv.Itoa(line)
+		message += ":" + strconv.Itoa(line)
 	}
 	if key != "" {
-		where += ": " + key
+		message += ": " + key
 	}
-	f.faults = append(f.faults, where+": "+what)
+	f.faults = append(f.faults, message+": "+text)
 }
 
-// keyAt is the key that stands on a line.
+// keyAt returns the key on a line.
 func (f *File) keyAt(line int) (key string) {
 	for k, l := range f.lines {
 		if l == line && len(k) > len(key) {
@@ -121,8 +121,8 @@
 	return key
 }
 
-// lines tells on which line each key of a text stands.
-func lines(text []byte) map[string]int {
+// keyLines returns the line of each key of a text.
+func keyLines(text []byte) map[string]int {
 	at := map[string]int{}
 	count := map[string]int{}
 	p := unstable.Parser{}
