--- a/cmd/streamrail/deadline_test.go
+++ b/cmd/streamrail/deadline_test.go
@@ -15,48 +15,48 @@
 	"time"
 )
 
-// deadlineSlack is what the deadline that a server is told may exceed the client's by, at the most.
-const deadlineSlack = 150 * time.Millisecond
+// maxDeadlineExcess is what the deadline that a server is told may exceed the client's by, at the most.
+const maxDeadlineExcess = 150 * time.Millisecond
 
-// toldDeadlines holds what clients sent, and what servers were told of each request.
-type toldDeadlines struct {
+// deadlineRecorder holds what clients sent, and what servers were told of each request.
+type deadlineRecorder struct {
 	mu        sync.Mutex
 	deadlines map[string]time.Time // of the clients, by request
-	attempts  []toldDeadline
+	attempts  []receivedDeadline
 }
 
-type toldDeadline struct {
-	id   string
-	at   time.Time // the server had its last byte
-	told time.Duration
+type receivedDeadline struct {
+	id         string
+	receivedAt time.Time // the server had its last byte
+	timeLeft   time.Duration
 }
 
-func (t *toldDeadlines) saw(id, attrs string, at time.Time) {
+func (t *deadlineRecorder) recordAttempt(id, attrs string, at time.Time) {
 	_, digits, _ := strings.Cut(attrs, "d=")
 	digits, _, _ = strings.Cut(digits, ",")
 	ms, _ := strconv.Atoi(digits)
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.attempts = append(t.attempts, toldDeadline{id, at, time.Duration(ms) * time.Millisecond})
+	t.attempts = append(t.attempts, receivedDeadline{id, at, time.Duration(ms) * time.Millisecond})
 }
 
-func (t *toldDeadlines) sent(id string, deadline time.Time) {
+func (t *deadlineRecorder) recordRequest(id string, deadline time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.deadlines[id] = deadline
 }
 
-// beyond are the attempts that were told more than the slack beyond their clients' deadlines.
-func (t *toldDeadlines) beyond() (worst time.Duration, beyond []toldDeadline) {
+// exceeding are the attempts that were told more than the slack beyond their clients' deadlines.
+func (t *deadlineRecorder) exceeding() (worst time.Duration, attempts []receivedDeadline) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, a := range t.attempts {
-		if by := a.at.Add(a.told).Sub(t.deadlines[a.id]); by > deadlineSlack {
-			beyond = append(beyond, a)
-			worst = max(worst, by)
+		if excess := a.receivedAt.Add(a.timeLeft).Sub(t.deadlines[a.id]); excess > maxDeadlineExcess {
+			attempts = append(attempts, a)
+			worst = max(worst, excess)
 		}
 	}
-	return worst, beyond
+	return worst, attempts
 }
 
 // TestStoppedProcesses stops several processes again and again, for 0.1 to 2 s, while clients write on: servers are told no more
@@ -68,29 +68,29 @@
 		stops     = 5
 		requests  = 12 // for each process, between the ends of two stops
 	)
-	told := &toldDeadlines{deadlines: map[string]time.Time{}}
-	var chanceMu sync.Mutex
-	chance := rand.New(rand.NewPCG(7, 7))
+	recorder := &deadlineRecorder{deadlines: map[string]time.Time{}}
+	var rngMu sync.Mutex
+	rng := rand.New(rand.NewPCG(7, 7))
 	draw := func(n int) int {
-		chanceMu.Lock()
-		defer chanceMu.Unlock()
-		return chance.IntN(n)
+		rngMu.Lock()
+		defer rngMu.Unlock()
+		return rng.IntN(n)
 	}
-	answer := func(g got) string {
-		told.saw(g.id, g.line, g.at)
+	answer := func(cmd command) string {
+		recorder.recordAttempt(cmd.id, cmd.line, cmd.receivedAt)
 		switch draw(4) {
 		case 0:
 			time.Sleep(time.Duration(draw(300)) * time.Millisecond)
 			return "SERVER_ERROR failed\r\n"
 		case 1:
-			return miss(g)
+			return answerMiss(cmd)
 		case 2:
-			return say("")(g)
+			return answerWith("")(cmd)
 		}
-		return hit(g)
+		return answerHit(cmd)
 	}
 	origin := newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
-		told.saw(r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"), time.Now())
+		recorder.recordAttempt(r.Header.Get("X-Request-ID"), r.Header.Get("X-Attrs"), time.Now())
 		time.Sleep(time.Duration(draw(200)) * time.Millisecond)
 		if draw(2) == 0 {
 			w.WriteHeader(http.StatusInternalServerError)
@@ -98,13 +98,13 @@
 		}
 		io.WriteString(w, "made")
 	})
-	drained := make(chan struct{})
-	t.Cleanup(func() { close(drained) })
+	testDone := make(chan struct{})
+	t.Cleanup(func() { close(testDone) })
 	go func() {
 		for {
 			select {
-			case <-origin.came:
-			case <-drained:
+			case <-origin.requests:
+			case <-testDone:
 				return
 			}
 		}
@@ -113,29 +113,29 @@
 	for i := range 4 {
 		hosts = append(hosts, newHost(t, "h"+strconv.Itoa(i), answer))
 	}
-	var fleet []*running
-	var lists []*list
+	var fleet []*balancerProcess
+	var lists []*discoveryServer
 	for range processes {
-		p, d := start(t, nil, origin, hosts...)
+		p, d := startWithHosts(t, nil, origin, hosts...)
 		fleet, lists = append(fleet, p), append(lists, d)
 	}
 	var clients sync.WaitGroup
 	for stop := range stops {
 		for i, p := range fleet {
-			length := time.Duration(100+draw(1900)) * time.Millisecond
+			stopTime := time.Duration(100+draw(1900)) * time.Millisecond
 			for n := range requests {
 				id := fmt.Sprintf("r%d-%d-%d", i, stop, n)
-				after := time.Duration(draw(int(length/time.Millisecond)+200)) * time.Millisecond
-				wait := 400 + draw(2500)
+				delay := time.Duration(draw(int(stopTime/time.Millisecond)+200)) * time.Millisecond
+				timeoutMs := 400 + draw(2500)
 				clients.Go(func() {
-					time.Sleep(after)
-					askOnce(told, p.addr, id, wait)
+					time.Sleep(delay)
+					sendOneRequest(recorder, p.addr, id, timeoutMs)
 				})
 			}
 			clients.Go(func() {
 				time.Sleep(100 * time.Millisecond)
 				p.Process.Signal(syscall.SIGSTOP)
-				time.Sleep(length)
+				time.Sleep(stopTime)
 				p.Process.Signal(syscall.SIGCONT)
 			})
 		}
@@ -145,30 +145,30 @@
 			fleet[killed].Process.Kill()
 		})
 		clients.Wait()
-		fleet[killed].exit(t)
-		fleet[killed] = serving(t, config(lists[killed], fleet[killed].addr, nil))
+		fleet[killed].waitForExit(t)
+		fleet[killed] = launchServing(t, deploymentConfig(lists[killed], fleet[killed].addr, nil))
 	}
-	worst, beyond := told.beyond()
+	worst, exceeding := recorder.exceeding()
 	// A stop that falls between the reading of the clock and the write, some microseconds of a second, cannot be made up for.
-	const between = 1
-	if len(beyond) > between {
-		t.Errorf("%d of %d attempts told more than was left, by %v at the most", len(beyond), len(told.attempts), worst.Round(time.Millisecond))
+	const allowedExcesses = 1
+	if len(exceeding) > allowedExcesses {
+		t.Errorf("%d of %d attempts told more than was left, by %v at the most", len(exceeding), len(recorder.attempts), worst.Round(time.Millisecond))
 	}
-	if len(told.attempts) < processes*stops*requests/2 {
-		t.Errorf("only %d attempts", len(told.attempts))
+	if len(recorder.attempts) < processes*stops*requests/2 {
+		t.Errorf("only %d attempts", len(recorder.attempts))
 	}
 }
 
-// askOnce sends one request over a connection of its own and waits for the answer, as long as its client would.
-func askOnce(told *toldDeadlines, addr, id string, wait int) {
+// sendOneRequest sends one request over a connection of its own and waits for the answer, as long as its client would.
+func sendOneRequest(recorder *deadlineRecorder, addr, id string, timeoutMs int) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	io.WriteString(c, get("key-"+id, id, wait))
-	deadline := time.Now().Add(time.Duration(wait) * time.Millisecond)
-	told.sent(id, deadline)
+	io.WriteString(c, getRequest("key-"+id, id, timeoutMs))
+	deadline := time.Now().Add(time.Duration(timeoutMs) * time.Millisecond)
+	recorder.recordRequest(id, deadline)
 	c.SetReadDeadline(deadline)
 	bufio.NewReader(c).ReadString('\n')
 }
--- a/cmd/streamrail/descriptors_test.go
+++ b/cmd/streamrail/descriptors_test.go
@@ -17,16 +17,16 @@
 // a host, a reload and the admin address find a descriptor all the same: the system gives not one more than the settings say.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	const sockets = 96
-	h, second := newHost(t, "h", hit), newHost(t, "second", hit)
-	d := newList(t) // not there yet: the balancer is told of another address
-	d.set("h", h.addr, "cache", "active")
-	at, door := freeAddr(t), freeAddr(t)
-	cfg := config(d, freeAddr(t), through)
-	cfg["discovery"], cfg["admin_addr"] = at, door
+	h, second := newHost(t, "h", answerHit), newHost(t, "second", answerHit)
+	d := newDiscoveryServer(t) // not there yet: the balancer is told of another address
+	d.setHost("h", h.addr, "cache", "active")
+	discoveryAddr, adminAddr := freeAddr(t), freeAddr(t)
+	cfg := deploymentConfig(d, freeAddr(t), readWriteThrough)
+	cfg["discovery"], cfg["admin_addr"] = discoveryAddr, adminAddr
 	cfg["limits"] = map[string]any{"sockets": sockets}
 	cfg["known"] = map[string]any{"generation": 1, "reset": true, "instances": []any{d.entries["h"]}}
-	p := servingUnder(t, sockets, cfg)
-	var crowd atomic.Int64
+	p := launchServingWithDescriptors(t, sockets, cfg)
+	var opened atomic.Int64
 	stop := make(chan struct{})
 	ended := make(chan struct{})
 	const clients = 2 * sockets
@@ -43,8 +43,8 @@
 				if err != nil {
 					continue
 				}
-				crowd.Add(1)
-				c.SetReadDeadline(time.Now().Add(patience))
+				opened.Add(1)
+				c.SetReadDeadline(time.Now().Add(waitTimeout))
 				go func() { <-stop; c.Close() }()
 				io.Copy(io.Discard, c)
 				c.Close()
@@ -57,71 +57,71 @@
 			<-ended
 		}
 	})
-	asked := func(key, id string) {
+	expectServed := func(key, id string) {
 		t.Helper()
 		for began := time.Now(); ; { // all in use is answered at once; a place comes free soon
-			got := p.dial(t).ask(get(key, id, 900))
+			got := p.dial(t).ask(getRequest(key, id, 900))
 			if got == "VA 10 O"+id+"|value of "+key {
 				return
-			} else if time.Since(began) > patience {
+			} else if time.Since(began) > waitTimeout {
 				t.Fatalf("an attempt: %q", got)
 			}
 		}
 	}
-	for began := time.Now(); crowd.Load() < clients; time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
+	for began := time.Now(); opened.Load() < clients; time.Sleep(time.Millisecond) {
+		if time.Since(began) > waitTimeout {
 			t.Fatal("the crowd does not come")
 		}
 	}
-	asked("k", "down")
-	comesUp(t, at, d)
-	d.knows(t)
-	asked("k", "back")
-	ready, err := http.Get("http://" + door + "/api/ready")
+	expectServed("k", "down")
+	startDiscoveryAt(t, discoveryAddr, d)
+	d.waitForWatch(t)
+	expectServed("k", "back")
+	ready, err := http.Get("http://" + adminAddr + "/api/ready")
 	if err != nil || ready.StatusCode != 200 {
 		t.Fatalf("the admin address: %v %v", ready, err)
 	}
 	ready.Body.Close()
-	moved := newList(t)
-	moved.set("second", second.addr, "cache", "active")
-	cfg["discovery"] = addr(moved.Server)
+	movedDiscovery := newDiscoveryServer(t)
+	movedDiscovery.setHost("second", second.addr, "cache", "active")
+	cfg["discovery"] = serverAddr(movedDiscovery.Server)
 	p.reload(t, cfg, "configuration reloaded")
-	moved.knows(t)
+	movedDiscovery.waitForWatch(t)
 	for i := 0; second.count() == 0; i++ {
-		asked("k", fmt.Sprint("moved", i))
+		expectServed("k", fmt.Sprint("moved", i))
 	}
 	if log := p.log.String(); strings.Contains(log, "too many open files") {
 		t.Error("out of descriptors")
 	}
 }
 
-// servingUnder starts the program where the system gives it so many descriptors, and waits until it serves.
-func servingUnder(t *testing.T, descriptors int, config map[string]any) *running {
+// launchServingWithDescriptors starts the program where the system gives it so many descriptors, and waits until it serves.
+func launchServingWithDescriptors(t *testing.T, descriptors int, config map[string]any) *balancerProcess {
 	t.Helper()
-	was := launchedBy
-	launchedBy = func(program string) *exec.Cmd {
+	previous := newCommand
+	newCommand = func(program string) *exec.Cmd {
 		return exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", descriptors, program))
 	}
-	defer func() { launchedBy = was }()
-	return serving(t, config)
+	defer func() { newCommand = previous }()
+	return launchServing(t, config)
 }
 
 // A second SIGTERM, or a SIGHUP while it drains, changes nothing of what is owed but as the page on signals says.
 func TestHangupWhileDraining(t *testing.T) {
 	release := make(chan struct{})
-	p, d := start(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
+	p, d := startWithHosts(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		io.WriteString(w, "made")
-	}), newHost(t, "h", hit))
+	}), newHost(t, "h", answerHit))
 	busy := p.dial(t)
-	busy.send(put("pay", "k", "held", 3000))
+	busy.send(putRequest("pay", "k", "held", 3000))
 	p.Process.Signal(syscall.SIGTERM)
-	p.says(t, `"phase":"draining"`)
-	p.reload(t, config(d, p.addr, nil), "configuration reloaded")
+	p.waitForLog(t, `"phase":"draining"`)
+	p.reload(t, deploymentConfig(d, p.addr, nil), "configuration reloaded")
 	close(release)
 	expect(t, busy.next(), "HD Oheld cmade")
 	expect(t, busy.next(), "EOF")
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
--- a/cmd/streamrail/door_test.go
+++ b/cmd/streamrail/door_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// atDoor calls the door, one call to a connection.
-func atDoor(t *testing.T, door, method, path, body string) (status int, text string) {
+// callAdmin calls the door, one call to a connection.
+func callAdmin(t *testing.T, adminAddr, method, path, body string) (status int, text string) {
 	t.Helper()
-	r, err := http.NewRequest(method, "http://"+door+path, strings.NewReader(body))
+	r, err := http.NewRequest(method, "http://"+adminAddr+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,14 +27,14 @@
 	return resp.StatusCode, string(b)
 }
 
-// figure is one value of the figures, -1 where it is missing.
-func figure(t *testing.T, door, name string) (n int) {
+// metric is one value of the figures, -1 where it is missing.
+func metric(t *testing.T, adminAddr, name string) (value int) {
 	t.Helper()
-	_, text := atDoor(t, door, "GET", "/api/telemetry", "")
+	_, text := callAdmin(t, adminAddr, "GET", "/api/telemetry", "")
 	for _, line := range strings.Split(text, "\n") {
 		if rest, ok := strings.CutPrefix(line, name+" "); ok {
-			fmt.Sscan(rest, &n)
-			return n
+			fmt.Sscan(rest, &value)
+			return value
 		}
 	}
 	return -1
@@ -42,14 +42,14 @@
 
 // Operators act on what the door says: a call it does not understand must change nothing and say so, and those who hold
 // its connections must not keep it from answering.
-func TestDoor(t *testing.T) {
-	h := newHost(t, "h", hit)
-	d := newList(t)
-	d.set("h", h.addr, "cache", "active")
-	door := freeAddr(t)
-	p := serving(t, config(d, freeAddr(t), through), "GW_ADMIN_ADDR="+door, "TMPDIR="+shortDir(t))
+func TestAdminAPI(t *testing.T) {
+	h := newHost(t, "h", answerHit)
+	d := newDiscoveryServer(t)
+	d.setHost("h", h.addr, "cache", "active")
+	adminAddr := freeAddr(t)
+	p := launchServing(t, deploymentConfig(d, freeAddr(t), readWriteThrough), "GW_ADMIN_ADDR="+adminAddr, "TMPDIR="+shortDir(t))
 	for range 40 { // more than it holds
-		c, err := net.Dial("tcp", door)
+		c, err := net.Dial("tcp", adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -69,17 +69,17 @@
 		{"POST", "/api/exclude", `{"member":"nobody"}`, 404}, {"POST", "/api/include", `{"member":"nobody"}`, 404},
 		{"POST", "/api/include", `{"member":"h"}`, 200},
 	} {
-		if status, text := atDoor(t, door, row.method, row.path, row.body); status != row.status || strings.Count(text, "\n") != 1 {
+		if status, text := callAdmin(t, adminAddr, row.method, row.path, row.body); status != row.status || strings.Count(text, "\n") != 1 {
 			t.Errorf("%s %s %.60s: %d %q, expected %d", row.method, row.path, row.body, status, text, row.status)
 		}
 	}
 	c := p.dial(t)
-	expect(t, c.ask(get("k", "a", 900)), "VA 10 Oa|value of k")
+	expect(t, c.ask(getRequest("k", "a", 900)), "VA 10 Oa|value of k")
 	expect(t, c.ask("ms k 2 Ob Pc=pay,d=900\r\nhi\r\n"), "HD Ob cdone-b")
 	for name, want := range map[string]int{`app_answered_total{group="read"}`: 1, `app_answered_total{group="pay"}`: 1,
 		`app_deferred_total{group="marked"}`: 0, "app_sends_total": 2, "app_current": 0, "app_cluster_size": 1, "app_cluster_unhealthy": 0} {
-		got := figure(t, door, name)
-		for began := time.Now(); got != want && time.Since(began) < patience; got = figure(t, door, name) {
+		got := metric(t, adminAddr, name)
+		for began := time.Now(); got != want && time.Since(began) < waitTimeout; got = metric(t, adminAddr, name) {
 			time.Sleep(5 * time.Millisecond) // an answer is counted once it is written: a client may have it sooner
 		}
 		if got != want {
@@ -88,41 +88,41 @@
 	}
 	// Out by hand, twice, and back once: no list lifts it, and a host that is back is used again.
 	for range 2 {
-		atDoor(t, door, "POST", "/api/exclude", `{"member":"h"}`)
+		callAdmin(t, adminAddr, "POST", "/api/exclude", `{"member":"h"}`)
 	}
-	d.set("h", h.addr, "cache", "active")
-	d.knows(t)
-	if got := c.ask(get("k", "c", 900)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
+	d.setHost("h", h.addr, "cache", "active")
+	d.waitForWatch(t)
+	if got := c.ask(getRequest("k", "c", 900)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
 		t.Errorf("with its only host out: %q", got)
 	}
-	if n := figure(t, door, "app_cluster_unhealthy"); n != 1 || h.count() != 2 {
+	if n := metric(t, adminAddr, "app_cluster_unhealthy"); n != 1 || h.count() != 2 {
 		t.Errorf("%d out, the host got %d", n, h.count())
 	}
-	if n := figure(t, door, `app_deferred_total{group="read"}`); n != 1 {
+	if n := metric(t, adminAddr, `app_deferred_total{group="read"}`); n != 1 {
 		t.Errorf("%d rate-limited, expected 1", n)
 	}
-	atDoor(t, door, "POST", "/api/include", `{"member":"h"}`)
+	callAdmin(t, adminAddr, "POST", "/api/include", `{"member":"h"}`)
 	for i, began := 0, time.Now(); h.count() == 2; i++ {
-		if time.Since(began) > patience {
+		if time.Since(began) > waitTimeout {
 			t.Fatal("the host that was put back is not used")
 		}
-		c.ask(get("k", fmt.Sprint("d", i), 900))
+		c.ask(getRequest("k", fmt.Sprint("d", i), 900))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
 // An address that cannot be had ends the start, with the key's name.
-func TestDoorAddress(t *testing.T) {
+func TestAdminAddress(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	for _, addr := range []string{"nonsense", taken.Addr().String()} {
-		c := config(newList(t), freeAddr(t), nil)
+		c := deploymentConfig(newDiscoveryServer(t), freeAddr(t), nil)
 		c["admin_addr"] = addr
 		p := launch(t, c)
-		if code := p.exit(t); code != 2 || !strings.Contains(p.log.String(), "admin_addr") {
+		if code := p.waitForExit(t); code != 2 || !strings.Contains(p.log.String(), "admin_addr") {
 			t.Errorf("%s: exit %d with %s", addr, code, p.log)
 		}
 	}
--- a/cmd/streamrail/gone_test.go
+++ b/cmd/streamrail/gone_test.go
@@ -16,23 +16,23 @@
 	var attempts atomic.Int64
 	var hosts []*cacheHost
 	for i := range 3 {
-		hosts = append(hosts, newHost(t, fmt.Sprint("h", i), func(g got) string {
+		hosts = append(hosts, newHost(t, fmt.Sprint("h", i), func(cmd command) string {
 			attempts.Add(1)
 			time.Sleep(200 * time.Millisecond)
 			return "SERVER_ERROR failed\r\n"
 		}))
 	}
-	p, _ := start(t, nil, newOrigin(t, nil), hosts...)
+	p, _ := startWithHosts(t, nil, newOrigin(t, nil), hosts...)
 	for round := range rounds {
 		attempts.Store(0)
 		var open []*client
 		for i := range clients {
 			c := p.dial(t)
-			c.send(get(fmt.Sprint("k", i), fmt.Sprintf("r%d-%d", round, i), 3000))
+			c.send(getRequest(fmt.Sprint("k", i), fmt.Sprintf("r%d-%d", round, i), 3000))
 			open = append(open, c)
 		}
 		for began := time.Now(); attempts.Load() < clients; time.Sleep(time.Millisecond) {
-			if time.Since(began) > patience {
+			if time.Since(began) > waitTimeout {
 				t.Fatalf("%d first attempts of %d", attempts.Load(), clients)
 			}
 		}
--- a/cmd/streamrail/long_list_stand_test.go
+++ b/cmd/streamrail/long_list_stand_test.go
@@ -17,304 +17,305 @@
 	"time"
 )
 
-// A fleet with a list of thousands of hosts, and a balancer that gets a small share of a core.
+// The tests with long lists run a balancer with thousands of hosts and a small share of a core.
 const (
-	longListHosts    = 3200
-	longListClients  = 20
-	longListEvery    = 100 * time.Millisecond  // between two requests of a client
-	longListTimeout  = 400 * time.Millisecond  // of a request
-	lateAfter        = 50 * time.Millisecond   // beyond the timeout: the answer earns nothing
-	lostAfter        = 500 * time.Millisecond  // beyond the timeout: the request counts as lost
-	longListTerm     = 3700 * time.Millisecond // from SIGTERM to SIGKILL: the longest deadline and 0.7 s
-	longListFront    = 400 * time.Millisecond  // from SIGTERM to the last new connection
-	longListKill     = 200 * time.Millisecond  // until a process that got SIGKILL has surely ended: the next starts later
-	schedulingPeriod = 20 * time.Millisecond   // in which a process gets its share of a core
-	raceCost         = 8                       // times the processor time that the race detector takes
+	longListHosts           = 3200
+	longListClients         = 20
+	longListRequestInterval = 100 * time.Millisecond  // between two requests of a client
+	longListRequestTimeout  = 400 * time.Millisecond  // of a request
+	lateTolerance           = 50 * time.Millisecond   // beyond the timeout: a later answer counts as late
+	lostTolerance           = 500 * time.Millisecond  // beyond the timeout: a request without an answer counts as lost
+	longListTermPeriod      = 3700 * time.Millisecond // from SIGTERM to SIGKILL: the longest client timeout and 0.7 s
+	longListFrontDelay      = 400 * time.Millisecond  // from SIGTERM to the last new connection
+	longListKillDelay       = 200 * time.Millisecond  // within which a process has ended after SIGKILL: the next one starts later
+	schedulingPeriod        = 20 * time.Millisecond   // of which a process runs for its share
+	raceCostFactor          = 8                       // the race detector multiplies the processor time by about this
 )
 
-// starved is a process that gets a share of a core until it ends.
-type starved struct {
-	*running
-	stalled atomic.Int64 // it stands still until then, as Unix nanoseconds
+// throttledProcess is a process that gets only a share of a core.
+type throttledProcess struct {
+	*balancerProcess
+	stalledUntil atomic.Int64 // the process stays stopped until then, as Unix nanoseconds
 }
 
-func starve(p *running, share float64) *starved {
-	s := &starved{running: p}
-	if len(buildFlags) > 0 { // it is built with the race detector
-		share = min(1, raceCost*share)
+// throttle limits a process to a share of a core until it ends, by stopping and resuming it in each scheduling period.
+func throttle(p *balancerProcess, coreShare float64) *throttledProcess {
+	s := &throttledProcess{balancerProcess: p}
+	if len(buildFlags) > 0 { // the program is built with the race detector
+		coreShare = min(1, raceCostFactor*coreShare)
 	}
-	slice := time.Duration(share * float64(schedulingPeriod))
+	runTime := time.Duration(coreShare * float64(schedulingPeriod))
 	go func() {
 		for {
-			if time.Now().UnixNano() >= s.stalled.Load() && p.Process.Signal(syscall.SIGCONT) != nil {
+			if time.Now().UnixNano() >= s.stalledUntil.Load() && p.Process.Signal(syscall.SIGCONT) != nil {
 				return
 			}
-			time.Sleep(slice)
-			if slice < schedulingPeriod {
+			time.Sleep(runTime)
+			if runTime < schedulingPeriod {
 				p.Process.Signal(syscall.SIGSTOP)
-				time.Sleep(schedulingPeriod - slice)
+				time.Sleep(schedulingPeriod - runTime)
 			}
 		}
 	}()
 	return s
 }
 
-// stall has the process stand still for a while.
-func (s *starved) stall(span time.Duration) {
-	s.stalled.Store(time.Now().Add(span).UnixNano())
+// stall stops the process for a while.
+func (s *throttledProcess) stall(duration time.Duration) {
+	s.stalledUntil.Store(time.Now().Add(duration).UnixNano())
 	s.Process.Signal(syscall.SIGSTOP)
 }
 
-// longList is discovery with thousands of hosts, behind whose names a few processes stand.
-type longList struct {
-	*list
-	hosts []*cacheHost
-	next  int          // number of the host that is listed next
-	first int          // of the oldest host that is listed
-	away  atomic.Bool  // it answers nothing
-	hangs atomic.Int32 // so does the process behind a sixth of the hosts; 0: none
-	addrs [2]string    // it is at both
+// longListDiscovery is a discovery server with thousands of hosts, whose addresses are those of six stand-ins.
+type longListDiscovery struct {
+	*discoveryServer
+	hosts       []*cacheHost
+	nextHost    int          // number of the next host to be listed
+	oldestHost  int          // number of the oldest listed host
+	unavailable atomic.Bool  // discovery does not answer
+	hangingHost atomic.Int32 // number, from 1, of the stand-in (a sixth of the hosts) that does not answer; any other value: none
+	addrs       [2]string    // discovery serves at both
 }
 
-// ServeHTTP is silent while discovery is away.
-func (l *longList) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	for l.away.Load() {
+// ServeHTTP delays its answer while discovery is unavailable.
+func (l *longListDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	for l.unavailable.Load() {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	l.list.ServeHTTP(w, r)
+	l.discoveryServer.ServeHTTP(w, r)
 }
 
-func newLongList(t *testing.T, size int) *longList {
-	l := &longList{list: newList(t)}
+func newLongListDiscovery(t *testing.T, size int) *longListDiscovery {
+	l := &longListDiscovery{discoveryServer: newDiscoveryServer(t)}
 	for i := range 6 {
-		h := newHost(t, "h", func(g got) string {
-			if int(l.hangs.Load()) == i+1 {
+		h := newHost(t, "h", func(cmd command) string {
+			if int(l.hangingHost.Load()) == i+1 {
 				return ""
 			}
-			return hit(g)
+			return answerHit(cmd)
 		})
 		l.hosts = append(l.hosts, h)
-		go func() { // nobody looks at what came
-			for range h.came {
+		go func() { // no test reads the received commands
+			for range h.received {
 			}
 		}()
 	}
 	go func() {
-		for range l.told {
+		for range l.watchedFrom {
 		}
 	}()
-	l.change(size, 0, "")
+	l.changeHosts(size, 0, "")
 	for i := range l.addrs {
 		server := httptest.NewServer(l)
 		t.Cleanup(server.Close)
-		l.addrs[i] = addr(server)
+		l.addrs[i] = serverAddr(server)
 	}
 	return l
 }
 
-// change lists some new hosts, and gives as many of the oldest ones another lifecycle. All of it is one version.
-func (l *longList) change(added, removed int, lifecycle string) {
+// changeHosts lists new hosts and gives some of the oldest ones another lifecycle, all within one generation.
+func (l *longListDiscovery) changeHosts(added, removed int, lifecycle string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.generation++
 	for range added {
-		id := fmt.Sprint("h", l.next)
-		l.entries[id] = map[string]any{"instanceId": id, "hostPort": l.hosts[l.next%len(l.hosts)].addr, "zone": "here", "machineType": "cache",
+		id := fmt.Sprint("h", l.nextHost)
+		l.entries[id] = map[string]any{"instanceId": id, "hostPort": l.hosts[l.nextHost%len(l.hosts)].addr, "zone": "here", "machineType": "cache",
 			"cell": 0, "lifecycle": "active", "weight": 1.0, "startedAtMs": 0}
-		l.changed[id] = l.generation
-		l.next++
+		l.changedIn[id] = l.generation
+		l.nextHost++
 	}
 	for range removed {
-		id := fmt.Sprint("h", l.first)
-		l.entries[id]["lifecycle"], l.changed[id] = lifecycle, l.generation
-		l.first++
+		id := fmt.Sprint("h", l.oldestHost)
+		l.entries[id]["lifecycle"], l.changedIn[id] = lifecycle, l.generation
+		l.oldestHost++
 	}
-	close(l.news)
-	l.news = make(chan struct{})
+	close(l.nextChange)
+	l.nextChange = make(chan struct{})
 }
 
-// replaceUntil replaces hosts every second until the end.
-func (l *longList) replaceUntil(end time.Time, each int) {
+// replaceUntil replaces the given number of hosts every second until the end.
+func (l *longListDiscovery) replaceUntil(end time.Time, count int) {
 	for time.Now().Before(end) {
-		l.change(each, each, "left")
+		l.changeHosts(count, count, "left")
 		time.Sleep(time.Second)
 	}
 }
 
-// load is what clients saw.
-type load struct {
-	mu                                sync.Mutex
-	sent, fulfilled, refused, failed  int
-	late, lost, unanswered, interrupt int // interrupt: the process was killed under the request
-	worst                             time.Duration
-	examples                          []string
+// clientResults counts the outcomes of the clients' requests.
+type clientResults struct {
+	mu                                        sync.Mutex
+	sent, fulfilled, rateLimited, errored     int
+	late, lost, closedUnanswered, interrupted int // interrupted: the process was killed during the request
+	slowest                                   time.Duration
+	examples                                  []string
 }
 
-func (l *load) String() string {
-	return fmt.Sprintf("%d sent, %d fulfilled, %d refused, %d failed, %d interrupted by a kill; %d late, %d lost, %d closed unanswered; the slowest took %v",
-		l.sent, l.fulfilled, l.refused, l.failed, l.interrupt, l.late, l.lost, l.unanswered, l.worst)
+func (l *clientResults) String() string {
+	return fmt.Sprintf("%d sent, %d fulfilled, %d rate-limited, %d errored, %d interrupted by a kill; %d late, %d lost, %d closed unanswered; the slowest took %v",
+		l.sent, l.fulfilled, l.rateLimited, l.errored, l.interrupted, l.late, l.lost, l.closedUnanswered, l.slowest)
 }
 
-// longListRun is one balancer with clients that send on all the time.
+// longListRun is one balancer with clients that send requests all the time.
 type longListRun struct {
-	load
+	clientResults
 	*testing.T
-	list    *longList
-	process *starved
-	listen  string
-	config  map[string]any
-	dir     string // the processes' folder
-	share   float64
-	every   time.Duration // between two requests of a client
-	end     time.Time
-
-	turnedOff atomic.Bool // the front sends no new connections
-	mu        sync.Mutex
-	kill      time.Time // the last one
+	discovery       *longListDiscovery
+	process         *throttledProcess
+	listenAddr      string
+	config          map[string]any
+	tempDir         string // the TMPDIR of the processes
+	coreShare       float64
+	requestInterval time.Duration // between two requests of a client
+	endsAt          time.Time
+
+	noNewConnections atomic.Bool // the load balancer in front opens no new connections
+	mu               sync.Mutex
+	lastKill         time.Time
 }
 
-func newLongListRun(t *testing.T, hosts int, share float64, every, duration time.Duration) *longListRun {
-	l := newLongList(t, hosts)
-	cfg := config(l.list, freeAddr(t), through)
+func newLongListRun(t *testing.T, hosts int, coreShare float64, requestInterval, duration time.Duration) *longListRun {
+	l := newLongListDiscovery(t, hosts)
+	cfg := deploymentConfig(l.discoveryServer, freeAddr(t), readWriteThrough)
 	cfg["discovery"] = l.addrs[0]
-	r := &longListRun{T: t, list: l, listen: cfg["listen"].(string), config: cfg, dir: shortDir(t), share: share, every: every}
-	r.start()
-	r.end = time.Now().Add(duration)
+	r := &longListRun{T: t, discovery: l, listenAddr: cfg["listen"].(string), config: cfg, tempDir: shortDir(t), coreShare: coreShare, requestInterval: requestInterval}
+	r.startReady()
+	r.endsAt = time.Now().Add(duration)
 	return r
 }
 
-// start starts a process, beside another one or alone, and waits until it takes clients.
-func (r *longListRun) start() {
-	p, _ := ready(r.T, r.config, r.dir)
-	r.process = starve(p, r.share)
+// startReady starts a process and waits until it is ready for clients. It may take over from a running one.
+func (r *longListRun) startReady() {
+	p, _ := launchReady(r.T, r.config, r.tempDir)
+	r.process = throttle(p, r.coreShare)
 }
 
-// startStarved starts a process that has its share of a core from the first moment on.
-func (r *longListRun) startStarved() {
-	r.config["known"] = r.list.whole()
-	r.process = starve(launch(r.T, r.config, "GW_ADMIN_ADDR="+freeAddr(r.T), "TMPDIR="+r.dir), r.share)
+// startThrottled starts a process that is limited to its share of a core from its start on, and does not wait for it.
+func (r *longListRun) startThrottled() {
+	r.config["known"] = r.discovery.cachedList()
+	r.process = throttle(launch(r.T, r.config, "GW_ADMIN_ADDR="+freeAddr(r.T), "TMPDIR="+r.tempDir), r.coreShare)
 }
 
-// restart kills the process, and starts another a while later.
-func (r *longListRun) restart() {
+// killAndRestart kills the process and starts another one a second later.
+func (r *longListRun) killAndRestart() {
 	r.mu.Lock()
 	r.process.Process.Kill()
-	r.kill = time.Now()
+	r.lastKill = time.Now()
 	r.mu.Unlock()
 	time.Sleep(time.Second)
-	r.startStarved()
+	r.startThrottled()
 }
 
-// release ends the process in order, kills it as soon as the terms allow, and starts another.
-func (r *longListRun) release() {
+// restartGracefully sends SIGTERM, kills the process at the end of the termination period, and starts another one.
+func (r *longListRun) restartGracefully() {
 	old := r.process
 	old.Process.Signal(syscall.SIGTERM)
-	time.Sleep(longListFront)
-	r.turnedOff.Store(true)
-	time.Sleep(longListTerm - longListFront)
+	time.Sleep(longListFrontDelay)
+	r.noNewConnections.Store(true)
+	time.Sleep(longListTermPeriod - longListFrontDelay)
 	old.Process.Kill()
-	r.startStarved()
-	r.turnedOff.Store(false)
+	r.startThrottled()
+	r.noNewConnections.Store(false)
 }
 
-// upgrade has a newer process take over, which the older one hears of before it is told to end.
+// upgrade starts a newer process, which takes over the listener, before the older one gets SIGTERM and later SIGKILL.
 func (r *longListRun) upgrade() {
 	old := r.process
-	r.config["known"] = r.list.whole()
-	r.start()
+	r.config["known"] = r.discovery.cachedList()
+	r.startReady()
 	old.Process.Signal(syscall.SIGTERM)
-	time.Sleep(longListTerm)
+	time.Sleep(longListTermPeriod)
 	old.Process.Kill()
 }
 
-// reload moves discovery to its other address, with a whole list each time.
+// reload changes the configuration to discovery's other address, from which the balancer fetches the whole list again.
 func (r *longListRun) reload() {
-	r.list.addrs[0], r.list.addrs[1] = r.list.addrs[1], r.list.addrs[0]
-	r.config["discovery"] = r.list.addrs[0]
-	write(r.T, r.process.config, r.config)
+	r.discovery.addrs[0], r.discovery.addrs[1] = r.discovery.addrs[1], r.discovery.addrs[0]
+	r.config["discovery"] = r.discovery.addrs[0]
+	writeConfig(r.T, r.process.configPath, r.config)
 	r.process.Process.Signal(syscall.SIGHUP)
 }
 
-// outage has discovery say nothing for a while, in which a large part of the list changes.
-func (r *longListRun) outage(span time.Duration, changes int) {
-	r.list.away.Store(true)
-	time.Sleep(span)
-	r.list.change(changes, changes, "leaving")
-	r.list.away.Store(false)
+// outage makes discovery unavailable for a while and then changes many hosts of the list at once.
+func (r *longListRun) outage(duration time.Duration, changes int) {
+	r.discovery.unavailable.Store(true)
+	time.Sleep(duration)
+	r.discovery.changeHosts(changes, changes, "leaving")
+	r.discovery.unavailable.Store(false)
 }
 
-// play runs the clients until the end, while something happens.
-func (r *longListRun) play(happens func()) {
+// runClients runs the clients until the end while disturb runs, and then checks that no request was lost or closed unanswered.
+func (r *longListRun) runClients(disturb func()) {
 	var clients sync.WaitGroup
 	for n := range longListClients {
-		clients.Go(func() { r.client(n) })
+		clients.Go(func() { r.runClient(n) })
 	}
-	happens()
+	disturb()
 	clients.Wait()
-	r.Log(r.load.String())
-	if r.lost+r.unanswered > 0 || r.fulfilled == 0 {
-		r.Errorf("%s\n%q", r.load.String(), r.examples)
+	r.Log(r.clientResults.String())
+	if r.lost+r.closedUnanswered > 0 || r.fulfilled == 0 {
+		r.Errorf("%s\n%q", r.clientResults.String(), r.examples)
 	}
 }
 
-// killed tells whether a connection was to the process that got the last SIGKILL, which takes a moment to end.
-func (r *longListRun) killed(opened time.Time) bool {
+// wasKilled reports whether a connection opened at that time was one to the killed process, which takes a moment to end.
+func (r *longListRun) wasKilled(opened time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.kill.IsZero() && opened.Before(r.kill.Add(longListKill))
+	return !r.lastKill.IsZero() && opened.Before(r.lastKill.Add(longListKillDelay))
 }
 
-// longListClient sends requests, one at a time, over one connection while that stays open.
+// longListClient sends requests one at a time and keeps its connection for as long as it stays open.
 type longListClient struct {
-	run    *longListRun
-	conn   net.Conn // nil: none is open
-	in     *bufio.Reader
-	opened time.Time
+	run      *longListRun
+	conn     net.Conn // nil if none is open
+	in       *bufio.Reader
+	openedAt time.Time
 }
 
-// client sends requests until the end.
-func (r *longListRun) client(n int) {
+// runClient sends the requests of client n until the end.
+func (r *longListRun) runClient(n int) {
 	c := &longListClient{run: r}
 	defer c.close()
-	for i := 0; time.Now().Before(r.end); i++ {
+	for i := 0; time.Now().Before(r.endsAt); i++ {
 		began := time.Now()
-		c.request(fmt.Sprintf("c%dr%d", n, i), fmt.Sprint("key", (n*7919+i*104729)%5000), began.Add(longListTimeout))
-		time.Sleep(time.Until(began.Add(r.every)))
+		c.sendRequest(fmt.Sprintf("c%dr%d", n, i), fmt.Sprint("key", (n*7919+i*104729)%5000), began.Add(longListRequestTimeout))
+		time.Sleep(time.Until(began.Add(r.requestInterval)))
 	}
 }
 
-// request sends one, again where it was not taken, until it has its answer or its time is over.
-func (c *longListClient) request(id, key string, until time.Time) {
-	const leastLeft = 10 * time.Millisecond
-	for left := time.Until(until); left >= leastLeft; left = time.Until(until) {
-		if !c.connect() { // the client knows at once that nobody listens
+// sendRequest sends one request, and again if the balancer did not accept it, until the answer arrives or the deadline is too near.
+func (c *longListClient) sendRequest(id, key string, deadline time.Time) {
+	const minTimeLeft = 10 * time.Millisecond
+	for timeLeft := time.Until(deadline); timeLeft >= minTimeLeft; timeLeft = time.Until(deadline) {
+		if !c.ensureConnected() { // a refused connection is reported at once
 			time.Sleep(5 * time.Millisecond)
 			continue
 		}
-		left = time.Until(until)
+		timeLeft = time.Until(deadline)
 		sent := time.Now()
-		c.conn.SetDeadline(until.Add(lostAfter))
-		if _, err := io.WriteString(c.conn, get(key, id, int(left.Milliseconds()))); err != nil {
-			c.close() // it had ended before: the request was never taken
+		c.conn.SetDeadline(deadline.Add(lostTolerance))
+		if _, err := io.WriteString(c.conn, getRequest(key, id, int(timeLeft.Milliseconds()))); err != nil {
+			c.close() // the connection had ended before: the balancer never read the request
 			continue
 		}
-		line, err := c.answer()
-		over := c.run.saw(id, line, time.Since(sent), left, err, c.run.killed(c.opened))
+		line, err := c.readAnswer()
+		done := c.run.recordAnswer(id, line, time.Since(sent), timeLeft, err, c.run.wasKilled(c.openedAt))
 		if err != nil {
 			c.close()
 		}
-		if over {
+		if done {
 			return
 		}
 	}
 }
 
-// answer reads the first line of an answer, and passes over a value.
-func (c *longListClient) answer() (line string, err error) {
+// readAnswer reads an answer and returns its first line without the value.
+func (c *longListClient) readAnswer() (line string, err error) {
 	line, err = c.in.ReadString('\n')
 	if err == nil && line[:2] == "VA" {
 		_, err = c.in.ReadString('\n')
@@ -322,22 +323,22 @@
 	return line, err
 }
 
-// connect sees to it that a connection is open; false where none is to be had just now.
-func (c *longListClient) connect() bool {
-	if c.conn != nil && c.hasEnded() {
+// ensureConnected opens a connection if none is open. It returns false if that is not possible now.
+func (c *longListClient) ensureConnected() bool {
+	if c.conn != nil && c.closedByPeer() {
 		c.close()
 	}
 	if c.conn != nil {
 		return true
 	}
-	if c.run.turnedOff.Load() {
+	if c.run.noNewConnections.Load() {
 		return false
 	}
-	conn, err := net.DialTimeout("tcp", c.run.listen, longListTimeout)
+	conn, err := net.DialTimeout("tcp", c.run.listenAddr, longListRequestTimeout)
 	if err != nil {
 		return false
 	}
-	c.conn, c.in, c.opened = conn, bufio.NewReader(conn), time.Now()
+	c.conn, c.in, c.openedAt = conn, bufio.NewReader(conn), time.Now()
 	return true
 }
 
@@ -348,55 +349,55 @@
 	}
 }
 
-// hasEnded tells whether the other side has closed a connection at rest, as a client sees before it uses it again.
-func (c *longListClient) hasEnded() bool {
+// closedByPeer reports whether the balancer has closed the idle connection, as a client checks before it reuses one.
+func (c *longListClient) closedByPeer() bool {
 	c.conn.SetReadDeadline(time.Now().Add(100 * time.Microsecond))
 	_, err := c.in.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// saw notes what came of a request; false where the client sends it once more.
-func (r *longListRun) saw(id, line string, took, left time.Duration, err error, killed bool) (over bool) {
-	r.load.mu.Lock()
-	defer r.load.mu.Unlock()
+// recordAnswer counts the outcome of a request. It returns false if the client is to send the request again.
+func (r *longListRun) recordAnswer(id, line string, took, timeLeft time.Duration, err error, killed bool) (done bool) {
+	r.clientResults.mu.Lock()
+	defer r.clientResults.mu.Unlock()
 	r.sent++
-	r.worst = max(r.worst, took)
-	example := func(what string) {
+	r.slowest = max(r.slowest, took)
+	example := func(outcome string) {
 		if len(r.examples) < 10 {
-			r.examples = append(r.examples, fmt.Sprintf("%s %s after %v of %v: %v", id, what, took, left, err))
+			r.examples = append(r.examples, fmt.Sprintf("%s %s after %v of %v: %v", id, outcome, took, timeLeft, err))
 		}
 	}
 	switch {
 	case err != nil && killed:
-		r.interrupt++
+		r.interrupted++
 		return false
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		r.lost++
 		example("lost")
 		return true
-	case err == io.EOF: // the close of a connection at rest may cross a request that was not read
+	case err == io.EOF: // the balancer may close an idle connection while the request is on its way and never read it
 		r.sent--
 		return false
 	case err != nil:
-		r.unanswered++
+		r.closedUnanswered++
 		example("closed unanswered")
 		return true
 	case line[:2] == "VA":
 		r.fulfilled++
 	case len(line) > 17 && line[:17] == "SERVER_ERROR busy":
-		r.refused++
+		r.rateLimited++
 	default:
-		r.failed++
+		r.errored++
 	}
-	if took > left+lateAfter {
+	if took > timeLeft+lateTolerance {
 		r.late++
 		example("late")
 	}
 	return true
 }
 
-// whole is the list as a balancer keeps it over a restart.
-func (l *longList) whole() map[string]any {
+// cachedList returns the host list in the form that a configuration gives to a starting balancer.
+func (l *longListDiscovery) cachedList() map[string]any {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var entries []map[string]any
@@ -405,5 +406,5 @@
 			entries = append(entries, maps.Clone(e))
 		}
 	}
-	return whole(l.generation, entries...)
+	return wholeList(l.generation, entries...)
 }
--- a/cmd/streamrail/main_test.go
+++ b/cmd/streamrail/main_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("never came: " + what)
 	}
 	return v
@@ -34,20 +34,20 @@
 
 // A command goes on as the client wrote it, but for the time that is left.
 func TestHit(t *testing.T) {
-	h := newHost(t, "h", hit)
-	p, _ := start(t, nil, nil, h)
+	h := newHost(t, "h", answerHit)
+	p, _ := startWithHosts(t, nil, nil, h)
 	c := p.dial(t)
 	expect(t, c.ask("mg key-1 v Oabc Pc=read,t=x,d=900,size=3\r\n"), "VA 14 Oabc|value of key-1")
-	g := await(t, h.came, "the attempt")
+	cmd := await(t, h.received, "the attempt")
 	var left int
-	if n, _ := fmt.Sscanf(g.line, "mg key-1 v Oabc Pc=read,t=x,d=%d,size=3", &left); n != 1 || left > 900 || left < 700 {
-		t.Errorf("the host got %q", g.line)
+	if n, _ := fmt.Sscanf(cmd.line, "mg key-1 v Oabc Pc=read,t=x,d=%d,size=3", &left); n != 1 || left > 900 || left < 700 {
+		t.Errorf("the host got %q", cmd.line)
 	}
 }
 
 // A miss is answered by the origin, and a write goes there, with the headers that it needs.
 func TestOrigin(t *testing.T) {
-	h := newHost(t, "h", miss)
+	h := newHost(t, "h", answerMiss)
 	bodies := make(chan string, 10)
 	o := newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -58,32 +58,32 @@
 			io.WriteString(w, strings.Repeat("x", 400000))
 		}
 	})
-	p, _ := start(t, nil, o, h)
+	p, _ := startWithHosts(t, nil, o, h)
 	c := p.dial(t)
-	expect(t, c.ask(get("a/b%c", "r1", 900)), "VA 4 Or1|made")
-	r := await(t, o.came, "the read")
-	expect(t, r.Method+" "+r.URL.Path+" "+r.Header.Get("X-Request-ID")+" "+attrsBut(t, r, 900), "GET /a/b%c r1 c=read,d=")
+	expect(t, c.ask(getRequest("a/b%c", "r1", 900)), "VA 4 Or1|made")
+	r := await(t, o.requests, "the read")
+	expect(t, r.Method+" "+r.URL.Path+" "+r.Header.Get("X-Request-ID")+" "+attrsWithoutTimeLeft(t, r, 900), "GET /a/b%c r1 c=read,d=")
 	await(t, bodies, "the read's body")
-	expect(t, c.ask(get("chunked", "r2", 900)), "VA 400004 Or2|made"+strings.Repeat("x", 400000))
-	await(t, o.came, "the read of many chunks")
+	expect(t, c.ask(getRequest("chunked", "r2", 900)), "VA 400004 Or2|made"+strings.Repeat("x", 400000))
+	await(t, o.requests, "the read of many chunks")
 	await(t, bodies, "its body")
-	expect(t, c.ask(put("pay", "k", "w1", 900)), "HD Ow1 cmade")
-	r = await(t, o.came, "the write")
-	expect(t, r.Method+" "+r.URL.Path+" "+attrsBut(t, r, 900)+" "+await(t, bodies, "the value"), "PUT /k c=pay,d=,k=77 hello")
+	expect(t, c.ask(putRequest("pay", "k", "w1", 900)), "HD Ow1 cmade")
+	r = await(t, o.requests, "the write")
+	expect(t, r.Method+" "+r.URL.Path+" "+attrsWithoutTimeLeft(t, r, 900)+" "+await(t, bodies, "the value"), "PUT /k c=pay,d=,k=77 hello")
 }
 
-// attrsBut is the list of names and values that the origin got, but for the digits of the time that is left. That is under the
+// attrsWithoutTimeLeft is the list of names and values that the origin got, but for the digits of the time that is left. That is under the
 // client's own, as some of it has passed, and over zero.
-func attrsBut(t *testing.T, r *http.Request, wait int) string {
+func attrsWithoutTimeLeft(t *testing.T, r *http.Request, timeoutMs int) string {
 	t.Helper()
 	before, rest, found := strings.Cut(r.Header.Get("X-Attrs"), "d=")
 	end := strings.IndexFunc(rest, func(ch rune) bool { return ch < '0' || ch > '9' })
 	if end < 0 {
 		end = len(rest)
 	}
-	told, err := strconv.Atoi(rest[:end])
-	if !found || err != nil || told <= 0 || told >= wait {
-		t.Errorf("attributes %q of a request that had %d ms", r.Header.Get("X-Attrs"), wait)
+	timeLeft, err := strconv.Atoi(rest[:end])
+	if !found || err != nil || timeLeft <= 0 || timeLeft >= timeoutMs {
+		t.Errorf("attributes %q of a request that had %d ms", r.Header.Get("X-Attrs"), timeoutMs)
 	}
 	return before + "d=" + rest[end:]
 }
@@ -91,34 +91,34 @@
 // What an outcome proves: a non-idempotent write is rate-limited, or sent again, only if it never ran; a wrong
 // row here credits a phone line twice.
 func TestOutcomesOfHosts(t *testing.T) {
-	const never, may = "SERVER_ERROR busy", "SERVER_ERROR failed"
+	const neverRan, mayHaveRan = "SERVER_ERROR busy", "SERVER_ERROR failed"
 	for name, row := range map[string]struct {
-		answer func(got) string
+		answer func(command) string
 		want   string
 	}{
-		"receipt":            {hit, "HD Ow cdone-w"},
-		"error":              {say("SERVER_ERROR failed\r\n"), may},
-		"busy, and noise":    {say("SERVER_ERROR busy as can be\r\n"), may},
-		"busy, and a report": {say("SERVER_ERROR busy L=,=\r\n"), never},
-		"a miss with noise":  {func(g got) string { return "EN O" + g.id + " x7\r\n" }, may},
-		"two misses":         {func(g got) string { return "EN O" + g.id + " O" + g.id + "\r\n" }, may},
-		"turned away":        {say("SERVER_ERROR busy\r\n"), never},
-		"miss":               {miss, never},
-		"refused by command": {say("CLIENT_ERROR what\r\n"), may},
-		"closed":             {say("close"), may},
-		"silent":             {say(""), may},
-		"garbage":            {say("\x00\x01\r\n"), may},
-		"long line":          {say(strings.Repeat("x", 10000) + "\r\n"), may},
-		"another's id":       {say("HD Oother cdone\r\n"), may},
-		"no receipt":         {say("HD Ow\r\n"), may},
-		"a value to a write": {say("VA 1 Ow\r\nx\r\n"), may},
+		"receipt":            {answerHit, "HD Ow cdone-w"},
+		"error":              {answerWith("SERVER_ERROR failed\r\n"), mayHaveRan},
+		"busy, and noise":    {answerWith("SERVER_ERROR busy as can be\r\n"), mayHaveRan},
+		"busy, and a report": {answerWith("SERVER_ERROR busy L=,=\r\n"), neverRan},
+		"a miss with noise":  {func(cmd command) string { return "EN O" + cmd.id + " x7\r\n" }, mayHaveRan},
+		"two misses":         {func(cmd command) string { return "EN O" + cmd.id + " O" + cmd.id + "\r\n" }, mayHaveRan},
+		"turned away":        {answerWith("SERVER_ERROR busy\r\n"), neverRan},
+		"miss":               {answerMiss, neverRan},
+		"refused by command": {answerWith("CLIENT_ERROR what\r\n"), mayHaveRan},
+		"closed":             {answerWith("close"), mayHaveRan},
+		"silent":             {answerWith(""), mayHaveRan},
+		"garbage":            {answerWith("\x00\x01\r\n"), mayHaveRan},
+		"long line":          {answerWith(strings.Repeat("x", 10000) + "\r\n"), mayHaveRan},
+		"another's id":       {answerWith("HD Oother cdone\r\n"), mayHaveRan},
+		"no receipt":         {answerWith("HD Ow\r\n"), mayHaveRan},
+		"a value to a write": {answerWith("VA 1 Ow\r\nx\r\n"), mayHaveRan},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := newHost(t, "h", row.answer)
-			p, _ := start(t, through, nil, h)
-			got := p.dial(t).ask(put("pay", "k", "w", 400))
-			if row.want == never {
+			p, _ := startWithHosts(t, readWriteThrough, nil, h)
+			got := p.dial(t).ask(putRequest("pay", "k", "w", 400))
+			if row.want == neverRan {
 				got = strings.Join(strings.Fields(got)[:2], " ")
 			}
 			expect(t, got, row.want)
@@ -129,8 +129,8 @@
 	}
 	t.Run("connection refused", func(t *testing.T) {
 		t.Parallel()
-		p, _ := start(t, through, nil, &cacheHost{id: "h", addr: freeAddr(t)})
-		if got := p.dial(t).ask(put("pay", "k", "w", 400)); !strings.HasPrefix(got, never) {
+		p, _ := startWithHosts(t, readWriteThrough, nil, &cacheHost{id: "h", addr: freeAddr(t)})
+		if got := p.dial(t).ask(putRequest("pay", "k", "w", 400)); !strings.HasPrefix(got, neverRan) {
 			t.Errorf("got %q", got)
 		}
 	})
@@ -154,8 +154,8 @@
 		}
 	}
 	for name, row := range map[string]struct {
-		answer http.HandlerFunc
-		never  bool
+		answer   http.HandlerFunc
+		neverRan bool
 	}{
 		"500":              {status(500, ""), false},
 		"503":              {status(503, ""), false},
@@ -172,12 +172,12 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := newOrigin(t, row.answer)
-			p, _ := start(t, nil, o, newHost(t, "h", miss))
-			got := p.dial(t).ask(put("pay", "k", "w", 900))
-			if row.never != strings.HasPrefix(got, "SERVER_ERROR busy") || !row.never && got != "SERVER_ERROR failed" {
+			p, _ := startWithHosts(t, nil, o, newHost(t, "h", answerMiss))
+			got := p.dial(t).ask(putRequest("pay", "k", "w", 900))
+			if row.neverRan != strings.HasPrefix(got, "SERVER_ERROR busy") || !row.neverRan && got != "SERVER_ERROR failed" {
 				t.Errorf("got %q", got)
 			}
-			if n := len(o.came); !row.never && n != 1 {
+			if n := len(o.requests); !row.neverRan && n != 1 {
 				t.Errorf("the origin got it %d times", n)
 			}
 		})
@@ -188,38 +188,38 @@
 // another's host.
 func TestPipelineAndSplits(t *testing.T) {
 	second := make(chan struct{})
-	h := newHost(t, "h", func(g got) string {
-		if g.words[1] == "first" {
+	h := newHost(t, "h", func(cmd command) string {
+		if cmd.fields[1] == "first" {
 			<-second
-		} else if g.words[1] == "second" {
+		} else if cmd.fields[1] == "second" {
 			close(second)
 		}
-		return hit(g)
+		return answerHit(cmd)
 	})
-	p, _ := start(t, through, nil, h)
+	p, _ := startWithHosts(t, readWriteThrough, nil, h)
 	c := p.dial(t)
-	c.send(get("first", "a", 2000) + get("second", "b", 2000) + "mn\r\nbogus\r\n" + put("pay", "k", "w", 2000))
+	c.send(getRequest("first", "a", 2000) + getRequest("second", "b", 2000) + "mn\r\nbogus\r\n" + putRequest("pay", "k", "w", 2000))
 	for _, want := range []string{"VA 14 Oa|value of first", "VA 15 Ob|value of second", "MN", "ERROR", "HD Ow cdone-w"} {
 		expect(t, c.next(), want)
 	}
-	for _, b := range []byte(put("pay", "k", "s", 2000)) {
+	for _, b := range []byte(putRequest("pay", "k", "s", 2000)) {
 		c.send(string(b))
 	}
 	expect(t, c.next(), "HD Os cdone-s")
 	big := strings.Repeat("v", 1<<20)
 	expect(t, c.ask(fmt.Sprintf("ms k %d Ox Pc=pay,d=2000\r\n%s\r\n", len(big), big)), "HD Ox cdone-x")
-	if h.seen[len(h.seen)-1].value != big {
+	if h.commands[len(h.commands)-1].value != big {
 		t.Error("the value changed on its way")
 	}
 }
 
 // Bad input gets a short reason; where the next command can be made out the connection goes on.
 func TestMalformed(t *testing.T) {
-	h := newHost(t, "h", hit)
-	p, _ := start(t, nil, nil, h)
+	h := newHost(t, "h", answerHit)
+	p, _ := startWithHosts(t, nil, nil, h)
 	for _, row := range []struct {
-		in, want string
-		goesOn   bool
+		in, want  string
+		staysOpen bool
 	}{
 		{"bogus\r\n", "ERROR", true},
 		{"\r\n", "ERROR", true},
@@ -250,7 +250,7 @@
 	} {
 		c := p.dial(t)
 		expect(t, c.ask(row.in), row.want)
-		if row.goesOn {
+		if row.staysOpen {
 			expect(t, c.ask("mn\r\n"), "MN")
 		} else {
 			expect(t, c.next(), "EOF")
@@ -265,22 +265,22 @@
 // first. Once the first is answered the id is free.
 func TestIDInHand(t *testing.T) {
 	release := make(chan struct{})
-	h := newHost(t, "h", func(g got) string {
-		if g.words[1] == "held" {
+	h := newHost(t, "h", func(cmd command) string {
+		if cmd.fields[1] == "held" {
 			<-release
 		}
-		return hit(g)
+		return answerHit(cmd)
 	})
-	p, _ := start(t, through, nil, h)
+	p, _ := startWithHosts(t, readWriteThrough, nil, h)
 	c, other := p.dial(t), p.dial(t)
-	c.send(put("pay", "held", "a", 3000))
-	await(t, h.came, "the attempt")
-	expect(t, other.ask(get("k", "a", 900)), "CLIENT_ERROR id is in hand")
-	expect(t, other.ask(get("k", "b", 900)), "VA 10 Ob|value of k")
+	c.send(putRequest("pay", "held", "a", 3000))
+	await(t, h.received, "the attempt")
+	expect(t, other.ask(getRequest("k", "a", 900)), "CLIENT_ERROR id is in hand")
+	expect(t, other.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 	close(release)
 	expect(t, c.next(), "HD Oa cdone-a")
-	for began := time.Now(); other.ask(get("k", "a", 900)) != "VA 10 Oa|value of k"; {
-		if time.Since(began) > patience/2 {
+	for began := time.Now(); other.ask(getRequest("k", "a", 900)) != "VA 10 Oa|value of k"; {
+		if time.Since(began) > waitTimeout/2 {
 			t.Fatal("the id is never free again")
 		}
 	}
@@ -291,45 +291,45 @@
 
 // A client that goes away takes its attempts with it: the host's work would serve nobody.
 func TestClientGone(t *testing.T) {
-	h := newHost(t, "h", say(""))
-	p, _ := start(t, nil, nil, h)
+	h := newHost(t, "h", answerWith(""))
+	p, _ := startWithHosts(t, nil, nil, h)
 	c := p.dial(t)
-	c.send(get("k", "a", 60000))
-	await(t, h.came, "the attempt")
+	c.send(getRequest("k", "a", 60000))
+	await(t, h.received, "the attempt")
 	c.Close()
-	await(t, h.ended, "the end of the attempt's connection")
+	await(t, h.closed, "the end of the attempt's connection")
 }
 
 // A host that is silent after accepting: the answer comes before the client timeout, and the host's late one
 // reaches nobody.
 func TestSilentHost(t *testing.T) {
-	late := make(chan got, 1)
-	h := newHost(t, "h", func(g got) string {
-		if g.id == "a" {
-			late <- g
+	late := make(chan command, 1)
+	h := newHost(t, "h", func(cmd command) string {
+		if cmd.id == "a" {
+			late <- cmd
 			return ""
 		}
-		return hit(g)
+		return answerHit(cmd)
 	})
-	p, _ := start(t, nil, nil, h)
+	p, _ := startWithHosts(t, nil, nil, h)
 	c := p.dial(t)
 	began := time.Now()
-	if got := c.ask(get("k", "a", 400)); !strings.HasPrefix(got, "SERVER_ERROR busy") || time.Since(began) > 450*time.Millisecond {
+	if got := c.ask(getRequest("k", "a", 400)); !strings.HasPrefix(got, "SERVER_ERROR busy") || time.Since(began) > 450*time.Millisecond {
 		t.Errorf("%q after %v", got, time.Since(began))
 	}
-	await(t, h.ended, "the end of the attempt's connection")
+	await(t, h.closed, "the end of the attempt's connection")
 	io.WriteString((<-late).conn, "VA 4 Oa\r\nlate\r\n")
-	expect(t, c.ask(get("k", "b", 900)), "VA 10 Ob|value of k")
+	expect(t, c.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 }
 
 // TestTimeoutsAreDecided has twenty requests wait for a silent host until their time is over, with a clock that has no ticks: each final
 // answer is the decisions', who know that a read may be tried again, and not the one that stands in for them when they are late.
 func TestTimeoutsAreDecided(t *testing.T) {
-	p, _ := start(t, map[string]any{"tickNs": 0}, nil, newHost(t, "h", say("")))
+	p, _ := startWithHosts(t, map[string]any{"tickNs": 0}, nil, newHost(t, "h", answerWith("")))
 	answers := make(chan string)
 	for i := range 20 {
 		c := p.dial(t)
-		go func() { answers <- c.ask(get("k", fmt.Sprint("a", i), 300)) }()
+		go func() { answers <- c.ask(getRequest("k", fmt.Sprint("a", i), 300)) }()
 	}
 	for range 20 {
 		if got := await(t, answers, "an answer"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
@@ -341,48 +341,48 @@
 // A kept connection that the host has closed is not written to: the write would count as one that may have run.
 func TestKeptConnectionClosed(t *testing.T) {
 	h := newHost(t, "h", nil)
-	h.answer = func(g got) string {
-		io.WriteString(g.conn, hit(g))
+	h.answer = func(cmd command) string {
+		io.WriteString(cmd.conn, answerHit(cmd))
 		return "close"
 	}
-	p, _ := start(t, through, nil, h)
+	p, _ := startWithHosts(t, readWriteThrough, nil, h)
 	c := p.dial(t)
 	for i := range 20 {
 		id := fmt.Sprint("w", i)
-		expect(t, c.ask(put("pay", "k", id, 900)), "HD O"+id+" cdone-"+id)
-		await(t, h.ended, "the end of the connection")
+		expect(t, c.ask(putRequest("pay", "k", id, 900)), "HD O"+id+" cdone-"+id)
+		await(t, h.closed, "the end of the connection")
 	}
 }
 
 // Nothing new goes to a host that drains, and a host that is new gets its share.
 func TestDrainedHost(t *testing.T) {
-	x, y := newHost(t, "x", hit), newHost(t, "y", hit)
-	p, d := start(t, nil, nil, x, y)
-	c, calls := p.dial(t), 0
+	x, y := newHost(t, "x", answerHit), newHost(t, "y", answerHit)
+	p, d := startWithHosts(t, nil, nil, x, y)
+	c, requests := p.dial(t), 0
 	ask := func(from int) {
 		for i := from; i < from+50; i++ {
 			// Each call has an id of its own, as clients give them: one is free again only just after its answer.
-			calls++
-			expect(t, c.ask(get(fmt.Sprint("key", i), fmt.Sprint("a", calls), 900)),
-				fmt.Sprintf("VA %d Oa%d|value of key%d", 12+len(fmt.Sprint(i)), calls, i))
+			requests++
+			expect(t, c.ask(getRequest(fmt.Sprint("key", i), fmt.Sprint("a", requests), 900)),
+				fmt.Sprintf("VA %d Oa%d|value of key%d", 12+len(fmt.Sprint(i)), requests, i))
 		}
 	}
 	ask(100)
 	if x.count() == 0 || y.count() == 0 {
 		t.Fatalf("not spread: %d and %d", x.count(), y.count())
 	}
-	d.set("x", x.addr, "cache", "leaving")
-	d.knows(t)
-	await(t, x.ended, "the end of the kept connection to it")
+	d.setHost("x", x.addr, "cache", "leaving")
+	d.waitForWatch(t)
+	await(t, x.closed, "the end of the kept connection to it")
 	before := x.count()
 	ask(200)
 	if x.count() != before {
 		t.Errorf("%d new to a host that drains", x.count()-before)
 	}
 	for old := x; old.id != "last"; { // the same id at another address, after a drain and without one
-		z := newHost(t, "x", hit)
-		d.set("x", z.addr, "cache", "active")
-		d.knows(t)
+		z := newHost(t, "x", answerHit)
+		d.setHost("x", z.addr, "cache", "active")
+		d.waitForWatch(t)
 		before = old.count()
 		ask(300)
 		if z.count() == 0 || old.count() != before {
@@ -397,59 +397,59 @@
 
 // While discovery is silent or talks nonsense the list that is known stands, also over a restart.
 func TestDiscoveryFails(t *testing.T) {
-	h := newHost(t, "h", hit)
-	d := newList(t)
-	d.set("h", h.addr, "cache", "active")
-	cfg := config(d, freeAddr(t), nil)
+	h := newHost(t, "h", answerHit)
+	d := newDiscoveryServer(t)
+	d.setHost("h", h.addr, "cache", "active")
+	cfg := deploymentConfig(d, freeAddr(t), nil)
 	cfg["known"] = map[string]any{"generation": 1, "reset": true, "instances": []any{d.entries["h"]}}
 	cfg["discovery"] = freeAddr(t)
-	expect(t, serving(t, cfg).dial(t).ask(get("k", "a", 900)), "VA 10 Oa|value of k")
+	expect(t, launchServing(t, cfg).dial(t).ask(getRequest("k", "a", 900)), "VA 10 Oa|value of k")
 
-	p, d := start(t, map[string]any{"discovery": "subscribe"}, nil, h)
+	p, d := startWithHosts(t, map[string]any{"discovery": "subscribe"}, nil, h)
 	c := p.dial(t)
 	d.mu.Lock()
-	d.garbage = true
+	d.answerGarbage = true
 	d.mu.Unlock()
-	d.set("other", freeAddr(t), "cache", "leaving")
-	d.knows(t) // after the nonsense it has asked for the whole list and watches again
-	expect(t, c.ask(get("k", "b", 900)), "VA 10 Ob|value of k")
+	d.setHost("other", freeAddr(t), "cache", "leaving")
+	d.waitForWatch(t) // after the nonsense it has asked for the whole list and watches again
+	expect(t, c.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 }
 
 // SIGTERM with work in hand: clients go on using the connections they have, and open new ones while the front still
 // sends, for a peer may be away at the same time; then they close and what is in hand is answered, in order.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
-	p, _ := start(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
+	p, _ := startWithHosts(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		io.WriteString(w, "made")
-	}), newHost(t, "h", hit))
+	}), newHost(t, "h", answerHit))
 	idle, busy := p.dial(t), p.dial(t)
 	expect(t, idle.ask("mn\r\n"), "MN")
-	busy.send(put("pay", "k", "held", 3000))
+	busy.send(putRequest("pay", "k", "held", 3000))
 	p.Process.Signal(syscall.SIGTERM)
-	p.says(t, `"phase":"leaving"`)
+	p.waitForLog(t, `"phase":"leaving"`)
 	expect(t, idle.ask("mn\r\n"), "SERVER_ERROR draining")
-	expect(t, idle.ask(get("k", "kept", 900)), "VA 10 Okept|value of k")
+	expect(t, idle.ask(getRequest("k", "kept", 900)), "VA 10 Okept|value of k")
 	fresh := p.dial(t)
-	expect(t, fresh.ask(get("k", "new", 900)), "VA 10 Onew|value of k")
-	expect(t, fresh.ask(get("k", "more", 900)), "VA 10 Omore|value of k")
-	p.says(t, `"phase":"draining"`)
+	expect(t, fresh.ask(getRequest("k", "new", 900)), "VA 10 Onew|value of k")
+	expect(t, fresh.ask(getRequest("k", "more", 900)), "VA 10 Omore|value of k")
+	p.waitForLog(t, `"phase":"draining"`)
 	expect(t, idle.next(), "EOF")
 	expect(t, fresh.next(), "EOF")
 	close(release)
 	expect(t, busy.next(), "HD Oheld cmade")
 	expect(t, busy.next(), "EOF")
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
 
 // With nobody connected there is nothing to stay for.
 func TestDrainAlone(t *testing.T) {
-	p, _ := start(t, nil, nil, newHost(t, "h", hit))
+	p, _ := startWithHosts(t, nil, nil, newHost(t, "h", answerHit))
 	began := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
-	if code := p.exit(t); code != 0 || time.Since(began) > 2*time.Second {
+	if code := p.waitForExit(t); code != 0 || time.Since(began) > 2*time.Second {
 		t.Errorf("exit code %d after %v", code, time.Since(began))
 	}
 }
@@ -457,37 +457,37 @@
 // Clients that go on working through a planned restart: a kept connection may end between requests, but one
 // that the front has just opened always answers, or what it carries is lost.
 func TestDrainUnderWork(t *testing.T) {
-	h := newHost(t, "h", hit)
-	p, _ := start(t, nil, nil, h)
-	frontKnows := make(chan struct{})
-	busy := make(chan error, 8)
-	for i := range cap(busy) {
+	h := newHost(t, "h", answerHit)
+	p, _ := startWithHosts(t, nil, nil, h)
+	noNewConnections := make(chan struct{})
+	results := make(chan error, 8)
+	for i := range cap(results) {
 		go func() {
 			var c *client
 			for n := 0; ; n++ {
 				fresh := c == nil
 				if fresh {
 					select {
-					case <-frontKnows:
-						busy <- nil
+					case <-noNewConnections:
+						results <- nil
 						return
 					default:
 					}
 					conn, err := net.Dial("tcp", p.addr)
 					if err != nil {
-						busy <- err
+						results <- err
 						return
 					}
 					defer conn.Close()
-					conn.SetDeadline(time.Now().Add(patience))
+					conn.SetDeadline(time.Now().Add(waitTimeout))
 					c = &client{t, conn, bufio.NewReader(conn), time.Now()}
 				}
 				id := fmt.Sprint(i, "-", n)
-				io.WriteString(c.Conn, get("k", id, 900))
+				io.WriteString(c.Conn, getRequest("k", id, 900))
 				if a := c.next(); a == "VA 10 O"+id+"|value of k" {
 					continue
 				} else if fresh || strings.HasPrefix(a, "VA") || strings.HasPrefix(a, "SERVER") {
-					busy <- fmt.Errorf("answer %q on a connection that is new: %v", a, fresh)
+					results <- fmt.Errorf("answer %q on a connection that is new: %v", a, fresh)
 					return
 				}
 				c = nil
@@ -495,20 +495,20 @@
 		}()
 	}
 	for range 200 {
-		await(t, h.came, "work")
+		await(t, h.received, "work")
 	}
 	go func() {
-		for range h.came { // lest the host waits for a reader
+		for range h.received { // lest the host waits for a reader
 		}
 	}()
 	p.Process.Signal(syscall.SIGTERM)
-	time.AfterFunc(400*time.Millisecond, func() { close(frontKnows) })
-	for range cap(busy) {
-		if err := await(t, busy, "the end of a client's work"); err != nil {
+	time.AfterFunc(400*time.Millisecond, func() { close(noNewConnections) })
+	for range cap(results) {
+		if err := await(t, results, "the end of a client's work"); err != nil {
 			t.Error(err)
 		}
 	}
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
@@ -516,21 +516,21 @@
 // A second SIGTERM, or SIGINT, ends it at once.
 func TestCutShort(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{{syscall.SIGINT}, {syscall.SIGTERM, syscall.SIGTERM}} {
-		h := newHost(t, "h", say(""))
-		p, _ := start(t, nil, nil, h)
+		h := newHost(t, "h", answerWith(""))
+		p, _ := startWithHosts(t, nil, nil, h)
 		c := p.dial(t)
-		c.send(get("k", "a", 60000))
-		await(t, h.came, "the attempt")
+		c.send(getRequest("k", "a", 60000))
+		await(t, h.received, "the attempt")
 		idle := p.dial(t)
 		expect(t, idle.ask("mn\r\n"), "MN")
 		for _, s := range signals {
 			p.Process.Signal(s)
 			if s == syscall.SIGTERM {
-				p.says(t, `"phase":"leaving"`) // two signals that come together are one
+				p.waitForLog(t, `"phase":"leaving"`) // two signals that come together are one
 			}
 		}
 		expect(t, idle.next(), "EOF")
-		if code := p.exit(t); code != 1 {
+		if code := p.waitForExit(t); code != 1 {
 			t.Errorf("exit code %d after %v", code, signals)
 		}
 	}
@@ -540,14 +540,14 @@
 // their time is up. A slow client's command that is coming is left alone; where all are in use the answer is prompt and
 // harmless.
 func TestOutOfDescriptors(t *testing.T) {
-	h := newHost(t, "h", hit)
-	d := newList(t)
-	d.set("h", h.addr, "cache", "active")
-	cfg := config(d, freeAddr(t), nil)
+	h := newHost(t, "h", answerHit)
+	d := newDiscoveryServer(t)
+	d.setHost("h", h.addr, "cache", "active")
+	cfg := deploymentConfig(d, freeAddr(t), nil)
 	cfg["limits"] = map[string]any{"sockets": 16 + 64} // 35 for clients, five more are answered
-	p := serving(t, cfg)
+	p := launchServing(t, cfg)
 	silent, idle := p.dial(t), p.dial(t)
-	expect(t, idle.ask(get("k", "first", 900)), "VA 10 Ofirst|value of k")
+	expect(t, idle.ask(getRequest("k", "first", 900)), "VA 10 Ofirst|value of k")
 	time.Sleep(50 * time.Millisecond) // more than either is left alone for
 	var slow []*client
 	for i := range 35 {
@@ -558,12 +558,12 @@
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range []*client{silent, idle} {
-		if c.next() != "EOF" || time.Since(c.dialed) > time.Second {
-			t.Errorf("the silent one, and the idle one, were closed after %v", time.Since(c.dialed))
+		if c.next() != "EOF" || time.Since(c.dialedAt) > time.Second {
+			t.Errorf("the silent one, and the idle one, were closed after %v", time.Since(c.dialedAt))
 		}
 	}
 	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // idle ones may still make room for it
-		if got := p.dial(t).ask(get("k", "more", 900)); got == "SERVER_ERROR busy" {
+		if got := p.dial(t).ask(getRequest("k", "more", 900)); got == "SERVER_ERROR busy" {
 			break
 		} else if time.Since(began) > 500*time.Millisecond {
 			t.Fatalf("with all in use: %q", got)
@@ -576,7 +576,7 @@
 	for range 40 {
 		p.dial(t).send("mg k v O")
 	}
-	for began := time.Now(); p.dial(t).ask(get("k", "late", 900)) != "VA 10 Olate|value of k"; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); p.dial(t).ask(getRequest("k", "late", 900)) != "VA 10 Olate|value of k"; time.Sleep(20 * time.Millisecond) {
 		if time.Since(began) > 2*time.Second {
 			t.Fatal("no stopped connection makes room")
 		}
@@ -586,52 +586,52 @@
 // Clients hold only so many connections for requests. Some ask once and stay: where they hold nearly all, the one idle
 // longest is closed, long before places are wanted here, or the next call finds none to come over.
 func TestClientsOutOfConnections(t *testing.T) {
-	h := newHost(t, "h", hit)
-	d := newList(t)
-	d.set("h", h.addr, "cache", "active")
-	cfg := config(d, freeAddr(t), nil)
+	h := newHost(t, "h", answerHit)
+	d := newDiscoveryServer(t)
+	d.setHost("h", h.addr, "cache", "active")
+	cfg := deploymentConfig(d, freeAddr(t), nil)
 	cfg["limits"] = map[string]any{"sockets": 80} // 20 are kept, 35 have places
-	p := serving(t, cfg)
+	p := launchServing(t, cfg)
 	var all []*client
 	for i := range 30 {
 		c := p.dial(t)
-		expect(t, c.ask(get("k", fmt.Sprint(i), 900)), fmt.Sprintf("VA 10 O%d|value of k", i))
+		expect(t, c.ask(getRequest("k", fmt.Sprint(i), 900)), fmt.Sprintf("VA 10 O%d|value of k", i))
 		all = append(all, c)
 		time.Sleep(5 * time.Millisecond)
 	}
 	expect(t, all[0].next(), "EOF")
-	if since := time.Since(all[0].dialed); since > time.Second {
+	if since := time.Since(all[0].dialedAt); since > time.Second {
 		t.Errorf("the first was closed after %v", since)
 	}
 	for i, c := range all[15:] { // the later ones are not
-		expect(t, c.ask(get("k", fmt.Sprint("again", i), 900)), fmt.Sprintf("VA 10 Oagain%d|value of k", i))
+		expect(t, c.ask(getRequest("k", fmt.Sprint("again", i), 900)), fmt.Sprintf("VA 10 Oagain%d|value of k", i))
 	}
 }
 
 // Clients that say nothing, half a command, or ask once and stay: each is closed in time, or they hold all
 // descriptors, the balancer's or the clients' own, and the usual clients find none.
 func TestIdleClients(t *testing.T) {
-	p, _ := start(t, nil, nil, newHost(t, "h", hit))
+	p, _ := startWithHosts(t, nil, nil, newHost(t, "h", answerHit))
 	for name, row := range map[string]struct {
-		say         string
-		least, most time.Duration // a connection with nothing open may be closed after two seconds
+		request          string
+		earliest, latest time.Duration // a connection with nothing open may be closed after two seconds
 	}{
 		"nothing":        {"", 2 * time.Second, 3 * time.Second},
 		"half a command": {"mg k v Ohalf", 0, 3 * time.Second},
 		"half a value":   {"ms k 5 Ohalf Pc=pay,d=900\r\nhel", 0, 3 * time.Second},
-		"one command":    {get("k", "a", 900), 2 * time.Second, 3 * time.Second},
+		"one command":    {getRequest("k", "a", 900), 2 * time.Second, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := p.dial(t)
-			c.send(row.say)
+			c.send(row.request)
 			got := c.next()
 			for strings.HasPrefix(got, "VA") {
 				got = c.next()
 			}
 			expect(t, got, "EOF")
-			if after := time.Since(c.dialed); after < row.least || after > row.most {
-				t.Errorf("closed after %v", after)
+			if age := time.Since(c.dialedAt); age < row.earliest || age > row.latest {
+				t.Errorf("closed after %v", age)
 			}
 		})
 	}
@@ -639,14 +639,14 @@
 
 // A faulty start says which key is faulty, and does not listen.
 func TestFaultyConfiguration(t *testing.T) {
-	d := newList(t)
+	d := newDiscoveryServer(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	with := func(key string, v any) map[string]any {
-		c := config(d, freeAddr(t), nil)
+		c := deploymentConfig(d, freeAddr(t), nil)
 		c[key] = v
 		return c
 	}
@@ -666,12 +666,12 @@
 		{with("limits", map[string]any{"sockets": 5}), "", "limits.sockets"},
 		{with("limits", map[string]any{"memory_mb": 1}), "", "limits.memory_mb"},
 		{with("settings", nil), "", "settings"},
-		{with("settings", settings(map[string]any{"products": []any{product}})), "", "settings.products.0.effect"},
-		{with("settings", settings(map[string]any{"balancers": "few"})), "", "settings.balancers"},
-		{with("settings", settings(map[string]any{"products": []any{}})), "", "settings.products"},
+		{with("settings", deploymentSettings(map[string]any{"products": []any{product}})), "", "settings.products.0.effect"},
+		{with("settings", deploymentSettings(map[string]any{"balancers": "few"})), "", "settings.balancers"},
+		{with("settings", deploymentSettings(map[string]any{"products": []any{}})), "", "settings.products"},
 	} {
 		p := launch(t, row.config, row.env)
-		if code := p.exit(t); code != 2 || !strings.Contains(p.log.String(), row.names+":") {
+		if code := p.waitForExit(t); code != 2 || !strings.Contains(p.log.String(), row.names+":") {
 			t.Errorf("exit code %d, expected 2 and %q in %s", code, row.names, p.log.String())
 		}
 	}
@@ -680,18 +680,18 @@
 // A new configuration under load: the list comes from the new address from then on, also where a variable named
 // the old one, and nothing more is heard from there; no request is lost. A faulty file changes nothing.
 func TestReload(t *testing.T) {
-	x, y := newHost(t, "x", hit), newHost(t, "y", hit)
-	old, next := newList(t), newList(t)
-	old.set("x", x.addr, "cache", "active")
-	next.set("y", y.addr, "cache", "active")
-	cfg := config(old, freeAddr(t), nil)
-	p := serving(t, cfg, "GW_DISCOVERY="+addr(old.Server))
+	x, y := newHost(t, "x", answerHit), newHost(t, "y", answerHit)
+	old, next := newDiscoveryServer(t), newDiscoveryServer(t)
+	old.setHost("x", x.addr, "cache", "active")
+	next.setHost("y", y.addr, "cache", "active")
+	cfg := deploymentConfig(old, freeAddr(t), nil)
+	p := launchServing(t, cfg, "GW_DISCOVERY="+serverAddr(old.Server))
 	stop, answers := make(chan struct{}), make(chan string, 1)
 	go func() { // requests all the while
 		c := p.dial(t)
 		for n := 0; ; n++ {
 			id := fmt.Sprint("r", n)
-			if a := c.ask(get("k", id, 900)); a != "VA 10 O"+id+"|value of k" {
+			if a := c.ask(getRequest("k", id, 900)); a != "VA 10 O"+id+"|value of k" {
 				answers <- a
 				return
 			}
@@ -703,21 +703,21 @@
 			}
 		}
 	}()
-	await(t, x.came, "work")
+	await(t, x.received, "work")
 	p.reload(t, "{", `faulty configuration, nothing changed`)
-	faulty := config(next, p.addr, map[string]any{"balancers": "few"})
+	faulty := deploymentConfig(next, p.addr, map[string]any{"balancers": "few"})
 	p.reload(t, faulty, "settings.balancers")
 	cfg["discovery"], cfg["seed"] = freeAddr(t), "1" // silent: nobody is there
 	p.reload(t, cfg, `"kept_until_restart":["seed"]`)
-	cfg["discovery"] = addr(next.Server)
-	p.reload(t, cfg, `"discovery":"`+addr(next.Server)+`","kept`)
+	cfg["discovery"] = serverAddr(next.Server)
+	p.reload(t, cfg, `"discovery":"`+serverAddr(next.Server)+`","kept`)
 	p.Process.Signal(syscall.SIGHUP) // once more, with nothing new
-	next.knows(t)
-	await(t, x.ended, "the end of the kept connection to the host that is listed no more")
+	next.waitForWatch(t)
+	await(t, x.closed, "the end of the kept connection to the host that is listed no more")
 	before := x.count()
-	old.set("x", x.addr, "cache", "active") // unheard
+	old.setHost("x", x.addr, "cache", "active") // unheard
 	for range 20 {
-		await(t, y.came, "work")
+		await(t, y.received, "work")
 	}
 	close(stop)
 	expect(t, await(t, answers, "the end of the work"), "all")
@@ -729,7 +729,7 @@
 	p.Process.Signal(syscall.SIGTERM)
 	expect(t, c.next(), "EOF")
 	p.Process.Signal(syscall.SIGHUP) // while it drains
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
--- a/cmd/streamrail/sizes_test.go
+++ b/cmd/streamrail/sizes_test.go
@@ -15,27 +15,27 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			var hosts [6]*cacheHost
 			for i := range hosts {
-				hosts[i] = newHost(t, "h", hit)
+				hosts[i] = newHost(t, "h", answerHit)
 			}
-			d := newList(t)
+			d := newDiscoveryServer(t)
 			for i := range n {
-				d.set(fmt.Sprint("h", i), hosts[i%6].addr, "cache", "active")
+				d.setHost(fmt.Sprint("h", i), hosts[i%6].addr, "cache", "active")
 			}
 			var peers []string
 			for i := range n {
 				peers = append(peers, fmt.Sprintf("%q", fmt.Sprintf("127.66.%d.%d:7946", i/250, i%250+1)))
 			}
-			own := filepath.Join(t.TempDir(), "own.toml")
+			operatorFile := filepath.Join(t.TempDir(), "own.toml")
 			text := fmt.Sprintf("[fleet]\nname = \"f\"\naddress = %q\npeers = [%s]\n", freeUDP(t), strings.Join(peers, ", "))
-			if err := os.WriteFile(own, []byte(text), 0o600); err != nil {
+			if err := os.WriteFile(operatorFile, []byte(text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			cfg := config(d, freeAddr(t), map[string]any{"balancers": n})
-			p := serving(t, cfg, "STREAMRAIL_FILE="+own)
+			cfg := deploymentConfig(d, freeAddr(t), map[string]any{"balancers": n})
+			p := launchServing(t, cfg, "STREAMRAIL_FILE="+operatorFile)
 			c := p.dial(t)
 			ask := func(from int) (fulfilled int) {
 				for i := from; i < from+300; i++ {
-					if strings.HasPrefix(c.ask(get(fmt.Sprint("key", i), fmt.Sprint("a", i), 900)), "VA ") {
+					if strings.HasPrefix(c.ask(getRequest(fmt.Sprint("key", i), fmt.Sprint("a", i), 900)), "VA ") {
 						fulfilled++
 					}
 				}
@@ -49,13 +49,13 @@
 				if i%6 < 3 {
 					d.generation++
 					id := fmt.Sprint("h", i)
-					d.entries[id]["lifecycle"], d.changed[id] = "leaving", d.generation
+					d.entries[id]["lifecycle"], d.changedIn[id] = "leaving", d.generation
 				}
 			}
-			close(d.news)
-			d.news = make(chan struct{})
+			close(d.nextChange)
+			d.nextChange = make(chan struct{})
 			d.mu.Unlock()
-			d.knows(t)
+			d.waitForWatch(t)
 			before := hosts[0].count() + hosts[1].count() + hosts[2].count()
 			if got := ask(300); got < 295 {
 				t.Errorf("with half of them leaving %d of 300 fulfilled", got)
--- a/cmd/streamrail/stand_test.go
+++ b/cmd/streamrail/stand_test.go
@@ -21,19 +21,19 @@
 	"time"
 )
 
-// patience bounds every wait; none of them decides a verdict unless something never comes.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait. It is long enough that a test fails by it only if the awaited event never happens.
+const waitTimeout = 10 * time.Second
 
-// program is the built binary.
-var program string
+// binaryPath is the path of the built program.
+var binaryPath string
 
 func TestMain(m *testing.M) {
 	dir, err := os.MkdirTemp("", "streamrail")
 	if err != nil {
 		panic(err)
 	}
-	program = filepath.Join(dir, "streamrail")
-	out, err := exec.Command("go", append(append([]string{"build"}, buildFlags...), "-o", program, ".")...).CombinedOutput()
+	binaryPath = filepath.Join(dir, "streamrail")
+	out, err := exec.Command("go", append(append([]string{"build"}, buildFlags...), "-o", binaryPath, ".")...).CombinedOutput()
 	if err != nil {
 		fmt.Printf("%s\n", out)
 		os.Exit(1)
@@ -43,33 +43,34 @@
 	os.Exit(code)
 }
 
-// got is one command as it reached a cache host.
-type got struct {
-	line  string
-	words []string
-	id    string
-	value string
-	conn  net.Conn
-	at    time.Time
+// command is one memcache command as a cache host received it.
+type command struct {
+	line       string
+	fields     []string
+	id         string
+	value      string
+	conn       net.Conn
+	receivedAt time.Time
 }
 
-// cacheHost plays a cache host: each command is answered with what the test's function returns; "" says nothing.
+// cacheHost is a stand-in for a cache host. It answers each command with what the answer function returns: "" sends nothing and
+// "close" closes the connection.
 type cacheHost struct {
 	id, addr string
-	answer   func(got) string
+	answer   func(command) string
 	mu       sync.Mutex
-	seen     []got
-	came     chan got
-	ended    chan struct{} // one for each connection that ended
+	commands []command
+	received chan command
+	closed   chan struct{} // receives one value for each connection that ended
 }
 
-func newHost(t *testing.T, id string, answer func(got) string) *cacheHost {
+func newHost(t *testing.T, id string, answer func(command) string) *cacheHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	h := &cacheHost{id: id, addr: l.Addr().String(), answer: answer, came: make(chan got, 1000), ended: make(chan struct{}, 1000)}
+	h := &cacheHost{id: id, addr: l.Addr().String(), answer: answer, received: make(chan command, 1000), closed: make(chan struct{}, 1000)}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -83,32 +84,32 @@
 }
 
 func (h *cacheHost) serve(c net.Conn) {
-	defer func() { c.Close(); h.ended <- struct{}{} }()
+	defer func() { c.Close(); h.closed <- struct{}{} }()
 	in := bufio.NewReader(c)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
 			return
 		}
-		g := got{line: strings.TrimSuffix(line, "\r\n"), words: strings.Fields(line), conn: c, at: time.Now()}
-		for _, w := range g.words[1:] {
+		cmd := command{line: strings.TrimSuffix(line, "\r\n"), fields: strings.Fields(line), conn: c, receivedAt: time.Now()}
+		for _, w := range cmd.fields[1:] {
 			if w[0] == 'O' {
-				g.id = w[1:]
+				cmd.id = w[1:]
 			}
 		}
-		if g.words[0] == "ms" {
-			n, _ := strconv.Atoi(g.words[2])
+		if cmd.fields[0] == "ms" {
+			n, _ := strconv.Atoi(cmd.fields[2])
 			v := make([]byte, n+2)
 			if _, err = io.ReadFull(in, v); err != nil {
 				return
 			}
-			g.value = string(v[:n])
+			cmd.value = string(v[:n])
 		}
 		h.mu.Lock()
-		h.seen = append(h.seen, g)
+		h.commands = append(h.commands, cmd)
 		h.mu.Unlock()
-		h.came <- g
-		if a := h.answer(g); a == "close" {
+		h.received <- cmd
+		if a := h.answer(cmd); a == "close" {
 			return
 		} else if _, err = io.WriteString(c, a); err != nil {
 			return
@@ -119,59 +120,61 @@
 func (h *cacheHost) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return len(h.seen)
+	return len(h.commands)
 }
 
-func hit(g got) string {
-	if g.words[0] == "ms" {
-		return "HD O" + g.id + " cdone-" + g.id + "\r\n"
+func answerHit(cmd command) string {
+	if cmd.fields[0] == "ms" {
+		return "HD O" + cmd.id + " cdone-" + cmd.id + "\r\n"
 	}
-	v := "value of " + g.words[1]
-	return fmt.Sprintf("VA %d O%s h1 Linflight=7,util=0.61\r\n%s\r\n", len(v), g.id, v)
+	v := "value of " + cmd.fields[1]
+	return fmt.Sprintf("VA %d O%s h1 Linflight=7,util=0.61\r\n%s\r\n", len(v), cmd.id, v)
 }
 
-func miss(g got) string { return "EN O" + g.id + "\r\n" }
+func answerMiss(cmd command) string { return "EN O" + cmd.id + "\r\n" }
 
-func say(text string) func(got) string { return func(got) string { return text } }
+func answerWith(text string) func(command) string { return func(command) string { return text } }
 
-// list plays discovery.
-type list struct {
+// discoveryServer is a stand-in for discovery. It serves the host list and holds watches (long polls) until the list changes.
+type discoveryServer struct {
 	*httptest.Server
-	mu         sync.Mutex
-	generation int
-	entries    map[string]map[string]any
-	changed    map[string]int // by id, the generation of its last change
-	news       chan struct{}  // closed at the next change
-	told       chan int       // the version that each watch comes with
-	garbage    bool
-}
-
-func newList(t *testing.T) *list {
-	d := &list{generation: 1, entries: map[string]map[string]any{}, changed: map[string]int{},
-		news: make(chan struct{}), told: make(chan int, 1000)}
+	mu            sync.Mutex
+	generation    int
+	entries       map[string]map[string]any
+	changedIn     map[string]int // by host id, the generation of its last change
+	nextChange    chan struct{}  // closed at the next change
+	watchedFrom   chan int       // receives the generation that each watch names
+	answerGarbage bool
+}
+
+func newDiscoveryServer(t *testing.T) *discoveryServer {
+	d := &discoveryServer{generation: 1, entries: map[string]map[string]any{}, changedIn: map[string]int{},
+		nextChange: make(chan struct{}), watchedFrom: make(chan int, 1000)}
 	d.Server = httptest.NewServer(d)
 	t.Cleanup(d.Server.Close)
 	return d
 }
 
-func (d *list) set(id, addr, kind, lifecycle string) { d.setBorn(id, addr, kind, lifecycle, 0) }
+func (d *discoveryServer) setHost(id, addr, machineType, lifecycle string) {
+	d.setHostStartedAt(id, addr, machineType, lifecycle, 0)
+}
 
-// setBorn is set for a host whose process was started at a known time.
-func (d *list) setBorn(id, addr, kind, lifecycle string, startedAtMs int64) {
+// setHostStartedAt does the same as setHost, with the start time of the host's process.
+func (d *discoveryServer) setHostStartedAt(id, addr, machineType, lifecycle string, startedAtMs int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.generation++
-	d.entries[id] = map[string]any{"instanceId": id, "hostPort": addr, "zone": "here", "machineType": kind, "cell": 0,
+	d.entries[id] = map[string]any{"instanceId": id, "hostPort": addr, "zone": "here", "machineType": machineType, "cell": 0,
 		"lifecycle": lifecycle, "weight": 1.0, "startedAtMs": startedAtMs, "unknown": []int{1}}
-	d.changed[id] = d.generation
-	close(d.news)
-	d.news = make(chan struct{})
+	d.changedIn[id] = d.generation
+	close(d.nextChange)
+	d.nextChange = make(chan struct{})
 }
 
-func (d *list) text(after int) []byte {
+func (d *discoveryServer) response(after int) []byte {
 	rows := []any{}
 	for id, e := range d.entries {
-		if after < 0 || d.changed[id] > after {
+		if after < 0 || d.changedIn[id] > after {
 			rows = append(rows, e)
 		}
 	}
@@ -179,69 +182,69 @@
 	return text
 }
 
-func (d *list) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *discoveryServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	after := -1
 	if s := r.URL.Query().Get("after"); s != "" {
 		after, _ = strconv.Atoi(s)
-		d.told <- after
+		d.watchedFrom <- after
 	}
 	d.mu.Lock()
-	if news := d.news; after >= d.generation {
+	if nextChange := d.nextChange; after >= d.generation {
 		d.mu.Unlock()
 		select {
-		case <-news:
+		case <-nextChange:
 		case <-r.Context().Done():
 			return
 		}
 		d.mu.Lock()
 	}
 	defer d.mu.Unlock()
-	if d.garbage {
-		d.garbage = false
+	if d.answerGarbage {
+		d.answerGarbage = false
 		io.WriteString(w, `{"generation":"many"`)
 		return
 	}
-	w.Write(d.text(after))
+	w.Write(d.response(after))
 }
 
-// knows waits until the balancer has been told of the present list.
-func (d *list) knows(t *testing.T) {
+// waitForWatch waits until the balancer watches from the current generation, which shows that it has received the current list.
+func (d *discoveryServer) waitForWatch(t *testing.T) {
 	t.Helper()
 	d.mu.Lock()
-	now := d.generation
+	current := d.generation
 	d.mu.Unlock()
 	for {
 		select {
-		case v := <-d.told:
-			if v >= now {
+		case v := <-d.watchedFrom:
+			if v >= current {
 				return
 			}
-		case <-time.After(patience):
-			t.Fatal("the balancer never asked for what comes next")
+		case <-time.After(waitTimeout):
+			t.Fatal("the balancer never watched from the current generation")
 		}
 	}
 }
 
-// origin plays the origin.
-type origin struct {
+// originServer is a stand-in for the origin.
+type originServer struct {
 	*httptest.Server
-	came chan *http.Request
+	requests chan *http.Request
 }
 
-func newOrigin(t *testing.T, answer http.HandlerFunc) *origin {
-	o := &origin{came: make(chan *http.Request, 100)}
+func newOrigin(t *testing.T, answer http.HandlerFunc) *originServer {
+	o := &originServer{requests: make(chan *http.Request, 100)}
 	o.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		o.came <- r
+		o.requests <- r
 		answer(w, r)
 	}))
 	t.Cleanup(o.Server.Close)
 	return o
 }
 
-func addr(s *httptest.Server) string { return s.Listener.Addr().String() }
+func serverAddr(s *httptest.Server) string { return s.Listener.Addr().String() }
 
-// settings are a deployment's, with what a test changes.
-func settings(change map[string]any) map[string]any {
+// deploymentSettings returns the settings section of a deployment's configuration, with the test's changes applied.
+func deploymentSettings(change map[string]any) map[string]any {
 	product := func(name, effect string) map[string]any {
 		return map[string]any{"name": name, "latencySloNs": 1e9, "clientTimeoutNs": 3e9, "billedValue": 1.0,
 			"effect": effect, "group": "all", "windowNs": 2e9}
@@ -258,55 +261,55 @@
 	return s
 }
 
-// through makes cache hosts fetch and take writes by themselves.
-var through = map[string]any{"extra": map[string]any{"mode": "through", "originKind": -1}}
+// readWriteThrough changes the settings so that the cache hosts read from the origin on a miss and take writes themselves.
+var readWriteThrough = map[string]any{"extra": map[string]any{"mode": "through", "originKind": -1}}
 
-// running is the program as it runs.
-type running struct {
+// balancerProcess is a running process of the program.
+type balancerProcess struct {
 	*exec.Cmd
-	addr, config string // where clients connect; the configuration's path
-	log          *lines
-	done         chan error
+	addr, configPath string // the address for clients; the path of the configuration file
+	log              *logBuffer
+	exited           chan error
 }
 
-// lines is the program's log, which a test may read while it runs.
-type lines struct {
+// logBuffer holds the program's log. A test may read it while the program runs.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(p)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-// says waits for a line of the log.
-func (p *running) says(t *testing.T, text string) {
+// waitForLog waits until the log contains a text.
+func (p *balancerProcess) waitForLog(t *testing.T, text string) {
 	t.Helper()
 	for began := time.Now(); !strings.Contains(p.log.String(), text); time.Sleep(5 * time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatalf("the log never says %q", text)
+		if time.Since(began) > waitTimeout {
+			t.Fatalf("the log never contained %q", text)
 		}
 	}
 }
 
-// reload replaces the configuration and tells the program so; it waits for the line of the log.
-func (p *running) reload(t *testing.T, config any, says string) {
+// reload replaces the configuration file, sends SIGHUP and waits until the log contains logText.
+func (p *balancerProcess) reload(t *testing.T, config any, logText string) {
 	t.Helper()
-	write(t, p.config, config)
+	writeConfig(t, p.configPath, config)
 	p.Process.Signal(syscall.SIGHUP)
-	p.says(t, says)
+	p.waitForLog(t, logText)
 }
 
-// write lays a configuration down; text that is no map is written as it is.
-func write(t *testing.T, path string, config any) {
+// writeConfig writes a configuration file: a string as it is, anything else as JSON.
+func writeConfig(t *testing.T, path string, config any) {
 	text, _ := json.Marshal(config)
 	if s, ok := config.(string); ok {
 		text = []byte(s)
@@ -316,11 +319,12 @@
 	}
 }
 
-var addrs atomic.Uint32
+var loopbackAddrs atomic.Uint32
 
-// freeAddr is a free port on a loopback address of its own: on a shared one another test could take it first.
+// freeAddr returns a free port on a loopback address that no other call returns: on a shared address another test could take
+// the port first.
 func freeAddr(t *testing.T) string {
-	n := addrs.Add(1)
+	n := loopbackAddrs.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", n/250, n%250+1))
 	if err != nil {
 		t.Fatal(err)
@@ -329,23 +333,23 @@
 	return l.Addr().String()
 }
 
-// launchedBy makes the command that runs the program; only a test that does not run beside others may change it.
-var launchedBy = func(program string) *exec.Cmd { return exec.Command(program) }
+// newCommand returns the command that runs the program. Only a test that does not run in parallel with others may replace it.
+var newCommand = func(program string) *exec.Cmd { return exec.Command(program) }
 
-// launch starts the program on a configuration.
-func launch(t *testing.T, config any, env ...string) *running {
+// launch starts the program with a configuration and does not wait for it to serve.
+func launch(t *testing.T, config any, env ...string) *balancerProcess {
 	path := filepath.Join(t.TempDir(), "config.json")
-	write(t, path, config)
-	p := &running{Cmd: launchedBy(program), config: path, log: &lines{}, done: make(chan error, 1)}
-	p.Env = append(os.Environ(), append([]string{"GW_CONFIG=" + path, "GORACE=atexit_sleep_ms=0"}, env...)...) // else it stays a second under the detector
+	writeConfig(t, path, config)
+	p := &balancerProcess{Cmd: newCommand(binaryPath), configPath: path, log: &logBuffer{}, exited: make(chan error, 1)}
+	p.Env = append(os.Environ(), append([]string{"GW_CONFIG=" + path, "GORACE=atexit_sleep_ms=0"}, env...)...) // without it the race detector delays the exit by a second
 	p.Stderr = p.log
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.done <- p.Wait() }()
+	go func() { p.exited <- p.Wait() }()
 	t.Cleanup(func() {
 		p.Process.Kill()
-		<-p.done
+		<-p.exited
 		if strings.Contains(p.log.String(), "DATA RACE") || strings.Contains(p.log.String(), "panic:") {
 			t.Error(p.log.String())
 		} else if t.Failed() {
@@ -355,67 +359,68 @@
 	return p
 }
 
-// exit waits for the program's end and tells its code.
-func (p *running) exit(t *testing.T) int {
+// waitForExit waits until the program has ended and returns its exit code.
+func (p *balancerProcess) waitForExit(t *testing.T) int {
 	t.Helper()
 	select {
-	case err := <-p.done:
-		p.done <- err
+	case err := <-p.exited:
+		p.exited <- err
 		return p.ProcessState.ExitCode()
-	case <-time.After(patience):
-		t.Fatal("the program does not end")
+	case <-time.After(waitTimeout):
+		t.Fatal("the program did not end")
 		return -1
 	}
 }
 
-func config(d *list, listen string, change map[string]any) map[string]any {
-	return map[string]any{"name": "n0", "listen": listen, "discovery": addr(d.Server), "seed": "8c1f30d27a5be964",
-		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": settings(change)}
+func deploymentConfig(d *discoveryServer, listen string, change map[string]any) map[string]any {
+	return map[string]any{"name": "n0", "listen": listen, "discovery": serverAddr(d.Server), "seed": "8c1f30d27a5be964",
+		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": deploymentSettings(change)}
 }
 
-// start runs the program on a list with these hosts, and an origin if there is one, until it serves.
-func start(t *testing.T, change map[string]any, o *origin, hosts ...*cacheHost) (*running, *list) {
-	d := newList(t)
+// startWithHosts starts a discovery server that lists the given hosts, and the origin unless it is nil, and a balancer that uses it.
+// It returns once the balancer serves clients.
+func startWithHosts(t *testing.T, change map[string]any, o *originServer, hosts ...*cacheHost) (*balancerProcess, *discoveryServer) {
+	d := newDiscoveryServer(t)
 	for _, h := range hosts {
-		d.set(h.id, h.addr, "cache", "active")
+		d.setHost(h.id, h.addr, "cache", "active")
 	}
 	if o != nil {
-		d.set("origin", addr(o.Server), "origin", "active")
+		d.setHost("origin", serverAddr(o.Server), "origin", "active")
 	}
-	return serving(t, config(d, freeAddr(t), change)), d
+	return launchServing(t, deploymentConfig(d, freeAddr(t), change)), d
 }
 
-func serving(t *testing.T, config map[string]any, env ...string) *running {
+func launchServing(t *testing.T, config map[string]any, env ...string) *balancerProcess {
 	p := launch(t, config, env...)
 	p.addr = config["listen"].(string)
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < waitTimeout; time.Sleep(5 * time.Millisecond) {
 		if c, err := net.Dial("tcp", p.addr); err == nil {
 			defer c.Close()
 			if c := (&client{T: t, Conn: c, in: bufio.NewReader(c)}); c.ask("mn\r\n") != "MN" {
-				t.Fatal("no MN")
+				t.Fatal("the balancer did not answer mn with MN")
 			}
 			return p
 		}
 	}
-	t.Fatal("the program does not serve")
+	t.Fatal("the program does not serve clients")
 	return nil
 }
 
-// client is one connection of a client.
+// client is one client connection to a balancer.
 type client struct {
 	*testing.T
 	net.Conn
-	in     *bufio.Reader
-	dialed time.Time
+	in       *bufio.Reader
+	dialedAt time.Time
 }
 
-func (p *running) dial(t *testing.T) *client {
+func (p *balancerProcess) dial(t *testing.T) *client {
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	return &client{t, c, bufio.NewReader(c), time.Now()}
 }
 
@@ -426,7 +431,7 @@
 	}
 }
 
-// next reads one answer; a value stands behind a bar.
+// next reads one answer and returns its line without the line end. A value follows after "|". A read error is returned as its text.
 func (c *client) next() string {
 	c.Helper()
 	line, err := c.in.ReadString('\n')
@@ -451,10 +456,10 @@
 	return c.next()
 }
 
-func get(key, id string, d int) string {
-	return fmt.Sprintf("mg %s v O%s Pc=read,d=%d\r\n", key, id, d)
+func getRequest(key, id string, timeoutMs int) string {
+	return fmt.Sprintf("mg %s v O%s Pc=read,d=%d\r\n", key, id, timeoutMs)
 }
 
-func put(product, key, id string, d int) string {
-	return fmt.Sprintf("ms %s 5 O%s Pc=%s,d=%d,k=77\r\nhello\r\n", key, id, product, d)
+func putRequest(product, key, id string, timeoutMs int) string {
+	return fmt.Sprintf("ms %s 5 O%s Pc=%s,d=%d,k=77\r\nhello\r\n", key, id, product, timeoutMs)
 }
