--- a/cmd/streamrail/deadline_test.go
+++ b/cmd/streamrail/deadline_test.go
@@ -15,19 +15,19 @@
 	"time"
 )
 
-// maxDeadlineExcess is what the deadline that a server is told may exceed the client's by, at the most.
+// maxDeadlineExcess is the most by which the deadline that a server receives may be later than the client's.
 const maxDeadlineExcess = 150 * time.Millisecond
 
-// deadlineRecorder holds what clients sent, and what servers were told of each request.
+// deadlineRecorder records the deadlines of the clients and the remaining times that servers received with the attempts.
 type deadlineRecorder struct {
 	mu        sync.Mutex
-	deadlines map[string]time.Time // of the clients, by request
+	deadlines map[string]time.Time // of the clients, by request id
 	attempts  []receivedDeadline
 }
 
 type receivedDeadline struct {
 	id         string
-	receivedAt time.Time // the server had its last byte
+	receivedAt time.Time // when the server had received the last byte
 	timeLeft   time.Duration
 }
 
@@ -46,7 +46,7 @@
 	t.deadlines[id] = deadline
 }
 
-// exceeding are the attempts that were told more than the slack beyond their clients' deadlines.
+// exceeding returns the attempts with more time than their clients' deadlines and maxDeadlineExcess allow, and the largest excess.
 func (t *deadlineRecorder) exceeding() (worst time.Duration, attempts []receivedDeadline) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,14 +59,15 @@
 	return worst, attempts
 }
 
-// TestStoppedProcesses stops several processes again and again, for 0.1 to 2 s, while clients write on: servers are told no more
-// than is left, whether a request came before a stop, within it or had its first attempt over before. One process is killed each time.
+// TestStoppedProcesses stops several processes repeatedly, for 0.1 to 2 s, while clients go on sending. Servers must receive no more
+// time than is left, whether a request came before or during a stop or its first attempt had ended before. One process is killed in
+// each round.
 func TestStoppedProcesses(t *testing.T) {
 	t.Parallel()
 	const (
 		processes = 3
 		stops     = 5
-		requests  = 12 // for each process, between the ends of two stops
+		requests  = 12 // for each process and stop
 	)
 	recorder := &deadlineRecorder{deadlines: map[string]time.Time{}}
 	var rngMu sync.Mutex
@@ -140,7 +141,7 @@
 			})
 		}
 		killed := stop % processes
-		clients.Go(func() { // one of them in the middle of its work; it starts again under its address
+		clients.Go(func() { // one process is killed while it serves requests, and restarted later at its address
 			time.Sleep(600 * time.Millisecond)
 			fleet[killed].Process.Kill()
 		})
@@ -149,17 +150,17 @@
 		fleet[killed] = launchServing(t, deploymentConfig(lists[killed], fleet[killed].addr, nil))
 	}
 	worst, exceeding := recorder.exceeding()
-	// A stop that falls between the reading of the clock and the write, some microseconds of a second, cannot be made up for.
+	// A stop that falls into the few microseconds between the reading of the clock and the write cannot be corrected for.
 	const allowedExcesses = 1
 	if len(exceeding) > allowedExcesses {
-		t.Errorf("%d of %d attempts told more than was left, by %v at the most", len(exceeding), len(recorder.attempts), worst.Round(time.Millisecond))
+		t.Errorf("%d of %d attempts received more time than was left, by %v at most", len(exceeding), len(recorder.attempts), worst.Round(time.Millisecond))
 	}
 	if len(recorder.attempts) < processes*stops*requests/2 {
 		t.Errorf("only %d attempts", len(recorder.attempts))
 	}
 }
 
-// sendOneRequest sends one request over a connection of its own and waits for the answer, as long as its client would.
+// sendOneRequest sends one request over a new connection and waits for the answer until the client timeout.
 func sendOneRequest(recorder *deadlineRecorder, addr, id string, timeoutMs int) {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/cmd/streamrail/descriptors_test.go
+++ b/cmd/streamrail/descriptors_test.go
@@ -13,12 +13,12 @@
 	"time"
 )
 
-// Idle clients fill all the places that the process has while discovery is down. The call to discovery, its return, an attempt at
-// a host, a reload and the admin address find a descriptor all the same: the system gives not one more than the settings say.
+// TestIdleClientsFillTheDescriptors fills all client connections with idle clients while discovery is down, with no more descriptors
+// than the settings allow. Calls to discovery, attempts at hosts, a reload and the admin address must still get a descriptor.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	const sockets = 96
 	h, second := newHost(t, "h", answerHit), newHost(t, "second", answerHit)
-	d := newDiscoveryServer(t) // not there yet: the balancer is told of another address
+	d := newDiscoveryServer(t) // the balancer's configuration names another address, where nothing listens yet
 	d.setHost("h", h.addr, "cache", "active")
 	discoveryAddr, adminAddr := freeAddr(t), freeAddr(t)
 	cfg := deploymentConfig(d, freeAddr(t), readWriteThrough)
@@ -30,7 +30,7 @@
 	stop := make(chan struct{})
 	ended := make(chan struct{})
 	const clients = 2 * sockets
-	for range clients { // each opens another as soon as its own is closed, and says nothing
+	for range clients { // each keeps one silent connection open and replaces it when it is closed
 		go func() {
 			defer func() { ended <- struct{}{} }()
 			for {
@@ -59,7 +59,7 @@
 	})
 	expectServed := func(key, id string) {
 		t.Helper()
-		for began := time.Now(); ; { // all in use is answered at once; a place comes free soon
+		for began := time.Now(); ; { // while all connections are in use the answer is busy; one becomes free soon
 			got := p.dial(t).ask(getRequest(key, id, 900))
 			if got == "VA 10 O"+id+"|value of "+key {
 				return
@@ -70,7 +70,7 @@
 	}
 	for began := time.Now(); opened.Load() < clients; time.Sleep(time.Millisecond) {
 		if time.Since(began) > waitTimeout {
-			t.Fatal("the crowd does not come")
+			t.Fatal("the idle clients did not connect")
 		}
 	}
 	expectServed("k", "down")
@@ -91,11 +91,11 @@
 		expectServed("k", fmt.Sprint("moved", i))
 	}
 	if log := p.log.String(); strings.Contains(log, "too many open files") {
-		t.Error("out of descriptors")
+		t.Error("the process ran out of descriptors")
 	}
 }
 
-// launchServingWithDescriptors starts the program where the system gives it so many descriptors, and waits until it serves.
+// launchServingWithDescriptors starts the program with a limit of descriptors and waits until it serves clients.
 func launchServingWithDescriptors(t *testing.T, descriptors int, config map[string]any) *balancerProcess {
 	t.Helper()
 	previous := newCommand
@@ -106,7 +106,7 @@
 	return launchServing(t, config)
 }
 
-// A second SIGTERM, or a SIGHUP while it drains, changes nothing of what is owed but as the page on signals says.
+// TestHangupWhileDraining checks that a reload during a drain does not affect the answer of the pending request or the exit code.
 func TestHangupWhileDraining(t *testing.T) {
 	release := make(chan struct{})
 	p, d := startWithHosts(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/streamrail/door_test.go
+++ b/cmd/streamrail/door_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// callAdmin calls the door, one call to a connection.
+// callAdmin calls the admin API over a new connection.
 func callAdmin(t *testing.T, adminAddr, method, path, body string) (status int, text string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+adminAddr+path, strings.NewReader(body))
@@ -27,7 +27,7 @@
 	return resp.StatusCode, string(b)
 }
 
-// metric is one value of the figures, -1 where it is missing.
+// metric returns the value of one metric, -1 if it is missing.
 func metric(t *testing.T, adminAddr, name string) (value int) {
 	t.Helper()
 	_, text := callAdmin(t, adminAddr, "GET", "/api/telemetry", "")
@@ -40,15 +40,15 @@
 	return -1
 }
 
-// Operators act on what the door says: a call it does not understand must change nothing and say so, and those who hold
-// its connections must not keep it from answering.
+// TestAdminAPI checks that a call which the admin API does not understand changes nothing and is answered with an error, and that
+// clients which hold all its connections do not keep it from answering.
 func TestAdminAPI(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	d := newDiscoveryServer(t)
 	d.setHost("h", h.addr, "cache", "active")
 	adminAddr := freeAddr(t)
 	p := launchServing(t, deploymentConfig(d, freeAddr(t), readWriteThrough), "GW_ADMIN_ADDR="+adminAddr, "TMPDIR="+shortDir(t))
-	for range 40 { // more than it holds
+	for range 40 { // more than the admin API accepts at once
 		c, err := net.Dial("tcp", adminAddr)
 		if err != nil {
 			t.Fatal(err)
@@ -80,38 +80,38 @@
 		`app_deferred_total{group="marked"}`: 0, "app_sends_total": 2, "app_current": 0, "app_cluster_size": 1, "app_cluster_unhealthy": 0} {
 		got := metric(t, adminAddr, name)
 		for began := time.Now(); got != want && time.Since(began) < waitTimeout; got = metric(t, adminAddr, name) {
-			time.Sleep(5 * time.Millisecond) // an answer is counted once it is written: a client may have it sooner
+			time.Sleep(5 * time.Millisecond) // an answer is counted once it is written: a client may read it before
 		}
 		if got != want {
 			t.Errorf("%s: %d, expected %d", name, got, want)
 		}
 	}
-	// Out by hand, twice, and back once: no list lifts it, and a host that is back is used again.
+	// Excluded twice and included once: a new list does not lift the exclusion, and the included host is used again.
 	for range 2 {
 		callAdmin(t, adminAddr, "POST", "/api/exclude", `{"member":"h"}`)
 	}
 	d.setHost("h", h.addr, "cache", "active")
 	d.waitForWatch(t)
 	if got := c.ask(getRequest("k", "c", 900)); !strings.HasPrefix(got, "SERVER_ERROR busy") {
-		t.Errorf("with its only host out: %q", got)
+		t.Errorf("with the only host excluded: %q", got)
 	}
 	if n := metric(t, adminAddr, "app_cluster_unhealthy"); n != 1 || h.count() != 2 {
-		t.Errorf("%d out, the host got %d", n, h.count())
+		t.Errorf("%d hosts excluded, expected 1; the host got %d requests, expected 2", n, h.count())
 	}
 	if n := metric(t, adminAddr, `app_deferred_total{group="read"}`); n != 1 {
-		t.Errorf("%d rate-limited, expected 1", n)
+		t.Errorf("%d requests rate-limited, expected 1", n)
 	}
 	callAdmin(t, adminAddr, "POST", "/api/include", `{"member":"h"}`)
 	for i, began := 0, time.Now(); h.count() == 2; i++ {
 		if time.Since(began) > waitTimeout {
-			t.Fatal("the host that was put back is not used")
+			t.Fatal("the included host is not used")
 		}
 		c.ask(getRequest("k", fmt.Sprint("d", i), 900))
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// An address that cannot be had ends the start, with the key's name.
+// TestAdminAddress checks that an unusable admin address ends the start with the name of the key.
 func TestAdminAddress(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/streamrail/endings_test.go
+++ b/cmd/streamrail/endings_test.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// Ways in which a client goes away. To end one's sending counts as going: nothing that comes tells it from a close.
+// clientDepartures are the ways in which a client can go away. Ending only the sending direction counts as well: the balancer cannot
+// tell it from a close.
 var clientDepartures = map[string]func(c *net.TCPConn){
 	"closes":       func(c *net.TCPConn) { c.Close() },
 	"resets":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"ends sending": func(c *net.TCPConn) { c.CloseWrite() },
 }
 
-// What a client that goes away has asked for is given up at once, whatever its connection's reader waits for just then, and
-// nothing more of it is begun. The client timeouts are so long that nothing else ends an attempt within the test's second.
+// TestClientGoneAnywhere checks that the requests of a client that goes away are cancelled at once, whatever the reader of its
+// connection waits for, and that no further attempt begins. The client timeouts are too long to end an attempt within the test's time.
 func TestClientGoneAnywhere(t *testing.T) {
 	const timeoutMs = 4000
 	for name, row := range map[string]struct {
-		pipelined string // sent behind a request that is in hand
-		n         int    // attempts that are out when it goes
+		pipelined string // sent after a request that is in progress
+		n         int    // attempts in flight when the client goes
 	}{
 		"nothing behind":          {"", 1},
 		"half a line behind":      {"mg k v O", 1},
@@ -60,21 +61,21 @@
 					await(t, h.closed, "the end of an attempt's connection")
 				}
 				if took := time.Since(leftAt); took > 2*time.Second {
-					t.Errorf("given up %v after the client left", took)
+					t.Errorf("the attempts ended %v after the client left", took)
 				}
 				expect(t, p.dial(t).ask(getRequest("k", "after", 900)), "VA 10 Oafter|value of k")
 				if n := h.count(); n != row.n+1 {
-					t.Errorf("%d attempts, expected %d and one of another client", n-1, row.n)
+					t.Errorf("%d attempts besides the other client's one, expected %d", n-1, row.n)
 				}
 			})
 		}
 	}
 }
 
-// However a connection ends from this side, the client reads all answers and then its end, never a reset: closed over bytes
-// that have come unread, it would be one, and would take answers with it.
+// TestEndsWithoutReset checks that a client reads all answers and then the end of the connection, never a reset, whatever makes the
+// balancer close it. A close with unread bytes in the receive buffer would send a reset, which discards answers in transit.
 func TestEndsWithoutReset(t *testing.T) {
-	unread := strings.Repeat("mg k v Olate Pc=read,d=900\r\n", 20000) // far more than the balancer's reader has taken by then
+	unread := strings.Repeat("mg k v Olate Pc=read,d=900\r\n", 20000) // far more than the balancer has read by then
 	for name, row := range map[string]struct {
 		following string
 		trigger   func(p *balancerProcess)
--- a/cmd/streamrail/evidence_test.go
+++ b/cmd/streamrail/evidence_test.go
@@ -11,7 +11,7 @@
 	"streamrail/internal/admin"
 )
 
-// waitForBadHost waits until a balancer hears of one host that it is bad, or of none.
+// waitForBadHost waits until other balancers have reported exactly the given host to this one as bad, or no host if it is "".
 func (m *fleetMember) waitForBadHost(t *testing.T, host string) (e admin.Evidence) {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < 2*waitTimeout; time.Sleep(20 * time.Millisecond) {
@@ -24,12 +24,12 @@
 			return e
 		}
 	}
-	t.Fatalf("%s is never told of %q: %+v", m.name, host, e)
+	t.Fatalf("%s never received that %q is bad: %+v", m.name, host, e)
 	return e
 }
 
-// What three balancers find out about a host that fails, one of them stopped and one killed right after, the other two know
-// before their first call, also one that was born after it; and all forget it in time.
+// TestEvidence checks that three balancers' observations of a failing host reach the other two before their first request, although
+// one of the three is stopped right after and one of the two starts only then. All of them forget the observations in time.
 func TestEvidence(t *testing.T) {
 	f := newFleet(t, 5, "evidence = true\n", nil)
 	bad := newHost(t, "bad", answerWith("SERVER_ERROR failed\r\n"))
@@ -54,7 +54,7 @@
 	}
 	before := bad.count()
 	if before < 3 {
-		t.Fatalf("%d calls at the bad host", before)
+		t.Fatalf("%d requests at the bad host", before)
 	}
 	if e := f.members[3].waitForBadHost(t, "bad"); e.Hosts[0].Witnesses < 2 {
 		t.Errorf("%+v", e)
@@ -65,8 +65,8 @@
 	for _, m := range f.members[3:] {
 		sendRequests(m, 60)
 	}
-	if n := bad.count() - before; n > 2 { // each by itself sends at least its first one there; a trial is drawn now and then
-		t.Errorf("%d calls at the bad host from two that were told", n)
+	if n := bad.count() - before; n > 2 { // without the observations each would send at least its first request there; occasional trial requests are drawn at random
+		t.Errorf("%d requests at the bad host from the two balancers that had received the observations", n)
 	}
 	f.members[1].Process.Signal(syscall.SIGCONT)
 	for _, m := range f.members {
@@ -75,7 +75,7 @@
 	}
 }
 
-// Without the key nothing is told: the door says so, and no other topic is spoken.
+// TestEvidenceOff checks that the admin API answers 404 if the exchange of observations is not configured.
 func TestEvidenceOff(t *testing.T) {
 	f := newFleet(t, 2, "", nil)
 	status, text := callAdmin(t, f.members[0].adminAddr, "GET", "/api/evidence", "")
--- a/cmd/streamrail/gone_test.go
+++ b/cmd/streamrail/gone_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestClientGoneWhileStopped stops the process while an attempt is out; its client closes and the attempt fails before the process
-// goes on. No further attempt begins, whichever of the two is heard first.
+// TestClientGoneWhileStopped stops the process while attempts are in flight. Their clients close and the attempts fail before the
+// process resumes. No further attempt may begin, whichever of the two events the process handles first.
 func TestClientGoneWhileStopped(t *testing.T) {
 	t.Parallel()
 	const rounds, clients = 6, 8
@@ -33,7 +33,7 @@
 		}
 		for began := time.Now(); attempts.Load() < clients; time.Sleep(time.Millisecond) {
 			if time.Since(began) > waitTimeout {
-				t.Fatalf("%d first attempts of %d", attempts.Load(), clients)
+				t.Fatalf("%d of %d first attempts began", attempts.Load(), clients)
 			}
 		}
 		p.Process.Signal(syscall.SIGSTOP)
--- a/cmd/streamrail/main_test.go
+++ b/cmd/streamrail/main_test.go
@@ -13,8 +13,10 @@
 	"time"
 )
 
+// buildFlags are added to the go build of the program: -race where the tests run with the race detector.
 var buildFlags []string
 
+// expect reports an error if two strings differ.
 func expect(t *testing.T, got, want string) {
 	t.Helper()
 	if got != want {
@@ -22,6 +24,7 @@
 	}
 }
 
+// await receives a value and ends the test if none comes in time.
 func await[T any](t *testing.T, from <-chan T, what string) (v T) {
 	t.Helper()
 	select {
@@ -32,7 +35,7 @@
 	return v
 }
 
-// A command goes on as the client wrote it, but for the time that is left.
+// TestHit checks that the cache host gets the command as the client wrote it, except for the remaining time.
 func TestHit(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	p, _ := startWithHosts(t, nil, nil, h)
@@ -45,7 +48,7 @@
 	}
 }
 
-// A miss is answered by the origin, and a write goes there, with the headers that it needs.
+// TestOrigin checks that the origin answers a read that misses and gets the writes, both with the id and the attributes as headers.
 func TestOrigin(t *testing.T) {
 	h := newHost(t, "h", answerMiss)
 	bodies := make(chan string, 10)
@@ -72,8 +75,8 @@
 	expect(t, r.Method+" "+r.URL.Path+" "+attrsWithoutTimeLeft(t, r, 900)+" "+await(t, bodies, "the value"), "PUT /k c=pay,d=,k=77 hello")
 }
 
-// attrsWithoutTimeLeft is the list of names and values that the origin got, but for the digits of the time that is left. That is under the
-// client's own, as some of it has passed, and over zero.
+// attrsWithoutTimeLeft returns the attributes that the origin got without the digits of the remaining time. It checks that this time
+// is above zero and below the client's timeout, as some of it has passed.
 func attrsWithoutTimeLeft(t *testing.T, r *http.Request, timeoutMs int) string {
 	t.Helper()
 	before, rest, found := strings.Cut(r.Header.Get("X-Attrs"), "d=")
@@ -88,8 +91,8 @@
 	return before + "d=" + rest[end:]
 }
 
-// What an outcome proves: a non-idempotent write is rate-limited, or sent again, only if it never ran; a wrong
-// row here credits a phone line twice.
+// TestOutcomesOfHosts checks what an answer of a cache host proves about a non-idempotent write: it is answered as rate-limited, or
+// retried, only if it never ran. A wrong conclusion applies the write twice.
 func TestOutcomesOfHosts(t *testing.T) {
 	const neverRan, mayHaveRan = "SERVER_ERROR busy", "SERVER_ERROR failed"
 	for name, row := range map[string]struct {
@@ -136,6 +139,7 @@
 	})
 }
 
+// TestOutcomesOfOrigin checks the same for the answers of the origin.
 func TestOutcomesOfOrigin(t *testing.T) {
 	hijack := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -184,8 +188,8 @@
 	}
 }
 
-// Several commands in one read, or one command in many: each is answered, in order, and none waits for
-// another's host.
+// TestPipelineAndSplits sends several commands in one write, and one command byte by byte. Each is answered in order, and none waits
+// for the cache host of another one.
 func TestPipelineAndSplits(t *testing.T) {
 	second := make(chan struct{})
 	h := newHost(t, "h", func(cmd command) string {
@@ -209,11 +213,12 @@
 	big := strings.Repeat("v", 1<<20)
 	expect(t, c.ask(fmt.Sprintf("ms k %d Ox Pc=pay,d=2000\r\n%s\r\n", len(big), big)), "HD Ox cdone-x")
 	if h.commands[len(h.commands)-1].value != big {
-		t.Error("the value changed on its way")
+		t.Error("the cache host got a different value")
 	}
 }
 
-// Bad input gets a short reason; where the next command can be made out the connection goes on.
+// TestMalformed checks that invalid input is answered with a short reason. The connection stays open if the start of the next command
+// is certain.
 func TestMalformed(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	p, _ := startWithHosts(t, nil, nil, h)
@@ -240,7 +245,7 @@
 		{"ms k 5 O1 Pc=marked,d=900\r\nhello\r\n", "CLIENT_ERROR no mark against repeats", true},
 		{"ms k -5 O1 Pc=pay,d=900\r\n", "CLIENT_ERROR bad data chunk", false},
 		{"ms k 60000000 O1 Pc=pay,d=900\r\n" + strings.Repeat("v", 1<<20), "CLIENT_ERROR value too large", false},
-		{"mg k v O1 Pc=read,d=1\r\n", "SERVER_ERROR busy", true}, // no time is left for any attempt
+		{"mg k v O1 Pc=read,d=1\r\n", "SERVER_ERROR busy", true}, // too little time for an attempt
 		{"ms k 5 Pc=pay,d=9\r\nhello\r\n", "CLIENT_ERROR no id", true},
 		{"ms k five O1 Pc=pay,d=9\r\n", "CLIENT_ERROR bad data chunk", false},
 		{"ms k 5 O1 Pc=pay,d=9\r\nhello, you\r\n", "CLIENT_ERROR bad data chunk", false},
@@ -257,12 +262,12 @@
 		}
 	}
 	if n := h.count(); n != 0 {
-		t.Errorf("%d of these reached the host", n)
+		t.Errorf("%d of the invalid commands reached the host", n)
 	}
 }
 
-// Two clients with one id: the second is told so and never reaches a host, which would take it for a repeat of the
-// first. Once the first is answered the id is free.
+// TestIDInHand checks that a request whose id is in use by another client's request is rejected and reaches no host, which would take
+// it for a repeat of the first one. The id is free again once the first request is answered.
 func TestIDInHand(t *testing.T) {
 	release := make(chan struct{})
 	h := newHost(t, "h", func(cmd command) string {
@@ -281,15 +286,15 @@
 	expect(t, c.next(), "HD Oa cdone-a")
 	for began := time.Now(); other.ask(getRequest("k", "a", 900)) != "VA 10 Oa|value of k"; {
 		if time.Since(began) > waitTimeout/2 {
-			t.Fatal("the id is never free again")
+			t.Fatal("the id did not become free again")
 		}
 	}
 	if n := h.count(); n != 3 {
-		t.Errorf("%d at the host", n)
+		t.Errorf("the host got %d requests, expected 3", n)
 	}
 }
 
-// A client that goes away takes its attempts with it: the host's work would serve nobody.
+// TestClientGone checks that the attempts of a client that closes its connection are cancelled: nobody would use their results.
 func TestClientGone(t *testing.T) {
 	h := newHost(t, "h", answerWith(""))
 	p, _ := startWithHosts(t, nil, nil, h)
@@ -300,8 +305,8 @@
 	await(t, h.closed, "the end of the attempt's connection")
 }
 
-// A host that is silent after accepting: the answer comes before the client timeout, and the host's late one
-// reaches nobody.
+// TestSilentHost checks that a request to a host that does not answer is answered before the client timeout, and that the host's late
+// answer reaches nobody.
 func TestSilentHost(t *testing.T) {
 	late := make(chan command, 1)
 	h := newHost(t, "h", func(cmd command) string {
@@ -322,8 +327,8 @@
 	expect(t, c.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 }
 
-// TestTimeoutsAreDecided has twenty requests wait for a silent host until their time is over, with a clock that has no ticks: each final
-// answer is the decisions', who know that a read may be tried again, and not the one that stands in for them when they are late.
+// TestTimeoutsAreDecided lets twenty requests to a silent host time out while the periodic tick is off. Each final answer must be that
+// of the routing decisions, which know that a read can be retried, and not the fallback for decisions that come too late.
 func TestTimeoutsAreDecided(t *testing.T) {
 	p, _ := startWithHosts(t, map[string]any{"tickNs": 0}, nil, newHost(t, "h", answerWith("")))
 	answers := make(chan string)
@@ -338,7 +343,8 @@
 	}
 }
 
-// A kept connection that the host has closed is not written to: the write would count as one that may have run.
+// TestKeptConnectionClosed checks that no write is sent over an idle connection that the host has closed: it would count as one that
+// may have run.
 func TestKeptConnectionClosed(t *testing.T) {
 	h := newHost(t, "h", nil)
 	h.answer = func(cmd command) string {
@@ -354,14 +360,15 @@
 	}
 }
 
-// Nothing new goes to a host that drains, and a host that is new gets its share.
+// TestDrainedHost checks that a draining host gets no new requests, and that a host listed under the same id at a new address gets the
+// requests instead of the old address.
 func TestDrainedHost(t *testing.T) {
 	x, y := newHost(t, "x", answerHit), newHost(t, "y", answerHit)
 	p, d := startWithHosts(t, nil, nil, x, y)
 	c, requests := p.dial(t), 0
 	ask := func(from int) {
 		for i := from; i < from+50; i++ {
-			// Each call has an id of its own, as clients give them: one is free again only just after its answer.
+			// Each request has its own id, as with real clients: an id becomes free only shortly after its answer.
 			requests++
 			expect(t, c.ask(getRequest(fmt.Sprint("key", i), fmt.Sprint("a", requests), 900)),
 				fmt.Sprintf("VA %d Oa%d|value of key%d", 12+len(fmt.Sprint(i)), requests, i))
@@ -369,7 +376,7 @@
 	}
 	ask(100)
 	if x.count() == 0 || y.count() == 0 {
-		t.Fatalf("not spread: %d and %d", x.count(), y.count())
+		t.Fatalf("the requests are not spread over both hosts: %d and %d", x.count(), y.count())
 	}
 	d.setHost("x", x.addr, "cache", "leaving")
 	d.waitForWatch(t)
@@ -377,7 +384,7 @@
 	before := x.count()
 	ask(200)
 	if x.count() != before {
-		t.Errorf("%d new to a host that drains", x.count()-before)
+		t.Errorf("%d new requests to a draining host", x.count()-before)
 	}
 	for old := x; old.id != "last"; { // the same id at another address, after a drain and without one
 		z := newHost(t, "x", answerHit)
@@ -386,7 +393,7 @@
 		before = old.count()
 		ask(300)
 		if z.count() == 0 || old.count() != before {
-			t.Errorf("%d at the new address, %d more at the old", z.count(), old.count()-before)
+			t.Errorf("%d requests at the new address, %d new ones at the old one", z.count(), old.count()-before)
 		}
 		if old != x {
 			z.id = "last"
@@ -395,7 +402,8 @@
 	}
 }
 
-// While discovery is silent or talks nonsense the list that is known stands, also over a restart.
+// TestDiscoveryFails checks that the known list stays in use while discovery is unavailable or sends invalid answers, also after a
+// restart with the list in the configuration.
 func TestDiscoveryFails(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	d := newDiscoveryServer(t)
@@ -411,12 +419,12 @@
 	d.answerGarbage = true
 	d.mu.Unlock()
 	d.setHost("other", freeAddr(t), "cache", "leaving")
-	d.waitForWatch(t) // after the nonsense it has asked for the whole list and watches again
+	d.waitForWatch(t) // after the invalid answer the balancer has fetched the whole list and watches again
 	expect(t, c.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 }
 
-// SIGTERM with work in hand: clients go on using the connections they have, and open new ones while the front still
-// sends, for a peer may be away at the same time; then they close and what is in hand is answered, in order.
+// TestDrain sends SIGTERM while a request is in progress. Clients can go on using their connections and open new ones in the first
+// phase, as another balancer may be down at the same time. Then the connections close and the pending request is answered.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
 	p, _ := startWithHosts(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
@@ -444,7 +452,7 @@
 	}
 }
 
-// With nobody connected there is nothing to stay for.
+// TestDrainAlone checks that the process ends soon after SIGTERM if no client is connected.
 func TestDrainAlone(t *testing.T) {
 	p, _ := startWithHosts(t, nil, nil, newHost(t, "h", answerHit))
 	began := time.Now()
@@ -454,8 +462,8 @@
 	}
 }
 
-// Clients that go on working through a planned restart: a kept connection may end between requests, but one
-// that the front has just opened always answers, or what it carries is lost.
+// TestDrainUnderWork checks clients that go on sending during a planned restart. A connection that was used before may end between
+// two requests, but the first request on a new connection is always answered: otherwise it would be lost.
 func TestDrainUnderWork(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	p, _ := startWithHosts(t, nil, nil, h)
@@ -498,7 +506,7 @@
 		await(t, h.received, "work")
 	}
 	go func() {
-		for range h.received { // lest the host waits for a reader
+		for range h.received { // the host must not block on a full channel
 		}
 	}()
 	p.Process.Signal(syscall.SIGTERM)
@@ -513,7 +521,7 @@
 	}
 }
 
-// A second SIGTERM, or SIGINT, ends it at once.
+// TestCutShort checks that SIGINT or a second SIGTERM ends the process at once.
 func TestCutShort(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{{syscall.SIGINT}, {syscall.SIGTERM, syscall.SIGTERM}} {
 		h := newHost(t, "h", answerWith(""))
@@ -526,7 +534,7 @@
 		for _, s := range signals {
 			p.Process.Signal(s)
 			if s == syscall.SIGTERM {
-				p.waitForLog(t, `"phase":"leaving"`) // two signals that come together are one
+				p.waitForLog(t, `"phase":"leaving"`) // two pending signals of one kind are delivered as one
 			}
 		}
 		expect(t, idle.next(), "EOF")
@@ -536,19 +544,19 @@
 	}
 }
 
-// Out of room for connections: those that say nothing make room first, then those that have asked and stay, long before
-// their time is up. A slow client's command that is coming is left alone; where all are in use the answer is prompt and
-// harmless.
+// TestOutOfDescriptors fills the limit of client connections. Connections without a request are closed first, then idle ones that have
+// had a request, both long before their idle timeout. A connection in the middle of a slow command stays. If all are in use, a new one
+// is answered at once as rate-limited.
 func TestOutOfDescriptors(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	d := newDiscoveryServer(t)
 	d.setHost("h", h.addr, "cache", "active")
 	cfg := deploymentConfig(d, freeAddr(t), nil)
-	cfg["limits"] = map[string]any{"sockets": 16 + 64} // 35 for clients, five more are answered
+	cfg["limits"] = map[string]any{"sockets": 16 + 64} // 35 for clients; five more get an answer
 	p := launchServing(t, cfg)
 	silent, idle := p.dial(t), p.dial(t)
 	expect(t, idle.ask(getRequest("k", "first", 900)), "VA 10 Ofirst|value of k")
-	time.Sleep(50 * time.Millisecond) // more than either is left alone for
+	time.Sleep(50 * time.Millisecond) // longer than the time in which neither is closed
 	var slow []*client
 	for i := range 35 {
 		c := p.dial(t)
@@ -559,38 +567,39 @@
 	}
 	for _, c := range []*client{silent, idle} {
 		if c.next() != "EOF" || time.Since(c.dialedAt) > time.Second {
-			t.Errorf("the silent one, and the idle one, were closed after %v", time.Since(c.dialedAt))
+			t.Errorf("the silent or the idle connection was closed after %v", time.Since(c.dialedAt))
 		}
 	}
-	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // idle ones may still make room for it
+	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // idle connections may still be closed for it
 		if got := p.dial(t).ask(getRequest("k", "more", 900)); got == "SERVER_ERROR busy" {
 			break
 		} else if time.Since(began) > 500*time.Millisecond {
-			t.Fatalf("with all in use: %q", got)
+			t.Fatalf("with all connections in use: %q", got)
 		}
 	}
 	for i, c := range slow {
 		expect(t, c.ask(" Pc=read,d=900\r\n"), fmt.Sprintf("VA 10 Oslow%d|value of k", i))
 	}
-	// One that stops within a command makes room too.
+	// A connection that stops within a command is closed, too.
 	for range 40 {
 		p.dial(t).send("mg k v O")
 	}
 	for began := time.Now(); p.dial(t).ask(getRequest("k", "late", 900)) != "VA 10 Olate|value of k"; time.Sleep(20 * time.Millisecond) {
 		if time.Since(began) > 2*time.Second {
-			t.Fatal("no stopped connection makes room")
+			t.Fatal("no stopped connection was closed to make room")
 		}
 	}
 }
 
-// Clients hold only so many connections for requests. Some ask once and stay: where they hold nearly all, the one idle
-// longest is closed, long before places are wanted here, or the next call finds none to come over.
+// TestClientsOutOfConnections checks clients that send one request and stay connected. Clients have a limited number of connections
+// themselves: when they hold nearly all of them, the balancer closes the one idle for longest, long before its own limit, as otherwise
+// the next request would find no connection.
 func TestClientsOutOfConnections(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	d := newDiscoveryServer(t)
 	d.setHost("h", h.addr, "cache", "active")
 	cfg := deploymentConfig(d, freeAddr(t), nil)
-	cfg["limits"] = map[string]any{"sockets": 80} // 20 are kept, 35 have places
+	cfg["limits"] = map[string]any{"sockets": 80} // 20 connections that have carried a request are kept, 35 connections are served
 	p := launchServing(t, cfg)
 	var all []*client
 	for i := range 30 {
@@ -603,18 +612,18 @@
 	if since := time.Since(all[0].dialedAt); since > time.Second {
 		t.Errorf("the first was closed after %v", since)
 	}
-	for i, c := range all[15:] { // the later ones are not
+	for i, c := range all[15:] { // the later ones stay open
 		expect(t, c.ask(getRequest("k", fmt.Sprint("again", i), 900)), fmt.Sprintf("VA 10 Oagain%d|value of k", i))
 	}
 }
 
-// Clients that say nothing, half a command, or ask once and stay: each is closed in time, or they hold all
-// descriptors, the balancer's or the clients' own, and the usual clients find none.
+// TestIdleClients checks that connections that send nothing, half a command or only one request are closed in time. Otherwise they
+// would use up all descriptors of the balancer or of the clients.
 func TestIdleClients(t *testing.T) {
 	p, _ := startWithHosts(t, nil, nil, newHost(t, "h", answerHit))
 	for name, row := range map[string]struct {
 		request          string
-		earliest, latest time.Duration // a connection with nothing open may be closed after two seconds
+		earliest, latest time.Duration // a connection without a pending command may be closed after two seconds
 	}{
 		"nothing":        {"", 2 * time.Second, 3 * time.Second},
 		"half a command": {"mg k v Ohalf", 0, 3 * time.Second},
@@ -637,7 +646,7 @@
 	}
 }
 
-// A faulty start says which key is faulty, and does not listen.
+// TestFaultyConfiguration checks that a faulty configuration ends the start with exit code 2 and the name of the faulty key.
 func TestFaultyConfiguration(t *testing.T) {
 	d := newDiscoveryServer(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
@@ -677,8 +686,8 @@
 	}
 }
 
-// A new configuration under load: the list comes from the new address from then on, also where a variable named
-// the old one, and nothing more is heard from there; no request is lost. A faulty file changes nothing.
+// TestReload changes the configuration under load. The list then comes from the new discovery address, even if an environment variable
+// named the old one, and updates from the old address have no effect; no request is lost. A faulty file changes nothing.
 func TestReload(t *testing.T) {
 	x, y := newHost(t, "x", answerHit), newHost(t, "y", answerHit)
 	old, next := newDiscoveryServer(t), newDiscoveryServer(t)
@@ -687,7 +696,7 @@
 	cfg := deploymentConfig(old, freeAddr(t), nil)
 	p := launchServing(t, cfg, "GW_DISCOVERY="+serverAddr(old.Server))
 	stop, answers := make(chan struct{}), make(chan string, 1)
-	go func() { // requests all the while
+	go func() { // sends requests until the test ends it
 		c := p.dial(t)
 		for n := 0; ; n++ {
 			id := fmt.Sprint("r", n)
@@ -707,7 +716,7 @@
 	p.reload(t, "{", `faulty configuration, nothing changed`)
 	faulty := deploymentConfig(next, p.addr, map[string]any{"balancers": "few"})
 	p.reload(t, faulty, "settings.balancers")
-	cfg["discovery"], cfg["seed"] = freeAddr(t), "1" // silent: nobody is there
+	cfg["discovery"], cfg["seed"] = freeAddr(t), "1" // nothing listens there
 	p.reload(t, cfg, `"kept_until_restart":["seed"]`)
 	cfg["discovery"] = serverAddr(next.Server)
 	p.reload(t, cfg, `"discovery":"`+serverAddr(next.Server)+`","kept`)
@@ -715,14 +724,14 @@
 	next.waitForWatch(t)
 	await(t, x.closed, "the end of the kept connection to the host that is listed no more")
 	before := x.count()
-	old.setHost("x", x.addr, "cache", "active") // unheard
+	old.setHost("x", x.addr, "cache", "active") // must have no effect
 	for range 20 {
 		await(t, y.received, "work")
 	}
 	close(stop)
 	expect(t, await(t, answers, "the end of the work"), "all")
 	if x.count() != before {
-		t.Errorf("%d sent where only the old address points", x.count()-before)
+		t.Errorf("%d requests to a host that only the old address lists", x.count()-before)
 	}
 	c := p.dial(t)
 	expect(t, c.ask("mn\r\n"), "MN")
--- a/cmd/streamrail/move_test.go
+++ b/cmd/streamrail/move_test.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// A move to settings of another shape, under load: what was learnt of a host that fails still holds in the first seconds after the
-// switch, and is not believed of one that has been started again since, nor are bounds that were parts of another whole.
+// TestChangedSettingsKeepValidState upgrades to a process with other settings. The newer process still avoids a failing host in the
+// first seconds, but does not if that host has been restarted since. Limits that were shares for another number of balancers do not
+// carry over.
 func TestChangedSettingsKeepValidState(t *testing.T) {
 	for _, row := range []struct {
 		name                     string
-		restarted                bool // the host that failed has been started again, and is well
-		minAttempts, maxAttempts int  // of 60 calls that it gets after the switch
+		restarted                bool // the failing host has been restarted and works
+		minAttempts, maxAttempts int  // at that host, of 60 requests after the upgrade
 	}{{"the same process", false, 0, 1}, {"started again", true, 8, 60}} {
 		t.Run(row.name, func(t *testing.T) {
 			healthy, failing := newHost(t, "well", answerHit), newHost(t, "sick", func(command) string {
-				time.Sleep(100 * time.Millisecond) // all that are out there together fail before the first is known to
+				time.Sleep(100 * time.Millisecond) // all attempts in flight there are sent before the first one fails
 				return "SERVER_ERROR failed\r\n"
 			})
 			d := newDiscoveryServer(t)
@@ -33,7 +34,7 @@
 			}
 			clients.Wait()
 			if n := failing.count(); n < 4 {
-				t.Fatalf("it got %d attempts: too little was learnt", n)
+				t.Fatalf("the failing host got only %d attempts: too few to learn from", n)
 			}
 			if row.restarted {
 				fresh := newHost(t, "sick", answerHit)
@@ -59,7 +60,7 @@
 				t.Errorf("the host got %d attempts, expected %d to %d", n, row.minAttempts, row.maxAttempts)
 			}
 			if fulfilled < 50 {
-				t.Errorf("%d of 60 calls were fulfilled", fulfilled)
+				t.Errorf("%d of 60 requests were fulfilled", fulfilled)
 			}
 		})
 	}
--- a/cmd/streamrail/orders_test.go
+++ b/cmd/streamrail/orders_test.go
@@ -12,7 +12,7 @@
 	"streamrail/internal/admin"
 )
 
-// postExclusion gives an order at a balancer's door.
+// postExclusion posts an exclude or include call to a balancer's admin API and returns the answer text.
 func (m *fleetMember) postExclusion(t *testing.T, action, host, extraFields string) string {
 	t.Helper()
 	status, text := callAdmin(t, m.adminAddr, "POST", "/api/"+action, fmt.Sprintf(`{"member":%q%s}`, host, extraFields))
@@ -31,7 +31,7 @@
 	return o
 }
 
-// waitForExcluded waits until a balancer avoids its one host, or uses it, and tells how long that took.
+// waitForExcluded waits until a balancer's one host is excluded, or no longer excluded, and returns how long that took.
 func (m *fleetMember) waitForExcluded(t *testing.T, excluded bool) time.Duration {
 	t.Helper()
 	want, began := 0, time.Now()
@@ -40,17 +40,17 @@
 	}
 	for metric(t, m.adminAddr, "app_cluster_unhealthy") != want {
 		if time.Since(began) > waitTimeout {
-			t.Fatalf("%s: out %v is not in force: %+v", m.name, excluded, m.orders(t))
+			t.Fatalf("%s: excluded = %v is not in force: %+v", m.name, excluded, m.orders(t))
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
-const maxOrderDelay = 2 * time.Second // twice what is promised: machines are busy
+const maxOrderDelay = 2 * time.Second // twice the documented time, as test machines are busy
 
-// An order given at one door is in force at all five, at one that stood still once it goes on, at one that was down once it is up, also
-// when all were killed at once; and a withdrawn one stays withdrawn.
+// TestOrders checks that an exclusion order given to one balancer takes effect at all five: at a stopped one once it resumes, at one
+// that was down once it has started, and again after all were killed at once. A withdrawn order stays withdrawn.
 func TestOrders(t *testing.T) {
 	f := newFleet(t, 5, "orders = true\n", nil)
 	f.members[3].Process.Signal(syscall.SIGSTOP)
@@ -69,7 +69,7 @@
 	f.members[4].start(t)
 	for _, m := range f.members[3:] {
 		if d := m.waitForExcluded(t, true); d > maxOrderDelay {
-			t.Errorf("%s: in force %v after it was back", m.name, d)
+			t.Errorf("%s: in force only %v after the balancer was back", m.name, d)
 		}
 	}
 	for _, m := range f.members {
@@ -97,7 +97,8 @@
 	}
 }
 
-// Orders at doors on two sides of a cut: the one with the greater count holds everywhere, and both doors show the conflict.
+// TestOrdersCut gives orders in both partitions of a fleet. After the partition ends the order with the greater count holds everywhere,
+// and both balancers' admin APIs show the conflict.
 func TestOrdersCut(t *testing.T) {
 	f := newFleet(t, 5, "orders = true\n", nil)
 	side := func(i int) bool { return i < 2 }
@@ -109,15 +110,15 @@
 	f.members[2].waitForExcluded(t, false)
 	f.relays.Cut(false, func(int, int) bool { return true })
 	for _, m := range f.members {
-		if d := m.waitForExcluded(t, false); d > maxOrderDelay+2*time.Second { // and the time in which the sides find each other
-			t.Errorf("%s: the one that won is in force after %v", m.name, d)
+		if d := m.waitForExcluded(t, false); d > maxOrderDelay+2*time.Second { // plus the time in which the partitions merge
+			t.Errorf("%s: the winning order is in force only after %v", m.name, d)
 		}
 	}
 	for _, m := range []*fleetMember{f.members[0], f.members[4]} {
 		began := time.Now()
 		for !slices.ContainsFunc(m.orders(t).Conflicts, func(c admin.Conflict) bool { return c.Won.Door == "n4" && c.Lost.Door == "n0" && c.Lost.Out }) {
 			if time.Since(began) > waitTimeout {
-				t.Fatalf("%s shows no conflict: %+v", m.name, m.orders(t))
+				t.Fatalf("%s does not show the conflict: %+v", m.name, m.orders(t))
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -127,11 +128,12 @@
 		sums[m.orders(t).Sum] = true
 	}
 	if len(sums) != 1 {
-		t.Errorf("%d kinds of orders after the cut", len(sums))
+		t.Errorf("%d different sets of orders after the partition", len(sums))
 	}
 }
 
-// Without orders = true the door is as it was, and says so.
+// TestOrdersOff checks that without orders = true an exclusion holds at one balancer only, and that the admin API answers calls that
+// need fleet-wide orders with an error.
 func TestOrdersOff(t *testing.T) {
 	m := newFleet(t, 2, "", nil).members[0]
 	if status, text := callAdmin(t, m.adminAddr, "GET", "/api/orders", ""); status != 404 || !strings.Contains(text, "orders = true") {
--- a/cmd/streamrail/restart_test.go
+++ b/cmd/streamrail/restart_test.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// minListWait is for how long a process that starts waits for the present list at the least, where none comes.
+// minListWait is the time for which a starting process at least waits for the current list if discovery does not answer.
 const minListWait = time.Second
 
-// A start with discovery away, silent or turning calls away, and with a list of before that is absent, old, spoilt or of another
-// deployment. It is ready within two seconds where it has a host to send to, and says MN only then: a front sends to who says so.
-// Where it has none it says so, turns requests away at once, and is ready as soon as discovery is back.
+// TestRestarts starts the program while discovery is unavailable or silent, with an earlier list that is absent, old, damaged or from
+// another deployment. With a usable host in that list the process gets ready within two seconds and answers MN only then, as a load
+// balancer sends requests to a process that does. Without one it rejects requests at once and gets ready when discovery is back.
 func TestRestarts(t *testing.T) {
 	type discoveryFault struct {
 		name  string
@@ -70,10 +70,10 @@
 					if c, err := net.Dial("tcp", p.addr); err == nil {
 						c.Close()
 						if after := time.Since(began); after < minListWait {
-							t.Errorf("its address is open after %v, while it still waits for the list", after)
+							t.Errorf("the address is open after %v, while the process should still wait for the list", after)
 						}
 						if got := p.dial(t).ask("mn\r\n"); got == "MN" || strings.HasPrefix(got, "SERVER_ERROR") {
-							firstAnswer = got // what comes before it listens is no answer of its own
+							firstAnswer = got // before it listens there is no answer of the process itself
 						}
 					}
 				}
@@ -81,12 +81,12 @@
 					t.Errorf("%q after %v", firstAnswer, time.Since(began))
 				}
 				if got := p.dial(t).ask(getRequest("k", "a", 900)); row.usable && got != "VA 10 Oa|value of k" || !row.usable && !strings.HasPrefix(got, "SERVER_ERROR busy") {
-					t.Errorf("a request meanwhile: %q", got)
+					t.Errorf("a request while discovery fails: %q", got)
 				}
 				restore()
 				for began := time.Now(); p.dial(t).ask("mn\r\n") != "MN"; time.Sleep(5 * time.Millisecond) {
 					if time.Since(began) > waitTimeout {
-						t.Fatal("discovery is back, and it is not ready")
+						t.Fatal("discovery is back, but the process is not ready")
 					}
 				}
 				expect(t, p.dial(t).ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
@@ -95,7 +95,7 @@
 	}
 }
 
-// startDiscoveryAt has discovery at an address that nobody was at.
+// startDiscoveryAt serves discovery at an address that was not in use.
 func startDiscoveryAt(t *testing.T, addr string, d *discoveryServer) {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -110,16 +110,17 @@
 	t.Cleanup(func() { s.Close() })
 }
 
+// wholeList returns a whole host list in discovery's format.
 func wholeList(generation int, hosts ...map[string]any) map[string]any {
 	return map[string]any{"generation": generation, "reset": true, "instances": append([]map[string]any{}, hosts...)}
 }
 
-// withFields is an entry with some keys of other values.
+// withFields returns a copy of a list entry with the given pairs of keys and values replaced.
 func withFields(entry map[string]any, pairs ...string) map[string]any {
 	text, _ := json.Marshal(entry)
 	var e map[string]any
 	if err := json.Unmarshal(text, &e); err != nil {
-		panic(fmt.Sprint("an entry of the test's own: ", err))
+		panic(fmt.Sprint("invalid list entry in the test: ", err))
 	}
 	for i := 0; i < len(pairs); i += 2 {
 		e[pairs[i]] = pairs[i+1]
--- a/cmd/streamrail/shutdown_test.go
+++ b/cmd/streamrail/shutdown_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// SIGTERM while a host hangs, with requests in every stage, short and usual client timeouts, and clients that send on every
-// connection for as long as it stays open. Each request gets exactly one final answer in its time, or a connection's end where no
-// host was sent it; no attempt begins after an answer; the process ends before it would be killed.
+// TestShutdownInEveryStage sends SIGTERM while requests are in every stage of processing, with hanging and failing hosts, short and
+// usual client timeouts, and clients that send on a connection for as long as it stays open. Each request gets exactly one final answer
+// in time, or the end of its connection if it was sent to no host. No attempt begins after an answer, and the process ends in time.
 func TestShutdownInEveryStage(t *testing.T) {
 	for _, clientTimeout := range []time.Duration{800 * time.Millisecond, 3 * time.Second} {
 		t.Run(clientTimeout.String(), func(t *testing.T) {
@@ -24,7 +24,7 @@
 			change := map[string]any{"extra": readWriteThrough["extra"],
 				"products": []any{product("read", "idempotent"), product("pay", "at_most_once"), product("marked", "deduplicated")}}
 			var hosts []*cacheHost
-			for _, id := range []string{"x", "y", "z"} { // what a host does goes by the request, so all stages are met anywhere
+			for _, id := range []string{"x", "y", "z"} { // the behavior depends on the request, so that every host shows all of them
 				hosts = append(hosts, newHost(t, id, func(cmd command) string {
 					switch behavior, _, _ := strings.Cut(cmd.id, "-"); behavior {
 					case "hangs":
@@ -44,7 +44,8 @@
 			var clients sync.WaitGroup
 			var mu sync.Mutex
 			answered := map[string]time.Time{}
-			// takes reads the one answer to a request; ends tells that the connection may end instead where no host got it.
+			// readAnswer reads the one answer to a request. It returns false if the connection ended instead, which is an error if a
+			// host got the request.
 			readAnswer := func(c *client, id string, sent time.Time) (stillOpen bool) {
 				got := c.next()
 				now := time.Now()
@@ -64,7 +65,7 @@
 					h.mu.Lock()
 					for _, cmd := range h.commands {
 						if cmd.id == id {
-							t.Errorf("%s was sent on and got %q", id, got)
+							t.Errorf("%s was sent to a host, but its client got %q", id, got)
 						}
 					}
 					h.mu.Unlock()
@@ -76,7 +77,7 @@
 			sigtermSent := make(chan struct{}) // closed at SIGTERM
 			for _, behavior := range []string{"hangs", "half", "breaks", "slow", "plain"} {
 				for n, request := range requests {
-					for _, split := range []int{0, 9, len(request) - 3} { // whole before SIGTERM; half a line, nearly all, the rest after
+					for _, split := range []int{0, 9, len(request) - 3} { // sent before SIGTERM: all, half a line, nearly all
 						id := fmt.Sprint(behavior, "-", n, "-", split)
 						text := strings.Replace(request, "%s", id, 1)
 						if split == 0 {
@@ -109,9 +110,9 @@
 				})
 			}
 			for range 3*3*5 + 6 {
-				await(t, started, "the beginning of all")
+				await(t, started, "the start of all clients")
 			}
-			for range 3 * 5 { // what was whole has come to a host
+			for range 3 * 5 { // the requests sent as a whole have reached a host
 				await(t, hosts[0].received, "requests")
 			}
 			go func() {
@@ -125,14 +126,14 @@
 				t.Errorf("exit code %d", code)
 			}
 			if took := time.Since(began); took > clientTimeout+700*time.Millisecond {
-				t.Errorf("it took %v to end", took)
+				t.Errorf("the process took %v to end", took)
 			}
 			clients.Wait()
 			for _, h := range hosts {
 				h.mu.Lock()
 				for _, cmd := range h.commands {
 					if answeredAt, ok := answered[cmd.id]; ok && cmd.receivedAt.After(answeredAt.Add(50*time.Millisecond)) {
-						t.Errorf("%s was sent on %v after its answer", cmd.id, cmd.receivedAt.Sub(answeredAt))
+						t.Errorf("an attempt of %s began %v after its answer", cmd.id, cmd.receivedAt.Sub(answeredAt))
 					}
 				}
 				h.mu.Unlock()
--- a/cmd/streamrail/sizes_test.go
+++ b/cmd/streamrail/sizes_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// No list of hosts or balancers ends at a number: one more than a thousand is taken like a dozen, in the list, the settings and
-// the operator's file, and half of the hosts may leave at once. Six processes of hosts stand behind all the names.
+// TestSizes checks that the numbers of hosts and balancers have no built-in limit around a thousand, in the host list, the settings and
+// the operator's file, and that half of the hosts may leave at once. Six stand-ins serve the addresses of all the hosts.
 func TestSizes(t *testing.T) {
 	for _, n := range []int{1024, 1025} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
@@ -42,7 +42,7 @@
 				return fulfilled
 			}
 			if got := ask(0); got < 295 {
-				t.Errorf("%d of 300 fulfilled", got)
+				t.Errorf("%d of 300 requests fulfilled", got)
 			}
 			d.mu.Lock()
 			for i := range n {
@@ -58,10 +58,10 @@
 			d.waitForWatch(t)
 			before := hosts[0].count() + hosts[1].count() + hosts[2].count()
 			if got := ask(300); got < 295 {
-				t.Errorf("with half of them leaving %d of 300 fulfilled", got)
+				t.Errorf("with half of the hosts leaving %d of 300 requests fulfilled", got)
 			}
 			if after := hosts[0].count() + hosts[1].count() + hosts[2].count(); after != before {
-				t.Errorf("%d more to hosts that leave", after-before)
+				t.Errorf("%d requests to leaving hosts", after-before)
 			}
 		})
 	}
--- a/cmd/streamrail/stream_test.go
+++ b/cmd/streamrail/stream_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
+// largeValueSize is large enough that the balancer streams the value instead of reading it whole first.
 const largeValueSize = 4 << 20
 
-// valueChunk is so long a part of a value that no buffer on the way holds back for more.
+// valueChunk is a part of a value that is longer than the buffers on the way, so that none of them waits for more before it sends.
 var valueChunk = strings.Repeat("v", 256<<10)
 
-// A long value goes on as it comes: its first bytes reach the client while the host still holds the rest, and what a
-// command behind it gets comes after all of it.
+// TestLargeValueStreams checks that a large value is streamed: its first bytes reach the client before the host has sent the rest. The
+// answer to a pipelined command follows after the whole value.
 func TestLargeValueStreams(t *testing.T) {
 	rest := make(chan struct{})
 	h := newHost(t, "h", func(cmd command) string {
@@ -40,19 +41,19 @@
 	if _, err = io.ReadFull(c.in, first); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(time.Second) // longer than the client waits for the first bytes, which have come
+	time.Sleep(time.Second) // longer than the client timeout, which applies to the first bytes only
 	close(rest)
 	all := make([]byte, largeValueSize-len(first)+2)
 	if _, err = io.ReadFull(c.in, all); err != nil || string(all[len(all)-3:]) != "v\r\n" {
-		t.Fatalf("the rest: %v", err)
+		t.Fatalf("reading the rest of the value: %v", err)
 	}
 	expect(t, c.next(), "VA 14 Ob|value of small")
 	if n := h.count(); n != 2 {
-		t.Errorf("the host got %d", n)
+		t.Errorf("the host got %d commands, expected 2", n)
 	}
 }
 
-// A long value that cannot be finished must end so that the client can tell, and is not asked for again.
+// TestLargeValueCutShort checks that a client can tell that a large value was cut short, and that the request is not retried.
 func TestLargeValueCutShort(t *testing.T) {
 	for name, end := range map[string]string{"it breaks": "", "it goes on": valueChunk + "xx", "its line does not end": "xx"} {
 		t.Run(name, func(t *testing.T) {
@@ -69,12 +70,12 @@
 			c.send(getRequest("large", "a", 900))
 			c.in.ReadString('\n')
 			if b, _ := io.ReadAll(c.in); len(b) >= len(valueChunk)+2 {
-				t.Errorf("the client got %d bytes of %d and could take it for whole", len(b), len(valueChunk)+2)
+				t.Errorf("the client got %d bytes, of %d, and cannot tell that the value is incomplete", len(b), len(valueChunk)+2)
 			}
 			if n := h.count(); n != 1 {
 				t.Errorf("the host got it %d times", n)
 			}
-			other := p.dial(t) // the next call is served as ever
+			other := p.dial(t) // the next request is served as usual
 			other.send(getRequest("large", "b", 900))
 			if line, _ := other.in.ReadString('\n'); !strings.HasPrefix(line, "VA ") {
 				t.Errorf("got %q", line)
@@ -83,8 +84,8 @@
 	}
 }
 
-// A long write reaches the host whole and once; the client's time runs from its last byte. One that does not end as it
-// should never gets there whole, and the client is told something that holds.
+// TestLargeWrite checks that a large write reaches the host whole and once, and that the client timeout runs from its last byte. One
+// without its line end never reaches the host whole, and is answered as rate-limited.
 func TestLargeWrite(t *testing.T) {
 	value := strings.Repeat("w", largeValueSize)
 	h := newHost(t, "h", answerHit)
@@ -94,7 +95,7 @@
 		c.send(fmt.Sprintf("ms k %d O%d Pc=pay,d=400\r\n", largeValueSize, i))
 		for offset := 0; offset < largeValueSize; offset += largeValueSize / 4 {
 			c.send(value[offset : offset+largeValueSize/4])
-			time.Sleep(200 * time.Millisecond) // 800 ms in all
+			time.Sleep(200 * time.Millisecond) // 800 ms in total
 		}
 		expect(t, c.ask("\r\n"), fmt.Sprintf("HD O%d cdone-%d", i, i))
 		if cmd := await(t, h.received, "the write"); cmd.value != value {
@@ -105,15 +106,16 @@
 	c.send(fmt.Sprintf("ms k %d Obad Pc=pay,d=400\r\n%sxx", largeValueSize, value))
 	got := c.next()
 	if !strings.HasPrefix(got, "SERVER_ERROR busy") {
-		t.Errorf("with no line end: %q", got)
+		t.Errorf("without the line end: %q", got)
 	}
 	expect(t, c.next(), "EOF")
 	if n := h.count(); n != 4 {
-		t.Errorf("the host got %d whole, expected 4", n)
+		t.Errorf("the host got %d whole commands, expected 4", n)
 	}
 }
 
-// A host that breaks while a long write is coming has not run it; the value is passed over and the connection goes on.
+// TestLargeWriteBreaks checks a large write that no host can take, as its connection is refused: it did not run, the balancer discards
+// the value, and the client's connection stays usable.
 func TestLargeWriteBreaks(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	d := newDiscoveryServer(t)
--- a/cmd/streamrail/upgrade_test.go
+++ b/cmd/streamrail/upgrade_test.go
@@ -15,7 +15,7 @@
 	"time"
 )
 
-// waitUntil waits for something that comes; it decides no verdict unless it never does.
+// waitUntil polls until done returns true and ends the test if it does not in time.
 func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	for began := time.Now(); !done(); time.Sleep(5 * time.Millisecond) {
@@ -25,7 +25,8 @@
 	}
 }
 
-// launchReady starts a process with a door, on what may be another's address, and waits for its yes.
+// launchReady starts a process with an admin address and waits until it reports that it is ready. It takes over from a process that
+// runs with the same client address and directory.
 func launchReady(t *testing.T, config map[string]any, dir string) (p *balancerProcess, adminAddr string) {
 	adminAddr = freeAddr(t)
 	p = launch(t, config, "GW_ADMIN_ADDR="+adminAddr, "TMPDIR="+dir)
@@ -42,7 +43,7 @@
 	return p, adminAddr
 }
 
-// shortDir is a directory whose path leaves room for a Unix socket's name.
+// shortDir returns a new directory with a path short enough for a Unix socket in it.
 func shortDir(t *testing.T) string {
 	dir, err := os.MkdirTemp("", "h")
 	if err != nil {
@@ -52,15 +53,15 @@
 	return dir
 }
 
-// oneHostConfig is a directory and a configuration with a cache host that answers all.
+// oneHostConfig returns a directory and a configuration with one cache host that answers all commands.
 func oneHostConfig(t *testing.T) (dir string, config map[string]any) {
 	d := newDiscoveryServer(t)
 	d.setHost("h", newHost(t, "h", answerHit).addr, "cache", "active")
 	return shortDir(t), deploymentConfig(d, freeAddr(t), readWriteThrough)
 }
 
-// Ten versions, one after the other, under clients that open connections all the time: none is refused or closed with
-// its call unheard, each call gets its answer, and what is out by hand stays out.
+// TestUpgradesUnderLoad runs ten upgrades in a row while clients open connections all the time. No connection is refused or closed
+// without an answer, each request is fulfilled, and a host excluded by an operator stays excluded.
 func TestUpgradesUnderLoad(t *testing.T) {
 	h, other := newHost(t, "h", answerHit), newHost(t, "other", answerHit)
 	d := newDiscoveryServer(t)
@@ -73,7 +74,7 @@
 		t.Fatal(text)
 	}
 	go func() {
-		for range h.received { // it plays no part here, and full it would hold the host up
+		for range h.received { // a full channel would block the host
 		}
 	}()
 	var clients sync.WaitGroup
@@ -104,24 +105,25 @@
 		before := sent.Load()
 		older.Process.Signal(syscall.SIGTERM)
 		if code := older.waitForExit(t); code != 0 {
-			t.Errorf("the older process ends with %d", code)
+			t.Errorf("the older process ended with exit code %d", code)
 		}
-		waitUntil(t, "calls after it", func() bool { return sent.Load() > before+20 })
+		waitUntil(t, "requests after the upgrade", func() bool { return sent.Load() > before+20 })
 	}
 	stop.Store(true)
 	clients.Wait()
 	if n := failed.Load(); n > 0 {
-		t.Errorf("%d of %d were turned back", n, sent.Load())
+		t.Errorf("%d of %d requests failed", n, sent.Load())
 	}
 	if n := other.count(); n > 0 {
-		t.Errorf("the host that is out got %d", n)
+		t.Errorf("the excluded host got %d requests", n)
 	}
 	if n := metric(t, adminAddr, "app_cluster_unhealthy"); n != 1 {
-		t.Errorf("%d are avoided, expected 1", n)
+		t.Errorf("%d hosts are excluded, expected 1", n)
 	}
 }
 
-// A ban that either door takes holds in both processes, and after one of them was killed.
+// TestExclusionsOfBothProcesses checks that during an upgrade an exclusion made through either admin API holds in both processes, and
+// still does after the processes were killed.
 func TestExclusionsOfBothProcesses(t *testing.T) {
 	dir, c := oneHostConfig(t)
 	older, olderAddr := launchReady(t, c, dir)
@@ -134,7 +136,7 @@
 			}
 			for checked, checkedAddr := range adminAddrs {
 				if n := metric(t, checkedAddr, "app_cluster_unhealthy"); n != map[string]int{"exclude": 1, "include": 0}[action] {
-					t.Errorf("%s at the %s door, the %s one: %d are out", action, asked, checked, n)
+					t.Errorf("%s at the %s process: the %s one has %d hosts excluded", action, asked, checked, n)
 				}
 			}
 		}
@@ -146,17 +148,18 @@
 	older.Process.Kill()
 	older.waitForExit(t)
 	if status, text := callAdmin(t, newerAddr, "POST", "/api/exclude", `{"member":"h"}`); status != 200 {
-		t.Errorf("alone: %s", text)
+		t.Errorf("exclude after the older process was killed: %s", text)
 	}
 	newer.Process.Kill()
 	newer.waitForExit(t)
-	_, adminAddr := launchReady(t, c, dir) // nobody hands over: the file has it
+	_, adminAddr := launchReady(t, c, dir) // no process hands over: the exclusion comes from the file
 	if n := metric(t, adminAddr, "app_cluster_unhealthy"); n != 1 {
-		t.Error("the ban is lost with the processes that were killed")
+		t.Error("the exclusion is lost after both processes were killed")
 	}
 }
 
-// A start must not hang on, or trust, what it cannot take over from.
+// TestNothingToTakeOver checks that a start neither hangs nor fails if there is no older process, its socket does not work as expected
+// or the file of exclusions is damaged.
 func TestNothingToTakeOver(t *testing.T) {
 	listenAt := func(t *testing.T, path string, serve func(net.Conn)) {
 		l, err := net.Listen("unix", path)
@@ -212,7 +215,7 @@
 			p, _ := launchReady(t, c, dir)
 			expect(t, p.dial(t).ask(getRequest("k", "a", 900)), "VA 10 Oa|value of k")
 			if !strings.Contains(p.log.String(), row.logText) {
-				t.Errorf("the log does not say %q", row.logText)
+				t.Errorf("the log does not contain %q", row.logText)
 			}
 		})
 	}
@@ -228,7 +231,8 @@
 	})
 }
 
-// A newer process that ends before it is ready leaves the older one as it was; a third one meets it again.
+// TestNewerProcessDies checks that the older process goes on serving if a newer one ends before it is ready, and that another newer
+// process can then take over. A third process is rejected while an upgrade is in progress.
 func TestNewerProcessDies(t *testing.T) {
 	dir, c := oneHostConfig(t)
 	older, _ := launchReady(t, c, dir)
@@ -239,11 +243,11 @@
 	}
 	json.NewEncoder(conn).Encode(map[string]int{"Version": 1})
 	in := bufio.NewReader(conn)
-	in.ReadString('\n') // the byte with the socket
+	in.ReadString('\n') // the byte that carries the descriptor of the listener
 	if line, _ := in.ReadString('\n'); !strings.Contains(line, `"instanceId":"h"`) {
-		t.Fatalf("handed over: %q", line)
+		t.Fatalf("the older process handed over %q", line)
 	}
-	third, err := net.Dial("unix", sock) // an upgrade in an upgrade is refused
+	third, err := net.Dial("unix", sock) // a second upgrade at the same time is rejected
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +255,7 @@
 	thirdIn := bufio.NewReader(third)
 	thirdIn.ReadString('\n')
 	if line, _ := thirdIn.ReadString('\n'); !strings.Contains(line, "under way") {
-		t.Errorf("a third process is told %q", line)
+		t.Errorf("a third process got the answer %q", line)
 	}
 	conn.Close()
 	older.waitForLog(t, "has ended")
