--- a/cmd/streamrail/evidence_test.go
+++ b/cmd/streamrail/evidence_test.go
@@ -65,7 +65,7 @@
 	for _, m := range f.members[3:] {
 		sendRequests(m, 60)
 	}
-	if n := bad.count() - before; n > 2 { // without the observations each would send at least its first request there; occasional trial requests are drawn at random
+	if n := bad.count() - before; n > 2 { // without observations each would send at least its first one there; a few trials are random
 		t.Errorf("%d requests at the bad host from the two balancers that had received the observations", n)
 	}
 	f.members[1].Process.Signal(syscall.SIGCONT)
--- a/cmd/streamrail/limits_test.go
+++ b/cmd/streamrail/limits_test.go
@@ -36,14 +36,14 @@
 }
 
 // sendRequests sends the customer's requests to a balancer at the given rate until the returned function is called.
-func (m *fleetMember) sendRequests(t *testing.T, perS int) (end func()) {
+func (m *fleetMember) sendRequests(t *testing.T, ratePerSecond int) (stopRequests func()) {
 	t.Helper()
 	c := m.dial(t)
 	stop := make(chan struct{})
 	var done sync.WaitGroup
 	done.Go(func() {
 		c.SetDeadline(time.Now().Add(time.Minute))
-		tick := time.NewTicker(time.Second / time.Duration(perS))
+		tick := time.NewTicker(time.Second / time.Duration(ratePerSecond))
 		defer tick.Stop()
 		for i := 0; ; i++ {
 			select {
--- a/cmd/streamrail/long_list_test.go
+++ b/cmd/streamrail/long_list_test.go
@@ -64,7 +64,8 @@
 	}
 }
 
-// soakVariable names the environment variable that holds the number of seeds of the soak test and, optionally, the first one: "50" or "50 101".
+// soakVariable is the environment variable that holds the number of seeds of the soak test and, optionally, the first seed:
+// "50" or "50 101".
 const soakVariable = "STREAMRAIL_SOAK"
 
 // TestLongListSoak draws from a seed the number of hosts, the balancer's share of a core and the sequence of disturbances.
--- a/cmd/streamrail/stream_test.go
+++ b/cmd/streamrail/stream_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// largeValueSize is large enough that the balancer streams the value instead of reading it whole first.
+// largeValueSize is the size of the largest value that the balancer accepts, which it streams instead of reading it whole first.
 const largeValueSize = 4 << 20
 
 // valueChunk is a part of a value that is longer than the buffers on the way, so that none of them waits for more before it sends.
