--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -92,6 +92,7 @@
 	m.balancerProcess = launchServing(t, m.config, m.env(t)...)
 }
 
+// env writes the operator's file and returns the environment for the process.
 func (m *fleetMember) env(t *testing.T) []string {
 	path := filepath.Join(t.TempDir(), "own.toml")
 	text := fmt.Sprintf("[fleet]\nname = \"test\"\naddress = %q\nperiod = \"100ms\"\nsuspect = \"400ms\"\n%s", m.fleetAddr, m.fleetSettings)
@@ -101,6 +102,7 @@
 	return []string{"GW_ADMIN_ADDR=" + m.adminAddr, "STREAMRAIL_FILE=" + path, "TMPDIR=" + m.tempDir}
 }
 
+// view returns the balancer's view of the fleet from its admin API.
 func (m *fleetMember) view(t *testing.T) (v admin.Members) {
 	t.Helper()
 	status, text := callAdmin(t, m.adminAddr, "GET", "/api/members", "")
@@ -133,6 +135,7 @@
 	return v
 }
 
+// memberNamed returns one member of the balancer's view.
 func (m *fleetMember) memberNamed(t *testing.T, name string) admin.Member {
 	t.Helper()
 	v := m.view(t)
--- a/cmd/streamrail/orders_test.go
+++ b/cmd/streamrail/orders_test.go
@@ -22,6 +22,7 @@
 	return text
 }
 
+// orders returns the orders that the balancer's admin API shows.
 func (m *fleetMember) orders(t *testing.T) (o admin.Orders) {
 	t.Helper()
 	status, text := callAdmin(t, m.adminAddr, "GET", "/api/orders", "")
--- a/cmd/streamrail/stand_test.go
+++ b/cmd/streamrail/stand_test.go
@@ -64,6 +64,7 @@
 	closed   chan struct{} // receives one value for each connection that ended
 }
 
+// newHost starts a stand-in for a cache host.
 func newHost(t *testing.T, id string, answer func(command) string) *cacheHost {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -117,12 +118,14 @@
 	}
 }
 
+// count returns the number of commands received so far.
 func (h *cacheHost) count() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return len(h.commands)
 }
 
+// answerHit answers a read with a value and a write with a receipt.
 func answerHit(cmd command) string {
 	if cmd.fields[0] == "ms" {
 		return "HD O" + cmd.id + " cdone-" + cmd.id + "\r\n"
@@ -131,8 +134,10 @@
 	return fmt.Sprintf("VA %d O%s h1 Linflight=7,util=0.61\r\n%s\r\n", len(v), cmd.id, v)
 }
 
+// answerMiss answers that the key is not cached.
 func answerMiss(cmd command) string { return "EN O" + cmd.id + "\r\n" }
 
+// answerWith returns an answer function that sends the same text each time.
 func answerWith(text string) func(command) string { return func(command) string { return text } }
 
 // discoveryServer is a stand-in for discovery. It serves the host list and holds watches (long polls) until the list changes.
@@ -155,6 +160,7 @@
 	return d
 }
 
+// setHost lists a host, or changes its entry, in a new generation.
 func (d *discoveryServer) setHost(id, addr, machineType, lifecycle string) {
 	d.setHostStartedAt(id, addr, machineType, lifecycle, 0)
 }
@@ -171,6 +177,7 @@
 	d.nextChange = make(chan struct{})
 }
 
+// response returns the whole list if after is negative, otherwise the entries changed since that generation.
 func (d *discoveryServer) response(after int) []byte {
 	rows := []any{}
 	for id, e := range d.entries {
@@ -231,6 +238,7 @@
 	requests chan *http.Request
 }
 
+// newOrigin starts a stand-in for the origin.
 func newOrigin(t *testing.T, answer http.HandlerFunc) *originServer {
 	o := &originServer{requests: make(chan *http.Request, 100)}
 	o.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -372,6 +380,7 @@
 	}
 }
 
+// deploymentConfig returns a configuration with a discovery server, a listen address and changes to the settings.
 func deploymentConfig(d *discoveryServer, listen string, change map[string]any) map[string]any {
 	return map[string]any{"name": "n0", "listen": listen, "discovery": serverAddr(d.Server), "seed": "8c1f30d27a5be964",
 		"limits": map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": deploymentSettings(change)}
@@ -390,6 +399,7 @@
 	return launchServing(t, deploymentConfig(d, freeAddr(t), change)), d
 }
 
+// launchServing starts the program and waits until it answers a client.
 func launchServing(t *testing.T, config map[string]any, env ...string) *balancerProcess {
 	p := launch(t, config, env...)
 	p.addr = config["listen"].(string)
@@ -414,6 +424,7 @@
 	dialedAt time.Time
 }
 
+// dial opens a client connection.
 func (p *balancerProcess) dial(t *testing.T) *client {
 	c, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -450,16 +461,19 @@
 	return line
 }
 
+// ask sends a command and reads one answer.
 func (c *client) ask(text string) string {
 	c.Helper()
 	c.send(text)
 	return c.next()
 }
 
+// getRequest returns a read command with a client timeout in milliseconds.
 func getRequest(key, id string, timeoutMs int) string {
 	return fmt.Sprintf("mg %s v O%s Pc=read,d=%d\r\n", key, id, timeoutMs)
 }
 
+// putRequest returns a write command with a client timeout in milliseconds.
 func putRequest(product, key, id string, timeoutMs int) string {
 	return fmt.Sprintf("ms %s 5 O%s Pc=%s,d=%d,k=77\r\nhello\r\n", key, id, product, timeoutMs)
 }
