--- a/cmd/streamrail/descriptors_test.go
+++ b/cmd/streamrail/descriptors_test.go
@@ -13,24 +13,24 @@
 	"time"
 )
 
-// Idle clients fill all the places that the process has while discovery is down. The call to discovery, its return, an attempt at
-// a host, a reload and the admin address find a descriptor all the same: the system gives not one more than the settings say.
+// TestIdleClientsFillTheDescriptors fills all client connections with idle clients while discovery is down, with no more descriptors
+// than the settings allow. Calls to discovery, attempts at hosts, a reload and the admin address must still get a descriptor.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	const sockets = 96
-	h, second := newHost(t, "h", hit), newHost(t, "second", hit)
-	d := newList(t) // not there yet: the balancer is told of another address
-	d.set("h", h.addr, "cache", "active")
-	at, door := freeAddr(t), freeAddr(t)
-	cfg := config(d, freeAddr(t), through)
-	cfg["discovery"], cfg["admin_addr"] = at, door
+	h, second := newHost(t, "h", answerHit), newHost(t, "second", answerHit)
+	d := newDiscoveryServer(t) // the balancer's configuration names another address, where nothing listens yet
+	d.setHost("h", h.addr, "cache", "active")
+	discoveryAddr, adminAddr := freeAddr(t), freeAddr(t)
+	cfg := deploymentConfig(d, freeAddr(t), readWriteThrough)
+	cfg["discovery"], cfg["admin_addr"] = discoveryAddr, adminAddr
 	cfg["limits"] = map[string]any{"sockets": sockets}
 	cfg["known"] = map[string]any{"generation": 1, "reset": true, "instances": []any{d.entries["h"]}}
-	p := servingUnder(t, sockets, cfg)
-	var crowd atomic.Int64
+	p := launchServingWithDescriptors(t, sockets, cfg)
+	var opened atomic.Int64
 	stop := make(chan struct{})
 	ended := make(chan struct{})
 	const clients = 2 * sockets
-	for range clients { // each opens another as soon as its own is closed, and says nothing
+	for range clients { // each keeps one silent connection open and replaces it when it is closed
 		go func() {
 			defer func() { ended <- struct{}{} }()
 			for {
@@ -43,8 +43,8 @@
 				if err != nil {
 					continue
 				}
-				crowd.Add(1)
-				c.SetReadDeadline(time.Now().Add(patience))
+				opened.Add(1)
+				c.SetReadDeadline(time.Now().Add(waitTimeout))
 				go func() { <-stop; c.Close() }()
 				io.Copy(io.Discard, c)
 				c.Close()
@@ -57,71 +57,71 @@
 			<-ended
 		}
 	})
-	asked := func(key, id string) {
+	expectServed := func(key, id string) {
 		t.Helper()
-		for began := time.Now(); ; { // all in use is answered at once; a place comes free soon
-			got := p.dial(t).ask(get(key, id, 900))
+		for began := time.Now(); ; { // while all connections are in use the answer is busy; one becomes free soon
+			got := p.dial(t).ask(getRequest(key, id, 900))
 			if got == "VA 10 O"+id+"|value of "+key {
 				return
-			} else if time.Since(began) > patience {
+			} else if time.Since(began) > waitTimeout {
 				t.Fatalf("an attempt: %q", got)
 			}
 		}
 	}
-	for began := time.Now(); crowd.Load() < clients; time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
-			t.Fatal("the crowd does not come")
+	for began := time.Now(); opened.Load() < clients; time.Sleep(time.Millisecond) {
+		if time.Since(began) > waitTimeout {
+			t.Fatal("the idle clients did not connect")
 		}
 	}
-	asked("k", "down")
-	comesUp(t, at, d)
-	d.knows(t)
-	asked("k", "back")
-	ready, err := http.Get("http://" + door + "/api/ready")
+	expectServed("k", "down")
+	startDiscoveryAt(t, discoveryAddr, d)
+	d.waitForWatch(t)
+	expectServed("k", "back")
+	ready, err := http.Get("http://" + adminAddr + "/api/ready")
 	if err != nil || ready.StatusCode != 200 {
 		t.Fatalf("the admin address: %v %v", ready, err)
 	}
 	ready.Body.Close()
-	moved := newList(t)
-	moved.set("second", second.addr, "cache", "active")
-	cfg["discovery"] = addr(moved.Server)
+	movedDiscovery := newDiscoveryServer(t)
+	movedDiscovery.setHost("second", second.addr, "cache", "active")
+	cfg["discovery"] = serverAddr(movedDiscovery.Server)
 	p.reload(t, cfg, "configuration reloaded")
-	moved.knows(t)
+	movedDiscovery.waitForWatch(t)
 	for i := 0; second.count() == 0; i++ {
-		asked("k", fmt.Sprint("moved", i))
+		expectServed("k", fmt.Sprint("moved", i))
 	}
 	if log := p.log.String(); strings.Contains(log, "too many open files") {
-		t.Error("out of descriptors")
+		t.Error("the process ran out of descriptors")
 	}
 }
 
-// servingUnder starts the program where the system gives it so many descriptors, and waits until it serves.
-func servingUnder(t *testing.T, descriptors int, config map[string]any) *running {
+// launchServingWithDescriptors starts the program with a limit of descriptors and waits until it serves clients.
+func launchServingWithDescriptors(t *testing.T, descriptors int, config map[string]any) *balancerProcess {
 	t.Helper()
-	was := launchedBy
-	launchedBy = func(program string) *exec.Cmd {
+	previous := newCommand
+	newCommand = func(program string) *exec.Cmd {
 		return exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec %s", descriptors, program))
 	}
-	defer func() { launchedBy = was }()
-	return serving(t, config)
+	defer func() { newCommand = previous }()
+	return launchServing(t, config)
 }
 
-// A second SIGTERM, or a SIGHUP while it drains, changes nothing of what is owed but as the page on signals says.
+// TestHangupWhileDraining checks that a reload during a drain does not affect the answer of the pending request or the exit code.
 func TestHangupWhileDraining(t *testing.T) {
 	release := make(chan struct{})
-	p, d := start(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
+	p, d := startWithHosts(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		io.WriteString(w, "made")
-	}), newHost(t, "h", hit))
+	}), newHost(t, "h", answerHit))
 	busy := p.dial(t)
-	busy.send(put("pay", "k", "held", 3000))
+	busy.send(putRequest("pay", "k", "held", 3000))
 	p.Process.Signal(syscall.SIGTERM)
-	p.says(t, `"phase":"draining"`)
-	p.reload(t, config(d, p.addr, nil), "configuration reloaded")
+	p.waitForLog(t, `"phase":"draining"`)
+	p.reload(t, deploymentConfig(d, p.addr, nil), "configuration reloaded")
 	close(release)
 	expect(t, busy.next(), "HD Oheld cmade")
 	expect(t, busy.next(), "EOF")
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
--- a/cmd/streamrail/gone_test.go
+++ b/cmd/streamrail/gone_test.go
@@ -8,32 +8,32 @@
 	"time"
 )
 
-// TestClientGoneWhileStopped stops the process while an attempt is out; its client closes and the attempt fails before the process
-// goes on. No further attempt begins, whichever of the two is heard first.
+// TestClientGoneWhileStopped stops the process while attempts are in flight. Their clients close and the attempts fail before the
+// process resumes. No further attempt may begin, whichever of the two events the process handles first.
 func TestClientGoneWhileStopped(t *testing.T) {
 	t.Parallel()
 	const rounds, clients = 6, 8
 	var attempts atomic.Int64
 	var hosts []*cacheHost
 	for i := range 3 {
-		hosts = append(hosts, newHost(t, fmt.Sprint("h", i), func(g got) string {
+		hosts = append(hosts, newHost(t, fmt.Sprint("h", i), func(cmd command) string {
 			attempts.Add(1)
 			time.Sleep(200 * time.Millisecond)
 			return "SERVER_ERROR failed\r\n"
 		}))
 	}
-	p, _ := start(t, nil, newOrigin(t, nil), hosts...)
+	p, _ := startWithHosts(t, nil, newOrigin(t, nil), hosts...)
 	for round := range rounds {
 		attempts.Store(0)
 		var open []*client
 		for i := range clients {
 			c := p.dial(t)
-			c.send(get(fmt.Sprint("k", i), fmt.Sprintf("r%d-%d", round, i), 3000))
+			c.send(getRequest(fmt.Sprint("k", i), fmt.Sprintf("r%d-%d", round, i), 3000))
 			open = append(open, c)
 		}
 		for began := time.Now(); attempts.Load() < clients; time.Sleep(time.Millisecond) {
-			if time.Since(began) > patience {
-				t.Fatalf("%d first attempts of %d", attempts.Load(), clients)
+			if time.Since(began) > waitTimeout {
+				t.Fatalf("%d of %d first attempts began", attempts.Load(), clients)
 			}
 		}
 		p.Process.Signal(syscall.SIGSTOP)
--- a/cmd/streamrail/main_test.go
+++ b/cmd/streamrail/main_test.go
@@ -13,8 +13,10 @@
 	"time"
 )
 
+// buildFlags are added to the go build of the program: -race where the tests run with the race detector.
 var buildFlags []string
 
+// expect reports an error if two strings differ.
 func expect(t *testing.T, got, want string) {
 	t.Helper()
 	if got != want {
@@ -22,32 +24,33 @@
 	}
 }
 
+// await receives a value and ends the test if none comes in time.
 func await[T any](t *testing.T, from <-chan T, what string) (v T) {
 	t.Helper()
 	select {
 	case v = <-from:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("never came: " + what)
 	}
 	return v
 }
 
-// A command goes on as the client wrote it, but for the time that is left.
+// TestHit checks that the cache host gets the command as the client wrote it, except for the remaining time.
 func TestHit(t *testing.T) {
-	h := newHost(t, "h", hit)
-	p, _ := start(t, nil, nil, h)
+	h := newHost(t, "h", answerHit)
+	p, _ := startWithHosts(t, nil, nil, h)
 	c := p.dial(t)
 	expect(t, c.ask("mg key-1 v Oabc Pc=read,t=x,d=900,size=3\r\n"), "VA 14 Oabc|value of key-1")
-	g := await(t, h.came, "the attempt")
+	cmd := await(t, h.received, "the attempt")
 	var left int
-	if n, _ := fmt.Sscanf(g.line, "mg key-1 v Oabc Pc=read,t=x,d=%d,size=3", &left); n != 1 || left > 900 || left < 700 {
-		t.Errorf("the host got %q", g.line)
+	if n, _ := fmt.Sscanf(cmd.line, "mg key-1 v Oabc Pc=read,t=x,d=%d,size=3", &left); n != 1 || left > 900 || left < 700 {
+		t.Errorf("the host got %q", cmd.line)
 	}
 }
 
-// A miss is answered by the origin, and a write goes there, with the headers that it needs.
+// TestOrigin checks that the origin answers a read that misses and gets the writes, both with the id and the attributes as headers.
 func TestOrigin(t *testing.T) {
-	h := newHost(t, "h", miss)
+	h := newHost(t, "h", answerMiss)
 	bodies := make(chan string, 10)
 	o := newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
@@ -58,67 +61,67 @@
 			io.WriteString(w, strings.Repeat("x", 400000))
 		}
 	})
-	p, _ := start(t, nil, o, h)
+	p, _ := startWithHosts(t, nil, o, h)
 	c := p.dial(t)
-	expect(t, c.ask(get("a/b%c", "r1", 900)), "VA 4 Or1|made")
-	r := await(t, o.came, "the read")
-	expect(t, r.Method+" "+r.URL.Path+" "+r.Header.Get("X-Request-ID")+" "+attrsBut(t, r, 900), "GET /a/b%c r1 c=read,d=")
+	expect(t, c.ask(getRequest("a/b%c", "r1", 900)), "VA 4 Or1|made")
+	r := await(t, o.requests, "the read")
+	expect(t, r.Method+" "+r.URL.Path+" "+r.Header.Get("X-Request-ID")+" "+attrsWithoutTimeLeft(t, r, 900), "GET /a/b%c r1 c=read,d=")
 	await(t, bodies, "the read's body")
-	expect(t, c.ask(get("chunked", "r2", 900)), "VA 400004 Or2|made"+strings.Repeat("x", 400000))
-	await(t, o.came, "the read of many chunks")
+	expect(t, c.ask(getRequest("chunked", "r2", 900)), "VA 400004 Or2|made"+strings.Repeat("x", 400000))
+	await(t, o.requests, "the read of many chunks")
 	await(t, bodies, "its body")
-	expect(t, c.ask(put("pay", "k", "w1", 900)), "HD Ow1 cmade")
-	r = await(t, o.came, "the write")
-	expect(t, r.Method+" "+r.URL.Path+" "+attrsBut(t, r, 900)+" "+await(t, bodies, "the value"), "PUT /k c=pay,d=,k=77 hello")
+	expect(t, c.ask(putRequest("pay", "k", "w1", 900)), "HD Ow1 cmade")
+	r = await(t, o.requests, "the write")
+	expect(t, r.Method+" "+r.URL.Path+" "+attrsWithoutTimeLeft(t, r, 900)+" "+await(t, bodies, "the value"), "PUT /k c=pay,d=,k=77 hello")
 }
 
-// attrsBut is the list of names and values that the origin got, but for the digits of the time that is left. That is under the
-// client's own, as some of it has passed, and over zero.
-func attrsBut(t *testing.T, r *http.Request, wait int) string {
+// attrsWithoutTimeLeft returns the attributes that the origin got without the digits of the remaining time. It checks that this time
+// is above zero and below the client's timeout, as some of it has passed.
+func attrsWithoutTimeLeft(t *testing.T, r *http.Request, timeoutMs int) string {
 	t.Helper()
 	before, rest, found := strings.Cut(r.Header.Get("X-Attrs"), "d=")
 	end := strings.IndexFunc(rest, func(ch rune) bool { return ch < '0' || ch > '9' })
 	if end < 0 {
 		end = len(rest)
 	}
-	told, err := strconv.Atoi(rest[:end])
-	if !found || err != nil || told <= 0 || told >= wait {
-		t.Errorf("attributes %q of a request that had %d ms", r.Header.Get("X-Attrs"), wait)
+	timeLeft, err := strconv.Atoi(rest[:end])
+	if !found || err != nil || timeLeft <= 0 || timeLeft >= timeoutMs {
+		t.Errorf("attributes %q of a request that had %d ms", r.Header.Get("X-Attrs"), timeoutMs)
 	}
 	return before + "d=" + rest[end:]
 }
 
-// What an outcome proves: a non-idempotent write is rate-limited, or sent again, only if it never ran; a wrong
-// row here credits a phone line twice.
+// TestOutcomesOfHosts checks what an answer of a cache host proves about a non-idempotent write: it is answered as rate-limited, or
+// retried, only if it never ran. A wrong conclusion applies the write twice.
 func TestOutcomesOfHosts(t *testing.T) {
-	const never, may = "SERVER_ERROR busy", "SERVER_ERROR failed"
+	const neverRan, mayHaveRan = "SERVER_ERROR busy", "SERVER_ERROR failed"
 	for name, row := range map[string]struct {
-		answer func(got) string
+		answer func(command) string
 		want   string
 	}{
-		"receipt":            {hit, "HD Ow cdone-w"},
-		"error":              {say("SERVER_ERROR failed\r\n"), may},
-		"busy, and noise":    {say("SERVER_ERROR busy as can be\r\n"), may},
-		"busy, and a report": {say("SERVER_ERROR busy L=,=\r\n"), never},
-		"a miss with noise":  {func(g got) string { return "EN O" + g.id + " x7\r\n" }, may},
-		"two misses":         {func(g got) string { return "EN O" + g.id + " O" + g.id + "\r\n" }, may},
-		"turned away":        {say("SERVER_ERROR busy\r\n"), never},
-		"miss":               {miss, never},
-		"refused by command": {say("CLIENT_ERROR what\r\n"), may},
-		"closed":             {say("close"), may},
-		"silent":             {say(""), may},
-		"garbage":            {say("\x00\x01\r\n"), may},
-		"long line":          {say(strings.Repeat("x", 10000) + "\r\n"), may},
-		"another's id":       {say("HD Oother cdone\r\n"), may},
-		"no receipt":         {say("HD Ow\r\n"), may},
-		"a value to a write": {say("VA 1 Ow\r\nx\r\n"), may},
+		"receipt":            {answerHit, "HD Ow cdone-w"},
+		"error":              {answerWith("SERVER_ERROR failed\r\n"), mayHaveRan},
+		"busy, and noise":    {answerWith("SERVER_ERROR busy as can be\r\n"), mayHaveRan},
+		"busy, and a report": {answerWith("SERVER_ERROR busy L=,=\r\n"), neverRan},
+		"a miss with noise":  {func(cmd command) string { return "EN O" + cmd.id + " x7\r\n" }, mayHaveRan},
+		"two misses":         {func(cmd command) string { return "EN O" + cmd.id + " O" + cmd.id + "\r\n" }, mayHaveRan},
+		"turned away":        {answerWith("SERVER_ERROR busy\r\n"), neverRan},
+		"miss":               {answerMiss, neverRan},
+		"refused by command": {answerWith("CLIENT_ERROR what\r\n"), mayHaveRan},
+		"closed":             {answerWith("close"), mayHaveRan},
+		"silent":             {answerWith(""), mayHaveRan},
+		"garbage":            {answerWith("\x00\x01\r\n"), mayHaveRan},
+		"long line":          {answerWith(strings.Repeat("x", 10000) + "\r\n"), mayHaveRan},
+		"another's id":       {answerWith("HD Oother cdone\r\n"), mayHaveRan},
+		"no receipt":         {answerWith("HD Ow\r\n"), mayHaveRan},
+		"a value to a write": {answerWith("VA 1 Ow\r\nx\r\n"), mayHaveRan},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			h := newHost(t, "h", row.answer)
-			p, _ := start(t, through, nil, h)
-			got := p.dial(t).ask(put("pay", "k", "w", 400))
-			if row.want == never {
+			p, _ := startWithHosts(t, readWriteThrough, nil, h)
+			got := p.dial(t).ask(putRequest("pay", "k", "w", 400))
+			if row.want == neverRan {
 				got = strings.Join(strings.Fields(got)[:2], " ")
 			}
 			expect(t, got, row.want)
@@ -129,13 +132,14 @@
 	}
 	t.Run("connection refused", func(t *testing.T) {
 		t.Parallel()
-		p, _ := start(t, through, nil, &cacheHost{id: "h", addr: freeAddr(t)})
-		if got := p.dial(t).ask(put("pay", "k", "w", 400)); !strings.HasPrefix(got, never) {
+		p, _ := startWithHosts(t, readWriteThrough, nil, &cacheHost{id: "h", addr: freeAddr(t)})
+		if got := p.dial(t).ask(putRequest("pay", "k", "w", 400)); !strings.HasPrefix(got, neverRan) {
 			t.Errorf("got %q", got)
 		}
 	})
 }
 
+// TestOutcomesOfOrigin checks the same for the answers of the origin.
 func TestOutcomesOfOrigin(t *testing.T) {
 	hijack := func(text string) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
@@ -154,8 +158,8 @@
 		}
 	}
 	for name, row := range map[string]struct {
-		answer http.HandlerFunc
-		never  bool
+		answer   http.HandlerFunc
+		neverRan bool
 	}{
 		"500":              {status(500, ""), false},
 		"503":              {status(503, ""), false},
@@ -172,54 +176,55 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			o := newOrigin(t, row.answer)
-			p, _ := start(t, nil, o, newHost(t, "h", miss))
-			got := p.dial(t).ask(put("pay", "k", "w", 900))
-			if row.never != strings.HasPrefix(got, "SERVER_ERROR busy") || !row.never && got != "SERVER_ERROR failed" {
+			p, _ := startWithHosts(t, nil, o, newHost(t, "h", answerMiss))
+			got := p.dial(t).ask(putRequest("pay", "k", "w", 900))
+			if row.neverRan != strings.HasPrefix(got, "SERVER_ERROR busy") || !row.neverRan && got != "SERVER_ERROR failed" {
 				t.Errorf("got %q", got)
 			}
-			if n := len(o.came); !row.never && n != 1 {
+			if n := len(o.requests); !row.neverRan && n != 1 {
 				t.Errorf("the origin got it %d times", n)
 			}
 		})
 	}
 }
 
-// Several commands in one read, or one command in many: each is answered, in order, and none waits for
-// another's host.
+// TestPipelineAndSplits sends several commands in one write, and one command byte by byte. Each is answered in order, and none waits
+// for the cache host of another one.
 func TestPipelineAndSplits(t *testing.T) {
 	second := make(chan struct{})
-	h := newHost(t, "h", func(g got) string {
-		if g.words[1] == "first" {
+	h := newHost(t, "h", func(cmd command) string {
+		if cmd.fields[1] == "first" {
 			<-second
-		} else if g.words[1] == "second" {
+		} else if cmd.fields[1] == "second" {
 			close(second)
 		}
-		return hit(g)
+		return answerHit(cmd)
 	})
-	p, _ := start(t, through, nil, h)
+	p, _ := startWithHosts(t, readWriteThrough, nil, h)
 	c := p.dial(t)
-	c.send(get("first", "a", 2000) + get("second", "b", 2000) + "mn\r\nbogus\r\n" + put("pay", "k", "w", 2000))
+	c.send(getRequest("first", "a", 2000) + getRequest("second", "b", 2000) + "mn\r\nbogus\r\n" + putRequest("pay", "k", "w", 2000))
 	for _, want := range []string{"VA 14 Oa|value of first", "VA 15 Ob|value of second", "MN", "ERROR", "HD Ow cdone-w"} {
 		expect(t, c.next(), want)
 	}
-	for _, b := range []byte(put("pay", "k", "s", 2000)) {
+	for _, b := range []byte(putRequest("pay", "k", "s", 2000)) {
 		c.send(string(b))
 	}
 	expect(t, c.next(), "HD Os cdone-s")
 	big := strings.Repeat("v", 1<<20)
 	expect(t, c.ask(fmt.Sprintf("ms k %d Ox Pc=pay,d=2000\r\n%s\r\n", len(big), big)), "HD Ox cdone-x")
-	if h.seen[len(h.seen)-1].value != big {
-		t.Error("the value changed on its way")
+	if h.commands[len(h.commands)-1].value != big {
+		t.Error("the cache host got a different value")
 	}
 }
 
-// Bad input gets a short reason; where the next command can be made out the connection goes on.
+// TestMalformed checks that invalid input is answered with a short reason. The connection stays open if the start of the next command
+// is certain.
 func TestMalformed(t *testing.T) {
-	h := newHost(t, "h", hit)
-	p, _ := start(t, nil, nil, h)
+	h := newHost(t, "h", answerHit)
+	p, _ := startWithHosts(t, nil, nil, h)
 	for _, row := range []struct {
-		in, want string
-		goesOn   bool
+		in, want  string
+		staysOpen bool
 	}{
 		{"bogus\r\n", "ERROR", true},
 		{"\r\n", "ERROR", true},
@@ -240,7 +245,7 @@
 		{"ms k 5 O1 Pc=marked,d=900\r\nhello\r\n", "CLIENT_ERROR no mark against repeats", true},
 		{"ms k -5 O1 Pc=pay,d=900\r\n", "CLIENT_ERROR bad data chunk", false},
 		{"ms k 60000000 O1 Pc=pay,d=900\r\n" + strings.Repeat("v", 1<<20), "CLIENT_ERROR value too large", false},
-		{"mg k v O1 Pc=read,d=1\r\n", "SERVER_ERROR busy", true}, // no time is left for any attempt
+		{"mg k v O1 Pc=read,d=1\r\n", "SERVER_ERROR busy", true}, // too little time for an attempt
 		{"ms k 5 Pc=pay,d=9\r\nhello\r\n", "CLIENT_ERROR no id", true},
 		{"ms k five O1 Pc=pay,d=9\r\n", "CLIENT_ERROR bad data chunk", false},
 		{"ms k 5 O1 Pc=pay,d=9\r\nhello, you\r\n", "CLIENT_ERROR bad data chunk", false},
@@ -250,86 +255,86 @@
 	} {
 		c := p.dial(t)
 		expect(t, c.ask(row.in), row.want)
-		if row.goesOn {
+		if row.staysOpen {
 			expect(t, c.ask("mn\r\n"), "MN")
 		} else {
 			expect(t, c.next(), "EOF")
 		}
 	}
 	if n := h.count(); n != 0 {
-		t.Errorf("%d of these reached the host", n)
+		t.Errorf("%d of the invalid commands reached the host", n)
 	}
 }
 
-// Two clients with one id: the second is told so and never reaches a host, which would take it for a repeat of the
-// first. Once the first is answered the id is free.
+// TestIDInHand checks that a request whose id is in use by another client's request is rejected and reaches no host, which would take
+// it for a repeat of the first one. The id is free again once the first request is answered.
 func TestIDInHand(t *testing.T) {
 	release := make(chan struct{})
-	h := newHost(t, "h", func(g got) string {
-		if g.words[1] == "held" {
+	h := newHost(t, "h", func(cmd command) string {
+		if cmd.fields[1] == "held" {
 			<-release
 		}
-		return hit(g)
+		return answerHit(cmd)
 	})
-	p, _ := start(t, through, nil, h)
+	p, _ := startWithHosts(t, readWriteThrough, nil, h)
 	c, other := p.dial(t), p.dial(t)
-	c.send(put("pay", "held", "a", 3000))
-	await(t, h.came, "the attempt")
-	expect(t, other.ask(get("k", "a", 900)), "CLIENT_ERROR id is in hand")
-	expect(t, other.ask(get("k", "b", 900)), "VA 10 Ob|value of k")
+	c.send(putRequest("pay", "held", "a", 3000))
+	await(t, h.received, "the attempt")
+	expect(t, other.ask(getRequest("k", "a", 900)), "CLIENT_ERROR id is in hand")
+	expect(t, other.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 	close(release)
 	expect(t, c.next(), "HD Oa cdone-a")
-	for began := time.Now(); other.ask(get("k", "a", 900)) != "VA 10 Oa|value of k"; {
-		if time.Since(began) > patience/2 {
-			t.Fatal("the id is never free again")
+	for began := time.Now(); other.ask(getRequest("k", "a", 900)) != "VA 10 Oa|value of k"; {
+		if time.Since(began) > waitTimeout/2 {
+			t.Fatal("the id did not become free again")
 		}
 	}
 	if n := h.count(); n != 3 {
-		t.Errorf("%d at the host", n)
+		t.Errorf("the host got %d requests, expected 3", n)
 	}
 }
 
-// A client that goes away takes its attempts with it: the host's work would serve nobody.
+// TestClientGone checks that the attempts of a client that closes its connection are cancelled: nobody would use their results.
 func TestClientGone(t *testing.T) {
-	h := newHost(t, "h", say(""))
-	p, _ := start(t, nil, nil, h)
+	h := newHost(t, "h", answerWith(""))
+	p, _ := startWithHosts(t, nil, nil, h)
 	c := p.dial(t)
-	c.send(get("k", "a", 60000))
-	await(t, h.came, "the attempt")
+	c.send(getRequest("k", "a", 60000))
+	await(t, h.received, "the attempt")
 	c.Close()
-	await(t, h.ended, "the end of the attempt's connection")
+	await(t, h.closed, "the end of the attempt's connection")
 }
 
-// A host that is silent after accepting: the answer comes before the client timeout, and the host's late one
-// reaches nobody.
+// TestSilentHost checks that a request to a host that does not answer is answered before the client timeout, and that the host's late
+// answer reaches nobody.
 func TestSilentHost(t *testing.T) {
-	late := make(chan got, 1)
-	h := newHost(t, "h", func(g got) string {
-		if g.id == "a" {
-			late <- g
+	late := make(chan command, 1)
+	h := newHost(t, "h", func(cmd command) string {
+		if cmd.id == "a" {
+			late <- cmd
 			return ""
 		}
-		return hit(g)
+		return answerHit(cmd)
 	})
-	p, _ := start(t, nil, nil, h)
+	p, _ := startWithHosts(t, nil, nil, h)
 	c := p.dial(t)
 	began := time.Now()
-	if got := c.ask(get("k", "a", 400)); !strings.HasPrefix(got, "SERVER_ERROR busy") || time.Since(began) > 450*time.Millisecond {
+	if got := c.ask(getRequest("k", "a", 400)); !strings.HasPrefix(got, "SERVER_ERROR busy") || time.Since(began) > 450*time.Millisecond {
 		t.Errorf("%q after %v", got, time.Since(began))
 	}
-	await(t, h.ended, "the end of the attempt's connection")
+	await(t, h.closed, "the end of the attempt's connection")
 	io.WriteString((<-late).conn, "VA 4 Oa\r\nlate\r\n")
-	expect(t, c.ask(get("k", "b", 900)), "VA 10 Ob|value of k")
+	expect(t, c.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 }
 
-// TestTimeoutsAreDecided has twenty requests wait for a silent host until their time is over, with a clock that has no ticks: each final
-// answer is the decisions', who know that a read may be tried again, and not the one that stands in for them when they are late.
+// TestTimeoutsAreDecided lets twenty requests to a silent host time out while the periodic tick is off. Each final answer must be that
+// of the routing decisions, which know that a read can be retried, and not the fallback for decisions that come too late.
 func TestTimeoutsAreDecided(t *testing.T) {
-	p, _ := start(t, map[string]any{"tickNs": 0}, nil, newHost(t, "h", say("")))
+	p, _ := startWithHosts(t, map[string]any{"tickNs": 0}, nil, newHost(t, "h", answerWith("")))
 	answers := make(chan string)
 	for i := range 20 {
 		c := p.dial(t)
-		go func() { answers <- c.ask(get("k", fmt.Sprint("a", i), 300)) }()
+		go func() { answers <- c.ask(getRequest("k", fmt.Sprint("a", i), 300)) }()
 	}
 	for range 20 {
 		if got := await(t, answers, "an answer"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
@@ -338,55 +343,57 @@
 	}
 }
 
-// A kept connection that the host has closed is not written to: the write would count as one that may have run.
+// TestKeptConnectionClosed checks that no write is sent over an idle connection that the host has closed: it would count as one that
+// may have run.
 func TestKeptConnectionClosed(t *testing.T) {
 	h := newHost(t, "h", nil)
-	h.answer = func(g got) string {
-		io.WriteString(g.conn, hit(g))
+	h.answer = func(cmd command) string {
+		io.WriteString(cmd.conn, answerHit(cmd))
 		return "close"
 	}
-	p, _ := start(t, through, nil, h)
+	p, _ := startWithHosts(t, readWriteThrough, nil, h)
 	c := p.dial(t)
 	for i := range 20 {
 		id := fmt.Sprint("w", i)
-		expect(t, c.ask(put("pay", "k", id, 900)), "HD O"+id+" cdone-"+id)
-		await(t, h.ended, "the end of the connection")
+		expect(t, c.ask(putRequest("pay", "k", id, 900)), "HD O"+id+" cdone-"+id)
+		await(t, h.closed, "the end of the connection")
 	}
 }
 
-// Nothing new goes to a host that drains, and a host that is new gets its share.
+// TestDrainedHost checks that a draining host gets no new requests, and that a host listed under the same id at a new address gets the
+// requests instead of the old address.
 func TestDrainedHost(t *testing.T) {
-	x, y := newHost(t, "x", hit), newHost(t, "y", hit)
-	p, d := start(t, nil, nil, x, y)
-	c, calls := p.dial(t), 0
+	x, y := newHost(t, "x", answerHit), newHost(t, "y", answerHit)
+	p, d := startWithHosts(t, nil, nil, x, y)
+	c, requests := p.dial(t), 0
 	ask := func(from int) {
 		for i := from; i < from+50; i++ {
-			// Each call has an id of its own, as clients give them: one is free again only just after its answer.
-			calls++
-			expect(t, c.ask(get(fmt.Sprint("key", i), fmt.Sprint("a", calls), 900)),
-				fmt.Sprintf("VA %d Oa%d|value of key%d", 12+len(fmt.Sprint(i)), calls, i))
+			// Each request has its own id, as with real clients: an id becomes free only shortly after its answer.
+			requests++
+			expect(t, c.ask(getRequest(fmt.Sprint("key", i), fmt.Sprint("a", requests), 900)),
+				fmt.Sprintf("VA %d Oa%d|value of key%d", 12+len(fmt.Sprint(i)), requests, i))
 		}
 	}
 	ask(100)
 	if x.count() == 0 || y.count() == 0 {
-		t.Fatalf("not spread: %d and %d", x.count(), y.count())
+		t.Fatalf("the requests are not spread over both hosts: %d and %d", x.count(), y.count())
 	}
-	d.set("x", x.addr, "cache", "leaving")
-	d.knows(t)
-	await(t, x.ended, "the end of the kept connection to it")
+	d.setHost("x", x.addr, "cache", "leaving")
+	d.waitForWatch(t)
+	await(t, x.closed, "the end of the kept connection to it")
 	before := x.count()
 	ask(200)
 	if x.count() != before {
-		t.Errorf("%d new to a host that drains", x.count()-before)
+		t.Errorf("%d new requests to a draining host", x.count()-before)
 	}
 	for old := x; old.id != "last"; { // the same id at another address, after a drain and without one
-		z := newHost(t, "x", hit)
-		d.set("x", z.addr, "cache", "active")
-		d.knows(t)
+		z := newHost(t, "x", answerHit)
+		d.setHost("x", z.addr, "cache", "active")
+		d.waitForWatch(t)
 		before = old.count()
 		ask(300)
 		if z.count() == 0 || old.count() != before {
-			t.Errorf("%d at the new address, %d more at the old", z.count(), old.count()-before)
+			t.Errorf("%d requests at the new address, %d new ones at the old one", z.count(), old.count()-before)
 		}
 		if old != x {
 			z.id = "last"
@@ -395,99 +402,100 @@
 	}
 }
 
-// While discovery is silent or talks nonsense the list that is known stands, also over a restart.
+// TestDiscoveryFails checks that the known list stays in use while discovery is unavailable or sends invalid answers, also after a
+// restart with the list in the configuration.
 func TestDiscoveryFails(t *testing.T) {
-	h := newHost(t, "h", hit)
-	d := newList(t)
-	d.set("h", h.addr, "cache", "active")
-	cfg := config(d, freeAddr(t), nil)
+	h := newHost(t, "h", answerHit)
+	d := newDiscoveryServer(t)
+	d.setHost("h", h.addr, "cache", "active")
+	cfg := deploymentConfig(d, freeAddr(t), nil)
 	cfg["known"] = map[string]any{"generation": 1, "reset": true, "instances": []any{d.entries["h"]}}
 	cfg["discovery"] = freeAddr(t)
-	expect(t, serving(t, cfg).dial(t).ask(get("k", "a", 900)), "VA 10 Oa|value of k")
+	expect(t, launchServing(t, cfg).dial(t).ask(getRequest("k", "a", 900)), "VA 10 Oa|value of k")
 
-	p, d := start(t, map[string]any{"discovery": "subscribe"}, nil, h)
+	p, d := startWithHosts(t, map[string]any{"discovery": "subscribe"}, nil, h)
 	c := p.dial(t)
 	d.mu.Lock()
-	d.garbage = true
+	d.answerGarbage = true
 	d.mu.Unlock()
-	d.set("other", freeAddr(t), "cache", "leaving")
-	d.knows(t) // after the nonsense it has asked for the whole list and watches again
-	expect(t, c.ask(get("k", "b", 900)), "VA 10 Ob|value of k")
+	d.setHost("other", freeAddr(t), "cache", "leaving")
+	d.waitForWatch(t) // after the invalid answer the balancer has fetched the whole list and watches again
+	expect(t, c.ask(getRequest("k", "b", 900)), "VA 10 Ob|value of k")
 }
 
-// SIGTERM with work in hand: clients go on using the connections they have, and open new ones while the front still
-// sends, for a peer may be away at the same time; then they close and what is in hand is answered, in order.
+// TestDrain sends SIGTERM while a request is in progress. Clients can go on using their connections and open new ones in the first
+// phase, as another balancer may be down at the same time. Then the connections close and the pending request is answered.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
-	p, _ := start(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
+	p, _ := startWithHosts(t, nil, newOrigin(t, func(w http.ResponseWriter, r *http.Request) {
 		<-release
 		io.WriteString(w, "made")
-	}), newHost(t, "h", hit))
+	}), newHost(t, "h", answerHit))
 	idle, busy := p.dial(t), p.dial(t)
 	expect(t, idle.ask("mn\r\n"), "MN")
-	busy.send(put("pay", "k", "held", 3000))
+	busy.send(putRequest("pay", "k", "held", 3000))
 	p.Process.Signal(syscall.SIGTERM)
-	p.says(t, `"phase":"leaving"`)
+	p.waitForLog(t, `"phase":"leaving"`)
 	expect(t, idle.ask("mn\r\n"), "SERVER_ERROR draining")
-	expect(t, idle.ask(get("k", "kept", 900)), "VA 10 Okept|value of k")
+	expect(t, idle.ask(getRequest("k", "kept", 900)), "VA 10 Okept|value of k")
 	fresh := p.dial(t)
-	expect(t, fresh.ask(get("k", "new", 900)), "VA 10 Onew|value of k")
-	expect(t, fresh.ask(get("k", "more", 900)), "VA 10 Omore|value of k")
-	p.says(t, `"phase":"draining"`)
+	expect(t, fresh.ask(getRequest("k", "new", 900)), "VA 10 Onew|value of k")
+	expect(t, fresh.ask(getRequest("k", "more", 900)), "VA 10 Omore|value of k")
+	p.waitForLog(t, `"phase":"draining"`)
 	expect(t, idle.next(), "EOF")
 	expect(t, fresh.next(), "EOF")
 	close(release)
 	expect(t, busy.next(), "HD Oheld cmade")
 	expect(t, busy.next(), "EOF")
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
 
-// With nobody connected there is nothing to stay for.
+// TestDrainAlone checks that the process ends soon after SIGTERM if no client is connected.
 func TestDrainAlone(t *testing.T) {
-	p, _ := start(t, nil, nil, newHost(t, "h", hit))
+	p, _ := startWithHosts(t, nil, nil, newHost(t, "h", answerHit))
 	began := time.Now()
 	p.Process.Signal(syscall.SIGTERM)
-	if code := p.exit(t); code != 0 || time.Since(began) > 2*time.Second {
+	if code := p.waitForExit(t); code != 0 || time.Since(began) > 2*time.Second {
 		t.Errorf("exit code %d after %v", code, time.Since(began))
 	}
 }
 
-// Clients that go on working through a planned restart: a kept connection may end between requests, but one
-// that the front has just opened always answers, or what it carries is lost.
+// TestDrainUnderWork checks clients that go on sending during a planned restart. A connection that was used before may end between
+// two requests, but the first request on a new connection is always answered: otherwise it would be lost.
 func TestDrainUnderWork(t *testing.T) {
-	h := newHost(t, "h", hit)
-	p, _ := start(t, nil, nil, h)
-	frontKnows := make(chan struct{})
-	busy := make(chan error, 8)
-	for i := range cap(busy) {
+	h := newHost(t, "h", answerHit)
+	p, _ := startWithHosts(t, nil, nil, h)
+	noNewConnections := make(chan struct{})
+	results := make(chan error, 8)
+	for i := range cap(results) {
 		go func() {
 			var c *client
 			for n := 0; ; n++ {
 				fresh := c == nil
 				if fresh {
 					select {
-					case <-frontKnows:
-						busy <- nil
+					case <-noNewConnections:
+						results <- nil
 						return
 					default:
 					}
 					conn, err := net.Dial("tcp", p.addr)
 					if err != nil {
-						busy <- err
+						results <- err
 						return
 					}
 					defer conn.Close()
-					conn.SetDeadline(time.Now().Add(patience))
+					conn.SetDeadline(time.Now().Add(waitTimeout))
 					c = &client{t, conn, bufio.NewReader(conn), time.Now()}
 				}
 				id := fmt.Sprint(i, "-", n)
-				io.WriteString(c.Conn, get("k", id, 900))
+				io.WriteString(c.Conn, getRequest("k", id, 900))
 				if a := c.next(); a == "VA 10 O"+id+"|value of k" {
 					continue
 				} else if fresh || strings.HasPrefix(a, "VA") || strings.HasPrefix(a, "SERVER") {
-					busy <- fmt.Errorf("answer %q on a connection that is new: %v", a, fresh)
+					results <- fmt.Errorf("answer %q on a connection that is new: %v", a, fresh)
 					return
 				}
 				c = nil
@@ -495,60 +503,60 @@
 		}()
 	}
 	for range 200 {
-		await(t, h.came, "work")
+		await(t, h.received, "work")
 	}
 	go func() {
-		for range h.came { // lest the host waits for a reader
+		for range h.received { // the host must not block on a full channel
 		}
 	}()
 	p.Process.Signal(syscall.SIGTERM)
-	time.AfterFunc(400*time.Millisecond, func() { close(frontKnows) })
-	for range cap(busy) {
-		if err := await(t, busy, "the end of a client's work"); err != nil {
+	time.AfterFunc(400*time.Millisecond, func() { close(noNewConnections) })
+	for range cap(results) {
+		if err := await(t, results, "the end of a client's work"); err != nil {
 			t.Error(err)
 		}
 	}
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
 
-// A second SIGTERM, or SIGINT, ends it at once.
+// TestCutShort checks that SIGINT or a second SIGTERM ends the process at once.
 func TestCutShort(t *testing.T) {
 	for _, signals := range [][]syscall.Signal{{syscall.SIGINT}, {syscall.SIGTERM, syscall.SIGTERM}} {
-		h := newHost(t, "h", say(""))
-		p, _ := start(t, nil, nil, h)
+		h := newHost(t, "h", answerWith(""))
+		p, _ := startWithHosts(t, nil, nil, h)
 		c := p.dial(t)
-		c.send(get("k", "a", 60000))
-		await(t, h.came, "the attempt")
+		c.send(getRequest("k", "a", 60000))
+		await(t, h.received, "the attempt")
 		idle := p.dial(t)
 		expect(t, idle.ask("mn\r\n"), "MN")
 		for _, s := range signals {
 			p.Process.Signal(s)
 			if s == syscall.SIGTERM {
-				p.says(t, `"phase":"leaving"`) // two signals that come together are one
+				p.waitForLog(t, `"phase":"leaving"`) // two pending signals of one kind are delivered as one
 			}
 		}
 		expect(t, idle.next(), "EOF")
-		if code := p.exit(t); code != 1 {
+		if code := p.waitForExit(t); code != 1 {
 			t.Errorf("exit code %d after %v", code, signals)
 		}
 	}
 }
 
-// Out of room for connections: those that say nothing make room first, then those that have asked and stay, long before
-// their time is up. A slow client's command that is coming is left alone; where all are in use the answer is prompt and
-// harmless.
+// TestOutOfDescriptors fills the limit of client connections. Connections without a request are closed first, then idle ones that have
+// had a request, both long before their idle timeout. A connection in the middle of a slow command stays. If all are in use, a new one
+// is answered at once as rate-limited.
 func TestOutOfDescriptors(t *testing.T) {
-	h := newHost(t, "h", hit)
-	d := newList(t)
-	d.set("h", h.addr, "cache", "active")
-	cfg := config(d, freeAddr(t), nil)
-	cfg["limits"] = map[string]any{"sockets": 16 + 64} // 35 for clients, five more are answered
-	p := serving(t, cfg)
+	h := newHost(t, "h", answerHit)
+	d := newDiscoveryServer(t)
+	d.setHost("h", h.addr, "cache", "active")
+	cfg := deploymentConfig(d, freeAddr(t), nil)
+	cfg["limits"] = map[string]any{"sockets": 16 + 64} // 35 for clients; five more get an answer
+	p := launchServing(t, cfg)
 	silent, idle := p.dial(t), p.dial(t)
-	expect(t, idle.ask(get("k", "first", 900)), "VA 10 Ofirst|value of k")
-	time.Sleep(50 * time.Millisecond) // more than either is left alone for
+	expect(t, idle.ask(getRequest("k", "first", 900)), "VA 10 Ofirst|value of k")
+	time.Sleep(50 * time.Millisecond) // longer than the time in which neither is closed
 	var slow []*client
 	for i := range 35 {
 		c := p.dial(t)
@@ -558,95 +566,96 @@
 		time.Sleep(time.Millisecond)
 	}
 	for _, c := range []*client{silent, idle} {
-		if c.next() != "EOF" || time.Since(c.dialed) > time.Second {
-			t.Errorf("the silent one, and the idle one, were closed after %v", time.Since(c.dialed))
+		if c.next() != "EOF" || time.Since(c.dialedAt) > time.Second {
+			t.Errorf("the silent or the idle connection was closed after %v", time.Since(c.dialedAt))
 		}
 	}
-	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // idle ones may still make room for it
-		if got := p.dial(t).ask(get("k", "more", 900)); got == "SERVER_ERROR busy" {
+	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // idle connections may still be closed for it
+		if got := p.dial(t).ask(getRequest("k", "more", 900)); got == "SERVER_ERROR busy" {
 			break
 		} else if time.Since(began) > 500*time.Millisecond {
-			t.Fatalf("with all in use: %q", got)
+			t.Fatalf("with all connections in use: %q", got)
 		}
 	}
 	for i, c := range slow {
 		expect(t, c.ask(" Pc=read,d=900\r\n"), fmt.Sprintf("VA 10 Oslow%d|value of k", i))
 	}
-	// One that stops within a command makes room too.
+	// A connection that stops within a command is closed, too.
 	for range 40 {
 		p.dial(t).send("mg k v O")
 	}
-	for began := time.Now(); p.dial(t).ask(get("k", "late", 900)) != "VA 10 Olate|value of k"; time.Sleep(20 * time.Millisecond) {
+	for began := time.Now(); p.dial(t).ask(getRequest("k", "late", 900)) != "VA 10 Olate|value of k"; time.Sleep(20 * time.Millisecond) {
 		if time.Since(began) > 2*time.Second {
-			t.Fatal("no stopped connection makes room")
+			t.Fatal("no stopped connection was closed to make room")
 		}
 	}
 }
 
-// Clients hold only so many connections for requests. Some ask once and stay: where they hold nearly all, the one idle
-// longest is closed, long before places are wanted here, or the next call finds none to come over.
+// TestClientsOutOfConnections checks clients that send one request and stay connected. Clients have a limited number of connections
+// themselves: when they hold nearly all of them, the balancer closes the one idle for longest, long before its own limit, as otherwise
+// the next request would find no connection.
 func TestClientsOutOfConnections(t *testing.T) {
-	h := newHost(t, "h", hit)
-	d := newList(t)
-	d.set("h", h.addr, "cache", "active")
-	cfg := config(d, freeAddr(t), nil)
-	cfg["limits"] = map[string]any{"sockets": 80} // 20 are kept, 35 have places
-	p := serving(t, cfg)
+	h := newHost(t, "h", answerHit)
+	d := newDiscoveryServer(t)
+	d.setHost("h", h.addr, "cache", "active")
+	cfg := deploymentConfig(d, freeAddr(t), nil)
+	cfg["limits"] = map[string]any{"sockets": 80} // 20 connections that have carried a request are kept, 35 connections are served
+	p := launchServing(t, cfg)
 	var all []*client
 	for i := range 30 {
 		c := p.dial(t)
-		expect(t, c.ask(get("k", fmt.Sprint(i), 900)), fmt.Sprintf("VA 10 O%d|value of k", i))
+		expect(t, c.ask(getRequest("k", fmt.Sprint(i), 900)), fmt.Sprintf("VA 10 O%d|value of k", i))
 		all = append(all, c)
 		time.Sleep(5 * time.Millisecond)
 	}
 	expect(t, all[0].next(), "EOF")
-	if since := time.Since(all[0].dialed); since > time.Second {
+	if since := time.Since(all[0].dialedAt); since > time.Second {
 		t.Errorf("the first was closed after %v", since)
 	}
-	for i, c := range all[15:] { // the later ones are not
-		expect(t, c.ask(get("k", fmt.Sprint("again", i), 900)), fmt.Sprintf("VA 10 Oagain%d|value of k", i))
+	for i, c := range all[15:] { // the later ones stay open
+		expect(t, c.ask(getRequest("k", fmt.Sprint("again", i), 900)), fmt.Sprintf("VA 10 Oagain%d|value of k", i))
 	}
 }
 
-// Clients that say nothing, half a command, or ask once and stay: each is closed in time, or they hold all
-// descriptors, the balancer's or the clients' own, and the usual clients find none.
+// TestIdleClients checks that connections that send nothing, half a command or only one request are closed in time. Otherwise they
+// would use up all descriptors of the balancer or of the clients.
 func TestIdleClients(t *testing.T) {
-	p, _ := start(t, nil, nil, newHost(t, "h", hit))
+	p, _ := startWithHosts(t, nil, nil, newHost(t, "h", answerHit))
 	for name, row := range map[string]struct {
-		say         string
-		least, most time.Duration // a connection with nothing open may be closed after two seconds
+		request          string
+		earliest, latest time.Duration // a connection without a pending command may be closed after two seconds
 	}{
 		"nothing":        {"", 2 * time.Second, 3 * time.Second},
 		"half a command": {"mg k v Ohalf", 0, 3 * time.Second},
 		"half a value":   {"ms k 5 Ohalf Pc=pay,d=900\r\nhel", 0, 3 * time.Second},
-		"one command":    {get("k", "a", 900), 2 * time.Second, 3 * time.Second},
+		"one command":    {getRequest("k", "a", 900), 2 * time.Second, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			c := p.dial(t)
-			c.send(row.say)
+			c.send(row.request)
 			got := c.next()
 			for strings.HasPrefix(got, "VA") {
 				got = c.next()
 			}
 			expect(t, got, "EOF")
-			if after := time.Since(c.dialed); after < row.least || after > row.most {
-				t.Errorf("closed after %v", after)
+			if age := time.Since(c.dialedAt); age < row.earliest || age > row.latest {
+				t.Errorf("closed after %v", age)
 			}
 		})
 	}
 }
 
-// A faulty start says which key is faulty, and does not listen.
+// TestFaultyConfiguration checks that a faulty configuration ends the start with exit code 2 and the name of the faulty key.
 func TestFaultyConfiguration(t *testing.T) {
-	d := newList(t)
+	d := newDiscoveryServer(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer taken.Close()
 	with := func(key string, v any) map[string]any {
-		c := config(d, freeAddr(t), nil)
+		c := deploymentConfig(d, freeAddr(t), nil)
 		c[key] = v
 		return c
 	}
@@ -666,32 +675,32 @@
 		{with("limits", map[string]any{"sockets": 5}), "", "limits.sockets"},
 		{with("limits", map[string]any{"memory_mb": 1}), "", "limits.memory_mb"},
 		{with("settings", nil), "", "settings"},
-		{with("settings", settings(map[string]any{"products": []any{product}})), "", "settings.products.0.effect"},
-		{with("settings", settings(map[string]any{"balancers": "few"})), "", "settings.balancers"},
-		{with("settings", settings(map[string]any{"products": []any{}})), "", "settings.products"},
+		{with("settings", deploymentSettings(map[string]any{"products": []any{product}})), "", "settings.products.0.effect"},
+		{with("settings", deploymentSettings(map[string]any{"balancers": "few"})), "", "settings.balancers"},
+		{with("settings", deploymentSettings(map[string]any{"products": []any{}})), "", "settings.products"},
 	} {
 		p := launch(t, row.config, row.env)
-		if code := p.exit(t); code != 2 || !strings.Contains(p.log.String(), row.names+":") {
+		if code := p.waitForExit(t); code != 2 || !strings.Contains(p.log.String(), row.names+":") {
 			t.Errorf("exit code %d, expected 2 and %q in %s", code, row.names, p.log.String())
 		}
 	}
 }
 
-// A new configuration under load: the list comes from the new address from then on, also where a variable named
-// the old one, and nothing more is heard from there; no request is lost. A faulty file changes nothing.
+// TestReload changes the configuration under load. The list then comes from the new discovery address, even if an environment variable
+// named the old one, and updates from the old address have no effect; no request is lost. A faulty file changes nothing.
 func TestReload(t *testing.T) {
-	x, y := newHost(t, "x", hit), newHost(t, "y", hit)
-	old, next := newList(t), newList(t)
-	old.set("x", x.addr, "cache", "active")
-	next.set("y", y.addr, "cache", "active")
-	cfg := config(old, freeAddr(t), nil)
-	p := serving(t, cfg, "GW_DISCOVERY="+addr(old.Server))
+	x, y := newHost(t, "x", answerHit), newHost(t, "y", answerHit)
+	old, next := newDiscoveryServer(t), newDiscoveryServer(t)
+	old.setHost("x", x.addr, "cache", "active")
+	next.setHost("y", y.addr, "cache", "active")
+	cfg := deploymentConfig(old, freeAddr(t), nil)
+	p := launchServing(t, cfg, "GW_DISCOVERY="+serverAddr(old.Server))
 	stop, answers := make(chan struct{}), make(chan string, 1)
-	go func() { // requests all the while
+	go func() { // sends requests until the test ends it
 		c := p.dial(t)
 		for n := 0; ; n++ {
 			id := fmt.Sprint("r", n)
-			if a := c.ask(get("k", id, 900)); a != "VA 10 O"+id+"|value of k" {
+			if a := c.ask(getRequest("k", id, 900)); a != "VA 10 O"+id+"|value of k" {
 				answers <- a
 				return
 			}
@@ -703,33 +712,33 @@
 			}
 		}
 	}()
-	await(t, x.came, "work")
+	await(t, x.received, "work")
 	p.reload(t, "{", `faulty configuration, nothing changed`)
-	faulty := config(next, p.addr, map[string]any{"balancers": "few"})
+	faulty := deploymentConfig(next, p.addr, map[string]any{"balancers": "few"})
 	p.reload(t, faulty, "settings.balancers")
-	cfg["discovery"], cfg["seed"] = freeAddr(t), "1" // silent: nobody is there
+	cfg["discovery"], cfg["seed"] = freeAddr(t), "1" // nothing listens there
 	p.reload(t, cfg, `"kept_until_restart":["seed"]`)
-	cfg["discovery"] = addr(next.Server)
-	p.reload(t, cfg, `"discovery":"`+addr(next.Server)+`","kept`)
+	cfg["discovery"] = serverAddr(next.Server)
+	p.reload(t, cfg, `"discovery":"`+serverAddr(next.Server)+`","kept`)
 	p.Process.Signal(syscall.SIGHUP) // once more, with nothing new
-	next.knows(t)
-	await(t, x.ended, "the end of the kept connection to the host that is listed no more")
+	next.waitForWatch(t)
+	await(t, x.closed, "the end of the kept connection to the host that is listed no more")
 	before := x.count()
-	old.set("x", x.addr, "cache", "active") // unheard
+	old.setHost("x", x.addr, "cache", "active") // must have no effect
 	for range 20 {
-		await(t, y.came, "work")
+		await(t, y.received, "work")
 	}
 	close(stop)
 	expect(t, await(t, answers, "the end of the work"), "all")
 	if x.count() != before {
-		t.Errorf("%d sent where only the old address points", x.count()-before)
+		t.Errorf("%d requests to a host that only the old address lists", x.count()-before)
 	}
 	c := p.dial(t)
 	expect(t, c.ask("mn\r\n"), "MN")
 	p.Process.Signal(syscall.SIGTERM)
 	expect(t, c.next(), "EOF")
 	p.Process.Signal(syscall.SIGHUP) // while it drains
-	if code := p.exit(t); code != 0 {
+	if code := p.waitForExit(t); code != 0 {
 		t.Errorf("exit code %d", code)
 	}
 }
