--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -1,5 +1,6 @@
-// Package judge holds a rehearsal's record against the rules. It decides only from what clients, stand-ins and the
-// register saw. A rule for which nothing was checked is not exercised; it is never called kept.
+// Package judge checks the recorded events of a rehearsal (a simulated run of a fleet of balancers) against the rules
+// that balancers must keep. It uses only what clients and the stand-ins for cache hosts, origin and discovery observed.
+// A rule with no case to check is reported as not exercised, never as kept.
 package judge
 
 import (
@@ -13,16 +14,16 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Effect says whether a request may run again.
+// Effect says whether a request may be executed more than once.
 type Effect int
 
 const (
-	Idempotent Effect = iota
-	Deduplicated
-	NonIdempotent
+	Idempotent    Effect = iota
+	Deduplicated         // servers ignore repeats within the product's Window
+	NonIdempotent        // must not be sent again once it may have run
 )
 
-// Product is what the judge has to know of one.
+// Product describes a class of requests as far as the rules depend on it.
 type Product struct {
 	Name   string
 	Effect Effect
@@ -30,21 +31,21 @@
 	Write  bool
 }
 
-// Terms are the figures of the rules.
+// Terms are the numeric bounds of the rules.
 type Terms struct {
 	Products   []Product
-	Attempts   int // of one request at most
-	DrainGrace time.Duration
-	Slack      time.Duration // that each time limit gets for the way of bytes
-	Prompt     time.Duration // in which what is given up is answered, besides Slack
-	ColdBlame  float64       // share of misses at cold nodes from which a stopped gateway is a breach
-	FallFor    time.Duration
-	Mates      Mates
-	Openings   float64       // a second that a host bears from all; 0: no bound
-	Connect    time.Duration // that a connection which does not come up may take
-}
-
-// Rule is one thing that is checked.
+	Attempts   int           // maximum number of attempts per request
+	DrainGrace time.Duration // how long a draining host may still get attempts after the notice
+	Slack      time.Duration // added to each time limit for the time that bytes are in transit
+	Prompt     time.Duration // how soon a request that is given up must be answered, in addition to Slack
+	ColdBlame  float64       // share of misses at cold hosts in the gateway's load from which its stop counts as a breach
+	FallFor    time.Duration // span over which the load that pushed a server over is counted
+	Mates      Mates         // bounds of the rules for the balancers' membership
+	Openings   float64       // connections a second that all balancers together may open to one host; 0: no bound
+	Connect    time.Duration // how long an attempt to connect may take before it fails
+}
+
+// Rule is the text that identifies one rule, as reports print it.
 type Rule string
 
 const (
@@ -67,7 +68,8 @@
 	Alive       Rule = "no balancer ends unasked"
 )
 
-// Rules are all that is checked, by the operators' four: answers, effects, drains, cold hosts; then what else must hold.
+// Rules lists all rules in report order: first the operators' four main groups (answers, effects, drains, cold hosts),
+// then the other groups.
 var Rules = []struct {
 	Rule  Rule
 	Group string
@@ -82,19 +84,19 @@
 	{Used, "service"}, {NoneBack, "service"}, {Doors, "service"}, {RudeEnds, "service"}, {Alive, "service"},
 }
 
-// Breach is one case in which a rule was broken.
+// Breach is one case in which a rule was broken, or may have been.
 type Breach struct {
 	Rule Rule          `json:"rule"`
 	Call string        `json:"call,omitempty"`
 	At   time.Duration `json:"at_ns"`
 	Text string        `json:"text"`
-	// By is how far beyond its limit the case lies; 0 where it hangs on counts or order alone. A breach by no more than
-	// the kit itself ran late around then is doubtful.
+	// By is how far the case exceeds its time limit; 0 where the rule depends on counts or order alone. If the rehearsal
+	// itself ran late around At, a breach by no more than twice that lateness is doubtful.
 	By       time.Duration `json:"by_ns,omitempty"`
 	Doubtful bool          `json:"doubtful,omitempty"`
 }
 
-// Finding is what came of one rule.
+// Finding is the result for one rule.
 type Finding struct {
 	Rule     Rule     `json:"rule"`
 	Group    string   `json:"group"`
@@ -104,28 +106,29 @@
 	Examples []Breach `json:"examples,omitempty"` // the first ones
 }
 
-// Verdict is the judge's word on a rehearsal.
+// Verdict is the result of checking one rehearsal.
 type Verdict struct {
 	Findings []Finding     `json:"findings"`
-	LateMost time.Duration `json:"late_most_ns"` // by which the kit ran late
-	// Notes are what went wrong within the rules: the balancers kept to them and could not have known.
+	LateMost time.Duration `json:"late_most_ns"` // the most by which the rehearsal itself ran late
+	// Notes are remarks that are not breaches: measured extremes, and harm that the balancers could not have prevented by
+	// keeping the rules.
 	Notes []string `json:"notes,omitempty"`
 }
 
-// examplesMost bounds what is shown of one rule.
-const examplesMost = 10
+// maxExamples bounds the number of examples listed for one rule.
+const maxExamples = 10
 
-// Broken tells whether a rule was broken beyond doubt.
+// Broken reports whether any rule was broken beyond doubt.
 func (v *Verdict) Broken() bool {
 	return slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.Breaches > 0 })
 }
 
-// Unsure tells whether anything could not be judged because the kit ran late.
+// Unsure reports whether any case is doubtful because the rehearsal itself ran late.
 func (v *Verdict) Unsure() bool {
 	return slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.Doubtful > 0 })
 }
 
-// BrokenRules are the rules that were broken beyond doubt, in order.
+// BrokenRules returns the rules that were broken beyond doubt, in report order.
 func (v *Verdict) BrokenRules() (rules []Rule) {
 	for _, f := range v.Findings {
 		if f.Breaches > 0 {
@@ -135,26 +138,27 @@
 	return rules
 }
 
-type court struct {
-	terms    Terms
-	rec      *record.Record
-	checked  map[Rule]int
-	breaches map[Rule][]Breach
-	doubtful map[Rule]int
-	count    map[Rule]int
-	notes    []string
-	attempts map[string][]record.Attempt // by request, in the order of their coming
-	calls    map[string]*record.Call
-	effects  map[string][]record.Effect // by request
-}
-
-// Judge checks a record.
-func Judge(rec *record.Record, terms Terms) *Verdict {
-	c := &court{terms: terms, rec: rec, checked: map[Rule]int{}, breaches: map[Rule][]Breach{}, doubtful: map[Rule]int{},
-		count: map[Rule]int{}, attempts: map[string][]record.Attempt{}, calls: map[string]*record.Call{}, effects: map[string][]record.Effect{}}
+// checker holds the recorded events, indexed by request, and the results so far.
+type checker struct {
+	config      Terms
+	rec         *record.Record
+	checked     map[Rule]int
+	examples    map[Rule][]Breach
+	doubtful    map[Rule]int
+	breachCount map[Rule]int
+	notes       []string
+	attempts    map[string][]record.Attempt // by request id, in order of arrival
+	requests    map[string]*record.Call
+	effects     map[string][]record.Effect // by request id
+}
+
+// Judge checks a record against all rules.
+func Judge(rec *record.Record, config Terms) *Verdict {
+	c := &checker{config: config, rec: rec, checked: map[Rule]int{}, examples: map[Rule][]Breach{}, doubtful: map[Rule]int{},
+		breachCount: map[Rule]int{}, attempts: map[string][]record.Attempt{}, requests: map[string]*record.Call{}, effects: map[string][]record.Effect{}}
 	slices.SortStableFunc(rec.Lates, func(x, y record.Late) int { return cmp.Compare(x.At, y.At) })
-	for _, s := range rec.Attempts {
-		c.attempts[s.Call] = append(c.attempts[s.Call], s)
+	for _, a := range rec.Attempts {
+		c.attempts[a.Call] = append(c.attempts[a.Call], a)
 	}
 	for _, list := range c.attempts {
 		slices.SortStableFunc(list, func(x, y record.Attempt) int { return cmp.Compare(x.Came, y.Came) })
@@ -163,39 +167,39 @@
 		c.effects[e.Call] = append(c.effects[e.Call], e)
 	}
 	for i := range rec.Calls {
-		c.calls[rec.Calls[i].ID] = &rec.Calls[i]
-		c.answer(&rec.Calls[i])
-		c.repeats(&rec.Calls[i])
-	}
-	c.strangers()
-	c.marks()
-	c.drains()
-	c.byHand()
-	c.upgrades()
-	c.cold()
-	c.gateway()
-	c.rude()
-	c.lives()
-	c.mates()
-	c.limits()
-	return c.verdict()
-}
-
-func (c *court) verdict() *Verdict {
+		c.requests[rec.Calls[i].ID] = &rec.Calls[i]
+		c.checkAnswer(&rec.Calls[i])
+		c.checkRepeats(&rec.Calls[i])
+	}
+	c.checkUnknownAttempts()
+	c.checkMarks()
+	c.checkDrains()
+	c.checkOperatorActions()
+	c.checkUpgrades()
+	c.checkColdHosts()
+	c.checkGatewayStops()
+	c.checkMalformedClients()
+	c.checkBalancerExits()
+	c.checkMembership()
+	c.checkLimits()
+	return c.buildVerdict()
+}
+
+func (c *checker) buildVerdict() *Verdict {
 	v := &Verdict{Notes: c.notes}
 	for _, l := range c.rec.Lates {
 		v.LateMost = max(v.LateMost, l.By)
 	}
 	for _, r := range Rules {
-		f := Finding{Rule: r.Rule, Group: r.Group, Checked: c.checked[r.Rule], Breaches: c.count[r.Rule],
-			Doubtful: c.doubtful[r.Rule], Examples: c.breaches[r.Rule]}
+		f := Finding{Rule: r.Rule, Group: r.Group, Checked: c.checked[r.Rule], Breaches: c.breachCount[r.Rule],
+			Doubtful: c.doubtful[r.Rule], Examples: c.examples[r.Rule]}
 		v.Findings = append(v.Findings, f)
 	}
 	return v
 }
 
-// lateAround is how late the kit ran within a second of a moment.
-func (c *court) lateAround(at time.Duration) (by time.Duration) {
+// maxLateness returns the most by which the rehearsal itself ran late within a second of the given time.
+func (c *checker) maxLateness(at time.Duration) (by time.Duration) {
 	i, _ := slices.BinarySearchFunc(c.rec.Lates, at-time.Second, func(l record.Late, t time.Duration) int { return cmp.Compare(l.At, t) })
 	for ; i < len(c.rec.Lates) && c.rec.Lates[i].At <= at+time.Second; i++ {
 		by = max(by, c.rec.Lates[i].By)
@@ -203,436 +207,442 @@
 	return by
 }
 
-// breach notes one; by is 0 where it hangs on counts or order alone.
-func (c *court) breach(r Rule, call string, at, by time.Duration, form string, args ...any) {
-	b := Breach{Rule: r, Call: call, At: at, By: by, Text: fmt.Sprintf(form, args...)}
-	if call != "" {
-		b.Text += c.story(call)
+// addBreach records a breach; by is 0 where the rule depends on counts or order alone.
+func (c *checker) addBreach(rule Rule, requestID string, at, by time.Duration, format string, args ...any) {
+	b := Breach{Rule: rule, Call: requestID, At: at, By: by, Text: fmt.Sprintf(format, args...)}
+	if requestID != "" {
+		b.Text += c.describeRequest(requestID)
 	}
-	// Each end of what is measured may have been noted late.
-	if b.Doubtful = by > 0 && by <= 2*c.lateAround(at); b.Doubtful {
-		c.doubtful[r]++
+	// Both ends of a measured span may have been recorded late, hence twice the lateness.
+	if b.Doubtful = by > 0 && by <= 2*c.maxLateness(at); b.Doubtful {
+		c.doubtful[rule]++
 	} else {
-		c.count[r]++
+		c.breachCount[rule]++
 	}
-	if len(c.breaches[r]) < examplesMost {
-		c.breaches[r] = append(c.breaches[r], b)
+	if len(c.examples[rule]) < maxExamples {
+		c.examples[rule] = append(c.examples[rule], b)
 	}
 }
 
-// story tells the attempts of a call with their times.
-func (c *court) story(call string) string {
+// describeRequest returns a request's times and its attempts as text for a breach.
+func (c *checker) describeRequest(requestID string) string {
 	var text strings.Builder
-	if k := c.calls[call]; k != nil {
-		fmt.Fprintf(&text, "; balancer %d, sent %s, until %s", k.Balancer+1, at(k.Sent), at(k.Timeout))
-		if k.Answered > 0 {
-			fmt.Fprintf(&text, ", %s %s", k.Reply, at(k.Answered))
+	if req := c.requests[requestID]; req != nil {
+		fmt.Fprintf(&text, "; balancer %d, sent %s, until %s", req.Balancer+1, formatTime(req.Sent), formatTime(req.Timeout))
+		if req.Answered > 0 {
+			fmt.Fprintf(&text, ", %s %s", req.Reply, formatTime(req.Answered))
 		}
 	}
-	for i, s := range c.attempts[call] {
-		proof := [...]string{"nothing proven", "never ran", "missed", "served"}[s.Proof]
-		if s.Swallowed {
+	for i, a := range c.attempts[requestID] {
+		proof := [...]string{"nothing proven", "never ran", "missed", "served"}[a.Proof]
+		if a.Swallowed {
 			proof = "lost on the way"
 		}
-		fmt.Fprintf(&text, "; attempt %d at %s, came %s, ended %s, ran %v, %s", i+1, s.Server, at(s.Came), at(s.Ended), s.Ran, proof)
+		fmt.Fprintf(&text, "; attempt %d at %s, came %s, ended %s, ran %v, %s", i+1, a.Server, formatTime(a.Came), formatTime(a.Ended), a.Ran, proof)
 	}
 	return text.String()
 }
 
-func at(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
+func formatTime(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
 
-func (c *court) product(k *record.Call) Product { return c.terms.Products[k.Product] }
+func (c *checker) productOf(req *record.Call) Product { return c.config.Products[req.Product] }
 
-// answer checks rule one for one request.
-func (c *court) answer(k *record.Call) {
-	if k.NotTaken || c.stood(k) {
+// checkAnswer checks the rules of the group "1 answers" for one request.
+func (c *checker) checkAnswer(req *record.Call) {
+	if req.NotTaken || c.balancerPaused(req) {
 		return
 	}
-	if k.Excused && (k.Reply == record.Closed || k.Reply == record.CutShort) {
-		return // what a balancer held when its end was ordered is the client's to retry
+	if req.Excused && (req.Reply == record.Closed || req.Reply == record.CutShort) {
+		return // the balancer was stopped on purpose while it had the request: the client has to retry it
 	}
-	slack := c.terms.Slack
+	slack := c.config.Slack
 	c.checked[OneAnswer]++
 	switch {
-	case k.Reply == record.Closed:
-		c.breach(OneAnswer, k.ID, k.Timeout, 0, "its connection was closed %v after it was sent, with no whole answer", k.Ended-k.Sent)
-	// A value goes on as it comes: what its server broke off cannot be finished, and the client can tell.
-	case k.Reply == record.CutShort && !slices.ContainsFunc(c.attempts[k.ID], func(s record.Attempt) bool { return !s.Answered }):
-		c.breach(OneAnswer, k.ID, k.Answered, 0, "its value was cut short, and no server had done that")
-	case k.Reply == record.None:
-		c.breach(OneAnswer, k.ID, k.Timeout, 0, "no answer until its client left")
-	case k.Answered > k.Timeout+slack:
-		c.breach(OneAnswer, k.ID, k.Answered, k.Answered-k.Timeout-slack, "answered after its client timeout")
-	}
-	if k.Extra > 0 {
-		c.breach(OneAnswer, k.ID, k.Answered, 0, "answered %d times", 1+k.Extra)
-	}
-	if k.Reply == record.Fulfilled || k.Reply == record.Wrong {
+	case req.Reply == record.Closed:
+		c.addBreach(OneAnswer, req.ID, req.Timeout, 0, "its connection was closed %v after it was sent, with no whole answer", req.Ended-req.Sent)
+	// Values are streamed to the client: one that its server broke off cannot be completed, and the client notices.
+	case req.Reply == record.CutShort && !slices.ContainsFunc(c.attempts[req.ID], func(a record.Attempt) bool { return !a.Answered }):
+		c.addBreach(OneAnswer, req.ID, req.Answered, 0, "its value was cut short, and no server had done that")
+	case req.Reply == record.None:
+		c.addBreach(OneAnswer, req.ID, req.Timeout, 0, "no answer until its client left")
+	case req.Answered > req.Timeout+slack:
+		c.addBreach(OneAnswer, req.ID, req.Answered, req.Answered-req.Timeout-slack, "answered after its client timeout")
+	}
+	if req.Extra > 0 {
+		c.addBreach(OneAnswer, req.ID, req.Answered, 0, "answered %d times", 1+req.Extra)
+	}
+	if req.Reply == record.Fulfilled || req.Reply == record.Wrong {
 		c.checked[RightAnswer]++
-		if k.Reply == record.Wrong {
-			c.breach(RightAnswer, k.ID, k.Answered, 0, "served with what was not made for it")
-		} else if !slices.ContainsFunc(c.attempts[k.ID], func(s record.Attempt) bool { return s.Proof == record.WasServed }) {
-			c.breach(RightAnswer, k.ID, k.Answered, 0, "fulfilled, and no server answered it")
+		if req.Reply == record.Wrong {
+			c.addBreach(RightAnswer, req.ID, req.Answered, 0, "served with what was not made for it")
+		} else if !slices.ContainsFunc(c.attempts[req.ID], func(a record.Attempt) bool { return a.Proof == record.WasServed }) {
+			c.addBreach(RightAnswer, req.ID, req.Answered, 0, "fulfilled, and no server answered it")
 		}
 	}
-	over := k.Timeout
-	if k.Answered > 0 {
-		over = min(over, k.Answered)
+	end := req.Timeout
+	if req.Answered > 0 {
+		end = min(end, req.Answered)
 	}
-	for _, s := range c.attempts[k.ID] {
-		if s.Untimed {
+	for _, a := range c.attempts[req.ID] {
+		if a.Untimed {
 			continue
 		}
 		c.checked[NothingLate]++
-		if s.Came > over+slack {
-			c.breach(NothingLate, k.ID, s.Came, s.Came-over-slack, "an attempt came to %s after the call was over", s.Server)
+		if a.Came > end+slack {
+			c.addBreach(NothingLate, req.ID, a.Came, a.Came-end-slack, "an attempt came to %s after the call was over", a.Server)
 		}
-		c.deadline(k, s)
+		c.checkDeadline(req, a)
 	}
-	if k.Reply == record.RateLimited || k.Reply == record.Errored {
-		c.prompt(k)
+	if req.Reply == record.RateLimited || req.Reply == record.Errored {
+		c.checkPromptness(req)
 	}
 }
 
-// deadlineSlack is what a server may be told beyond what its client has left, at the most.
+// deadlineSlack is the most by which the time to wait that a server is given may exceed what its client has left.
 const deadlineSlack = 150 * time.Millisecond
 
-// deadline checks that a server does not work on for longer than the client waits.
-func (c *court) deadline(k *record.Call, s record.Attempt) {
-	if s.Told == 0 {
+// checkDeadline checks that a server is not given more time than the client still waits.
+func (c *checker) checkDeadline(req *record.Call, a record.Attempt) {
+	if a.Told == 0 {
 		return
 	}
 	c.checked[Deadlines]++
-	if over := s.Came + s.Told - k.Timeout - deadlineSlack; over > 0 {
-		c.breach(Deadlines, k.ID, s.Came, over, "%s was told %v when its client had %v left", s.Server, s.Told, at(k.Timeout-s.Came))
+	if over := a.Came + a.Told - req.Timeout - deadlineSlack; over > 0 {
+		c.addBreach(Deadlines, req.ID, a.Came, over, "%s was told %v when its client had %v left", a.Server, a.Told, formatTime(req.Timeout-a.Came))
 	}
 }
 
-// stood tells that a call's balancer stood still while it had it: nobody could have answered.
-func (c *court) stood(k *record.Call) bool {
+// balancerPaused reports whether the request's balancer was paused while it had the request, so that it could not answer.
+func (c *checker) balancerPaused(req *record.Call) bool {
 	return slices.ContainsFunc(c.rec.Stalls, func(s record.Stall) bool {
-		return s.Twin == 0 && s.Balancer == k.Balancer && s.From <= k.Timeout+c.terms.Slack && s.To >= k.Sent
+		return s.Twin == 0 && s.Balancer == req.Balancer && s.From <= req.Timeout+c.config.Slack && s.To >= req.Sent
 	})
 }
 
-// prompt checks that a call which is given up is answered at once: after it came, and after the last of its attempts ended.
-func (c *court) prompt(k *record.Call) {
+// checkPromptness checks that a request which is given up is answered soon after it came and after its last attempt ended.
+func (c *checker) checkPromptness(req *record.Call) {
 	c.checked[Prompt]++
-	last := k.Sent
-	for _, s := range c.attempts[k.ID] {
-		if s.Ended == 0 || s.Ended > k.Answered {
-			return // one was still out
+	lastEvent := req.Sent
+	for _, a := range c.attempts[req.ID] {
+		if a.Ended == 0 || a.Ended > req.Answered {
+			return // an attempt was still in flight
 		}
-		last = max(last, s.Ended)
+		lastEvent = max(lastEvent, a.Ended)
 	}
-	// Where connections do not come up, attempts that never were one are seen by the balancer alone.
-	unseen := time.Duration(0)
+	// While connections cannot be opened, failed connection attempts are seen by the balancer alone.
+	unseenTime := time.Duration(0)
 	if slices.ContainsFunc(c.rec.Darks, func(d record.Dark) bool {
-		return d.Balancer == k.Balancer && d.From <= k.Answered && (d.To == 0 || k.Sent <= d.To+c.terms.Connect)
+		return d.Balancer == req.Balancer && d.From <= req.Answered && (d.To == 0 || req.Sent <= d.To+c.config.Connect)
 	}) {
-		unseen = time.Duration(max(0, c.terms.Attempts-len(c.attempts[k.ID]))) * c.terms.Connect
+		unseenTime = time.Duration(max(0, c.config.Attempts-len(c.attempts[req.ID]))) * c.config.Connect
 	}
-	if wait := k.Answered - last - c.terms.Prompt - c.terms.Slack - unseen; wait > 0 {
-		c.breach(Prompt, k.ID, k.Answered, wait, "given up %v after anything last happened to it", at(k.Answered-last))
+	if over := req.Answered - lastEvent - c.config.Prompt - c.config.Slack - unseenTime; over > 0 {
+		c.addBreach(Prompt, req.ID, req.Answered, over, "given up %v after anything last happened to it", formatTime(req.Answered-lastEvent))
 	}
 }
 
-// repeats checks rule two for one request: what its attempts could have done, and what was promised.
-func (c *court) repeats(k *record.Call) {
-	p, attempts := c.product(k), c.attempts[k.ID]
-	for i, s := range attempts {
+// checkRepeats checks the rules of the group "2 effects" for one request: whether an attempt could have run twice, and
+// whether a rate-limited answer promised rightly that a retry is harmless.
+func (c *checker) checkRepeats(req *record.Call) {
+	product, attempts := c.productOf(req), c.attempts[req.ID]
+	for i, a := range attempts {
 		c.checked[Alone]++
-		if i >= c.terms.Attempts {
-			c.breach(Alone, k.ID, s.Came, 0, "attempt %d of %d allowed", i+1, c.terms.Attempts)
+		if i >= c.config.Attempts {
+			c.addBreach(Alone, req.ID, a.Came, 0, "attempt %d of %d allowed", i+1, c.config.Attempts)
 		}
-		for _, old := range attempts[:i] {
-			if old.Untimed || s.Untimed {
+		for _, earlier := range attempts[:i] {
+			if earlier.Untimed || a.Untimed {
 				continue
 			}
-			// Of an attempt that was given up the end is heard late: its connection's end is a message of its own.
-			if over := old.Ended - s.Came - c.terms.Slack; old.Ended == 0 || over > 0 {
-				c.breach(Alone, k.ID, s.Came, over, "an attempt came while another one was out")
+			// The end of an abandoned attempt is seen late, because closing its connection is a message of its own.
+			if over := earlier.Ended - a.Came - c.config.Slack; earlier.Ended == 0 || over > 0 {
+				c.addBreach(Alone, req.ID, a.Came, over, "an attempt came while another one was out")
 				break
 			}
 		}
-		if p.Effect == Idempotent || i == 0 {
+		if product.Effect == Idempotent || i == 0 {
 			continue
 		}
 		c.checked[NoRepeat]++
-		for _, old := range attempts[:i] {
-			if old.Proof == record.NeverRan || old.Proof == record.Missed {
+		for _, earlier := range attempts[:i] {
+			if earlier.Proof == record.NeverRan || earlier.Proof == record.Missed {
 				continue
 			}
-			if p.Effect == NonIdempotent {
-				c.breach(NoRepeat, k.ID, s.Came, 0, "sent again though it may have run")
+			if product.Effect == NonIdempotent {
+				c.addBreach(NoRepeat, req.ID, a.Came, 0, "sent again though it may have run")
 				break
 			}
-			if over := s.Came - old.Came - p.Window; over > 0 {
-				c.breach(NoRepeat, k.ID, s.Came, max(1, over-c.terms.Slack), "sent again %v after an attempt that may have run, beyond its window of %v",
-					at(s.Came-old.Came), p.Window)
+			if over := a.Came - earlier.Came - product.Window; over > 0 {
+				c.addBreach(NoRepeat, req.ID, a.Came, max(1, over-c.config.Slack), "sent again %v after an attempt that may have run, beyond its window of %v",
+					formatTime(a.Came-earlier.Came), product.Window)
 				break
 			}
 		}
 	}
-	if p.Effect == Idempotent {
+	if product.Effect == Idempotent {
 		return
 	}
-	if p.Effect == NonIdempotent {
+	if product.Effect == NonIdempotent {
 		c.checked[OneEffect]++
-		if n := len(c.effects[k.ID]); n > 1 {
-			c.breach(OneEffect, k.ID, c.effects[k.ID][1].At, 0, "its effect was applied %d times", n)
+		if n := len(c.effects[req.ID]); n > 1 {
+			c.addBreach(OneEffect, req.ID, c.effects[req.ID][1].At, 0, "its effect was applied %d times", n)
 		}
 	}
-	if k.Reply != record.RateLimited {
+	if req.Reply != record.RateLimited {
 		return
 	}
 	c.checked[Promise]++
-	for _, s := range attempts {
-		if s.Proof == record.NeverRan || s.Proof == record.Missed {
+	for _, a := range attempts {
+		if a.Proof == record.NeverRan || a.Proof == record.Missed {
 			continue
 		}
-		if over := k.Answered - s.Came - p.Window; p.Effect == NonIdempotent {
-			c.breach(Promise, k.ID, k.Answered, 0, "rate-limited though an attempt may have run")
+		if over := req.Answered - a.Came - product.Window; product.Effect == NonIdempotent {
+			c.addBreach(Promise, req.ID, req.Answered, 0, "rate-limited though an attempt may have run")
 			return
-		} else if over > c.terms.Slack {
-			c.breach(Promise, k.ID, k.Answered, over-c.terms.Slack, "rate-limited %v after an attempt that may have run, beyond its window", at(k.Answered-s.Came))
+		} else if over > c.config.Slack {
+			c.addBreach(Promise, req.ID, req.Answered, over-c.config.Slack, "rate-limited %v after an attempt that may have run, beyond its window", formatTime(req.Answered-a.Came))
 			return
 		}
 	}
 }
 
-// strangers are attempts that no client's call stands behind.
-func (c *court) strangers() {
-	for _, s := range c.rec.Attempts {
-		if s.Unexpected != "" {
+// checkUnknownAttempts reports attempts that belong to no client's request.
+func (c *checker) checkUnknownAttempts() {
+	for _, a := range c.rec.Attempts {
+		if a.Unexpected != "" {
 			c.checked[RightAnswer]++
-			c.breach(RightAnswer, s.Call, s.Came, 0, "%s got what no client sent: %s", s.Server, s.Unexpected)
-		} else if c.calls[s.Call] == nil {
+			c.addBreach(RightAnswer, a.Call, a.Came, 0, "%s got what no client sent: %s", a.Server, a.Unexpected)
+		} else if c.requests[a.Call] == nil {
 			c.checked[RightAnswer]++
-			c.breach(RightAnswer, s.Call, s.Came, 0, "%s got an attempt of a call that no client made", s.Server)
+			c.addBreach(RightAnswer, a.Call, a.Came, 0, "%s got an attempt of a call that no client made", a.Server)
 		}
 	}
 }
 
-// marks checks that no mark has its effect twice, whichever try brought it.
-func (c *court) marks() {
+// checkMarks checks that no deduplication mark has its effect twice, whether by attempts or by client retries.
+func (c *checker) checkMarks() {
 	first := map[string]record.Effect{}
 	for _, e := range c.rec.Effects {
 		if e.Mark == "" {
 			continue
 		}
 		c.checked[OneEffect]++
-		old, twice := first[e.Mark]
-		if !twice {
+		earlier, repeated := first[e.Mark]
+		if !repeated {
 			first[e.Mark] = e
 			continue
 		}
-		// A client that tries again after an error, or after a promise kept too long, is not the balancer's doing.
-		if k := c.calls[e.Call]; k != nil && old.Call != e.Call {
+		// Not the balancer's fault: a client retry after an error, or too long after a rate-limited answer.
+		if req := c.requests[e.Call]; req != nil && earlier.Call != e.Call {
 			continue
 		}
-		// The rule lets a deduplicated call be sent again inside its window. A host that does an old attempt long after
-		// both were sent has the effect twice all the same.
-		if attempts := c.attempts[e.Call]; len(attempts) > 1 && attempts[len(attempts)-1].Came-attempts[0].Came <= c.window(e.Call) {
-			if len(c.notes) < examplesMost {
+		// A deduplicated request may be sent again within its window. If a host executes an old attempt long after both
+		// were sent, the effect still happens twice; that gets a note, not a breach.
+		if attempts := c.attempts[e.Call]; len(attempts) > 1 && attempts[len(attempts)-1].Came-attempts[0].Came <= c.dedupWindow(e.Call) {
+			if len(c.notes) < maxExamples {
 				c.notes = append(c.notes, fmt.Sprintf("the mark %s had its effect twice, %v apart, though all its attempts went inside the window%s",
-					e.Mark, at(e.At-old.At), c.story(e.Call)))
+					e.Mark, formatTime(e.At-earlier.At), c.describeRequest(e.Call)))
 			}
 			continue
 		}
-		c.breach(OneEffect, e.Call, e.At, 0, "the mark %s had its effect %v before", e.Mark, at(e.At-old.At))
+		c.addBreach(OneEffect, e.Call, e.At, 0, "the mark %s had its effect %v before", e.Mark, formatTime(e.At-earlier.At))
 	}
 }
 
-func (c *court) window(call string) time.Duration {
-	if k := c.calls[call]; k != nil {
-		return c.product(k).Window
+func (c *checker) dedupWindow(requestID string) time.Duration {
+	if req := c.requests[requestID]; req != nil {
+		return c.productOf(req).Window
 	}
 	return 0
 }
 
-// drains checks rule three: what came first to a balancer of a host's leaving counts, until it is told that it is back.
-func (c *court) drains() {
+// checkDrains checks that a host gets no new attempts once the grace is over. The grace starts at the first notice to the
+// balancer that the host leaves or is excluded, and ends with the notice that it is back.
+func (c *checker) checkDrains() {
 	type pair struct {
 		balancer int
 		node     string
 	}
-	told := map[pair][]record.Told{}
-	for _, t := range c.rec.Tolds {
-		p := pair{t.Balancer, t.Node}
-		told[p] = append(told[p], t)
+	notices := map[pair][]record.Told{}
+	for _, notice := range c.rec.Tolds {
+		key := pair{notice.Balancer, notice.Node}
+		notices[key] = append(notices[key], notice)
 	}
-	for _, list := range told {
+	for _, list := range notices {
 		slices.SortStableFunc(list, func(x, y record.Told) int { return cmp.Compare(x.At, y.At) })
 	}
-	for _, s := range c.rec.Attempts {
-		if s.Untimed {
+	for _, a := range c.rec.Attempts {
+		if a.Untimed {
 			continue
 		}
 		var since time.Duration
-		leaving, out := false, false
-		for _, t := range told[pair{s.Balancer, s.Server}] {
-			if t.At > s.Began {
+		leaving, excluded := false, false
+		for _, notice := range notices[pair{a.Balancer, a.Server}] {
+			if notice.At > a.Began {
 				break
 			}
-			was := leaving || out
-			if t.ByHand {
-				out = !t.Up
+			wasUnavailable := leaving || excluded
+			if notice.ByHand {
+				excluded = !notice.Up
 			} else {
-				leaving = !t.Up
+				leaving = !notice.Up
 			}
-			if !was && (leaving || out) {
-				since = t.At
+			if !wasUnavailable && (leaving || excluded) {
+				since = notice.At
 			}
 		}
-		if !out && (!leaving || c.bornSince(s.Balancer, since, s.Began)) {
+		if !excluded && (!leaving || c.restartedBetween(a.Balancer, since, a.Began)) {
 			continue
 		}
 		c.checked[Drains]++
-		if over := s.Began - since - c.terms.DrainGrace - c.terms.Slack; over > 0 {
-			c.breach(Drains, s.Call, s.Began, over, "%s got an attempt %v after balancer %d was told that it leaves", s.Server, at(s.Began-since), s.Balancer+1)
+		if over := a.Began - since - c.config.DrainGrace - c.config.Slack; over > 0 {
+			c.addBreach(Drains, a.Call, a.Began, over, "%s got an attempt %v after balancer %d was told that it leaves", a.Server, formatTime(a.Began-since), a.Balancer+1)
 		}
 	}
-	// A leaving node that got nothing at all is a case too.
-	for _, list := range told {
-		for _, t := range list {
-			if !t.Up {
+	// A leaving host that got no attempt at all also counts as a checked case.
+	for _, list := range notices {
+		for _, notice := range list {
+			if !notice.Up {
 				c.checked[Drains]++
 			}
 		}
 	}
 }
 
-// byHand checks that what operators put back is used again: what was in use before gets an attempt in usedIn.
-func (c *court) byHand() {
-	for _, t := range c.rec.Tolds {
-		if !t.ByHand || !t.Up || t.At+usedIn > c.rec.Until() {
+// checkOperatorActions checks that a host which operators include again gets an attempt from each balancer within
+// reuseTimeout, and that calls of the admin API succeed in time.
+func (c *checker) checkOperatorActions() {
+	for _, notice := range c.rec.Tolds {
+		if !notice.ByHand || !notice.Up || notice.At+reuseTimeout > c.rec.Until() {
 			continue
 		}
 		c.checked[Used]++
-		if !slices.ContainsFunc(c.rec.Attempts, func(s record.Attempt) bool {
-			return s.Balancer == t.Balancer && s.Server == t.Node && s.Began > t.At && s.Began <= t.At+usedIn
+		if !slices.ContainsFunc(c.rec.Attempts, func(a record.Attempt) bool {
+			return a.Balancer == notice.Balancer && a.Server == notice.Node && a.Began > notice.At && a.Began <= notice.At+reuseTimeout
 		}) {
-			c.breach(Used, "", t.At, 0, "%s got nothing from balancer %d in %v after it was put back", t.Node, t.Balancer+1, usedIn)
+			c.addBreach(Used, "", notice.At, 0, "%s got nothing from balancer %d in %v after it was put back", notice.Node, notice.Balancer+1, reuseTimeout)
 		}
 	}
-	for _, d := range c.rec.Doors {
+	for _, adminCall := range c.rec.Doors {
 		c.checked[Doors]++
-		if !d.Yes {
-			c.breach(Doors, "", d.At, 0, "%s: no, or no answer", d.What)
-		} else if over := d.Took - doorIn; over > 0 {
-			c.breach(Doors, "", d.At, over, "%s: answered after %v", d.What, at(d.Took))
+		if !adminCall.Yes {
+			c.addBreach(Doors, "", adminCall.At, 0, "%s: no, or no answer", adminCall.What)
+		} else if over := adminCall.Took - adminTimeout; over > 0 {
+			c.addBreach(Doors, "", adminCall.At, over, "%s: answered after %v", adminCall.What, formatTime(adminCall.Took))
 		}
 	}
 }
 
-// What operators are owed.
+// Bounds of what operators can rely on.
 const (
-	usedIn  = 5 * time.Second
-	doorIn  = time.Second
-	readyIn = 6 * time.Second
-	backOf  = 2 // calls that an upgrade may turn back
+	reuseTimeout  = 5 * time.Second // an included host gets attempts again
+	adminTimeout  = time.Second     // the admin API answers
+	readyTimeout  = 6 * time.Second // the newer process of an upgrade is ready
+	maxTurnedAway = 2               // requests that an upgrade may turn away
 )
 
-// upgrades checks that while two processes were one balancer no call was refused, or its connection closed unheard.
-func (c *court) upgrades() {
+// checkUpgrades checks that during an upgrade, while two processes serve as one balancer, hardly any request is turned
+// away or has its connection closed without an answer.
+func (c *checker) checkUpgrades() {
 	for _, u := range c.rec.Upgrades {
 		c.checked[NoneBack]++
-		if u.Ready == 0 || u.Ready > readyIn {
-			c.breach(NoneBack, "", u.From, 0, "the newer process of balancer %d was not ready in %v", u.Balancer+1, readyIn)
+		if u.Ready == 0 || u.Ready > readyTimeout {
+			c.addBreach(NoneBack, "", u.From, 0, "the newer process of balancer %d was not ready in %v", u.Balancer+1, readyTimeout)
 			continue
 		}
-		back := 0
-		for _, k := range c.rec.Calls {
-			if k.Balancer == u.Balancer && (k.NotTaken || k.Reply == record.Closed) && k.Due >= u.From && k.Due <= u.To {
-				back++
+		turnedAway := 0
+		for _, req := range c.rec.Calls {
+			if req.Balancer == u.Balancer && (req.NotTaken || req.Reply == record.Closed) && req.Due >= u.From && req.Due <= u.To {
+				turnedAway++
 			}
 		}
-		if back > backOf {
-			c.breach(NoneBack, "", u.From, 0, "balancer %d turned %d calls back", u.Balancer+1, back)
+		if turnedAway > maxTurnedAway {
+			c.addBreach(NoneBack, "", u.From, 0, "balancer %d turned %d calls back", u.Balancer+1, turnedAway)
 		}
 	}
 }
 
-// bornSince tells whether a balancer was started anew between two moments: the new one was told nothing yet.
-func (c *court) bornSince(balancer int, from, to time.Duration) bool {
+// restartedBetween reports whether a balancer was started again between two times: the new process has not been notified of
+// earlier changes.
+func (c *checker) restartedBetween(balancer int, from, to time.Duration) bool {
 	return slices.ContainsFunc(c.rec.Lives, func(l record.Life) bool {
 		return l.Balancer == balancer && l.Start > from && l.Start <= to
 	})
 }
 
-// cold checks rule four at the nodes: each one that was started during the day is a case.
-func (c *court) cold() {
+// checkColdHosts checks that no cold host was pushed over; each host that started during the run is a case.
+func (c *checker) checkColdHosts() {
 	for _, node := range slices.Sorted(maps.Keys(c.rec.ColdLast)) {
 		c.checked[ColdHosts]++
 		for _, f := range c.rec.Falls {
 			if f.Server == node {
-				c.breach(ColdHosts, "", f.At, 0, "%s fell over, sent %.1f times what it could do: %s", node, f.Multiple, c.whoSent(node, f.At))
+				c.addBreach(ColdHosts, "", f.At, 0, "%s fell over, sent %.1f times what it could do: %s", node, f.Multiple, c.describeSenders(node, f.At))
 			}
 		}
 	}
 }
 
-// whoSent tells each balancer's part of what a server was sent before a moment.
-func (c *court) whoSent(server string, before time.Duration) string {
-	n, work := map[int]int{}, map[int]time.Duration{}
-	for _, s := range c.rec.Attempts {
-		if s.Server == server && s.Came <= before && s.Came > before-c.terms.FallFor {
-			n[s.Balancer]++
-			work[s.Balancer] += s.Work
+// describeSenders returns as text how many attempts and how much work each balancer sent to a server in the FallFor before
+// a time.
+func (c *checker) describeSenders(server string, before time.Duration) string {
+	attempts, work := map[int]int{}, map[int]time.Duration{}
+	for _, a := range c.rec.Attempts {
+		if a.Server == server && a.Came <= before && a.Came > before-c.config.FallFor {
+			attempts[a.Balancer]++
+			work[a.Balancer] += a.Work
 		}
 	}
 	var parts []string
-	for _, b := range slices.Sorted(maps.Keys(n)) {
-		parts = append(parts, fmt.Sprintf("balancer %d %d attempts, %v of work", b+1, n[b], at(work[b])))
+	for _, b := range slices.Sorted(maps.Keys(attempts)) {
+		parts = append(parts, fmt.Sprintf("balancer %d %d attempts, %v of work", b+1, attempts[b], formatTime(work[b])))
 	}
 	return strings.Join(parts, "; ")
 }
 
-// gateway checks rule four at the gateway: a stop that misses at cold nodes made much of.
-func (c *court) gateway() {
+// checkGatewayStops checks that misses at cold hosts did not cause much of the load by which the gateway stopped.
+func (c *checker) checkGatewayStops() {
 	if len(c.rec.ColdLast) > 0 {
-		c.checked[GatewayUp]++ // cold misses came, or could have come
+		c.checked[GatewayUp]++ // misses at cold hosts happened, or could have
 	}
 	for _, f := range c.rec.Falls {
 		if f.Server != record.Gateway {
 			continue
 		}
-		reads, cold := 0, 0
-		for _, s := range c.rec.Attempts {
-			if s.Server != record.Gateway || s.Came > f.At || s.Came <= f.At-c.terms.FallFor {
+		total, coldMisses := 0, 0
+		for _, a := range c.rec.Attempts {
+			if a.Server != record.Gateway || a.Came > f.At || a.Came <= f.At-c.config.FallFor {
 				continue
 			}
-			reads++
-			if slices.ContainsFunc(c.attempts[s.Call], func(x record.Attempt) bool { return x.Cold && x.Proof == record.Missed }) {
-				cold++
+			total++
+			if slices.ContainsFunc(c.attempts[a.Call], func(x record.Attempt) bool { return x.Cold && x.Proof == record.Missed }) {
+				coldMisses++
 			}
 		}
 		c.checked[GatewayUp]++
-		if part := float64(cold) / float64(max(1, reads)); part >= c.terms.ColdBlame {
-			c.breach(GatewayUp, "", f.At, 0, "the gateway stopped, sent %.1f times what it could do; %.0f%% of it missed at cold nodes", f.Multiple, 100*part)
+		if share := float64(coldMisses) / float64(max(1, total)); share >= c.config.ColdBlame {
+			c.addBreach(GatewayUp, "", f.At, 0, "the gateway stopped, sent %.1f times what it could do; %.0f%% of it missed at cold nodes", f.Multiple, 100*share)
 		}
 	}
 }
 
-func (c *court) rude() {
+func (c *checker) checkMalformedClients() {
 	for _, r := range c.rec.Rudes {
 		c.checked[RudeEnds]++
 		if r.Served {
-			c.breach(RudeEnds, "", 0, 0, "a client that sent %s was served", r.What)
+			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s was served", r.What)
 		} else if !r.Answered {
-			c.breach(RudeEnds, "", 0, 0, "a client that sent %s got neither an error nor a close", r.What)
+			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s got neither an error nor a close", r.What)
 		}
 	}
 }
 
-func (c *court) lives() {
+func (c *checker) checkBalancerExits() {
 	for _, l := range c.rec.Lives {
 		c.checked[Alive]++
 		if !l.Ordered {
-			c.breach(Alive, "", l.End, 0, "balancer %d ended by itself at %v with exit code %d", l.Balancer+1, at(l.End), l.Exit)
+			c.addBreach(Alive, "", l.End, 0, "balancer %d ended by itself at %v with exit code %d", l.Balancer+1, formatTime(l.End), l.Exit)
 		} else if l.Ready == 0 {
-			c.breach(Alive, "", l.Start, 0, "balancer %d never served", l.Balancer+1)
+			c.addBreach(Alive, "", l.Start, 0, "balancer %d never served", l.Balancer+1)
 		}
 	}
 }
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -9,7 +9,7 @@
 
 const ms = time.Millisecond
 
-func terms() Terms {
+func testConfig() Terms {
 	return Terms{Products: []Product{{Name: "read"}, {Name: "pay", Effect: NonIdempotent, Write: true},
 		{Name: "once", Effect: Deduplicated, Window: 2000 * ms, Write: true}}, Attempts: 4, DrainGrace: 1000 * ms, Slack: 50 * ms,
 		Prompt: 300 * ms, ColdBlame: 0.3, FallFor: 2000 * ms, Connect: 200 * ms}
@@ -23,7 +23,8 @@
 	return record.Attempt{Call: "a", Server: server, Began: came, Came: came, Ended: ended, Proof: proof, Answered: proof != record.Nothing}
 }
 
-// What each rule says of one call and its attempts. The far side of each bound is a breach, the near side is none.
+// Each row is one request with its attempts and the rule that it breaks, if any. A case just beyond a bound is a breach, a
+// case just within it is not.
 func TestRules(t *testing.T) {
 	served := func(c, e time.Duration) record.Attempt { return attempt("n", c, e, record.WasServed) }
 	told := func(c, e, told time.Duration) record.Attempt {
@@ -73,54 +74,54 @@
 			rec.Darks = []record.Dark{{To: 100 * ms}}
 		}
 		var got Rule
-		v := Judge(rec, terms())
+		v := Judge(rec, testConfig())
 		if rules := v.BrokenRules(); len(rules) == 1 {
 			got = rules[0]
 		} else if len(rules) > 1 {
-			t.Errorf("%s: %q", name, rules)
+			t.Errorf("%s: broke the rules %q, expected at most one", name, rules)
 		}
 		if got != row.want {
-			t.Errorf("%s: broken %q, expected %q", name, got, row.want)
+			t.Errorf("%s: broke rule %q, expected %q", name, got, row.want)
 		}
 	}
 }
 
-// A case that lies beyond its bound by no more than the kit ran late then is in doubt, and no breach; one that hangs on
-// counts is none the less. A rule that met no case was not exercised.
+// A case that exceeds its bound by no more than twice the lateness of the rehearsal itself is doubtful and not a breach. A
+// case that depends on counts alone is a breach regardless of lateness. A rule without a case counts nothing as checked.
 func TestDoubt(t *testing.T) {
 	rec := record.New()
 	rec.Calls = []record.Call{call(0, 0, 900*ms, 970*ms, record.Errored)}
 	rec.Attempts = []record.Attempt{attempt("n", 1*ms, 960*ms, record.Nothing)}
 	rec.Lates = []record.Late{{At: 500 * ms, By: 15 * ms}}
-	v := Judge(rec, terms())
+	v := Judge(rec, testConfig())
 	if v.Broken() || !v.Unsure() {
-		t.Errorf("20 ms beyond, 15 ms late: broken %v, unsure %v", v.Broken(), v.Unsure())
+		t.Errorf("20 ms beyond the bound, 15 ms late: Broken() = %v, Unsure() = %v, expected false, true", v.Broken(), v.Unsure())
 	}
 	rec.Lates[0].By = 8 * ms
-	if v = Judge(rec, terms()); !v.Broken() {
-		t.Error("20 ms beyond, 8 ms late: not broken")
+	if v = Judge(rec, testConfig()); !v.Broken() {
+		t.Error("20 ms beyond the bound, 8 ms late: Broken() = false, expected true")
 	}
 	rec.Lates[0].By, rec.Calls[0].Reply, rec.Calls[0].Answered = time.Second, record.None, 0
-	if v = Judge(rec, terms()); !v.Broken() {
-		t.Error("no answer at all is in doubt")
+	if v = Judge(rec, testConfig()); !v.Broken() {
+		t.Error("no answer at all, one second late: Broken() = false, expected true")
 	}
 	for _, f := range v.Findings {
 		if f.Rule == Drains && f.Checked != 0 {
-			t.Error("drains count as checked without one")
+			t.Error("the rule for draining hosts has checked cases without a drain")
 		}
 	}
 }
 
-// What operators are owed: each row is a day that breaks one rule, or none. A ban outlives what the list says, and a new
-// process.
+// Each row is a run with operators' actions that breaks one rule, or none. An exclusion holds although the host list names
+// the host as active again, and across an upgrade to a newer process.
 func TestOperators(t *testing.T) {
 	second := time.Second
-	out := record.Told{Node: "n", At: 1 * second, ByHand: true}
-	back := record.Told{Node: "n", At: 5 * second, ByHand: true, Up: true}
+	excluded := record.Told{Node: "n", At: 1 * second, ByHand: true}
+	included := record.Told{Node: "n", At: 5 * second, ByHand: true, Up: true}
 	listed := record.Told{Node: "n", At: 2 * second, Up: true}
 	upgrade := record.Upgrade{From: 3 * second, To: 4 * second, Ready: second}
-	late := call(0, 20*second, 21*second, 20*second+30*ms, record.RateLimited) // the day goes on
-	at := func(when time.Duration) record.Attempt { return attempt("n", when, when+5*ms, record.WasServed) }
+	lastRequest := call(0, 20*second, 21*second, 20*second+30*ms, record.RateLimited) // so that the run goes on long enough for reuseTimeout
+	attemptAt := func(when time.Duration) record.Attempt { return attempt("n", when, when+5*ms, record.WasServed) }
 	closed := func(id string, when time.Duration) record.Call {
 		c := call(0, when, when+second, 0, record.Closed)
 		c.ID, c.Excused = id, true
@@ -134,11 +135,11 @@
 		doors    []record.Door
 		want     Rule
 	}{
-		"out and back":                 {tolds: []record.Told{out, listed, back}, attempts: []record.Attempt{at(1500 * ms), at(6 * second)}},
-		"sent to though it is out":     {tolds: []record.Told{out, listed, back}, attempts: []record.Attempt{at(3 * second), at(6 * second)}, want: Drains},
-		"sent to by a newer process":   {tolds: []record.Told{out}, attempts: []record.Attempt{at(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
-		"left unused":                  {tolds: []record.Told{out, back}, want: Used},
-		"used too late":                {tolds: []record.Told{out, back}, attempts: []record.Attempt{at(11 * second)}, want: Used},
+		"out and back":                 {tolds: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
+		"sent to though it is out":     {tolds: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
+		"sent to by a newer process":   {tolds: []record.Told{excluded}, attempts: []record.Attempt{attemptAt(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
+		"left unused":                  {tolds: []record.Told{excluded, included}, want: Used},
+		"used too late":                {tolds: []record.Told{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: Used},
 		"two turned back":              {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 3200*ms), closed("c", 3300*ms)}},
 		"three turned back":            {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: NoneBack},
 		"three closed at another time": {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 8*second), closed("c", 8*second), closed("d", 8*second)}},
@@ -147,22 +148,22 @@
 		"a late yes":                   {doors: []record.Door{{What: "x", Took: 1100 * ms, Yes: true}}, want: Doors},
 	} {
 		rec := record.New()
-		rec.Calls, rec.Tolds, rec.Upgrades, rec.Doors = append(row.calls, late), row.tolds, row.upgrades, row.doors
+		rec.Calls, rec.Tolds, rec.Upgrades, rec.Doors = append(row.calls, lastRequest), row.tolds, row.upgrades, row.doors
 		rec.Attempts = row.attempts
-		for i := range rec.Attempts { // attempts of other calls, which all had their answer with them
+		for i := range rec.Attempts { // give each attempt a request of its own that it answered
 			c := call(0, rec.Attempts[i].Began-ms, rec.Attempts[i].Began+second, rec.Attempts[i].Ended+ms, record.Fulfilled)
 			c.ID = "attempt" + string(rune('0'+i))
 			rec.Attempts[i].Call = c.ID
 			rec.Calls = append(rec.Calls, c)
 		}
 		var got Rule
-		if rules := Judge(rec, terms()).BrokenRules(); len(rules) == 1 {
+		if rules := Judge(rec, testConfig()).BrokenRules(); len(rules) == 1 {
 			got = rules[0]
 		} else if len(rules) > 1 {
-			t.Errorf("%s: %q", name, rules)
+			t.Errorf("%s: broke the rules %q, expected at most one", name, rules)
 		}
 		if got != row.want {
-			t.Errorf("%s: broken %q, expected %q", name, got, row.want)
+			t.Errorf("%s: broke rule %q, expected %q", name, got, row.want)
 		}
 	}
 }
--- a/internal/rehearsal/judge/mates.go
+++ b/internal/rehearsal/judge/mates.go
@@ -8,7 +8,7 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Rules for balancers that know each other.
+// Rules for the membership views of balancers in one fleet.
 const (
 	MatesKnown Rule = "each live balancer is known in each view that can reach it"
 	MatesAlive Rule = "no live, reachable balancer is dead in a view"
@@ -18,126 +18,130 @@
 	MatesTalk  Rule = "balancers' talk keeps its bound"
 )
 
-// Mates are the figures by which these are judged; a Period of 0 means that the balancers do not speak.
+// Mates are the settings of the balancers' membership, from which the bounds of these rules follow. A Period of 0 means that
+// the balancers do not exchange messages.
 type Mates struct {
 	Count           int
-	Period, Suspect time.Duration
-	Budget          int
-	Loss            float64
-	Lease           time.Duration
+	Period, Suspect time.Duration // between probes; from suspicion to death
+	Budget          int           // gossip bytes a second
+	Loss            float64       // share of datagrams that get lost
+	Lease           time.Duration // for which shares of limits are lent
 }
 
-// Heal bounds how long after the last trouble between two their views hold each other: a knock of each in 5 periods, the
-// contradiction, what is suspected by then, and the way round where datagrams get lost.
+// Heal bounds how long after the last disturbance between two balancers each of their views holds the other. It allows for
+// one contact attempt of each in 5 periods, the refutation, suspicions that began by then, and indirect paths where
+// datagrams get lost.
 func (m Mates) Heal() time.Duration {
 	return time.Duration(float64(20*m.Period+2*m.Suspect)*(1+4*m.Loss)) + time.Second
 }
 
-// Death bounds how long a dead one may be alive in a view: see docs/notes/members.md.
+// Death bounds how long an ended process may be alive in a view; docs/notes/members.md derives the bound.
 func (m Mates) Death() time.Duration {
-	d := 2.1*float64(m.Count-1)*float64(m.Period) + 3*float64(m.Period+2*m.Suspect) + 8*float64(m.Period)
-	return time.Duration(d*(1+4*m.Loss)) + time.Second
+	bound := 2.1*float64(m.Count-1)*float64(m.Period) + 3*float64(m.Period+2*m.Suspect) + 8*float64(m.Period)
+	return time.Duration(bound*(1+4*m.Loss)) + time.Second
 }
 
 const (
-	talkWindow = 10 * time.Second
-	lookBytes  = 160 // a look or an answer with some rumours
-	aheadFor   = 24  // seconds of the budget that may go at once
+	trafficWindow = 10 * time.Second
+	probeBytes    = 160 // a probe or its answer with some membership updates
+	burstSeconds  = 24  // seconds' worth of the budget that may be sent at once
 )
 
-// Talk bounds what a balancer sends in a window.
+// Talk bounds the bytes that a balancer sends in a window of trafficWindow.
 func (m Mates) Talk() int64 {
-	looks := (talkWindow.Seconds() / m.Period.Seconds()) * (2 + 4*3*2) * lookBytes
-	return int64(looks + float64(m.Budget)*(talkWindow.Seconds()+aheadFor))
+	probeTraffic := (trafficWindow.Seconds() / m.Period.Seconds()) * (2 + 4*3*2) * probeBytes
+	return int64(probeTraffic + float64(m.Budget)*(trafficWindow.Seconds()+burstSeconds))
 }
 
-// mates checks what the balancers said of each other.
-func (c *court) mates() {
-	m := c.terms.Mates
+// checkMembership checks the membership views that the balancers reported.
+func (c *checker) checkMembership() {
+	m := c.config.Mates
 	if m.Period == 0 {
 		return
 	}
-	heal, death := m.Heal(), m.Death()
-	lifeOf := func(b int, at time.Duration) (life string) {
+	healTime, deathTime := m.Heal(), m.Death()
+	processIDAt := func(b int, at time.Duration) (processID string) {
 		for _, l := range c.rec.Mates {
 			if l.Balancer == b && l.From <= at && (l.To == 0 || at <= l.To) {
-				life = l.Life
+				processID = l.Life
 			}
 		}
-		return life
+		return processID
 	}
-	unsound := make([]bool, len(c.rec.Views)) // it breaks another rule by itself, or is too new to be held to one
+	notComparable := make([]bool, len(c.rec.Views)) // views that break another rule by themselves, or are of too new a process to be checked
 	for i, v := range c.rec.Views {
-		unsound[i] = true
-		if lifeOf(v.Balancer, v.At) != v.Life || !c.steady(v.Balancer, v.At-heal, v.At) {
-			continue // a process that is as new as its view, or has another's name
+		notComparable[i] = true
+		if processIDAt(v.Balancer, v.At) != v.Life || !c.ranThroughout(v.Balancer, v.At-healTime, v.At) {
+			continue // the process has just started, or has another's name
 		}
-		held := map[string]record.Mate{}
-		for _, x := range v.Mates {
-			held[x.Name] = x
+		entries := map[string]record.Mate{}
+		for _, entry := range v.Mates {
+			entries[entry.Name] = entry
 		}
-		unsound[i] = false
+		notComparable[i] = false
 		for b := range m.Count {
 			if b == v.Balancer {
 				continue
 			}
-			x, known := held[record.MateName(b)]
-			if c.steady(b, v.At-heal, v.At) && c.reach(v.Balancer, b, v.At-heal, v.At) {
+			entry, known := entries[record.MateName(b)]
+			if c.ranThroughout(b, v.At-healTime, v.At) && c.canReach(v.Balancer, b, v.At-healTime, v.At) {
 				c.checked[MatesKnown]++
 				c.checked[MatesAlive]++
-				switch life := lifeOf(b, v.At); {
-				case !known || x.Life != life:
-					unsound[i] = true
-					c.breach(MatesKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, x.Life, b+1, life, heal)
-				case !x.Present():
-					unsound[i] = true
-					c.breach(MatesAlive, "", v.At, 0, "balancer %d holds balancer %d %s, which lives and could be reached for %v", v.Balancer+1, b+1, x.State, heal)
+				switch processID := processIDAt(b, v.At); {
+				case !known || entry.Life != processID:
+					notComparable[i] = true
+					c.addBreach(MatesKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, entry.Life, b+1, processID, healTime)
+				case !entry.Present():
+					notComparable[i] = true
+					c.addBreach(MatesAlive, "", v.At, 0, "balancer %d holds balancer %d %s, which lives and could be reached for %v", v.Balancer+1, b+1, entry.State, healTime)
 				}
 			}
-			if !known || !x.Present() {
+			if !known || !entry.Present() {
 				continue
 			}
 			for _, l := range c.rec.Mates {
-				if l.Balancer == b && l.Life == x.Life && l.To > 0 && l.To < v.At && c.steady(v.Balancer, l.To, v.At) {
+				if l.Balancer == b && l.Life == entry.Life && l.To > 0 && l.To < v.At && c.ranThroughout(v.Balancer, l.To, v.At) {
 					c.checked[MatesDead]++
-					if over := v.At - l.To - death; over > 0 {
-						unsound[i] = true
-						c.breach(MatesDead, "", v.At, over, "balancer %d holds balancer %d %s, which ended %v before", v.Balancer+1, b+1, x.State, v.At-l.To)
+					if over := v.At - l.To - deathTime; over > 0 {
+						notComparable[i] = true
+						c.addBreach(MatesDead, "", v.At, over, "balancer %d holds balancer %d %s, which ended %v before", v.Balancer+1, b+1, entry.State, v.At-l.To)
 					}
 				}
 			}
 		}
 	}
 	for i := range c.rec.Views {
-		c.same(i, unsound, heal, max(heal, death))
+		c.checkSameViews(i, notComparable, healTime, max(healTime, deathTime))
 	}
-	c.names(heal)
-	c.talk()
+	c.checkNameConflicts(healTime)
+	c.checkTraffic()
 }
 
-// sameWithin is how far apart two looks at doors may be to be compared.
-const sameWithin = 400 * time.Millisecond
+// viewCompareWindow is how far apart in time two reported views may be to be compared.
+const viewCompareWindow = 400 * time.Millisecond
 
-// same compares a view with others of its side, where nothing has happened to anybody for long.
-func (c *court) same(at int, unsound []bool, heal, calm time.Duration) {
-	v := c.rec.Views[at]
-	if unsound[at] || !c.calm(v.At-calm, v.At+sameWithin) {
+// checkSameViews compares a view with those of balancers that could reach its owner, provided that nothing disturbed the
+// fleet for quietTime.
+func (c *checker) checkSameViews(index int, notComparable []bool, healTime, quietTime time.Duration) {
+	v := c.rec.Views[index]
+	if notComparable[index] || !c.unchanged(v.At-quietTime, v.At+viewCompareWindow) {
 		return
 	}
-	for i := at + 1; i < len(c.rec.Views) && c.rec.Views[i].At <= v.At+sameWithin; i++ {
+	for i := index + 1; i < len(c.rec.Views) && c.rec.Views[i].At <= v.At+viewCompareWindow; i++ {
 		o := c.rec.Views[i]
-		if unsound[i] || o.Balancer == v.Balancer || !c.reach(v.Balancer, o.Balancer, v.At-heal, o.At) {
+		if notComparable[i] || o.Balancer == v.Balancer || !c.canReach(v.Balancer, o.Balancer, v.At-healTime, o.At) {
 			continue
 		}
 		c.checked[MatesSame]++
 		if o.Digest != v.Digest {
-			c.breach(MatesSame, "", v.At, 0, "balancers %d and %d hold other views, %v after anything last happened", v.Balancer+1, o.Balancer+1, calm)
+			c.addBreach(MatesSame, "", v.At, 0, "balancers %d and %d hold other views, %v after anything last happened", v.Balancer+1, o.Balancer+1, quietTime)
 		}
 	}
 }
 
-// calm tells that in a time no balancer came or went, stood still, and no way changed.
-func (c *court) calm(from, to time.Duration) bool {
+// unchanged reports whether in a span of time no balancer started, ended or was paused, and no link between balancers was cut
+// or restored.
+func (c *checker) unchanged(from, to time.Duration) bool {
 	in := func(at time.Duration) bool { return at > from && at < to }
 	for _, l := range c.rec.Mates {
 		if in(l.From) || in(l.To) {
@@ -157,8 +161,8 @@
 	return true
 }
 
-// steady tells that a balancer spoke all the time between two moments.
-func (c *court) steady(b int, from, to time.Duration) bool {
+// ranThroughout reports whether a balancer ran under one process id, without a pause or a name conflict, between two times.
+func (c *checker) ranThroughout(b int, from, to time.Duration) bool {
 	for _, s := range c.rec.Stalls {
 		if (s.Balancer == b || s.Twin == b+1) && s.From < to && s.To > from {
 			return false
@@ -169,8 +173,9 @@
 	})
 }
 
-// reach tells that two could speak both ways all the time between two moments, straight or by a third that spoke all the time.
-func (c *court) reach(a, b int, from, to time.Duration) bool {
+// canReach reports whether two balancers could exchange messages all the time between two times, directly or through a third
+// that ran throughout.
+func (c *checker) canReach(a, b int, from, to time.Duration) bool {
 	open := func(x, y int) bool {
 		return !slices.ContainsFunc(c.rec.MateCuts, func(w record.MateCut) bool {
 			return (w.From == x && w.To == y || w.From == y && w.To == x) && w.Begin < to && w.End > from
@@ -179,47 +184,47 @@
 	if open(a, b) {
 		return true
 	}
-	for x := range c.terms.Mates.Count {
-		if x != a && x != b && open(a, x) && open(x, b) && c.steady(x, from, to) {
+	for x := range c.config.Mates.Count {
+		if x != a && x != b && open(a, x) && open(x, b) && c.ranThroughout(x, from, to) {
 			return true
 		}
 	}
 	return false
 }
 
-// names checks that two processes of one name are both told of.
-func (c *court) names(heal time.Duration) {
+// checkNameConflicts checks that of two processes with one name each reports the conflict in time.
+func (c *checker) checkNameConflicts(healTime time.Duration) {
 	for _, s := range c.rec.Stalls {
-		if s.Twin == 0 || s.To-s.From < heal {
+		if s.Twin == 0 || s.To-s.From < healTime {
 			continue
 		}
 		for _, b := range []int{s.Balancer, s.Twin - 1} {
 			c.checked[MatesName]++
 			if !slices.ContainsFunc(c.rec.Views, func(v record.View) bool {
-				return v.Balancer == b && v.Rival && v.At > s.From && v.At <= s.From+heal
+				return v.Balancer == b && v.Rival && v.At > s.From && v.At <= s.From+healTime
 			}) {
-				c.breach(MatesName, "", s.From+heal, 0, "balancer %d never tells that another one has its name", b+1)
+				c.addBreach(MatesName, "", s.From+healTime, 0, "balancer %d never tells that another one has its name", b+1)
 			}
 		}
 	}
 }
 
-// talk checks what was sent in each window.
-func (c *court) talk() {
-	most := c.terms.Mates.Talk()
+// checkTraffic checks the bytes that each balancer sent to the others in every window.
+func (c *checker) checkTraffic() {
+	maxBytes := c.config.Mates.Talk()
 	worst := int64(0)
 	for i, x := range c.rec.Talks {
 		for _, y := range c.rec.Talks[i:] {
-			if y.Balancer != x.Balancer || y.At-x.At > talkWindow {
+			if y.Balancer != x.Balancer || y.At-x.At > trafficWindow {
 				continue
 			}
 			c.checked[MatesTalk]++
 			n := y.Bytes - x.Bytes
 			worst = max(worst, n)
-			if n > most {
-				c.breach(MatesTalk, "", y.At, 0, "balancer %d sent %d bytes to others in %v, where %d are the most", x.Balancer+1, n, y.At-x.At, most)
+			if n > maxBytes {
+				c.addBreach(MatesTalk, "", y.At, 0, "balancer %d sent %d bytes to others in %v, where %d are the most", x.Balancer+1, n, y.At-x.At, maxBytes)
 			}
 		}
 	}
-	c.notes = append(c.notes, fmt.Sprintf("between balancers: most in %v by one %d bytes of %d; a death within %v, views equal within %v", talkWindow, worst, most, c.terms.Mates.Death(), c.terms.Mates.Heal()))
+	c.notes = append(c.notes, fmt.Sprintf("between balancers: most in %v by one %d bytes of %d; a death within %v, views equal within %v", trafficWindow, worst, maxBytes, c.config.Mates.Death(), c.config.Mates.Heal()))
 }
