--- a/internal/rehearsal/report/html.go
+++ b/internal/rehearsal/report/html.go
@@ -28,11 +28,11 @@
 	"pct": func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) },
 }).Parse(page))
 
-// HTML writes the report as one page that needs nothing else.
+// HTML writes the report as one self-contained page.
 func (r *Report) HTML(path string) error {
 	var plots []template.HTML
-	for _, draw := range []func() (*plot.Plot, error){r.servicePlot, r.latencyPlot, r.nodePlot, r.openPlot} {
-		p, err := draw()
+	for _, makePlot := range []func() (*plot.Plot, error){r.servicePlot, r.latencyPlot, r.attemptsPlot, r.connectionsPlot} {
+		p, err := makePlot()
 		if err != nil {
 			return err
 		}
@@ -52,9 +52,9 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// svg draws a plot with the day's faults as bands behind it.
+// svg draws a plot and returns it as an SVG element.
 func (r *Report) svg(p *plot.Plot) (template.HTML, error) {
-	p.X.Label.Text = "seconds of the day"
+	p.X.Label.Text = "seconds since the start of the run"
 	p.X.Min, p.X.Max = 0, r.Length.Seconds()
 	p.Legend.Top = true
 	c := vgsvg.New(16*vg.Centimeter, 6*vg.Centimeter)
@@ -68,10 +68,10 @@
 	return template.HTML(text[max(0, strings.Index(text, "<svg")):]), nil
 }
 
-// shade lays the faults behind a plot that reaches up to top.
-func (r *Report) shade(p *plot.Plot, top float64) error {
+// addFaultBands shades the times of faults in the background of a plot that reaches up to top.
+func (r *Report) addFaultBands(p *plot.Plot, top float64) error {
 	for _, b := range r.Faults {
-		x, y := b.From.Seconds(), max(b.To, b.From+200*time.Millisecond).Seconds() // a moment is shown too
+		x, y := b.From.Seconds(), max(b.To, b.From+200*time.Millisecond).Seconds() // a fault without duration is shown too
 		band, err := plotter.NewPolygon(plotter.XYs{{X: x}, {X: y}, {X: y, Y: top}, {X: x, Y: top}})
 		if err != nil {
 			return err
@@ -82,17 +82,17 @@
 	return nil
 }
 
-func (r *Report) lines(p *plot.Plot, of map[string]func(Second) float64) error {
+func (r *Report) addLines(p *plot.Plot, curves map[string]func(Second) float64) error {
 	top := 0.0
 	series := map[string]plotter.XYs{}
-	for name, at := range of {
+	for name, at := range curves {
 		for i, s := range r.Seconds[:max(1, len(r.Seconds)-1)] {
 			y := at(s)
 			top = max(top, y)
 			series[name] = append(series[name], plotter.XY{X: float64(i) + 0.5, Y: y})
 		}
 	}
-	if err := r.shade(p, top*1.05); err != nil {
+	if err := r.addFaultBands(p, top*1.05); err != nil {
 		return err
 	}
 	for i, name := range slices.Sorted(maps.Keys(series)) {
@@ -102,7 +102,7 @@
 		}
 		l.Color = plotutil.Color(i)
 		p.Add(l)
-		if len(series) <= legendMost {
+		if len(series) <= maxLegendEntries {
 			p.Legend.Add(name, l)
 		}
 	}
@@ -110,36 +110,36 @@
 	return nil
 }
 
-// legendMost is how many names still leave room for the lines.
-const legendMost = 6
+// maxLegendEntries is the largest number of names that leaves room for the lines in a plot.
+const maxLegendEntries = 6
 
 func (r *Report) servicePlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "billed value a second"
-	return p, r.lines(p, map[string]func(Second) float64{
+	return p, r.addLines(p, map[string]func(Second) float64{
 		"asked": func(s Second) float64 { return s.Asked }, "in time": func(s Second) float64 { return s.Served },
 		"rate-limited": func(s Second) float64 { return float64(s.Refused) }})
 }
 
 func (r *Report) latencyPlot() (*plot.Plot, error) {
 	p := plot.New()
-	p.Title.Text = "milliseconds from when a call was due"
-	return p, r.lines(p, map[string]func(Second) float64{
+	p.Title.Text = "milliseconds from the scheduled sending of a request"
+	return p, r.addLines(p, map[string]func(Second) float64{
 		"median": func(s Second) float64 { return s.P50.Seconds() * 1000 }, "p99": func(s Second) float64 { return s.P99.Seconds() * 1000 }})
 }
 
-func (r *Report) nodePlot() (*plot.Plot, error) {
+func (r *Report) attemptsPlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "attempts a second, by server"
-	of := map[string]func(Second) float64{}
+	curves := map[string]func(Second) float64{}
 	for _, x := range r.Servers {
-		of[x.Name] = func(s Second) float64 { return float64(s.Attempts[x.Name]) }
+		curves[x.Name] = func(s Second) float64 { return float64(s.Attempts[x.Name]) }
 	}
-	return p, r.lines(p, of)
+	return p, r.addLines(p, curves)
 }
 
-func (r *Report) openPlot() (*plot.Plot, error) {
+func (r *Report) connectionsPlot() (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = "connections opened a second, all servers"
-	return p, r.lines(p, map[string]func(Second) float64{"opened": func(s Second) float64 { return float64(s.Opened) }})
+	return p, r.addLines(p, map[string]func(Second) float64{"opened": func(s Second) float64 { return float64(s.Opened) }})
 }
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -1,5 +1,5 @@
-// Package report tells what came of a rehearsal: as text, as JSON with a version, and as one page of HTML with plots.
-// All figures are of a simulated fleet on one machine.
+// Package report writes the results of a rehearsal (a simulated run of a fleet of balancers) as text, as versioned JSON and as
+// one HTML page with plots. All figures are of a simulated fleet on one machine.
 package report
 
 import (
@@ -21,24 +21,24 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Version of the JSON form; it grows with each change that an older reader would take wrongly.
+// Version is the version of the JSON format. It is incremented with each change that an older reader would misread.
 const Version = 1
 
-// Outcome is the last word on a rehearsal.
+// Outcome is the overall result of a rehearsal.
 type Outcome string
 
 const (
-	Kept   Outcome = "kept"   // no rule broken
+	Kept   Outcome = "kept"   // no rule was broken
 	Broken Outcome = "broken" // a rule was broken beyond doubt
-	Unsure Outcome = "unsure" // the machine ran too late to tell
+	Unsure Outcome = "unsure" // no breach is certain, but some cases are doubtful because the rehearsal itself ran late
 )
 
-// Exit is the exit code for an outcome.
+// Exit returns the exit code of the process for an outcome.
 func (o Outcome) Exit() int {
 	return map[Outcome]int{Kept: 0, Broken: 1, Unsure: 3}[o]
 }
 
-// Report is what came of one rehearsal.
+// Report holds the results of one rehearsal.
 type Report struct {
 	Version   int              `json:"version"`
 	Name      string           `json:"name"`
@@ -46,12 +46,12 @@
 	Seed      uint64           `json:"seed"`
 	Length    time.Duration    `json:"length_ns"`
 	Took      time.Duration    `json:"took_ns"`
-	Simulated bool             `json:"simulated"` // always: the fleet is played
+	Simulated bool             `json:"simulated"` // always true: the fleet is simulated
 	Machine   Machine          `json:"machine"`
 	Outcome   Outcome          `json:"outcome"`
 	Verdict   *judge.Verdict   `json:"verdict"`
 	Service   Service          `json:"service"`
-	Tries     map[string]int   `json:"tries"` // by what came of them
+	Tries     map[string]int   `json:"tries"` // requests, client retries included, by outcome
 	Latency   load.Percentiles `json:"latency"`
 	Late      load.Percentiles `json:"sent_late"`
 	Balancers []Balancer       `json:"balancers"`
@@ -61,21 +61,21 @@
 	Once      Share            `json:"wanted_once"`
 }
 
-// Machine is where it was played.
+// Machine describes the machine on which the rehearsal ran.
 type Machine struct {
 	Cores int    `json:"cores"`
 	Procs int    `json:"gomaxprocs"`
 	OS    string `json:"os"`
 }
 
-// Share is a part of a whole.
+// Share counts the good cases (Good) of all (Of).
 type Share struct {
 	Of   int `json:"of"`
 	Good int `json:"good"`
 }
 
-// Service is the billed value fulfilled within the latency SLO over the billed value asked for. A client's further
-// tries count with its first.
+// Service is the quality of service: billed value fulfilled within the latency SLO, divided by the billed value requested.
+// Client retries count with the first request.
 type Service struct {
 	Whole        float64            `json:"whole"`
 	Worst10s     float64            `json:"worst_10s"`
@@ -87,7 +87,7 @@
 	Calls        int                `json:"calls"`
 }
 
-// Balancer is what one balancer took of the machine in all its lives.
+// Balancer holds what one balancer used of the machine, over all processes that ran as it.
 type Balancer struct {
 	Name    string        `json:"name"`
 	Lives   int           `json:"lives"`
@@ -97,17 +97,17 @@
 	Calls   int           `json:"calls"`
 }
 
-// Server is what one node or the gateway saw.
+// Server holds what one cache host, or the gateway (the stand-in for the origin), received.
 type Server struct {
 	Name     string  `json:"name"`
 	Attempts int     `json:"shots"`
 	Missed   int     `json:"missed"`
 	Opened   int     `json:"connections_opened"`
 	MostOpen int     `json:"most_opened_in_a_second"`
-	Strain   float64 `json:"strain,omitempty"` // highest multiple of what it could do that it was sent, while cold
+	Strain   float64 `json:"strain,omitempty"` // highest load that it was sent, as a multiple of its capacity; of a host: while cold
 }
 
-// Second is one second of the day.
+// Second holds the figures of one second of the run.
 type Second struct {
 	Asked    float64        `json:"asked"`
 	Served   float64        `json:"served"`
@@ -118,13 +118,13 @@
 	Refused  int            `json:"rate_limited"`
 }
 
-// Of makes the report of a rehearsal.
+// Of returns the report of a rehearsal.
 func Of(res *runner.Result) *Report {
-	d := res.Day
-	r := &Report{Version: Version, Name: d.Name, About: d.About, Seed: d.Seed, Length: d.Length.D(), Took: res.Took, Simulated: true,
+	day := res.Day
+	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.D(), Took: res.Took, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
 		Tries: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Bands,
-		Seconds: make([]Second, int(d.Length.D()/time.Second)+1)}
+		Seconds: make([]Second, int(day.Length.D()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
 		r.Outcome = Broken
@@ -134,67 +134,67 @@
 	for i := range r.Seconds {
 		r.Seconds[i].Attempts = map[string]int{}
 	}
-	r.calls(d, res.Record)
-	r.machines(d, res.Record)
+	r.addRequests(day, res.Record)
+	r.addBalancersAndServers(day, res.Record)
 	return r
 }
 
-func (r *Report) second(at time.Duration) *Second {
+func (r *Report) secondAt(at time.Duration) *Second {
 	return &r.Seconds[min(len(r.Seconds)-1, max(0, int(at/time.Second)))]
 }
 
-// calls works out the service.
-func (r *Report) calls(d *scenario.Day, rec *record.Record) {
-	type asked struct {
-		first *record.Call
-		good  bool
+// addRequests adds outcomes, service and latencies of the clients' requests to the report.
+func (r *Report) addRequests(day *scenario.Day, rec *record.Record) {
+	type firstRequest struct {
+		first *record.Call // nil if the record has only client retries of it
+		good  bool         // it or a client retry was fulfilled within the latency SLO
 	}
-	by := map[string]*asked{}
+	byFirstID := map[string]*firstRequest{}
 	var latencies = map[int][]time.Duration{}
 	for i := range rec.Calls {
-		k := &rec.Calls[i]
-		if what := k.Reply.String(); k.NotTaken {
+		req := &rec.Calls[i]
+		if outcome := req.Reply.String(); req.NotTaken {
 			r.Tries["not taken"]++
 		} else {
-			r.Tries[what]++
+			r.Tries[outcome]++
 		}
-		if by[k.Base] == nil {
-			by[k.Base] = &asked{}
+		if byFirstID[req.Base] == nil {
+			byFirstID[req.Base] = &firstRequest{}
 		}
-		if k.Try == 1 {
-			by[k.Base].first = k
+		if req.Try == 1 {
+			byFirstID[req.Base].first = req
 		}
-		if k.Reply == record.RateLimited {
-			r.second(k.Answered).Refused++
+		if req.Reply == record.RateLimited {
+			r.secondAt(req.Answered).Refused++
 		}
 	}
 	for i := range rec.Calls {
-		k := &rec.Calls[i]
-		a := by[k.Base]
-		if k.Reply == record.Fulfilled && a.first != nil {
-			took := k.Answered - a.first.Due
-			a.good = a.good || took <= d.Products[k.Product].LatencySLO.D()
+		req := &rec.Calls[i]
+		a := byFirstID[req.Base]
+		if req.Reply == record.Fulfilled && a.first != nil {
+			took := req.Answered - a.first.Due
+			a.good = a.good || took <= day.Products[req.Product].LatencySLO.D()
 			sec := int(a.first.Due / time.Second)
 			latencies[sec] = append(latencies[sec], took)
 		}
 	}
-	product, tenant := make([][2]float64, len(d.Products)), make([][2]float64, len(d.Tenants))
+	product, tenant := make([][2]float64, len(day.Products)), make([][2]float64, len(day.Tenants))
 	var whole [2]float64
-	for _, a := range by {
+	for _, a := range byFirstID {
 		if a.first == nil {
 			continue
 		}
-		v, served := d.Products[a.first.Product].BilledValue, 0.0
+		value, served := day.Products[a.first.Product].BilledValue, 0.0
 		if a.good {
-			served = v
+			served = value
 		}
 		for _, sum := range []*[2]float64{&whole, &product[a.first.Product], &tenant[a.first.Tenant]} {
-			sum[0] += v
+			sum[0] += value
 			sum[1] += served
 		}
-		s := r.second(a.first.Due)
-		s.Asked += v
-		s.Served += served
+		second := r.secondAt(a.first.Due)
+		second.Asked += value
+		second.Served += served
 		r.Service.Calls++
 		if a.first.Once {
 			r.Once.Of++
@@ -203,40 +203,40 @@
 			}
 		}
 	}
-	r.Service.Whole = part(whole)
-	r.Service.ByProduct, r.Service.WorstProduct = parts(product, func(i int) string { return d.Products[i].Name })
-	r.Service.ByTenant, r.Service.WorstTenant = parts(tenant, func(i int) string { return d.Tenants[i].Name })
+	r.Service.Whole = ratio(whole)
+	r.Service.ByProduct, r.Service.WorstProduct = ratios(product, func(i int) string { return day.Products[i].Name })
+	r.Service.ByTenant, r.Service.WorstTenant = ratios(tenant, func(i int) string { return day.Tenants[i].Name })
 	r.Service.Worst10s = 1
-	last := max(1, len(r.Seconds)-1) // the day's last moment opens a second of its own
+	last := max(1, len(r.Seconds)-1) // the end of the run falls into an entry of its own, which is no full second
 	for i := 0; i+min(10, last) <= last; i++ {
 		var sum [2]float64
-		for _, s := range r.Seconds[i : i+min(10, last)] {
-			sum[0] += s.Asked
-			sum[1] += s.Served
+		for _, second := range r.Seconds[i : i+min(10, last)] {
+			sum[0] += second.Asked
+			sum[1] += second.Served
 		}
-		if p := part(sum); p < r.Service.Worst10s {
+		if p := ratio(sum); p < r.Service.Worst10s {
 			r.Service.Worst10s, r.Service.Worst10sAt = p, time.Duration(i)*time.Second
 		}
 	}
 	for sec, list := range latencies {
 		slices.Sort(list)
-		s := r.second(time.Duration(sec) * time.Second)
-		s.P50, s.P99 = list[len(list)/2], list[len(list)*99/100]
+		second := r.secondAt(time.Duration(sec) * time.Second)
+		second.P50, second.P99 = list[len(list)/2], list[len(list)*99/100]
 	}
 }
 
-// part is what was served of what was asked; nothing asked counts as all.
-func part(sum [2]float64) float64 {
-	if sum[0] == 0 {
+// ratio returns served divided by asked, or 1 if nothing was asked.
+func ratio(askedAndServed [2]float64) float64 {
+	if askedAndServed[0] == 0 {
 		return 1
 	}
-	return sum[1] / sum[0]
+	return askedAndServed[1] / askedAndServed[0]
 }
 
-func parts(sums [][2]float64, name func(int) string) (by map[string]float64, worst string) {
+func ratios(sums [][2]float64, name func(int) string) (by map[string]float64, worst string) {
 	by = map[string]float64{}
 	for i, s := range sums {
-		by[name(i)] = part(s)
+		by[name(i)] = ratio(s)
 		if worst == "" || by[name(i)] < by[worst] {
 			worst = name(i)
 		}
@@ -244,8 +244,8 @@
 	return by, worst
 }
 
-func (r *Report) machines(d *scenario.Day, rec *record.Record) {
-	r.Balancers = make([]Balancer, d.Fleet.Balancers)
+func (r *Report) addBalancersAndServers(day *scenario.Day, rec *record.Record) {
+	r.Balancers = make([]Balancer, day.Fleet.Balancers)
 	for i := range r.Balancers {
 		r.Balancers[i].Name = fmt.Sprintf("balancer %d", i+1)
 	}
@@ -258,22 +258,22 @@
 		r.Balancers[k.Balancer].Calls++
 	}
 	servers := map[string]*Server{}
-	at := func(name string) *Server {
+	serverNamed := func(name string) *Server {
 		if servers[name] == nil {
 			servers[name] = &Server{Name: name, Strain: rec.Strains[name]}
 		}
 		return servers[name]
 	}
 	for _, s := range rec.Attempts {
-		at(s.Server).Attempts++
+		serverNamed(s.Server).Attempts++
 		if s.Proof == record.Missed {
-			at(s.Server).Missed++
+			serverNamed(s.Server).Missed++
 		}
-		r.second(s.Came).Attempts[s.Server]++
+		r.secondAt(s.Came).Attempts[s.Server]++
 	}
 	opened := map[string]map[int]int{}
 	for _, o := range rec.Openings {
-		s := at(o.Server)
+		s := serverNamed(o.Server)
 		s.Opened++
 		if opened[o.Server] == nil {
 			opened[o.Server] = map[int]int{}
@@ -281,7 +281,7 @@
 		sec := int(o.At / time.Second)
 		opened[o.Server][sec]++
 		s.MostOpen = max(s.MostOpen, opened[o.Server][sec])
-		r.second(o.At).Opened++
+		r.secondAt(o.At).Opened++
 	}
 	for _, s := range servers {
 		r.Servers = append(r.Servers, *s)
@@ -289,7 +289,7 @@
 	slices.SortFunc(r.Servers, func(x, y Server) int { return cmp.Compare(x.Name, y.Name) })
 }
 
-// Text writes the report for reading.
+// Text writes the report as plain text.
 func (r *Report) Text(to io.Writer) {
 	fmt.Fprintf(to, "%s: %s\n", r.Name, r.About)
 	fmt.Fprintf(to, "simulated fleet, %v on %d cores, seed %d\n\n", r.Length, r.Machine.Cores, r.Seed)
@@ -299,16 +299,16 @@
 			group = f.Group
 			fmt.Fprintln(to, group)
 		}
-		word := "kept"
+		status := "kept"
 		switch {
 		case f.Breaches > 0:
-			word = fmt.Sprintf("BROKEN %d times", f.Breaches)
+			status = fmt.Sprintf("BROKEN %d times", f.Breaches)
 		case f.Doubtful > 0:
-			word = fmt.Sprintf("not sure in %d cases: the machine ran late", f.Doubtful)
+			status = fmt.Sprintf("not sure in %d cases: the machine ran late", f.Doubtful)
 		case f.Checked == 0:
-			word = "not exercised"
+			status = "not exercised"
 		}
-		fmt.Fprintf(to, "  %-38s %7d checked   %s\n", f.Rule, f.Checked, word)
+		fmt.Fprintf(to, "  %-38s %7d checked   %s\n", f.Rule, f.Checked, status)
 		for i, b := range f.Examples {
 			if i == 3 {
 				fmt.Fprintf(to, "      more in the report\n")
@@ -327,8 +327,8 @@
 		fmt.Fprintf(to, "keys wanted once: %d of %d in time\n", r.Once.Good, r.Once.Of)
 	}
 	var tries []string
-	for what, n := range r.Tries {
-		tries = append(tries, fmt.Sprintf("%s %d", what, n))
+	for outcome, n := range r.Tries {
+		tries = append(tries, fmt.Sprintf("%s %d", outcome, n))
 	}
 	slices.Sort(tries)
 	fmt.Fprintf(to, "tries: %s\n", strings.Join(tries, ", "))
@@ -349,7 +349,7 @@
 	fmt.Fprintf(to, "\n%s: rules %s\n", r.Name, r.Outcome)
 }
 
-// Write lays the report down as JSON.
+// Write saves the report as JSON.
 func (r *Report) Write(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -358,7 +358,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Read takes a report that was laid down.
+// Read loads a report that Write saved.
 func Read(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -366,7 +366,7 @@
 	}
 	var r Report
 	if err := json.Unmarshal(text, &r); err != nil {
-		return nil, fmt.Errorf("%s: no report: %w", path, err)
+		return nil, fmt.Errorf("%s: not a report: %w", path, err)
 	}
 	if r.Version != Version || r.Verdict == nil {
 		return nil, fmt.Errorf("%s: %w %d, got %d", path, errVersion, Version, r.Version)
@@ -376,7 +376,7 @@
 
 var errVersion = errors.New("expected a report of version")
 
-// Compare writes two sets of reports side by side: those of one rehearsal and seed are paired.
+// Compare writes two sets of reports side by side. Reports of the same rehearsal, seed and length are paired.
 func Compare(to io.Writer, a, b []*Report) error {
 	n := 0
 	fmt.Fprintf(to, "%-20s %6s  %8s %8s %8s  %10s %10s  %s\n", "rehearsal", "seed", "service", "", "change", "p99", "", "rules")
