--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -1,4 +1,4 @@
-// Package faults lays a day's faults on a timeline and plays them on the stand-ins.
+// Package faults schedules the faults of a scenario and injects them into the stand-ins and the balancers during a run.
 package faults
 
 import (
@@ -14,72 +14,73 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Balancers is what faults do to the balancers.
+// Balancers is how faults act on the balancers. Balancers are counted from 0.
 type Balancers interface {
-	Kill(balancer int, back time.Duration)    // and starts it again after so long
-	Restart(balancer int)                     // in order
-	Reload(balancer int) error                // gives it a new configuration that names another register
-	Rude(i int)                               // plays a rude client, and returns when it has ended
-	ByHand(node string, out bool)             // takes a node out, or puts it back, at every balancer's door
-	Upgrade(balancer int) error               // has a new process take over
-	Stall(balancer int, length time.Duration) // makes it stand still
-	Astray(balancer int)                      // kills it and starts it with addresses of others where nobody is
-	Twin(balancer, other int, length time.Duration)
-	UpgradeKill(balancer int, after time.Duration) error
-	Ways() *standin.Relays // between balancers
-	Stray(i int)           // plays one connection of a crowd, and returns when it has ended
+	Kill(balancer int, back time.Duration)               // kills its process and starts it again after the given time
+	Restart(balancer int)                                // ends its process with a drain and starts it again
+	Reload(balancer int) error                           // gives it a new configuration with another discovery address
+	Rude(i int)                                          // runs a client that sends malformed input; returns when it has ended
+	ByHand(node string, out bool)                        // excludes a host, or includes it again, at every balancer's admin API
+	Upgrade(balancer int) error                          // has a newer process take over
+	Stall(balancer int, length time.Duration)            // pauses its process
+	Astray(balancer int)                                 // kills it and starts it with wrong addresses of the other balancers
+	Twin(balancer, other int, length time.Duration)      // starts it again under the other one's name, for that long
+	UpgradeKill(balancer int, after time.Duration) error // kills the newer process of an upgrade after it is ready
+	Ways() *standin.Relays                               // the links between balancers
+	Stray(i int)                                         // opens one of many connections and returns when it has ended
 }
 
-// Timeline is a day's faults as things to do at moments.
+// Timeline holds the faults of a scenario as steps to run at given times.
 type Timeline struct {
-	w     *standin.World
-	b     Balancers
-	steps []step
-	wait  sync.WaitGroup
+	world     *standin.World
+	balancers Balancers
+	steps     []step
+	pending   sync.WaitGroup
 
-	mu  sync.Mutex
-	now map[string]string // by node at the start of the day, the id of the one that has its place now
-	err error
+	mu        sync.Mutex
+	currentID map[string]string // by id of a host at the start: the id of the host that has replaced it
+	err       error
 }
 
+// step is an action to run at a time since the start of the run.
 type step struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
-// New lays the timeline of a day.
+// New returns the timeline of a scenario's faults.
 func New(w *standin.World, b Balancers) *Timeline {
-	t := &Timeline{w: w, b: b, now: map[string]string{}}
+	t := &Timeline{world: w, balancers: b, currentID: map[string]string{}}
 	for i := range w.Day.Faults {
-		t.lay(i)
+		t.schedule(i)
 	}
 	slices.SortStableFunc(t.steps, func(x, y step) int { return int(x.at - y.at) })
 	return t
 }
 
-// Play does what is due until the last step or the stop, and tells the first thing that could not be done.
+// Play runs each step at its time until the last one or until stop is closed. It returns the first error of a step.
 func (t *Timeline) Play(stop <-chan struct{}) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for _, s := range t.steps {
-		timer.Reset(max(0, s.at-t.w.Now()))
+		timer.Reset(max(0, s.at-t.world.Now()))
 		select {
 		case <-timer.C:
-			t.w.Late(s.at, t.w.Now())
-			s.do()
+			t.world.Late(s.at, t.world.Now())
+			s.run()
 		case <-stop:
 			return t.err
 		}
 	}
-	t.wait.Wait()
+	t.pending.Wait()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.err
 }
 
-func (t *Timeline) at(at time.Duration, do func()) { t.steps = append(t.steps, step{at, do}) }
+func (t *Timeline) addStep(at time.Duration, run func()) { t.steps = append(t.steps, step{at, run}) }
 
-func (t *Timeline) failed(err error) {
+func (t *Timeline) recordError(err error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.err == nil {
@@ -87,231 +88,237 @@
 	}
 }
 
-// node is the one that has the place of a node of the start of the day.
-func (t *Timeline) node(place string) *standin.Node {
+// nodeAt returns the host that now has the place of one that existed at the start: itself or its latest replacement.
+func (t *Timeline) nodeAt(place string) *standin.Node {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if id, ok := t.now[place]; ok {
-		return t.w.Node(id)
+	if id, ok := t.currentID[place]; ok {
+		return t.world.Node(id)
 	}
-	return t.w.Node(place)
+	return t.world.Node(place)
 }
 
-// span does one thing to nodes at a fault's begin and another at its end.
-func (t *Timeline) span(f *scenario.Fault, places []string, begin, end func(n *standin.Node)) {
+// addInterval schedules one action on hosts for a fault's begin and another for its end.
+func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Node)) {
 	for _, p := range places {
-		t.at(f.At.D(), func() { begin(t.node(p)) })
-		t.at((f.At + f.For).D(), func() { end(t.node(p)) })
+		t.addStep(fault.At.D(), func() { begin(t.nodeAt(p)) })
+		t.addStep((fault.At + fault.For).D(), func() { end(t.nodeAt(p)) })
 	}
 }
 
-func (t *Timeline) lay(i int) {
-	f := &t.w.Day.Faults[i]
-	from, to := f.At.D(), (f.At + f.For).D()
-	places, balancers := t.w.Day.Hit(i), t.w.Day.HitBalancers(i)
-	about := f.Do
-	switch f.Do {
+// schedule adds the steps of the scenario's i-th fault to the timeline, and the fault to the record.
+func (t *Timeline) schedule(i int) {
+	fault := &t.world.Day.Faults[i]
+	from, to := fault.At.D(), (fault.At + fault.For).D()
+	places, balancers := t.world.Day.Hit(i), t.world.Day.HitBalancers(i)
+	description := fault.Do
+	switch fault.Do {
 	case "slow":
-		t.span(f, places, func(n *standin.Node) { n.Slow(f.By) }, func(n *standin.Node) { n.Slow(1) })
+		t.addInterval(fault, places, func(n *standin.Node) { n.Slow(fault.By) }, func(n *standin.Node) { n.Slow(1) })
 	case "stall":
-		t.span(f, places, func(n *standin.Node) { n.Stall(true) }, func(n *standin.Node) { n.Stall(false) })
+		t.addInterval(fault, places, func(n *standin.Node) { n.Stall(true) }, func(n *standin.Node) { n.Stall(false) })
 	case "spoil":
-		t.span(f, places, func(n *standin.Node) { n.Spoil(f.Part) }, func(n *standin.Node) { n.Spoil(0) })
+		t.addInterval(fault, places, func(n *standin.Node) { n.Spoil(fault.Part) }, func(n *standin.Node) { n.Spoil(0) })
 	case "reset":
-		t.span(f, places, func(n *standin.Node) { n.Reset(f.Part) }, func(n *standin.Node) { n.Reset(0) })
+		t.addInterval(fault, places, func(n *standin.Node) { n.Reset(fault.Part) }, func(n *standin.Node) { n.Reset(0) })
 	case "fail":
-		t.span(f, places, func(n *standin.Node) { n.Fail(f.Part) }, func(n *standin.Node) { n.Fail(0) })
+		t.addInterval(fault, places, func(n *standin.Node) { n.Fail(fault.Part) }, func(n *standin.Node) { n.Fail(0) })
 	case "kill":
-		t.span(f, places, func(n *standin.Node) { n.Stop(); t.list(n, model.Left) },
-			func(n *standin.Node) { t.back(n.Start(true)); t.list(n, model.Active) })
+		t.addInterval(fault, places, func(n *standin.Node) { n.Stop(); t.setCondition(n, model.Left) },
+			func(n *standin.Node) { t.check(n.Start(true)); t.setCondition(n, model.Active) })
 	case "vanish", "zone-dark":
-		t.span(f, places, func(n *standin.Node) { n.Vanish(); t.list(n, model.Left) },
-			func(n *standin.Node) { t.back(n.Return()); t.list(n, model.Active) })
+		t.addInterval(fault, places, func(n *standin.Node) { n.Vanish(); t.setCondition(n, model.Left) },
+			func(n *standin.Node) { t.check(n.Return()); t.setCondition(n, model.Active) })
 	case "link-delay":
-		t.links(f, places, balancers, func(n *standin.Node, b int, on bool) {
-			if on {
-				n.Delay(b, f.Delay.D())
+		t.addLinkFault(fault, places, balancers, func(n *standin.Node, b int, active bool) {
+			if active {
+				n.Delay(b, fault.Delay.D())
 			} else {
 				n.Delay(b, 0)
 			}
 		})
 	case "link-cut":
-		t.links(f, places, balancers, func(n *standin.Node, b int, on bool) { t.back(n.Cut(b, on)) })
+		t.addLinkFault(fault, places, balancers, func(n *standin.Node, b int, active bool) { t.check(n.Cut(b, active)) })
 	case "deploy":
-		t.deploy(f, places)
+		t.deploy(fault, places)
 	case "register-silent":
 		for _, b := range balancers {
-			t.at(from, func() { t.w.Register.Silence(b, true) })
-			t.at(to, func() { t.w.Register.Silence(b, false) })
+			t.addStep(from, func() { t.world.Register.Silence(b, true) })
+			t.addStep(to, func() { t.world.Register.Silence(b, false) })
 		}
 	case "watch-silent":
 		for _, b := range balancers {
-			t.at(from, func() { t.w.Register.BreakWatches(b) })
+			t.addStep(from, func() { t.world.Register.BreakWatches(b) })
 		}
 	case "register-rewind":
 		for _, b := range balancers {
-			t.at(from, func() { t.w.Register.Rewind(b) })
+			t.addStep(from, func() { t.world.Register.Rewind(b) })
 		}
 	case "gateway-slow":
-		t.at(from, func() { t.w.Gateway.Slow(f.By) })
-		t.at(to, func() { t.w.Gateway.Slow(1) })
+		t.addStep(from, func() { t.world.Gateway.Slow(fault.By) })
+		t.addStep(to, func() { t.world.Gateway.Slow(1) })
 	case "gateway-reset":
-		t.at(from, func() { t.w.Gateway.Reset(f.Part) })
-		t.at(to, func() { t.w.Gateway.Reset(0) })
+		t.addStep(from, func() { t.world.Gateway.Reset(fault.Part) })
+		t.addStep(to, func() { t.world.Gateway.Reset(0) })
 	case "gateway-fail":
-		t.at(from, func() { t.w.Gateway.Fail(f.Part) })
-		t.at(to, func() { t.w.Gateway.Fail(0) })
+		t.addStep(from, func() { t.world.Gateway.Fail(fault.Part) })
+		t.addStep(to, func() { t.world.Gateway.Fail(0) })
 	case "balancer-kill":
 		for _, b := range balancers {
-			t.at(from, func() { t.b.Kill(b, f.For.D()) })
+			t.addStep(from, func() { t.balancers.Kill(b, fault.For.D()) })
 		}
 	case "balancer-restart":
 		for _, b := range balancers {
-			t.at(from, func() { t.b.Restart(b) })
+			t.addStep(from, func() { t.balancers.Restart(b) })
 		}
 	case "reload":
 		for _, b := range balancers {
-			t.at(from, func() { t.back(t.b.Reload(b)) })
+			t.addStep(from, func() { t.check(t.balancers.Reload(b)) })
 		}
 	case "by-hand":
 		for _, p := range places {
-			t.at(from, func() { t.b.ByHand(t.node(p).ID, true) })
-			t.at((from+to)/2, func() {
-				n := t.node(p)
+			t.addStep(from, func() { t.balancers.ByHand(t.nodeAt(p).ID, true) })
+			t.addStep((from+to)/2, func() {
+				n := t.nodeAt(p)
 				n.Stop()
-				t.back(n.Start(true))
-				t.list(n, model.Active)
+				t.check(n.Start(true))
+				t.setCondition(n, model.Active)
 			})
-			t.at(to, func() { t.b.ByHand(t.node(p).ID, false) })
+			t.addStep(to, func() { t.balancers.ByHand(t.nodeAt(p).ID, false) })
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
-			t.at(from, func() { t.b.Stall(b, f.For.D()) })
+			t.addStep(from, func() { t.balancers.Stall(b, fault.For.D()) })
 		}
 	case "balancer-astray":
 		for _, b := range balancers {
-			t.at(from, func() { t.b.Astray(b) })
+			t.addStep(from, func() { t.balancers.Astray(b) })
 		}
 	case "balancer-twin":
-		t.at(from, func() { t.b.Twin(f.Balancers[0]-1, f.To[0]-1, f.For.D()) })
+		t.addStep(from, func() { t.balancers.Twin(fault.Balancers[0]-1, fault.To[0]-1, fault.For.D()) })
 	case "upgrade-kill":
 		for _, b := range balancers {
-			t.at(from, func() { t.wait.Go(func() { t.back(t.b.UpgradeKill(b, f.For.D())) }) })
+			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.For.D())) }) })
 		}
 	case "upgrade":
 		for _, b := range balancers {
-			t.at(from, func() { t.wait.Go(func() { t.back(t.b.Upgrade(b)) }) })
+			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.Upgrade(b)) }) })
 		}
 	case "crowd", "rude":
-		play := t.b.Rude
-		if f.Do == "crowd" {
-			play = t.b.Stray
+		play := t.balancers.Rude
+		if fault.Do == "crowd" {
+			play = t.balancers.Stray
 		}
-		for n := range f.Count {
-			t.at(from+f.For.D()*time.Duration(n)/time.Duration(f.Count), func() { t.wait.Go(func() { play(n) }) })
+		for n := range fault.Count {
+			t.addStep(from+fault.For.D()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
 		}
 	}
-	if strings.HasPrefix(f.Do, "mate-") {
-		t.mates(i, f)
+	if strings.HasPrefix(fault.Do, "mate-") {
+		t.scheduleBalancerLinks(i, fault)
 	}
-	if strings.Contains(" slow stall kill vanish link-delay link-cut deploy by-hand ", " "+f.Do+" ") {
-		about += " " + strings.Join(places, " ")
-	} else if f.Zone != "" || f.Tenant != "" {
-		about += " " + f.Zone + f.Tenant
+	if strings.Contains(" slow stall kill vanish link-delay link-cut deploy by-hand ", " "+fault.Do+" ") {
+		description += " " + strings.Join(places, " ")
+	} else if fault.Zone != "" || fault.Tenant != "" {
+		description += " " + fault.Zone + fault.Tenant
 	}
-	t.w.Rec.Add(func() { t.w.Rec.Bands = append(t.w.Rec.Bands, record.Band{Text: about, From: from, To: to}) })
+	t.world.Rec.Add(func() {
+		t.world.Rec.Bands = append(t.world.Rec.Bands, record.Band{Text: description, From: from, To: to})
+	})
 }
 
-// mates lays a fault of the ways between balancers.
-func (t *Timeline) mates(i int, f *scenario.Fault) {
-	from, to, ways := f.At.D(), (f.At + f.For).D(), t.w.Day.Ways(i)
+// scheduleBalancerLinks schedules a fault of the links between balancers.
+func (t *Timeline) scheduleBalancerLinks(i int, fault *scenario.Fault) {
+	from, to, links := fault.At.D(), (fault.At + fault.For).D(), t.world.Day.Ways(i)
 	change := func(end bool) {
-		for _, w := range ways {
-			t.b.Ways().Change(w[0], w[1], t.w.Day.Harm(i, end))
+		for _, link := range links {
+			t.balancers.Ways().Change(link[0], link[1], t.world.Day.Harm(i, end))
 		}
 	}
-	if f.Do == "mate-flap" {
-		on := false
-		for at := from; at < to; at += f.Delay.D() {
-			on = !on
-			t.at(at, func(end bool) func() { return func() { change(end) } }(!on))
+	if fault.Do == "mate-flap" {
+		active := false
+		for at := from; at < to; at += fault.Delay.D() {
+			active = !active
+			t.addStep(at, func(end bool) func() { return func() { change(end) } }(!active))
 		}
 	} else {
-		t.at(from, func() { change(false) })
+		t.addStep(from, func() { change(false) })
 	}
-	t.at(to, func() { change(true) })
-	t.w.Rec.Add(func() { t.w.Rec.MateCuts = append(t.w.Rec.MateCuts, Cuts(f, ways)...) })
+	t.addStep(to, func() { change(true) })
+	t.world.Rec.Add(func() { t.world.Rec.MateCuts = append(t.world.Rec.MateCuts, Cuts(fault, links)...) })
 }
 
-// Cuts are what a fault does to ways between balancers as the judge has to know it: what only slows or repeats is no cut.
-func Cuts(f *scenario.Fault, ways [][2]int) (cuts []record.MateCut) {
-	if f.Do != "mate-cut" && f.Do != "mate-flap" && !(f.Do == "mate-loss" && f.Part > lossMost) && f.Do != "mate-narrow" {
+// Cuts returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
+// reorders or corrupts datagrams, or loses few of them, cuts nothing.
+func Cuts(fault *scenario.Fault, links [][2]int) (cuts []record.MateCut) {
+	if fault.Do != "mate-cut" && fault.Do != "mate-flap" && !(fault.Do == "mate-loss" && fault.Part > maxUsableLoss) && fault.Do != "mate-narrow" {
 		return nil
 	}
-	for _, w := range ways {
-		cuts = append(cuts, record.MateCut{From: w[0], To: w[1], Begin: f.At.D(), End: (f.At + f.For).D()})
+	for _, link := range links {
+		cuts = append(cuts, record.MateCut{From: link[0], To: link[1], Begin: fault.At.D(), End: (fault.At + fault.For).D()})
 	}
 	return cuts
 }
 
-// lossMost is the part lost up to which two count as able to speak.
-const lossMost = 0.35
+// maxUsableLoss is the share of lost datagrams up to which a link between balancers counts as usable.
+const maxUsableLoss = 0.35
 
-func (t *Timeline) links(f *scenario.Fault, places []string, balancers []int, do func(n *standin.Node, b int, on bool)) {
+func (t *Timeline) addLinkFault(fault *scenario.Fault, places []string, balancers []int, apply func(n *standin.Node, b int, active bool)) {
 	for _, b := range balancers {
-		t.span(f, places, func(n *standin.Node) { do(n, b, true) }, func(n *standin.Node) { do(n, b, false) })
+		t.addInterval(fault, places, func(n *standin.Node) { apply(n, b, true) }, func(n *standin.Node) { apply(n, b, false) })
 	}
 }
 
-func (t *Timeline) back(err error) {
+func (t *Timeline) check(err error) {
 	if err != nil {
-		t.failed(err)
+		t.recordError(err)
 	}
 }
 
-func (t *Timeline) list(n *standin.Node, c model.Condition) { t.w.Register.Set(n.Entry(c)) }
+func (t *Timeline) setCondition(n *standin.Node, c model.Condition) { t.world.Register.Set(n.Entry(c)) }
 
-// deploy replaces nodes in waves: the successor comes up cold as the old one begins to leave, or after it has ended
-// where it takes its address. The old one goes on until all can have heard that it leaves, and so long more.
-func (t *Timeline) deploy(f *scenario.Fault, places []string) {
-	waves := (len(places) + f.AtOnce - 1) / f.AtOnce
+// deploy replaces hosts in waves. The successor starts cold when the old host begins to leave, or, where it takes over the old
+// one's address, after the old one has ended. The old host goes on until every balancer must have been notified, and then for
+// the fault's drain time.
+func (t *Timeline) deploy(fault *scenario.Fault, places []string) {
+	waves := (len(places) + fault.AtOnce - 1) / fault.AtOnce
 	for i, p := range places {
-		at := f.At.D() + f.For.D()*time.Duration(i/f.AtOnce)/time.Duration(waves)
-		leaves := t.w.Day.Register.Late[1].D() + f.Drain.D()
+		at := fault.At.D() + fault.For.D()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
+		stopDelay := t.world.Day.Register.Late[1].D() + fault.Drain.D()
 		var old, next *standin.Node
-		t.at(at, func() {
-			old = t.node(p)
-			t.list(old, model.Leaving)
-			if !f.Same {
-				next = t.successor(p, old, false)
+		t.addStep(at, func() {
+			old = t.nodeAt(p)
+			t.setCondition(old, model.Leaving)
+			if !fault.Same {
+				next = t.startSuccessor(p, old, false)
 			}
 		})
-		t.at(at+leaves, func() {
+		t.addStep(at+stopDelay, func() {
 			old.Stop()
-			t.list(old, model.Left)
-			if f.Same {
-				next = t.successor(p, old, true)
+			t.setCondition(old, model.Left)
+			if fault.Same {
+				next = t.startSuccessor(p, old, true)
 			}
 			if next != nil {
 				t.mu.Lock()
-				t.now[p] = next.ID
+				t.currentID[p] = next.ID
 				t.mu.Unlock()
 			}
 		})
 	}
 }
 
-func (t *Timeline) successor(place string, old *standin.Node, same bool) *standin.Node {
+// startSuccessor starts a cold host in place of an old one and lists it as active.
+func (t *Timeline) startSuccessor(place string, old *standin.Node, sameAddress bool) *standin.Node {
 	id := fmt.Sprintf("%s.%d", place, strings.Count(old.ID, ".")+2)
 	var inherit *standin.Node
-	if same {
+	if sameAddress {
 		inherit = old
 	}
-	n, err := t.w.AddNode(id, old.Group, true, inherit)
+	n, err := t.world.AddNode(id, old.Group, true, inherit)
 	if err != nil {
-		t.failed(err)
+		t.recordError(err)
 		return nil
 	}
-	t.list(n, model.Active)
+	t.setCondition(n, model.Active)
 	return n
 }
