--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -27,15 +27,15 @@
 // case just within it is not.
 func TestRules(t *testing.T) {
 	served := func(c, e time.Duration) record.Attempt { return attempt("n", c, e, record.WasServed) }
-	told := func(c, e, told time.Duration) record.Attempt {
+	servedWithTimeLeft := func(c, e, timeLeft time.Duration) record.Attempt {
 		s := served(c, e)
-		s.Told = told
+		s.Told = timeLeft
 		return s
 	}
 	for name, row := range map[string]struct {
 		call     record.Call
 		attempts []record.Attempt
-		told     []record.Told
+		notices  []record.Told
 		dark     bool
 		want     Rule
 	}{
@@ -58,18 +58,18 @@
 		"once after it":         {call: call(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.Nothing), served(2100*ms, 2150*ms)}, want: NoRepeat},
 		"two at a time":         {call: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.Nothing), served(30*ms, 150*ms)}, want: Alone},
 		"a drained host": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
-			told: []record.Told{{Node: "n", At: 1000 * ms}}, want: Drains},
+			notices: []record.Told{{Node: "n", At: 1000 * ms}}, want: Drains},
 		"told twice": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
-			told: []record.Told{{Node: "n", At: 1000 * ms}, {Node: "n", At: 1500 * ms}}, want: Drains},
+			notices: []record.Told{{Node: "n", At: 1000 * ms}, {Node: "n", At: 1500 * ms}}, want: Drains},
 		"back again": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
-			told: []record.Told{{Node: "n", At: 500 * ms}, {Node: "n", Up: true, At: 1500 * ms}}},
-		"told what is left":     {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{told(360*ms, 380*ms, 690*ms)}},
-		"told the client's own": {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{told(360*ms, 380*ms, 691*ms)}, want: Deadlines},
+			notices: []record.Told{{Node: "n", At: 500 * ms}, {Node: "n", Up: true, At: 1500 * ms}}},
+		"told what is left":     {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 690*ms)}},
+		"told the client's own": {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 691*ms)}, want: Deadlines},
 		"within the grace": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2040*ms, 2100*ms)},
-			told: []record.Told{{Node: "n", At: 1000 * ms}}},
+			notices: []record.Told{{Node: "n", At: 1000 * ms}}},
 	} {
 		rec := record.New()
-		rec.Calls, rec.Attempts, rec.Tolds = []record.Call{row.call}, row.attempts, row.told
+		rec.Calls, rec.Attempts, rec.Tolds = []record.Call{row.call}, row.attempts, row.notices
 		if row.dark {
 			rec.Darks = []record.Dark{{To: 100 * ms}}
 		}
@@ -128,27 +128,27 @@
 		return c
 	}
 	for name, row := range map[string]struct {
-		tolds    []record.Told
-		attempts []record.Attempt
-		upgrades []record.Upgrade
-		calls    []record.Call
-		doors    []record.Door
-		want     Rule
+		notices    []record.Told
+		attempts   []record.Attempt
+		upgrades   []record.Upgrade
+		calls      []record.Call
+		adminCalls []record.Door
+		want       Rule
 	}{
-		"out and back":                 {tolds: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
-		"sent to though it is out":     {tolds: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
-		"sent to by a newer process":   {tolds: []record.Told{excluded}, attempts: []record.Attempt{attemptAt(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
-		"left unused":                  {tolds: []record.Told{excluded, included}, want: Used},
-		"used too late":                {tolds: []record.Told{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: Used},
+		"out and back":                 {notices: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
+		"sent to though it is out":     {notices: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
+		"sent to by a newer process":   {notices: []record.Told{excluded}, attempts: []record.Attempt{attemptAt(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
+		"left unused":                  {notices: []record.Told{excluded, included}, want: Used},
+		"used too late":                {notices: []record.Told{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: Used},
 		"two turned back":              {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 3200*ms), closed("c", 3300*ms)}},
 		"three turned back":            {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: NoneBack},
 		"three closed at another time": {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 8*second), closed("c", 8*second), closed("d", 8*second)}},
 		"never ready":                  {upgrades: []record.Upgrade{{From: second, To: 9 * second}}, want: NoneBack},
-		"a no at the door":             {doors: []record.Door{{What: "x", Took: 5 * ms}}, want: Doors},
-		"a late yes":                   {doors: []record.Door{{What: "x", Took: 1100 * ms, Yes: true}}, want: Doors},
+		"a no at the door":             {adminCalls: []record.Door{{What: "x", Took: 5 * ms}}, want: Doors},
+		"a late yes":                   {adminCalls: []record.Door{{What: "x", Took: 1100 * ms, Yes: true}}, want: Doors},
 	} {
 		rec := record.New()
-		rec.Calls, rec.Tolds, rec.Upgrades, rec.Doors = append(row.calls, lastRequest), row.tolds, row.upgrades, row.doors
+		rec.Calls, rec.Tolds, rec.Upgrades, rec.Doors = append(row.calls, lastRequest), row.notices, row.upgrades, row.adminCalls
 		rec.Attempts = row.attempts
 		for i := range rec.Attempts { // give each attempt a request of its own that it answered
 			c := call(0, rec.Attempts[i].Began-ms, rec.Attempts[i].Began+second, rec.Attempts[i].Ended+ms, record.Fulfilled)
