--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' door: HTTP/1.1 on an address of its own, one call to a connection. It asks the Balancer
-// that it was made with and decides nothing.
+// Package admin serves the admin API, which operators and their tools use: HTTP/1.1 on its own address, one request per
+// connection. It passes each request to a Balancer and makes no decisions itself.
 package admin
 
 import (
@@ -19,114 +19,116 @@
 	"time"
 )
 
-// Balancer is what the door opens to.
+// Balancer is what the admin API reads from and acts on.
 type Balancer interface {
 	Ready() bool
 	Figures() Figures
-	// Exclude takes a cache host out, Include puts it back. Each returns once it holds.
-	// Told is what it adds to the answer.
-	Exclude(member string, how How) (told string, err error)
-	Include(member string, how How) (told string, err error)
-	// Members is what this balancer sees of its fleet; an error says why it sees nothing.
+	// Exclude excludes a cache host, Include ends its exclusion. Each returns once the change is in effect.
+	// The note is appended to the response line.
+	Exclude(member string, how How) (note string, err error)
+	Include(member string, how How) (note string, err error)
+	// Members returns this balancer's view of its fleet, or an error that says why it has none.
 	Members() (Members, error)
-	// Limits are its parts of what holds for the whole fleet; an error says why there are none.
+	// Limits returns this balancer's shares of the fleet-wide limits, or an error that says why it has none.
 	Limits() (Limits, error)
-	// Orders are those by hand for the whole fleet; an error says why there are none.
+	// Orders returns the fleet-wide exclusion orders, or an error that says why there are none.
 	Orders() (Orders, error)
-	// Evidence is what other balancers say of hosts; an error says why nothing is heard.
+	// Evidence returns the other balancers' observations of hosts, or an error that says why it receives none.
 	Evidence() (Evidence, error)
 }
 
-// What a call on a member may meet.
+// Errors of Balancer.Exclude and Balancer.Include.
 var (
 	ErrNobody  = errors.New("no cache host has this id")
 	ErrTooMany = errors.New("too many cache hosts are out already")
 )
 
 const (
-	// mostConns bounds the connections: a scrape, a readiness check and a hand at the console each hold one for some
-	// milliseconds; what is beyond that holds one without a call.
-	mostConns = 8
-	// callWait is for the whole call, answerWait for the answer to be taken: longer than any of the operators' tools takes.
-	callWait   = 5 * time.Second
-	answerWait = 2 * time.Second
-	mostHead   = 8 << 10
-	mostBody   = 4 << 10 // an id has a few dozen bytes
+	// maxConnections limits the open connections. A metrics scrape, a readiness check and an operator at a console each
+	// need one for a few milliseconds; connections beyond these are probably open without sending a request.
+	maxConnections = 8
+	// requestTimeout limits the reading of a whole request, responseTimeout the writing of its response. Both are longer
+	// than any of the operators' tools needs.
+	requestTimeout  = 5 * time.Second
+	responseTimeout = 2 * time.Second
+	maxHeaderBytes  = 8 << 10
+	maxBodyBytes    = 4 << 10 // a host id has a few dozen bytes
 )
 
-// Descriptors is what the door holds at the most, with its listener.
-const Descriptors = mostConns + 1
+// Descriptors is the largest number of file descriptors that the admin API uses, including its listener.
+const Descriptors = maxConnections + 1
 
-// Door is the operators' address while it is open.
+// Door is a running server of the admin API.
 type Door struct {
 	server   http.Server
-	listener *bounded
+	listener *limitedListener
 }
 
-// Open answers on a listener until Close.
-func Open(l net.Listener, to Balancer) *Door {
-	d := &Door{listener: &bounded{Listener: l}}
-	d.server = http.Server{Handler: handler(to), ReadTimeout: callWait, ReadHeaderTimeout: callWait, WriteTimeout: callWait + answerWait,
-		MaxHeaderBytes: mostHead, ErrorLog: stdlog.New(io.Discard, "", 0),
+// Open starts serving the admin API on a listener, until Close.
+func Open(l net.Listener, balancer Balancer) *Door {
+	s := &Door{listener: &limitedListener{Listener: l}}
+	s.server = http.Server{Handler: handler(balancer), ReadTimeout: requestTimeout, ReadHeaderTimeout: requestTimeout, WriteTimeout: requestTimeout + responseTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(io.Discard, "", 0),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-	d.server.SetKeepAlivesEnabled(false)
-	go d.server.Serve(d.listener)
-	return d
+	s.server.SetKeepAlivesEnabled(false)
+	go s.server.Serve(s.listener)
+	return s
 }
 
-// Close takes no more calls and ends those in hand.
-func (d *Door) Close() { d.server.Close() }
+// Close stops accepting requests and closes all connections, also those with a request in progress.
+func (s *Door) Close() { s.server.Close() }
 
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// handler knows the calls. What is wrong with one is said in one line; it has changed nothing then.
-func handler(to Balancer) http.Handler {
-	calls := map[string]struct {
+// handler dispatches requests to the endpoints. A faulty request is answered with one line and changes nothing.
+func handler(balancer Balancer) http.Handler {
+	endpoints := map[string]struct {
 		method string
-		answer http.HandlerFunc
+		handle http.HandlerFunc
 	}{
 		"/api/ready": {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) {
-			if !to.Ready() {
-				say(w, http.StatusServiceUnavailable, "this process takes no clients")
+			if !balancer.Ready() {
+				writeLine(w, http.StatusServiceUnavailable, "this process takes no clients")
 				return
 			}
-			say(w, http.StatusOK, "ready")
+			writeLine(w, http.StatusOK, "ready")
 		}},
 		"/api/telemetry": {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) {
-			text := write(to.Figures())
+			text := formatMetrics(balancer.Figures())
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 			w.Write(text)
 		}},
-		"/api/members":  {http.MethodGet, shows(to.Members)},
-		"/api/limits":   {http.MethodGet, shows(to.Limits)},
-		"/api/orders":   {http.MethodGet, shows(to.Orders)},
-		"/api/evidence": {http.MethodGet, shows(to.Evidence)},
-		"/api/exclude":  {http.MethodPost, onMember(to.Exclude, "is out")},
-		"/api/include":  {http.MethodPost, onMember(to.Include, "is in")},
+		"/api/members":  {http.MethodGet, jsonHandler(balancer.Members)},
+		"/api/limits":   {http.MethodGet, jsonHandler(balancer.Limits)},
+		"/api/orders":   {http.MethodGet, jsonHandler(balancer.Orders)},
+		"/api/evidence": {http.MethodGet, jsonHandler(balancer.Evidence)},
+		"/api/exclude":  {http.MethodPost, memberHandler(balancer.Exclude, "is out")},
+		"/api/include":  {http.MethodPost, memberHandler(balancer.Include, "is in")},
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.ContentLength == 0 {
-			called(r)
+			markRequestReceived(r)
 		}
-		call, known := calls[r.URL.Path]
+		endpoint, known := endpoints[r.URL.Path]
 		switch {
 		case !known:
-			say(w, http.StatusNotFound, "no such call")
-		case r.Method != call.method:
-			w.Header().Set("Allow", call.method)
-			say(w, http.StatusMethodNotAllowed, "expected "+call.method)
+			writeLine(w, http.StatusNotFound, "no such call")
+		case r.Method != endpoint.method:
+			w.Header().Set("Allow", endpoint.method)
+			writeLine(w, http.StatusMethodNotAllowed, "expected "+endpoint.method)
 		default:
-			call.answer(w, r)
+			endpoint.handle(w, r)
 		}
 	})
 }
 
-// shows answers with what the balancer tells, as JSON.
-func shows[T any](of func() (T, error)) http.HandlerFunc {
+// jsonHandler answers with the value that get returns, as JSON.
+func jsonHandler[T any](get func() (T, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
-		v, err := of()
+		v, err := get()
 		if err != nil {
-			say(w, http.StatusNotFound, err.Error())
+			writeLine(w, http.StatusNotFound, err.Error())
 			return
 		}
 		text, _ := json.MarshalIndent(v, "", "  ")
@@ -135,65 +137,68 @@
 	}
 }
 
-func say(w http.ResponseWriter, status int, line string) {
+// writeLine answers with a status and one line of text.
+func writeLine(w http.ResponseWriter, status int, line string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
 	io.WriteString(w, line+"\n")
 }
 
-func onMember(do func(string, How) (string, error), done string) http.HandlerFunc {
+// memberHandler applies change to the cache host that the request names. The response line ends with result and the
+// change's note.
+func memberHandler(change func(string, How) (string, error), result string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
 			status := http.StatusBadRequest
 			if errors.As(err, new(*http.MaxBytesError)) {
 				status = http.StatusRequestEntityTooLarge
 			}
-			say(w, status, "body: "+err.Error())
+			writeLine(w, status, "body: "+err.Error())
 			return
 		}
-		called(r)
-		member, how, err := memberIn(body)
+		markRequestReceived(r)
+		member, how, err := parseMemberRequest(body)
 		if err != nil {
-			say(w, http.StatusBadRequest, "body: "+err.Error())
+			writeLine(w, http.StatusBadRequest, "body: "+err.Error())
 			return
 		}
-		switch told, err := do(member, how); {
+		switch note, err := change(member, how); {
 		case errors.Is(err, ErrNoOrders):
-			say(w, http.StatusBadRequest, "body: wait_ms and force: "+err.Error())
+			writeLine(w, http.StatusBadRequest, "body: wait_ms and force: "+err.Error())
 		case errors.Is(err, ErrNobody):
-			say(w, http.StatusNotFound, err.Error())
+			writeLine(w, http.StatusNotFound, err.Error())
 		case err != nil:
-			say(w, http.StatusServiceUnavailable, err.Error())
+			writeLine(w, http.StatusServiceUnavailable, err.Error())
 		default:
-			say(w, http.StatusOK, fmt.Sprintf("%q %s%s", member, done, told))
+			writeLine(w, http.StatusOK, fmt.Sprintf("%q %s%s", member, result, note))
 		}
 	}
 }
 
-// memberIn reads {"member":"ID"}, with "force" and "wait_ms" where they are wanted, and nothing else. It goes by tokens: decoding into
-// a type would take the last of two members, and a key in other letters, for what was meant.
-func memberIn(body []byte) (member string, how How, err error) {
+// parseMemberRequest parses {"member":"ID"} with the optional keys "force" and "wait_ms", and rejects anything else. It reads
+// token by token because decoding into a struct would accept a repeated key (the last one wins) and keys in another case.
+func parseMemberRequest(body []byte) (member string, how How, err error) {
 	dec := json.NewDecoder(bytes.NewReader(body))
-	no := func(form string, args ...any) (string, How, error) { return "", How{}, fmt.Errorf(form, args...) }
+	fail := func(format string, args ...any) (string, How, error) { return "", How{}, fmt.Errorf(format, args...) }
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
-		return no(`expected {"member":"ID"}`)
+		return fail(`expected {"member":"ID"}`)
 	}
 	seen := map[json.Token]bool{}
 	for dec.More() {
 		key, err := dec.Token()
 		if err != nil {
-			return no("not JSON")
+			return fail("not JSON")
 		}
 		if key != "member" && key != "force" && key != "wait_ms" {
-			return no("key %q is not known", key)
+			return fail("key %q is not known", key)
 		}
 		v, err := dec.Token()
 		if err != nil {
-			return no("not JSON")
+			return fail("not JSON")
 		}
 		if seen[key] {
-			return no("%s stands twice", key)
+			return fail("%s stands twice", key)
 		}
 		seen[key] = true
 		ok := false
@@ -201,129 +206,132 @@
 		case "member":
 			member, ok = v.(string)
 			if !ok || member == "" {
-				return no("member: expected an id")
+				return fail("member: expected an id")
 			}
 		case "force":
 			if how.Force, ok = v.(bool); !ok {
-				return no("force: expected true or false")
+				return fail("force: expected true or false")
 			}
 		case "wait_ms":
 			ms, ok := v.(float64)
-			if how.Wait = time.Duration(ms) * time.Millisecond; !ok || ms != math.Trunc(ms) || how.Wait < 0 || how.Wait > mostWait {
-				return no("wait_ms: expected 0 to %d", mostWait.Milliseconds())
+			if how.Wait = time.Duration(ms) * time.Millisecond; !ok || ms != math.Trunc(ms) || how.Wait < 0 || how.Wait > maxConfirmationWait {
+				return fail("wait_ms: expected 0 to %d", maxConfirmationWait.Milliseconds())
 			}
 		}
 	}
 	if _, err := dec.Token(); err != nil {
-		return no("not JSON")
+		return fail("not JSON")
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return no("something follows the object")
+		return fail("something follows the object")
 	}
 	if member == "" {
-		return no("member is missing")
+		return fail("member is missing")
 	}
 	return member, how, nil
 }
 
-// bounded takes every connection at once and holds so many: where one is too many, the oldest that has sent no whole
-// call goes, so that those who hold one and say nothing keep nobody out.
-type bounded struct {
+// limitedListener accepts every connection immediately and keeps at most maxConnections open. To make room it closes the
+// oldest connection that has not yet sent a complete request, so that idle connections cannot lock others out.
+type limitedListener struct {
 	net.Listener
-	mu    sync.Mutex
-	conns []*conn // in the order of their coming
+	mu          sync.Mutex
+	connections []*trackedConn // in the order in which they were accepted
 }
 
-type conn struct {
+// trackedConn is a connection of a limitedListener.
+type trackedConn struct {
 	net.Conn
-	in    *bounded
-	whole bool // under in.mu: a whole call has come
+	listener        *limitedListener
+	requestReceived bool // a complete request has been read; guarded by listener.mu
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for wait := time.Millisecond; ; wait = min(2*wait, 100*time.Millisecond) {
-		c, err := b.Listener.Accept()
+		c, err := l.Listener.Accept()
 		if err == nil {
-			return b.enter(c), nil
+			return l.add(c), nil
 		}
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		time.Sleep(wait) // a lack of descriptors passes
+		time.Sleep(wait) // the error is temporary, e.g. no free file descriptor
 	}
 }
 
-func (b *bounded) enter(from net.Conn) *conn {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.conns) >= mostConns {
-		out := b.conns[max(0, slices.IndexFunc(b.conns, func(c *conn) bool { return !c.whole }))]
-		b.drop(out)
-		out.Conn.Close()
+// add registers an accepted connection and, at the limit, closes another one.
+func (l *limitedListener) add(accepted net.Conn) *trackedConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.connections) >= maxConnections {
+		evicted := l.connections[max(0, slices.IndexFunc(l.connections, func(c *trackedConn) bool { return !c.requestReceived }))]
+		l.remove(evicted)
+		evicted.Conn.Close()
 	}
-	c := &conn{Conn: from, in: b}
-	b.conns = append(b.conns, c)
+	c := &trackedConn{Conn: accepted, listener: l}
+	l.connections = append(l.connections, c)
 	return c
 }
 
-func (b *bounded) drop(c *conn) {
-	b.conns = slices.DeleteFunc(b.conns, func(o *conn) bool { return o == c })
+// remove unregisters a connection. The caller holds l.mu.
+func (l *limitedListener) remove(c *trackedConn) {
+	l.connections = slices.DeleteFunc(l.connections, func(other *trackedConn) bool { return other == c })
 }
 
-// called notes that a call has come whole.
-func called(r *http.Request) {
-	if c, ok := r.Context().Value(connKey{}).(*conn); ok {
-		c.in.mu.Lock()
-		c.whole = true
-		c.in.mu.Unlock()
+// markRequestReceived records on the request's connection that the complete request has been read.
+func markRequestReceived(r *http.Request) {
+	if c, ok := r.Context().Value(connKey{}).(*trackedConn); ok {
+		c.listener.mu.Lock()
+		c.requestReceived = true
+		c.listener.mu.Unlock()
 	}
 }
 
-func (c *conn) Close() error {
-	c.in.mu.Lock()
-	c.in.drop(c)
-	c.in.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.listener.mu.Lock()
+	c.listener.remove(c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// Figures are what the balancer counts since its start, and how things stand.
+// Figures holds the balancer's counters since its start and the current values of its gauges.
 type Figures struct {
 	Products []Product
-	Attempts int64 // written whole
-	InHand   int64 // requests
-	Listed   int   // cache hosts
-	Avoided  int   // of those
+	Attempts int64 // sent completely
+	InHand   int64 // requests without a final answer yet
+	Listed   int   // cache hosts in the host list
+	Avoided  int   // cache hosts in the list that are currently avoided
 	Late     int64 // answers written after their requests' deadlines
-	// LongestHeld is the longest time for which one event held all decisions.
+	// LongestHeld is the longest time for which the processing of one event blocked all other decisions.
 	LongestHeld time.Duration
-	Fleet       *Fleet // nil where it speaks with no other balancer
+	Fleet       *Fleet // nil if this balancer does not communicate with other balancers
 }
 
-// Product is one with the final answers that its requests were given.
+// Product holds the numbers of final answers given to one product's requests, by kind.
 type Product struct {
 	Name                            string
 	Fulfilled, RateLimited, Errored int64
 }
 
-// write gives the figures in the Prometheus text format.
-func write(f Figures) []byte {
-	var to bytes.Buffer
-	for _, one := range []struct {
-		name string
-		of   func(Product) int64
+// formatMetrics formats the figures in the Prometheus text format.
+func formatMetrics(f Figures) []byte {
+	var buf bytes.Buffer
+	for _, metric := range []struct {
+		name  string
+		count func(Product) int64
 	}{
 		{"app_answered_total", func(p Product) int64 { return p.Fulfilled }},
 		{"app_deferred_total", func(p Product) int64 { return p.RateLimited }},
 		{"app_errored_total", func(p Product) int64 { return p.Errored }},
 	} {
-		fmt.Fprintf(&to, "# TYPE %s counter\n", one.name)
+		fmt.Fprintf(&buf, "# TYPE %s counter\n", metric.name)
 		for _, p := range f.Products {
-			fmt.Fprintf(&to, "%s{group=\"%s\"} %d\n", one.name, escapes.Replace(p.Name), one.of(p))
+			fmt.Fprintf(&buf, "%s{group=\"%s\"} %d\n", metric.name, labelEscaper.Replace(p.Name), metric.count(p))
 		}
 	}
-	for _, one := range []struct {
+	for _, metric := range []struct {
 		name, kind string
-		n          int64
+		value      int64
 	}{
 		{"app_sends_total", "counter", f.Attempts},
 		{"app_current", "gauge", f.InHand},
@@ -332,12 +340,13 @@
 		{"app_late_total", "counter", f.Late},
 		{"app_decisions_held_microseconds_max", "gauge", f.LongestHeld.Microseconds()},
 	} {
-		fmt.Fprintf(&to, "# TYPE %s %s\n%s %d\n", one.name, one.kind, one.name, one.n)
+		fmt.Fprintf(&buf, "# TYPE %s %s\n%s %d\n", metric.name, metric.kind, metric.name, metric.value)
 	}
 	if f.Fleet != nil {
-		f.Fleet.write(&to)
+		f.Fleet.writeMetrics(&buf)
 	}
-	return to.Bytes()
+	return buf.Bytes()
 }
 
-var escapes = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
+// labelEscaper escapes label values as the Prometheus text format requires.
+var labelEscaper = strings.NewReplacer(`\`, `\\`, `"`, `\"`, "\n", `\n`)
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -5,33 +5,33 @@
 	"testing"
 )
 
-// closer notes that a connection was closed.
-type closer struct {
+// closeRecorder is a connection that records whether it was closed.
+type closeRecorder struct {
 	net.Conn
 	closed bool
 }
 
-func (c *closer) Close() error {
+func (c *closeRecorder) Close() error {
 	c.closed = true
 	return nil
 }
 
-// Beyond the bound the door's descriptors are the clients'; a call that has come whole is not the one to go, nor is the
-// newcomer.
-func TestOldestWithoutACallGoes(t *testing.T) {
-	var b bounded
-	var all []*closer
-	for i := range mostConns + 2 {
-		all = append(all, &closer{})
-		c := b.enter(all[i])
-		c.whole = i == 0
+// At the limit the listener must close a connection, as further descriptors would be taken from clients. It must not close
+// one that has sent a complete request, nor the newly accepted one.
+func TestOldestConnectionWithoutRequestIsClosed(t *testing.T) {
+	var l limitedListener
+	var all []*closeRecorder
+	for i := range maxConnections + 2 {
+		all = append(all, &closeRecorder{})
+		c := l.add(all[i])
+		c.requestReceived = i == 0
 	}
 	for i, c := range all {
-		if gone := i == 1 || i == 2; c.closed != gone {
-			t.Errorf("connection %d: closed %v", i, c.closed)
+		if wantClosed := i == 1 || i == 2; c.closed != wantClosed {
+			t.Errorf("connection %d: closed is %v", i, c.closed)
 		}
 	}
-	if len(b.conns) != mostConns {
-		t.Errorf("%d are held", len(b.conns))
+	if len(l.connections) != maxConnections {
+		t.Errorf("%d connections are open", len(l.connections))
 	}
 }
--- a/internal/admin/evidence.go
+++ b/internal/admin/evidence.go
@@ -2,19 +2,20 @@
 
 import "errors"
 
-// ErrNoEvidence is what a balancer answers that judges hosts by its own attempts alone.
+// ErrNoEvidence is returned by a balancer that judges hosts by its own attempts only.
 var ErrNoEvidence = errors.New("this balancer judges hosts by its own attempts alone: its operator's file has no evidence = true under [fleet]")
 
-// Evidence is what other balancers say of hosts, as far as it counts at this one.
+// Evidence holds the other balancers' observations of hosts, as far as this balancer takes them into account.
 type Evidence struct {
-	Witnesses int    `json:"witnesses"` // heard lately and believed
-	Hosts     []Said `json:"hosts"`     // that they call bad
+	Witnesses int    `json:"witnesses"` // balancers with recent observations that this balancer takes into account
+	Hosts     []Said `json:"hosts"`     // hosts that they report as bad
 }
 
-// Said is of one host: how many endings of each kind it is worth beside the balancer's own.
+// Said is the weight of the others' observations of one host: how many successful and failed attempts they count as, in
+// addition to the balancer's own attempts.
 type Said struct {
 	Host      string  `json:"host"`
 	Good      float64 `json:"good"`
 	Bad       float64 `json:"bad"`
-	Witnesses int     `json:"witnesses"` // that call it bad
+	Witnesses int     `json:"witnesses"` // balancers that report it as bad
 }
--- a/internal/admin/orders.go
+++ b/internal/admin/orders.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// ErrNoOrders is what a balancer answers whose hosts out by hand are its own alone.
+// ErrNoOrders is returned by a balancer whose exclusions by operators apply to itself only, not to the whole fleet.
 var ErrNoOrders = errors.New("orders by hand hold for this balancer alone: its operator's file has no orders = true under [fleet]")
 
-// How is what an operator adds to an order.
+// How holds the options of an exclusion order.
 type How struct {
-	Force bool          // in force however many hosts are out
-	Wait  time.Duration // for the other balancers to confirm it
+	Force bool          // apply the order however many hosts are excluded already
+	Wait  time.Duration // how long to wait for the other balancers to confirm it
 }
 
-// mostWait is the longest that a call may wait for others: the door's own limits are longer.
-const mostWait = 4 * time.Second
+// maxConfirmationWait is the longest time for which an admin request may wait for confirmations. It is shorter than the
+// server's own timeouts, so that the response can still be sent.
+const maxConfirmationWait = 4 * time.Second
 
-// Orders are the orders by hand that hold for the whole fleet, as this balancer has them.
+// Orders holds the fleet-wide exclusion orders, as this balancer knows them.
 type Orders struct {
-	Sum       string     `json:"sum"`              // of all held: equal ones are equal orders
-	Kept      bool       `json:"kept"`             // this balancer's file has them
-	Missing   []string   `json:"not_confirmed_by"` // other balancers of whom it is not known that they hold the same, the dead among them
-	Orders    []Order    `json:"orders"`           // the last on each host
-	Conflicts []Conflict `json:"conflicts"`        // the last ones seen here
+	Sum       string     `json:"sum"`              // checksum of all orders; equal sums mean equal orders
+	Kept      bool       `json:"kept"`             // they are saved in this balancer's file
+	Missing   []string   `json:"not_confirmed_by"` // other balancers, including dead ones, that are not known to have the same orders
+	Orders    []Order    `json:"orders"`           // the latest one of each host
+	Conflicts []Conflict `json:"conflicts"`        // the latest ones that this balancer saw
 }
 
-// Order is one.
+// Order is one exclusion order: an operator's instruction to exclude a host or to end its exclusion. Door is the balancer
+// that received it and By is that balancer's process. Count is one more than that of the order which it replaces.
 type Order struct {
 	Host    string `json:"host"`
 	Out     bool   `json:"out"`
 	Force   bool   `json:"force,omitempty"`
-	InForce bool   `json:"in_force"` // false: more than the allowed part is out, and this one waits
+	InForce bool   `json:"in_force"` // false if the order waits because too large a part of the hosts is excluded already
 	Door    string `json:"door"`
 	Count   uint64 `json:"count"`
 	By      string `json:"by"`
 }
 
-// Conflict is two orders neither of whose doors knew of the other.
+// Conflict is a pair of orders for one host, given at two balancers neither of which knew of the other's order.
 type Conflict struct {
 	Won  Order `json:"won"`
 	Lost Order `json:"lost"`
