--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -8,66 +8,67 @@
 	"time"
 )
 
-// Kind is what a message is about.
+// Kind is the type of a message.
 type Kind string
 
 const (
-	Ready   Kind = "ready" // the newer process takes clients
-	Holding Kind = "holds" // what the sender holds
-	Ask     Kind = "ask"   // the newer process wants a ban changed; Answer follows
-	Answer  Kind = "answer"
-	Ban     Kind = "ban" // a ban has changed; Done follows
-	Done    Kind = "done"
+	Ready   Kind = "ready"  // the newer process accepts clients
+	Holding Kind = "holds"  // the resources that the sender uses
+	Ask     Kind = "ask"    // the newer process asks the older one to change an exclusion; answered by Answer
+	Answer  Kind = "answer" // the result of an Ask
+	Ban     Kind = "ban"    // the older process has changed an exclusion; answered by Done
+	Done    Kind = "done"   // the newer process has applied a Ban
 )
 
-// Message is one line between the two.
+// Message is one message between the two processes, sent as a line of JSON.
 type Message struct {
 	Kind   Kind
-	N      uint64 `json:",omitempty"` // of an Ask or a Ban, and of what answers it
-	Member string `json:",omitempty"`
-	Out    bool   `json:",omitempty"`
-	Fault  string `json:",omitempty"`
-	Holds  *Holds `json:",omitempty"`
+	N      uint64 `json:",omitempty"` // number of an Ask or a Ban, repeated in its answer
+	Member string `json:",omitempty"` // the host of an Ask or a Ban
+	Out    bool   `json:",omitempty"` // whether that host is excluded
+	Fault  string `json:",omitempty"` // in an Answer: why the change failed
+	Holds  *Holds `json:",omitempty"` // in a Holding
 }
 
-// Peer is the other process.
+// Peer is the connection to the other process of an upgrade.
 type Peer struct {
-	conn *net.UnixConn
-	in   *bufio.Reader
-	mu   sync.Mutex // one message at a time
-	gone chan struct{}
-	once sync.Once
+	conn   *net.UnixConn
+	reader *bufio.Reader
+	mu     sync.Mutex // held while a message is written
+	gone   chan struct{}
+	once   sync.Once
 }
 
-func newPeer(conn *net.UnixConn, in *bufio.Reader) *Peer {
-	return &Peer{conn: conn, in: in, gone: make(chan struct{})}
+func newPeer(conn *net.UnixConn, reader *bufio.Reader) *Peer {
+	return &Peer{conn: conn, reader: reader, gone: make(chan struct{})}
 }
 
-// Gone is closed once nothing more comes.
+// Gone returns a channel that is closed once the connection has ended.
 func (p *Peer) Gone() <-chan struct{} { return p.gone }
 
-// Close ends it: the other process goes on alone.
+// Close ends the connection; the other process continues alone.
 func (p *Peer) Close() {
 	p.once.Do(func() { close(p.gone) })
 	p.conn.Close()
 }
 
-// Say sends a message. A process that does not read is taken for gone.
+// Say sends a message. If the other process does not read it in time, the connection is closed.
 func (p *Peer) Say(m Message) {
 	line, _ := json.Marshal(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.conn.SetWriteDeadline(time.Now().Add(sayWait))
+	p.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := p.conn.Write(append(line, '\n')); err != nil {
 		p.Close()
 	}
 }
 
-// Hear passes on what comes, until the other process ends or says what is no message.
-func (p *Peer) Hear(on func(Message)) {
+// Hear passes received messages to handle until the other process ends or sends an invalid message, then closes the
+// connection.
+func (p *Peer) Hear(handle func(Message)) {
 	defer p.Close()
 	for {
-		line, err := readLine(p.in)
+		line, err := readLine(p.reader)
 		if err != nil {
 			return
 		}
@@ -75,6 +76,6 @@
 		if json.Unmarshal(line, &m) != nil {
 			return
 		}
-		on(m)
+		handle(m)
 	}
 }
--- a/internal/handover/seat.go
+++ b/internal/handover/seat.go
@@ -1,6 +1,6 @@
-// Package handover joins the two processes of an upgrade over a Unix socket: the older one gives the newer one the
-// clients' listening socket and what it knows, then both tell each other what changes until one ends. It carries
-// messages and decides nothing.
+// Package handover connects the two processes of an upgrade over a Unix socket. The older process passes the clients'
+// listening socket and its state to the newer one; from then on both send each other changes until one of them ends. The
+// package transports these messages and makes no decisions. It also stores state in files that survive a crash.
 package handover
 
 import (
@@ -19,91 +19,98 @@
 	"golang.org/x/sys/unix"
 )
 
-// version is of the messages. A process that speaks another one is not taken over from.
-const version = 1
+// protocolVersion is the version of the messages. A process takes over only from one that uses the same version.
+const protocolVersion = 1
 
 const (
-	meetWait = 1500 * time.Millisecond // for all that the older process hands on: a quarter of the time for ready
-	sayWait  = 200 * time.Millisecond  // for a message to be taken: the other process reads all the time
-	mostLine = 4 << 20                 // a list of ten thousand hosts has half of that
+	// exchangeTimeout limits the transfer of the socket and the state. It is a quarter of the time in which a started
+	// process has to become ready.
+	exchangeTimeout = 1500 * time.Millisecond
+	// writeTimeout limits the sending of one message. It can be short because the other process reads continuously.
+	writeTimeout = 200 * time.Millisecond
+	// maxLineBytes limits a message. A list of ten thousand hosts takes half of this.
+	maxLineBytes = 4 << 20
 )
 
-// Descriptors is what a process holds for it: the seat, the other process and one that comes.
+// Descriptors is the largest number of file descriptors that a process uses for upgrades: one for the listening Unix
+// socket, one for the connection to the peer process and one for a newly accepted connection.
 const Descriptors = 3
 
-// State is what the older process hands on besides the socket.
+// State is what the older process passes to the newer one in addition to the socket.
 type State struct {
-	List     json.RawMessage // in discovery's form
-	Excluded []string
-	Learnt   json.RawMessage
+	List     json.RawMessage // the host list, in discovery's format
+	Excluded []string        // ids of the hosts that operators have excluded
+	Learnt   json.RawMessage // what the balancing decisions have learnt about hosts
 	Holds    Holds
-	Fleet    json.RawMessage `json:",omitempty"` // its place among the balancers, where it has one
+	Fleet    json.RawMessage `json:",omitempty"` // its membership in the fleet of balancers, if it has one
 }
 
-// Holds is what a process holds of what both share.
+// Holds is what a process uses of the resources that both processes share: connections of clients, connections to hosts
+// and the origin, requests in progress, bytes of memory, and attempts in flight at the origin.
 type Holds struct {
 	Clients, Upstream, Calls, Bytes int64
 	Origin                          int
-	Leaving                         bool // it wants no more
+	Leaving                         bool // the process is draining and needs no more than it has
 }
 
-// hello is the first line of either side.
+// hello is the first line that either side sends. The older process includes its state, or the reason for a refusal.
 type hello struct {
 	Version int
 	Refused string `json:",omitempty"`
 	State
 }
 
-// ErrAlone says that nobody is there to take over from.
+// ErrAlone is returned by Meet if there is no older process.
 var ErrAlone = errors.New("no process to take over from")
 
-// Path is where the process that serves clients at an address is met.
+// Path returns the path in dir of the socket or file with the given suffix for the process that serves clients at an
+// address. Both processes of an upgrade derive the same path from it.
 func Path(dir, listen, suffix string) string {
 	return filepath.Join(dir, "streamrail-"+strings.NewReplacer(":", "_", "/", "_").Replace(listen)+suffix)
 }
 
-// Listen opens an address that a process which could not be met may hold too.
+// Listen opens an address that may still be open in an older process from which this one could not take over.
 func Listen(addr string) (net.Listener, error) {
-	lc := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
-		if e := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); e != nil {
-			return e
+	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
+		if controlErr := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); controlErr != nil {
+			return controlErr
 		}
 		return err
 	}}
-	return lc.Listen(context.Background(), "tcp", addr)
+	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// Meet takes over from the process that keeps a seat at the path, if there is one.
-func Meet(path string) (l net.Listener, s State, p *Peer, err error) {
-	conn, err := net.DialTimeout("unix", path, meetWait)
-	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // never there, or left behind
-		return nil, s, nil, ErrAlone
+// Meet takes over from the process that serves upgrades at the path (see Keep), if there is one.
+func Meet(path string) (listener net.Listener, state State, peer *Peer, err error) {
+	conn, err := net.DialTimeout("unix", path, exchangeTimeout)
+	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // no socket, or one that a process which has ended left behind
+		return nil, state, nil, ErrAlone
 	}
 	if err != nil {
-		return nil, s, nil, err
+		return nil, state, nil, err
 	}
-	u := conn.(*net.UnixConn)
+	unixConn := conn.(*net.UnixConn)
 	defer func() {
 		if err != nil {
-			u.Close()
-			if l != nil {
-				l.Close()
-				l = nil
+			unixConn.Close()
+			if listener != nil {
+				listener.Close()
+				listener = nil
 			}
 		}
 	}()
-	if err = own(u); err != nil {
+	if err = checkSameUser(unixConn); err != nil {
 		return
 	}
-	u.SetDeadline(time.Now().Add(meetWait))
-	if err = json.NewEncoder(u).Encode(hello{Version: version}); err != nil {
+	unixConn.SetDeadline(time.Now().Add(exchangeTimeout))
+	if err = json.NewEncoder(unixConn).Encode(hello{Version: protocolVersion}); err != nil {
 		return
 	}
-	if l, err = receive(u); err != nil {
+	if listener, err = receiveListener(unixConn); err != nil {
 		return
 	}
-	in := bufio.NewReaderSize(u, 4<<10)
-	line, err := readLine(in)
+	reader := bufio.NewReaderSize(unixConn, 4<<10)
+	line, err := readLine(reader)
 	if err != nil {
 		return
 	}
@@ -114,22 +121,22 @@
 	switch {
 	case h.Refused != "":
 		err = errors.New(h.Refused)
-	case h.Version != version:
-		err = fmt.Errorf("it speaks version %d, expected %d", h.Version, version)
-	case l == nil:
-		err = errors.New("it gave no socket")
+	case h.Version != protocolVersion:
+		err = fmt.Errorf("the older process uses message version %d, expected %d", h.Version, protocolVersion)
+	case listener == nil:
+		err = errors.New("the older process gave no socket")
 	}
 	if err != nil {
 		return
 	}
-	u.SetDeadline(time.Time{})
-	return l, h.State, newPeer(u, in), nil
+	unixConn.SetDeadline(time.Time{})
+	return listener, h.State, newPeer(unixConn, reader), nil
 }
 
-// receive takes the first byte, and the socket that may come with it.
-func receive(u *net.UnixConn) (net.Listener, error) {
+// receiveListener reads the first byte and the listening socket that may be attached to it. It returns nil if none is.
+func receiveListener(conn *net.UnixConn) (net.Listener, error) {
 	first, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
-	_, n, _, _, err := u.ReadMsgUnix(first, rights)
+	_, n, _, _, err := conn.ReadMsgUnix(first, rights)
 	if err != nil || n == 0 {
 		return nil, err
 	}
@@ -151,99 +158,102 @@
 	return nil, nil
 }
 
-func readLine(in *bufio.Reader) (line []byte, err error) {
+// readLine reads one line of at most about maxLineBytes.
+func readLine(reader *bufio.Reader) (line []byte, err error) {
 	for {
-		part, err := in.ReadSlice('\n')
+		part, err := reader.ReadSlice('\n')
 		line = append(line, part...)
 		switch {
 		case err == nil:
 			return line, nil
 		case err != bufio.ErrBufferFull:
 			return nil, err
-		case len(line) > mostLine:
+		case len(line) > maxLineBytes:
 			return nil, errors.New("line too long")
 		}
 	}
 }
 
-// own refuses a process of another user: who keeps the path could else take the clients over.
-func own(u *net.UnixConn) error {
-	raw, err := u.SyscallConn()
+// checkSameUser returns an error if the process at the other end belongs to another user. Without this check, another
+// user's process that has created the socket's path could take over the clients.
+func checkSameUser(conn *net.UnixConn) error {
+	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
 	var cred *syscall.Ucred
-	if e := raw.Control(func(fd uintptr) {
+	if controlErr := raw.Control(func(fd uintptr) {
 		cred, err = syscall.GetsockoptUcred(int(fd), syscall.SOL_SOCKET, syscall.SO_PEERCRED)
-	}); e != nil {
-		return e
+	}); controlErr != nil {
+		return controlErr
 	}
 	if err == nil && int(cred.Uid) != os.Getuid() {
-		err = fmt.Errorf("it belongs to user %d", cred.Uid)
+		err = fmt.Errorf("the other process belongs to user %d", cred.Uid)
 	}
 	return err
 }
 
-// Seat is kept by the process that a newer one will meet.
+// Seat is the listening Unix socket at which a newer process can take over from this one.
 type Seat struct{ listener *net.UnixListener }
 
-// Keep takes the seat at a path, also from who has it. A newer process that comes is given the socket and what join
-// returns; join is told of it first, and nothing that is said to the peer from then on reaches it before that.
-func Keep(path string, clients net.Listener, join func(*Peer) (State, error)) (*Seat, error) {
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	os.Remove(fresh)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: fresh, Net: "unix"})
+// Keep listens at a path for newer processes and replaces any older process that listens there. A newer process that
+// connects gets the clients' listening socket and the state that join returns. Messages sent to the peer during join or
+// afterwards reach it only after that state.
+func Keep(path string, clientListener net.Listener, join func(*Peer) (State, error)) (*Seat, error) {
+	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	os.Remove(tempPath)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // the name is the newer process's by then
-	if err = os.Chmod(fresh, 0o600); err == nil {
-		err = os.Rename(fresh, path)
+	l.SetUnlinkOnClose(false) // by then the path belongs to a newer process
+	if err = os.Chmod(tempPath, 0o600); err == nil {
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
 		l.Close()
-		os.Remove(fresh)
+		os.Remove(tempPath)
 		return nil, err
 	}
 	go func() {
 		for {
-			u, err := l.AcceptUnix()
+			conn, err := l.AcceptUnix()
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
 			if err != nil {
-				time.Sleep(sayWait)
+				time.Sleep(writeTimeout)
 				continue
 			}
-			hand(u, clients, join)
+			handOver(conn, clientListener, join)
 		}
 	}()
 	return &Seat{l}, nil
 }
 
-// Leave gives the seat up; who comes then is alone.
+// Leave stops listening. A process that starts afterwards finds no process to take over from.
 func (s *Seat) Leave() { s.listener.Close() }
 
-// hand answers one newer process.
-func hand(u *net.UnixConn, clients net.Listener, join func(*Peer) (State, error)) {
-	u.SetDeadline(time.Now().Add(meetWait))
-	in := bufio.NewReaderSize(u, 4<<10)
+// handOver answers the connection of one newer process.
+func handOver(conn *net.UnixConn, clientListener net.Listener, join func(*Peer) (State, error)) {
+	conn.SetDeadline(time.Now().Add(exchangeTimeout))
+	reader := bufio.NewReaderSize(conn, 4<<10)
 	var h hello
-	line, err := readLine(in)
+	line, err := readLine(reader)
 	if err == nil {
 		err = json.Unmarshal(line, &h)
 	}
 	if err == nil {
-		err = own(u)
+		err = checkSameUser(conn)
 	}
 	if err != nil {
-		u.Close()
+		conn.Close()
 		return
 	}
-	p := newPeer(u, in)
-	answer := hello{Version: version}
-	if h.Version != version {
-		answer.Refused = fmt.Sprintf("it speaks version %d, not %d", version, h.Version)
+	p := newPeer(conn, reader)
+	answer := hello{Version: protocolVersion}
+	if h.Version != protocolVersion {
+		answer.Refused = fmt.Sprintf("the older process uses message version %d, not %d", protocolVersion, h.Version)
 	} else {
 		p.mu.Lock()
 		defer p.mu.Unlock()
@@ -252,33 +262,33 @@
 		}
 	}
 	if answer.Refused != "" {
-		u.Write([]byte{'\n'})
-		json.NewEncoder(u).Encode(answer)
-		u.Close()
+		conn.Write([]byte{'\n'})
+		json.NewEncoder(conn).Encode(answer)
+		conn.Close()
 		return
 	}
-	if err = give(u, clients); err == nil {
-		err = json.NewEncoder(u).Encode(answer)
+	if err = sendListener(conn, clientListener); err == nil {
+		err = json.NewEncoder(conn).Encode(answer)
 	}
 	if err != nil {
 		p.Close()
 		return
 	}
-	u.SetDeadline(time.Time{})
+	conn.SetDeadline(time.Time{})
 }
 
-// give sends the socket with one byte. It stays open here.
-func give(u *net.UnixConn, clients net.Listener) error {
-	t, ok := clients.(*net.TCPListener)
+// sendListener sends the listening socket, attached to one byte. The socket stays open in this process too.
+func sendListener(conn *net.UnixConn, clientListener net.Listener) error {
+	tcp, ok := clientListener.(*net.TCPListener)
 	if !ok {
 		return errors.New("not a TCP socket")
 	}
-	raw, err := t.SyscallConn()
+	raw, err := tcp.SyscallConn()
 	if err != nil {
 		return err
 	}
-	if e := raw.Control(func(fd uintptr) { _, _, err = u.WriteMsgUnix([]byte{'\n'}, syscall.UnixRights(int(fd)), nil) }); e != nil {
-		return e
+	if controlErr := raw.Control(func(fd uintptr) { _, _, err = conn.WriteMsgUnix([]byte{'\n'}, syscall.UnixRights(int(fd)), nil) }); controlErr != nil {
+		return controlErr
 	}
 	return err
 }
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -11,50 +11,52 @@
 	"syscall"
 )
 
-// A file of what was ordered by hand: a line with the checksum of the rest, then the rest.
+// The files hold what operators have ordered, so that it survives a restart. The first line of a file is the checksum of
+// the rest, and the rest is JSON.
 
-// FileSystem is what Store needs of the system's files.
+// FileSystem is the set of file operations that Store uses.
 type FileSystem interface {
-	// Create makes a file that is not there yet, never through a link that another user has laid.
+	// Create creates a file and fails if the path exists, so that it never follows a symbolic link placed by another user.
 	Create(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncFolder makes renames in a folder durable.
+	// SyncFolder makes the renames in a directory durable.
 	SyncFolder(path string) error
 }
 
-// File is one that is written.
+// File is a file opened for writing.
 type File interface {
 	io.Writer
 	Sync() error
 	Close() error
 }
 
-// Store keeps values in files, each as a whole or not at all: whatever fails, and whenever the process or the machine ends, the
-// last whole version is there.
+// Store saves values in files atomically: whichever operation fails, and whenever the process or the machine stops, the
+// last complete version remains readable.
 type Store struct{ Files FileSystem }
 
-// Save writes a new version. Without an error it is durable. With one it may be there or not, the older one is there if it is not,
-// and Save has to be called again: what has failed once, a sync too, is written anew.
-func (s Store) Save(path string, what any) error {
-	text, err := json.Marshal(what)
+// Save writes a new version. If it returns nil, the version is durable. If it returns an error, the file holds either the
+// new or the previous version, and the caller has to call Save again; each call writes the whole file anew, because a
+// failed sync may lose data that a later sync does not write again.
+func (s Store) Save(path string, value any) error {
+	text, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	fresh := fmt.Sprintf("%s.%d", path, os.Getpid())
-	s.Files.Remove(fresh)
-	if err = s.write(fresh, fmt.Appendf(nil, "%08x\n%s", crc32.ChecksumIEEE(text), text)); err != nil {
-		s.Files.Remove(fresh)
+	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
+	s.Files.Remove(tempPath)
+	if err = s.write(tempPath, fmt.Appendf(nil, "%08x\n%s", crc32.ChecksumIEEE(text), text)); err != nil {
+		s.Files.Remove(tempPath)
 		return err
 	}
-	if err = s.Files.Rename(fresh, path); err != nil {
-		s.Files.Remove(fresh)
+	if err = s.Files.Rename(tempPath, path); err != nil {
+		s.Files.Remove(tempPath)
 		return err
 	}
 	return s.Files.SyncFolder(filepath.Dir(path))
 }
 
-// write makes a file that is durable but for its name.
+// write creates a file and syncs its content. Its name is not durable yet: that takes a sync of the directory.
 func (s Store) write(path string, text []byte) error {
 	f, err := s.Files.Create(path)
 	if err != nil {
@@ -70,7 +72,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// systemFiles are the system's own.
+// systemFiles is the FileSystem of the operating system.
 type systemFiles struct{}
 
 func (systemFiles) Create(path string) (File, error) {
@@ -87,11 +89,12 @@
 	return errors.Join(folder.Sync(), folder.Close())
 }
 
-// Save is Store.Save with the system's files.
-func Save(path string, what any) error { return Store{systemFiles{}}.Save(path, what) }
+// Save saves a value as Store.Save does, in the operating system's files.
+func Save(path string, value any) error { return Store{systemFiles{}}.Save(path, value) }
 
-// Load reads it. That there is none is no error; one of another user is.
-func Load(path string, to any) error {
+// Load reads the value that Save wrote. A missing file is not an error and leaves value unchanged; a file that belongs to
+// another user is an error.
+func Load(path string, value any) error {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil
@@ -99,19 +102,19 @@
 	if err != nil {
 		return err
 	}
-	if of, err := os.Lstat(path); err != nil {
+	if info, err := os.Lstat(path); err != nil {
 		return err
-	} else if st, ok := of.Sys().(*syscall.Stat_t); !ok || !of.Mode().IsRegular() || int(st.Uid) != os.Getuid() {
-		return errors.New("it is no file of this user")
+	} else if stat, ok := info.Sys().(*syscall.Stat_t); !ok || !info.Mode().IsRegular() || int(stat.Uid) != os.Getuid() {
+		return errors.New("not a regular file of this user")
 	}
-	const head = 9
-	if len(text) < head || string(text[:head]) != fmt.Sprintf("%08x\n", crc32.ChecksumIEEE(text[head:])) {
-		return errors.New("damaged: its checksum is another")
+	const headerBytes = 9
+	if len(text) < headerBytes || string(text[:headerBytes]) != fmt.Sprintf("%08x\n", crc32.ChecksumIEEE(text[headerBytes:])) {
+		return errors.New("damaged: the checksum does not match")
 	}
-	return json.Unmarshal(text[head:], to)
+	return json.Unmarshal(text[headerBytes:], value)
 }
 
-// Aside keeps a file that cannot be read under another name, for who wants to look at it; the name, or "" where that failed.
+// Aside renames an unreadable file so that it can be inspected later. It returns the new name, or "" if the renaming failed.
 func Aside(path string) string {
 	if err := os.Rename(path, path+".damaged"); err != nil {
 		return ""
--- a/internal/handover/store_test.go
+++ b/internal/handover/store_test.go
@@ -11,20 +11,21 @@
 	"testing"
 )
 
-// failingFiles are the system's files of which one step fails, or from which on the process is dead: nothing more happens.
+// failingFiles is a FileSystem in which one step fails. If killed is set, all later steps fail too, as if the process had
+// been killed at that step.
 type failingFiles struct {
 	systemFiles
-	step    int // counts down
+	step    int // steps until the failure; counts down
 	fault   error
-	killed  bool // at the step, not only there
-	partial int  // bytes that a failing write takes all the same
-	synced  []string
+	killed  bool     // all steps from the failing one on fail
+	partial int      // bytes that a failing write writes nevertheless
+	synced  []string // successful syncs, in order
 }
 
 var errKilled = errors.New("killed")
 
-// fails counts a step.
-func (f *failingFiles) fails() error {
+// countStep counts a step and returns the error with which it is to fail, or nil.
+func (f *failingFiles) countStep() error {
 	f.step--
 	if f.step == 0 || f.killed && f.step < 0 {
 		return f.fault
@@ -33,7 +34,7 @@
 }
 
 func (f *failingFiles) Create(path string) (File, error) {
-	if err := f.fails(); err != nil {
+	if err := f.countStep(); err != nil {
 		return nil, err
 	}
 	file, err := f.systemFiles.Create(path)
@@ -41,7 +42,7 @@
 }
 
 func (f *failingFiles) Rename(from, to string) error {
-	if err := f.fails(); err != nil {
+	if err := f.countStep(); err != nil {
 		return err
 	}
 	return f.systemFiles.Rename(from, to)
@@ -55,7 +56,7 @@
 }
 
 func (f *failingFiles) SyncFolder(path string) error {
-	if err := f.fails(); err != nil {
+	if err := f.countStep(); err != nil {
 		return err
 	}
 	f.synced = append(f.synced, "folder")
@@ -64,32 +65,32 @@
 
 type failingFile struct {
 	File
-	in *failingFiles
+	files *failingFiles
 }
 
 func (f *failingFile) Write(text []byte) (int, error) {
-	if err := f.in.fails(); err != nil {
-		n, _ := f.File.Write(text[:min(f.in.partial, len(text))])
+	if err := f.files.countStep(); err != nil {
+		n, _ := f.File.Write(text[:min(f.files.partial, len(text))])
 		return n, err
 	}
 	return f.File.Write(text)
 }
 
 func (f *failingFile) Sync() error {
-	if err := f.in.fails(); err != nil {
+	if err := f.files.countStep(); err != nil {
 		return err
 	}
-	f.in.synced = append(f.in.synced, "file")
+	f.files.synced = append(f.files.synced, "file")
 	return f.File.Sync()
 }
 
 func (f *failingFile) Close() error {
 	f.File.Close()
-	return f.in.fails()
+	return f.files.countStep()
 }
 
-// TestSaveThatFails fails each step of a save, and ends the process at each, with a write that is cut at each byte: the version
-// before or the new one is there whole, an error is told unless the new one is durable, and the next save holds.
+// TestSaveThatFails lets each step of a save fail, or kills the process at it, with the write cut at each byte. The previous
+// or the new version must be complete in the file, the save must return the error, and the next save must succeed.
 func TestSaveThatFails(t *testing.T) {
 	const steps = 6 // create, write, sync, close, rename, sync of the folder
 	old, changed := []string{"a"}, []string{"a", "b"}
@@ -107,44 +108,44 @@
 				}
 				files := &failingFiles{step: step, fault: fault, killed: fault == errKilled, partial: cut}
 				if err := (Store{files}).Save(path, changed); !errors.Is(err, fault) {
-					t.Errorf("%s: saving tells %v", name, err)
+					t.Errorf("%s: saving returned %v", name, err)
 				}
 				var got []string
 				if err := Load(path, &got); err != nil || !slices.Equal(got, old) && !slices.Equal(got, changed) {
-					t.Errorf("%s: the file has %q, %v", name, got, err)
+					t.Errorf("%s: the file holds %q, %v", name, got, err)
 				}
 				if step < steps-1 && !slices.Equal(got, old) {
-					t.Errorf("%s: the older version is lost: %q", name, got)
+					t.Errorf("%s: the previous version is lost: %q", name, got)
 				}
 				if err := Save(path, changed); err != nil {
 					t.Errorf("%s: the next save: %v", name, err)
 				}
 				if err := Load(path, &got); err != nil || !slices.Equal(got, changed) {
-					t.Errorf("%s: after the next save the file has %q, %v", name, got, err)
+					t.Errorf("%s: after the next save the file holds %q, %v", name, got, err)
 				}
 			}
 		}
 	}
 }
 
-// TestSaveIsDurable holds the order of a save: its bytes before its name, its name before it is told done; and anew after a sync that
-// failed.
+// TestSaveIsDurable checks the order of a save: the content is synced before the rename, the directory before the save
+// returns. After a failed sync, the next save must sync both anew.
 func TestSaveIsDurable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
 	files := &failingFiles{}
 	if err := (Store{files}).Save(path, "x"); err != nil || !slices.Equal(files.synced, []string{"file", "folder"}) {
 		t.Errorf("synced %q, %v", files.synced, err)
 	}
-	again := &failingFiles{step: 3, fault: syscall.EIO}
-	if err := (Store{again}).Save(path, "y"); !errors.Is(err, syscall.EIO) {
-		t.Errorf("a sync that failed tells %v", err)
+	retried := &failingFiles{step: 3, fault: syscall.EIO}
+	if err := (Store{retried}).Save(path, "y"); !errors.Is(err, syscall.EIO) {
+		t.Errorf("a save with a failing sync returned %v", err)
 	}
-	if err := (Store{again}).Save(path, "y"); err != nil || !slices.Equal(again.synced, []string{"file", "folder"}) {
-		t.Errorf("the second try synced %q, %v", again.synced, err)
+	if err := (Store{retried}).Save(path, "y"); err != nil || !slices.Equal(retried.synced, []string{"file", "folder"}) {
+		t.Errorf("the second save synced %q, %v", retried.synced, err)
 	}
 }
 
-// shortFiles takes less than it is given and tells no error.
+// shortFiles is a FileSystem whose writes write only half of their data and return no error.
 type shortFiles struct{ systemFiles }
 
 func (f shortFiles) Create(path string) (File, error) {
@@ -156,13 +157,13 @@
 
 func (f shortFile) Write(text []byte) (int, error) { return f.File.Write(text[:len(text)/2]) }
 
-// TestSaveShortWrite makes sure that half a file is never renamed.
+// TestSaveShortWrite checks that an incompletely written file is never renamed to the final name.
 func TestSaveShortWrite(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
 	if err := (Store{shortFiles{}}).Save(path, "x"); !errors.Is(err, io.ErrShortWrite) {
-		t.Errorf("half a write tells %v", err)
+		t.Errorf("a save with a short write returned %v", err)
 	}
 	if _, err := os.Stat(path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("there is a file: %v", err)
+		t.Errorf("the file exists: %v", err)
 	}
 }
