--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink runs balancers on the bench's wire, on standard input and output.
+// Command benchlink runs balancers for the external simulator (the bench), whose protocol it speaks on standard input and
+// output.
 package main
 
 import (
--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -56,8 +56,8 @@
 	return errors.Join(faults...)
 }
 
-// play is what all commands that play a day share.
-type play struct {
+// playOptions is what all commands that play a day share.
+type playOptions struct {
 	Balancer  string        `help:"The balancer program; by default streamrail beside this one." type:"path" placeholder:"FILE"`
 	Seed      uint64        `help:"Another seed than the file's."`
 	Balancers int           `help:"Another number of balancers than the file's."`
@@ -66,8 +66,8 @@
 	Out       string        `help:"A folder for the report and the balancers' logs." type:"path" placeholder:"DIR"`
 }
 
-// program finds the balancer.
-func (p *play) program() (string, error) {
+// findBalancer finds the balancer.
+func (p *playOptions) findBalancer() (string, error) {
 	path := p.Balancer
 	if path == "" {
 		self, err := os.Executable()
@@ -82,8 +82,8 @@
 	return path, nil
 }
 
-// open reads a rehearsal with what the command line changes.
-func (p *play) open(name string) (*scenario.Day, error) {
+// openScenario reads a rehearsal with what the command line changes.
+func (p *playOptions) openScenario(name string) (*scenario.Day, error) {
 	d, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
@@ -115,15 +115,15 @@
 }
 
 // prepare finds the balancer and reads a rehearsal.
-func (p *play) prepare(name string) (program string, d *scenario.Day, err error) {
-	if program, err = p.program(); err == nil {
-		d, err = p.open(name)
+func (p *playOptions) prepare(name string) (program string, d *scenario.Day, err error) {
+	if program, err = p.findBalancer(); err == nil {
+		d, err = p.openScenario(name)
 	}
 	return program, d, err
 }
 
-// folder is where a rehearsal's files go, and what removes them where nobody asked for them.
-func (p *play) folder(name string) (dir string, done func(), err error) {
+// outputDir is where a rehearsal's files go, and what removes them where nobody asked for them.
+func (p *playOptions) outputDir(name string) (dir string, cleanup func(), err error) {
 	if p.Out != "" {
 		dir = filepath.Join(p.Out, name)
 		return dir, func() {}, os.MkdirAll(dir, 0o755)
@@ -132,14 +132,14 @@
 	return dir, func() { os.RemoveAll(dir) }, err
 }
 
-// one plays a day and lays its report down.
-func (p *play) one(ctx context.Context, d *scenario.Day, program string, watch func(*runner.Stage)) (*report.Report, error) {
-	dir, done, err := p.folder(d.Name)
+// playOne plays a day and lays its report down.
+func (p *playOptions) playOne(ctx context.Context, d *scenario.Day, program string, monitor func(*runner.Stage)) (*report.Report, error) {
+	dir, cleanup, err := p.outputDir(d.Name)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
-	res, err := runner.Run(ctx, d, runner.Program(program), dir, watch)
+	defer cleanup()
+	res, err := runner.Run(ctx, d, runner.Program(program), dir, monitor)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
@@ -153,13 +153,13 @@
 	return r, r.HTML(filepath.Join(dir, "report.html"))
 }
 
-// signals ends with the first interrupt.
-func signals() (context.Context, context.CancelFunc) {
+// interruptContext ends with the first interrupt.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
 type runCommand struct {
-	play
+	playOptions
 	Name string `arg:"" help:"A built-in rehearsal or a scenario file."`
 	JSON bool   `help:"Print the report as JSON."`
 }
@@ -169,13 +169,13 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := signals()
+	ctx, stop := interruptContext()
 	defer stop()
-	var watch func(*runner.Stage)
-	if terminal(os.Stderr) {
-		watch = progress
+	var monitor func(*runner.Stage)
+	if isTerminal(os.Stderr) {
+		monitor = showProgress
 	}
-	r, err := c.one(ctx, d, program, watch)
+	r, err := c.playOne(ctx, d, program, monitor)
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 	} else {
 		r.Text(os.Stdout)
 	}
-	return outcome(r.Outcome)
+	return exitError(r.Outcome)
 }
 
 func printJSON(v any) error {
@@ -195,20 +195,20 @@
 	return e.Encode(v)
 }
 
-func outcome(o report.Outcome) error {
+func exitError(o report.Outcome) error {
 	if code := o.Exit(); code != 0 {
 		return exitCode(code)
 	}
 	return nil
 }
 
-func terminal(f *os.File) bool {
+func isTerminal(f *os.File) bool {
 	s, err := f.Stat()
 	return err == nil && s.Mode()&os.ModeCharDevice != 0
 }
 
-// progress shows on a terminal how a day goes.
-func progress(s *runner.Stage) {
+// showProgress shows on a terminal how a day goes.
+func showProgress(s *runner.Stage) {
 	for now := s.W.Now(); now < s.W.Day.Length.D(); now = s.W.Now() {
 		t := s.Callers.Tally()
 		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d calls: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
@@ -219,7 +219,7 @@
 }
 
 type upCommand struct {
-	play
+	playOptions
 	Name string `arg:"" optional:"" default:"calm" help:"A built-in rehearsal or a scenario file."`
 	Try  bool   `help:"Read and write some keys through a balancer, print what comes back and end."`
 }
@@ -229,12 +229,12 @@
 	if err != nil {
 		return err
 	}
-	dir, done, err := c.folder(d.Name)
+	dir, cleanup, err := c.outputDir(d.Name)
 	if err != nil {
 		return err
 	}
-	defer done()
-	ctx, stop := signals()
+	defer cleanup()
+	ctx, stop := interruptContext()
 	defer stop()
 	s, err := runner.Up(ctx, d, runner.Program(program), dir)
 	if err != nil {
@@ -247,7 +247,7 @@
 		fmt.Printf("balancer %d serves at %s\n", b+1, s.Addr(b))
 	}
 	if d.Mates.On {
-		mateTable(s, d.Fleet.Balancers)
+		printMemberViews(s, d.Fleet.Balancers)
 	}
 	read := fmt.Sprintf("mg line-1 v Otry1 Pc=%s,t=%s,d=1000", d.Products[0].Name, d.Tenants[0].Name)
 	if !c.Try {
@@ -256,11 +256,11 @@
 		<-ctx.Done()
 		return nil
 	}
-	return try(s.Addr(0), d, read)
+	return tryRequests(s.Addr(0), d, read)
 }
 
-// mateTable prints what the balancers see of each other: a line a view, a column a member.
-func mateTable(s *runner.Stage, n int) {
+// printMemberViews prints what the balancers see of each other: a line a view, a column a member.
+func printMemberViews(s *runner.Stage, n int) {
 	time.Sleep(2 * time.Second) // they find each other within that
 	for b := range n {
 		v, ok := s.View(b)
@@ -276,8 +276,8 @@
 	}
 }
 
-// try makes some calls by hand and prints both sides.
-func try(addr string, d *scenario.Day, read string) error {
+// tryRequests makes some calls by hand and prints both sides.
+func tryRequests(addr string, d *scenario.Day, read string) error {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return err
@@ -313,18 +313,18 @@
 }
 
 type suiteCommand struct {
-	play
+	playOptions
 	Names  []string      `arg:"" optional:"" help:"These rehearsals only."`
 	Budget time.Duration `default:"8m" help:"How long all may take together; what does not fit is not played, and said."`
 	Lanes  int           `help:"How many are played at a time; by default one for each three cores."`
 	JSON   bool          `help:"Print the reports as JSON."`
 }
 
-// laneCores is what one rehearsal with its balancers keeps busy at the most.
-const laneCores = 3
+// coresPerLane is what one rehearsal with its balancers keeps busy at the most.
+const coresPerLane = 3
 
 func (c suiteCommand) Run() error {
-	program, err := c.program()
+	program, err := c.findBalancer()
 	if err != nil {
 		return err
 	}
@@ -334,15 +334,15 @@
 	}
 	var days []*scenario.Day
 	for _, n := range names {
-		d, err := c.open(n)
+		d, err := c.openScenario(n)
 		if err != nil {
 			return err
 		}
 		days = append(days, d)
 	}
-	ctx, stop := signals()
+	ctx, stop := interruptContext()
 	defer stop()
-	reports, err := c.all(ctx, days, program)
+	reports, err := c.playAll(ctx, days, program)
 	if err != nil {
 		return err
 	}
@@ -373,20 +373,20 @@
 			worst = report.Unsure
 		}
 	}
-	return outcome(worst)
+	return exitError(worst)
 }
 
-// all plays days on lanes; what the budget leaves no time for is left out. The reports come in the days' order.
-func (c suiteCommand) all(ctx context.Context, days []*scenario.Day, program string) (reports []*report.Report, err error) {
+// playAll plays days on lanes; what the budget leaves no time for is left out. The reports come in the days' order.
+func (c suiteCommand) playAll(ctx context.Context, days []*scenario.Day, program string) (reports []*report.Report, err error) {
 	lanes := c.Lanes
 	if lanes <= 0 {
-		lanes = max(1, runtime.GOMAXPROCS(0)/laneCores)
+		lanes = max(1, runtime.GOMAXPROCS(0)/coresPerLane)
 	}
 	end := time.Now().Add(c.Budget)
 	played := make([]*report.Report, len(days))
 	err = measure.SideBySide(len(days), lanes, func(i int) (err error) {
 		if !time.Now().Add(days[i].Length.D()).After(end) {
-			played[i], err = c.one(ctx, days[i], program, nil)
+			played[i], err = c.playOne(ctx, days[i], program, nil)
 		}
 		return err
 	})
@@ -417,34 +417,34 @@
 }
 
 func (c measureCommand) Run() error {
-	program, err := (&play{Balancer: c.Balancer}).program()
+	program, err := (&playOptions{Balancer: c.Balancer}).findBalancer()
 	if err != nil {
 		return err
 	}
 	if c.For < time.Second || c.Repeats < 1 {
 		return fmt.Errorf("--for, --repeats: %w: expected a second and one at least", scenario.ErrFaulty)
 	}
-	ctx, stop := signals()
+	ctx, stop := interruptContext()
 	defer stop()
 	switch c.What {
 	case "members":
-		return c.members(ctx, program)
+		return c.measureMembers(ctx, program)
 	case "limits":
-		return bySize(c, measure.LimitsOf)
+		return measureBySize(c, measure.LimitsOf)
 	case "evidence":
-		return bySize(c, measure.EvidenceOf)
+		return measureBySize(c, measure.EvidenceOf)
 	case "sizes":
-		return c.sizes(ctx, program)
+		return c.measureSizes(ctx, program)
 	}
 	if len(c.Clients) > 0 {
-		return c.closed(ctx, program)
+		return c.measureSaturation(ctx, program)
 	}
-	var tell func(measure.Row)
+	var printRow func(measure.Row)
 	if !c.JSON {
 		measure.Head(os.Stdout)
-		tell = func(r measure.Row) { measure.Line(os.Stdout, r) }
+		printRow = func(r measure.Row) { measure.Line(os.Stdout, r) }
 	}
-	rows, err := measure.Rates(ctx, runner.Program(program), c.Rates, c.For, c.Repeats, tell)
+	rows, err := measure.Rates(ctx, runner.Program(program), c.Rates, c.For, c.Repeats, printRow)
 	if err != nil {
 		return err
 	}
@@ -455,11 +455,11 @@
 	return nil
 }
 
-// bySize measures fleets of each size in virtual time and prints the figures.
-func bySize[T interface{ Text(io.Writer) }](c measureCommand, of func(mates, seeds, lanes int) ([]T, error)) error {
+// measureBySize measures fleets of each size in virtual time and prints the figures.
+func measureBySize[T interface{ Text(io.Writer) }](c measureCommand, measureSize func(balancers, seeds, parallel int) ([]T, error)) error {
 	var all []T
 	for _, n := range c.Virtual {
-		rows, err := of(n, c.Seeds, runtime.GOMAXPROCS(0))
+		rows, err := measureSize(n, c.Seeds, runtime.GOMAXPROCS(0))
 		if err != nil {
 			return err
 		}
@@ -476,23 +476,23 @@
 	return nil
 }
 
-// sizes measures what one balancer takes.
-func (c measureCommand) sizes(ctx context.Context, program string) error {
-	tell := func(s measure.Size) { measure.SizesLine(os.Stdout, s) }
+// measureSizes measures what one balancer takes.
+func (c measureCommand) measureSizes(ctx context.Context, program string) error {
+	printSize := func(s measure.Size) { measure.SizesLine(os.Stdout, s) }
 	if c.JSON {
-		tell = func(measure.Size) {}
+		printSize = func(measure.Size) {}
 	} else {
 		measure.SizesHead(os.Stdout)
 	}
-	rows, err := measure.SizesOf(ctx, runner.Program(program), c.Hosts, c.Fleet, tell)
+	rows, err := measure.SizesOf(ctx, runner.Program(program), c.Hosts, c.Fleet, printSize)
 	if err == nil && c.JSON {
 		err = printJSON(rows)
 	}
 	return err
 }
 
-// members measures how balancers see each other.
-func (c measureCommand) members(ctx context.Context, program string) error {
+// measureMembers measures how balancers see each other.
+func (c measureCommand) measureMembers(ctx context.Context, program string) error {
 	var all []measure.Members
 	show := func(m measure.Members) {
 		all = append(all, m)
@@ -516,8 +516,8 @@
 	return nil
 }
 
-// closed measures how much a balancer does at the most.
-func (c measureCommand) closed(ctx context.Context, program string) error {
+// measureSaturation measures how much a balancer does at the most.
+func (c measureCommand) measureSaturation(ctx context.Context, program string) error {
 	var rows []measure.Closed
 	if !c.JSON {
 		measure.ClosedHead(os.Stdout)
@@ -543,7 +543,7 @@
 }
 
 type compareCommand struct {
-	play
+	playOptions
 	A     string   `arg:"" help:"A report, a folder of reports, or a balancer program."`
 	B     string   `arg:"" help:"Another one of the same sort."`
 	Names []string `arg:"" optional:"" help:"With programs: the rehearsals to play on both; by default all."`
@@ -551,19 +551,19 @@
 }
 
 func (c compareCommand) Run() error {
-	a, errA := reports(c.A)
-	b, errB := reports(c.B)
+	a, errA := readReports(c.A)
+	b, errB := readReports(c.B)
 	if errA == nil && errB == nil {
 		return report.Compare(os.Stdout, a, b)
 	}
-	if !runnable(c.A) || !runnable(c.B) {
+	if !isExecutable(c.A) || !isExecutable(c.B) {
 		return errors.Join(errA, errB)
 	}
 	names := c.Names
 	if len(names) == 0 {
 		names = scenario.Names()
 	}
-	ctx, stop := signals()
+	ctx, stop := interruptContext()
 	defer stop()
 	a, b = nil, nil
 	for _, name := range names {
@@ -571,11 +571,11 @@
 			c.Seed = seed
 			// In turn, so that a machine whose speed drifts favours neither.
 			for i, program := range []string{c.A, c.B} {
-				d, err := c.open(name)
+				d, err := c.openScenario(name)
 				if err != nil {
 					return err
 				}
-				r, err := c.one(ctx, d, program, nil)
+				r, err := c.playOne(ctx, d, program, nil)
 				if err != nil {
 					return err
 				}
@@ -590,19 +590,19 @@
 	return report.Compare(os.Stdout, a, b)
 }
 
-func runnable(path string) bool {
+func isExecutable(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && !s.IsDir() && s.Mode()&0o111 != 0
 }
 
-// reports reads one report, or all below a folder.
-func reports(path string) (list []*report.Report, err error) {
+// readReports reads one report, or all below a folder.
+func readReports(path string) (list []*report.Report, err error) {
 	s, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !s.IsDir() {
-		if runnable(path) {
+		if isExecutable(path) {
 			return nil, fmt.Errorf("%s: a program", path)
 		}
 		r, err := report.Read(path)
--- a/cmd/rehearse/search.go
+++ b/cmd/rehearse/search.go
@@ -30,7 +30,7 @@
 	if c.Balancers != 0 {
 		base.Fleet.Balancers = c.Balancers
 	}
-	ctx, stop := signals()
+	ctx, stop := interruptContext()
 	defer stop()
 	began := time.Now()
 	res, err := search.Days(ctx, base, c.From, c.Days, runtime.GOMAXPROCS(0))
@@ -41,44 +41,44 @@
 	for _, r := range judge.Rules {
 		fmt.Printf("  %-38s %9d checked\n", r.Rule, res.Checked[r.Rule])
 	}
-	for _, f := range append(res.Broken, res.Worst[:min(c.Worst, len(res.Worst))]...) {
-		small, err := search.Shrink(f)
+	for _, found := range append(res.Broken, res.Worst[:min(c.Worst, len(res.Worst))]...) {
+		shrunk, err := search.Shrink(found)
 		if err != nil {
 			return err
 		}
-		if err := c.tell(f, small); err != nil {
+		if err := c.reportFinding(found, shrunk); err != nil {
 			return err
 		}
 	}
 	if res.Kept < res.Played {
-		return outcome(report.Broken)
+		return exitError(report.Broken)
 	}
 	return nil
 }
 
-// tell prints a day that was found, and lays it down.
-func (c searchCommand) tell(f, small search.Found) error {
-	fmt.Printf("\nseed %d: service %.3f", f.Day.Seed, f.Service)
-	for _, r := range f.Broken {
+// reportFinding prints a day that was found, and lays it down.
+func (c searchCommand) reportFinding(found, shrunk search.Found) error {
+	fmt.Printf("\nseed %d: service %.3f", found.Day.Seed, found.Service)
+	for _, r := range found.Broken {
 		fmt.Printf(", broken: %s", r)
 	}
-	fmt.Printf("; shrunk to %d balancers, %v, service %.3f:\n", small.Day.Fleet.Balancers, small.Day.Length, small.Service)
-	for _, x := range small.Day.Faults {
-		fmt.Printf("  %s from %v for %v", x.Do, x.At, x.For)
-		if len(x.Nodes) > 0 {
-			fmt.Printf(" at %d nodes", len(x.Nodes))
+	fmt.Printf("; shrunk to %d balancers, %v, service %.3f:\n", shrunk.Day.Fleet.Balancers, shrunk.Day.Length, shrunk.Service)
+	for _, fault := range shrunk.Day.Faults {
+		fmt.Printf("  %s from %v for %v", fault.Do, fault.At, fault.For)
+		if len(fault.Nodes) > 0 {
+			fmt.Printf(" at %d nodes", len(fault.Nodes))
 		}
 		fmt.Println()
 	}
 	if c.Out == "" {
 		return nil
 	}
-	text, err := small.Day.Text()
+	text, err := shrunk.Day.Text()
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(c.Out, small.Day.Name+".toml"), text, 0o644)
+	return os.WriteFile(filepath.Join(c.Out, shrunk.Day.Name+".toml"), text, 0o644)
 }
--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -24,8 +24,8 @@
 	JSON      bool   `help:"Print the reports as JSON."`
 }
 
-// seeds reads a list of numbers and ranges.
-func seeds(text string) (list []uint64, err error) {
+// parseSeeds reads a list of numbers and ranges.
+func parseSeeds(text string) (list []uint64, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		low, high, ranged := strings.Cut(part, "-")
 		a, errA := strconv.ParseUint(low, 10, 64)
@@ -33,8 +33,8 @@
 		if ranged {
 			b, errB = strconv.ParseUint(high, 10, 64)
 		}
-		if errA != nil || errB != nil || b < a || b-a >= seedsMost {
-			return nil, fmt.Errorf("--seeds: %w: expected numbers and ranges like 1-100 of at most %d, got %q", scenario.ErrFaulty, seedsMost, part)
+		if errA != nil || errB != nil || b < a || b-a >= maxSeedsPerRange {
+			return nil, fmt.Errorf("--seeds: %w: expected numbers and ranges like 1-100 of at most %d, got %q", scenario.ErrFaulty, maxSeedsPerRange, part)
 		}
 		for n := a; n <= b; n++ {
 			list = append(list, n)
@@ -43,10 +43,10 @@
 	return list, nil
 }
 
-const seedsMost = 100_000
+const maxSeedsPerRange = 100_000
 
 func (c simulateCommand) Run() error {
-	list, err := seeds(c.Seeds)
+	list, err := parseSeeds(c.Seeds)
 	if err != nil {
 		return err
 	}
@@ -66,7 +66,7 @@
 	}
 	reports := make([]*report.Report, len(list))
 	err = measure.SideBySide(len(list), runtime.GOMAXPROCS(0), func(i int) (err error) {
-		reports[i], err = c.one(list[i], trace)
+		reports[i], err = c.simulateSeed(list[i], trace)
 		return err
 	})
 	if err != nil {
@@ -79,17 +79,17 @@
 	} else if len(reports) == 1 {
 		reports[0].Text(os.Stdout)
 	} else {
-		summary(reports)
+		printSummary(reports)
 	}
 	for _, r := range reports {
 		if r.Outcome != report.Kept {
-			return outcome(r.Outcome)
+			return exitError(r.Outcome)
 		}
 	}
 	return nil
 }
 
-func (c simulateCommand) one(seed uint64, trace io.Writer) (*report.Report, error) {
+func (c simulateCommand) simulateSeed(seed uint64, trace io.Writer) (*report.Report, error) {
 	d, err := scenario.Open(c.Name)
 	if err != nil {
 		return nil, err
@@ -105,8 +105,8 @@
 	return report.Of(res), nil
 }
 
-// summary tells the spread of the service and every seed that broke a rule.
-func summary(reports []*report.Report) {
+// printSummary tells the spread of the service and every seed that broke a rule.
+func printSummary(reports []*report.Report) {
 	var service []float64
 	for _, r := range reports {
 		service = append(service, r.Service.Whole)
--- a/cmd/streamrail/main.go
+++ b/cmd/streamrail/main.go
@@ -1,4 +1,4 @@
-// Command streamrail is one balancer: it takes requests from clients and sends them on to cache hosts.
+// Command streamrail is one balancer: it receives requests from clients and forwards them to cache hosts.
 package main
 
 import (
@@ -17,46 +17,46 @@
 
 func main() { os.Exit(run()) }
 
-// collectAt lets garbage grow to three times what lives before it is collected: what lives is some megabytes, and the
-// memory limit holds whatever the machine gives. At the usual 100 a busy balancer spent a tenth of its time on it.
-const collectAt = 300
+// gcPercent lets garbage grow to three times the live heap before a collection. The live heap is only a few megabytes, and
+// the memory limit applies in any case. With the default of 100 a busy balancer spent a tenth of its time on collection.
+const gcPercent = 300
 
-// run returns the exit code: 0 after an ordered end, 2 after a faulty start, 1 where it was cut short.
+// run returns the exit code: 0 after a complete drain, 1 if stopped before that, 2 if the start failed.
 func run() int {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
-	again := make(chan os.Signal, 1) // one that waits stands for all that come meanwhile: the file is read after it
-	signal.Notify(again, syscall.SIGHUP)
-	told, err := deployment.FromEnvironment(os.Getenv)
+	reloadSignals := make(chan os.Signal, 1) // one pending signal is enough: the file is read after it is received
+	signal.Notify(reloadSignals, syscall.SIGHUP)
+	config, err := deployment.FromEnvironment(os.Getenv)
 	if err != nil {
 		log.Error().Err(err).Msg("faulty configuration")
 		return 2
 	}
-	log = log.With().Str("balancer", told.Name).Logger()
+	log = log.With().Str("balancer", config.Name).Logger()
 	runtime.GOMAXPROCS(1)
-	debug.SetGCPercent(collectAt)
-	own, err := operator.Read(os.Getenv("STREAMRAIL_FILE"))
+	debug.SetGCPercent(gcPercent)
+	operatorConfig, err := operator.Read(os.Getenv("STREAMRAIL_FILE"))
 	if err != nil {
 		log.Error().Err(err).Msg("faulty configuration")
 		return 2
 	}
-	b := balancer.New(told, own, log)
-	orders := make(chan os.Signal, 4)
-	signal.Notify(orders, syscall.SIGTERM, syscall.SIGINT)
-	cut := make(chan struct{})
+	b := balancer.New(config, operatorConfig, log)
+	stopSignals := make(chan os.Signal, 4)
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	cutShort := make(chan struct{})
 	go func() {
-		if s := <-orders; s == syscall.SIGTERM {
+		if sig := <-stopSignals; sig == syscall.SIGTERM {
 			b.Drain()
-			<-orders
+			<-stopSignals
 		}
-		close(cut)
+		close(cutShort)
 		b.Stop()
 	}()
 	go func() {
-		for range again {
-			if told, err := deployment.Again(os.Getenv); err != nil {
+		for range reloadSignals {
+			if config, err := deployment.Again(os.Getenv); err != nil {
 				log.Error().Err(err).Msg("faulty configuration, nothing changed")
 			} else {
-				b.Reload(told)
+				b.Reload(config)
 			}
 		}
 	}()
@@ -65,7 +65,7 @@
 		return 2
 	}
 	select {
-	case <-cut:
+	case <-cutShort:
 		return 1
 	default:
 		return 0
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred runs all tests and passes over just those failures that KNOWN-RED.txt lists: tests that fail for a fault which is
-// known and not mended yet. Its last line counts tests.
+// Command knownred runs all tests and ignores only the failures of the tests that KNOWN-RED.txt lists: tests that fail
+// because of a known fault that is not fixed yet. Its last line of output counts the tests that passed and failed.
 package main
 
 import (
@@ -15,16 +15,16 @@
 )
 
 const (
-	listed = "KNOWN-RED.txt"
-	most   = 3 // more are no exceptions any more
+	listFile         = "KNOWN-RED.txt"
+	maxKnownFailures = 3 // a longer list would make ignored failures normal
 )
 
 func main() {
-	text, err := os.ReadFile(listed)
+	text, err := os.ReadFile(listFile)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		fail(err)
 	}
-	known, err := parse(string(text))
+	known, err := parseList(string(text))
 	if err != nil {
 		fail(err)
 	}
@@ -37,11 +37,11 @@
 	if err := cmd.Start(); err != nil {
 		fail(err)
 	}
-	r, err := read(out, os.Stdout)
+	r, err := readEvents(out, os.Stdout)
 	if err != nil {
 		fail(err)
 	}
-	err = r.judge(known, cmd.Wait() != nil)
+	err = r.check(known, cmd.Wait() != nil)
 	for _, k := range known {
 		fmt.Printf("known red: %s, %s, %s\n", k.test, k.cause, k.issue)
 	}
@@ -51,16 +51,17 @@
 	}
 }
 
+// fail prints an error and exits with code 1.
 func fail(err error) {
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(1)
 }
 
-// red is a line of the list.
-type red struct{ test, cause, issue string }
+// knownFailure is one line of the list: a test, why it fails and the issue that tracks the fault.
+type knownFailure struct{ test, cause, issue string }
 
-// parse reads the list: test, cause, issue on each line.
-func parse(text string) (all []red, err error) {
+// parseList parses the list. Each line has the form: test, cause, issue.
+func parseList(text string) (failures []knownFailure, err error) {
 	for _, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
 			continue
@@ -68,86 +69,87 @@
 		test, rest, _ := strings.Cut(line, ",")
 		i := strings.LastIndex(rest, ",")
 		if i < 0 {
-			return nil, fmt.Errorf("%s: %q is not: test, cause, issue", listed, line)
+			return nil, fmt.Errorf("%s: %q is not: test, cause, issue", listFile, line)
 		}
-		r := red{strings.TrimSpace(test), strings.TrimSpace(rest[:i]), strings.TrimSpace(rest[i+1:])}
+		r := knownFailure{strings.TrimSpace(test), strings.TrimSpace(rest[:i]), strings.TrimSpace(rest[i+1:])}
 		switch {
 		case !strings.HasPrefix(r.test, "Test") || strings.ContainsAny(r.test, " /"):
-			return nil, fmt.Errorf("%s: %q names no test", listed, line)
+			return nil, fmt.Errorf("%s: %q names no test", listFile, line)
 		case r.cause == "":
-			return nil, fmt.Errorf("%s: %q has no cause", listed, line)
+			return nil, fmt.Errorf("%s: %q has no cause", listFile, line)
 		case !strings.ContainsAny(r.issue, "0123456789"):
-			return nil, fmt.Errorf("%s: %q names no issue", listed, line)
+			return nil, fmt.Errorf("%s: %q names no issue", listFile, line)
 		}
-		all = append(all, r)
+		failures = append(failures, r)
 	}
-	if len(all) > most {
-		return nil, fmt.Errorf("%s: %d lines, %d at most", listed, len(all), most)
+	if len(failures) > maxKnownFailures {
+		return nil, fmt.Errorf("%s: %d lines, %d at most", listFile, len(failures), maxKnownFailures)
 	}
-	return all, nil
+	return failures, nil
 }
 
-// result is what came of the tests, by packages.
+// result is the outcome of a test run.
 type result struct {
 	passed, failed int
-	ran            map[string]bool     // by test
-	red            map[string][]string // by package that failed: the tests that did
-	broken         []string            // packages that ended otherwise than by failed tests
+	ran            map[string]bool     // top-level tests that passed or failed
+	failedTests    map[string][]string // the failed top-level tests of each package
+	incomplete     []string            // packages that did not build, panicked, or failed without a failed test
 }
 
-// read follows the events of go test and prints what it would print.
-func read(events io.Reader, to io.Writer) (*result, error) {
-	r := &result{ran: map[string]bool{}, red: map[string][]string{}}
+// readEvents reads the events of "go test -json" and prints package results, failures and build output as go test does.
+func readEvents(events io.Reader, out io.Writer) (*result, error) {
+	r := &result{ran: map[string]bool{}, failedTests: map[string][]string{}}
 	panicked := map[string]bool{}
 	in := bufio.NewScanner(events)
 	in.Buffer(nil, 16<<20)
 	for in.Scan() {
-		var e struct{ Action, Package, ImportPath, Test, Output string }
-		if err := json.Unmarshal(in.Bytes(), &e); err != nil {
+		var event struct{ Action, Package, ImportPath, Test, Output string }
+		if err := json.Unmarshal(in.Bytes(), &event); err != nil {
 			return nil, fmt.Errorf("go test: %q: %w", in.Text(), err)
 		}
-		if e.Action == "output" && (e.Test == "" && !strings.HasPrefix(e.Output, "?") || strings.Contains(e.Output, "--- FAIL") || strings.Contains(e.Output, "_test.go:")) ||
-			e.Action == "build-output" {
-			io.WriteString(to, e.Output)
+		if event.Action == "output" && (event.Test == "" && !strings.HasPrefix(event.Output, "?") || strings.Contains(event.Output, "--- FAIL") || strings.Contains(event.Output, "_test.go:")) ||
+			event.Action == "build-output" {
+			io.WriteString(out, event.Output)
 		}
-		if strings.HasPrefix(e.Output, "panic:") || strings.HasPrefix(e.Output, "fatal error:") || strings.Contains(e.Output, "test timed out") {
-			panicked[e.Package] = true // tests behind it did not run
+		if strings.HasPrefix(event.Output, "panic:") || strings.HasPrefix(event.Output, "fatal error:") || strings.Contains(event.Output, "test timed out") {
+			panicked[event.Package] = true // the package's remaining tests did not run
 		}
-		if top, _, sub := strings.Cut(e.Test, "/"); e.Test != "" && !sub {
-			switch e.Action {
+		if name, _, isSubtest := strings.Cut(event.Test, "/"); event.Test != "" && !isSubtest {
+			switch event.Action {
 			case "pass":
 				r.passed++
-				r.ran[top] = true
+				r.ran[name] = true
 			case "fail":
 				r.failed++
-				r.ran[top] = true
-				r.red[e.Package] = append(r.red[e.Package], top)
+				r.ran[name] = true
+				r.failedTests[event.Package] = append(r.failedTests[event.Package], name)
 			}
 		}
 		switch {
-		case e.Action == "build-fail":
-			r.broken = append(r.broken, e.ImportPath)
-		case e.Action == "fail" && e.Test == "" && (len(r.red[e.Package]) == 0 || panicked[e.Package]):
-			r.broken = append(r.broken, e.Package)
+		case event.Action == "build-fail":
+			r.incomplete = append(r.incomplete, event.ImportPath)
+		case event.Action == "fail" && event.Test == "" && (len(r.failedTests[event.Package]) == 0 || panicked[event.Package]):
+			r.incomplete = append(r.incomplete, event.Package)
 		}
 	}
 	return r, in.Err()
 }
 
-// judge tells why the tests as a whole have failed; nil: they have not, but for what is known.
-func (r *result) judge(known []red, failed bool) error {
-	if len(r.broken) > 0 {
-		return fmt.Errorf("not run to their end: %s", strings.Join(r.broken, ", "))
+// check returns why the test run failed, or nil if it passed apart from known failures. The parameter failed says whether
+// go test returned an error.
+func (r *result) check(known []knownFailure, failed bool) error {
+	if len(r.incomplete) > 0 {
+		return fmt.Errorf("not run to their end: %s", strings.Join(r.incomplete, ", "))
 	}
 	for _, k := range known {
 		if !r.ran[k.test] {
-			return fmt.Errorf("%s: there is no test %s", listed, k.test)
+			return fmt.Errorf("%s: there is no test %s", listFile, k.test)
 		}
 	}
 	var new []string
-	for _, tests := range r.red {
+	for _, tests := range r.failedTests {
 		for _, test := range tests {
-			if !slices.ContainsFunc(known, func(k red) bool { return k.test == test }) {
+			if !slices.ContainsFunc(known, func(k knownFailure) bool { return k.test == test }) {
 				new = append(new, test)
 			}
 		}
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// The list has at most three lines, each with a test, a cause and an issue; anything else fails.
+// The list has at most three lines, each with a test, a cause and an issue; anything else is rejected.
 func TestParse(t *testing.T) {
 	for text, want := range map[string]string{
 		"": "", "\n\n": "",
@@ -20,14 +20,15 @@
 		"TestA/x, x, 1": "names no test",
 		"all, x, 1":     "names no test",
 	} {
-		_, err := parse(text)
+		_, err := parseList(text)
 		if want == "" && err != nil || want != "" && (err == nil || !strings.Contains(err.Error(), want)) {
 			t.Errorf("%q: %v, expected %q", text, err, want)
 		}
 	}
 }
 
-// Only failures of listed tests are passed over: not another test's, a panic, a package that does not build, or nothing run.
+// Only failures of listed tests are ignored. Failures of other tests, panics, packages that do not build, and a run without
+// any test still fail.
 func TestJudge(t *testing.T) {
 	const (
 		passes = `{"Action":"pass","Package":"p","Test":"TestA"}` + "\n"
@@ -54,15 +55,15 @@
 		"nothing ran":             {"", "", false, "no test ran"},
 		"go test fails alone":     {passes, "", true, "go test failed"},
 	} {
-		known, err := parse(row.list)
+		known, err := parseList(row.list)
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := read(strings.NewReader(row.events), io.Discard)
+		r, err := readEvents(strings.NewReader(row.events), io.Discard)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err = r.judge(known, row.failed); row.want == "" && err != nil || row.want != "" && (err == nil || !strings.Contains(err.Error(), row.want)) {
+		if err = r.check(known, row.failed); row.want == "" && err != nil || row.want != "" && (err == nil || !strings.Contains(err.Error(), row.want)) {
 			t.Errorf("%s: %v, expected %q", name, err, row.want)
 		}
 	}
