--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -23,6 +23,7 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
+// listCommand lists the built-in rehearsals and the kinds of faults.
 type listCommand struct{}
 
 func (listCommand) Run() error {
@@ -40,8 +41,9 @@
 	return nil
 }
 
+// checkCommand checks scenario files.
 type checkCommand struct {
-	Files []string `arg:"" help:"Scenario files, or names of built-in rehearsals."`
+	Files []string `arg:"" help:"Scenario files or names of built-in rehearsals."`
 }
 
 func (c checkCommand) Run() error {
@@ -56,18 +58,18 @@
 	return errors.Join(faults...)
 }
 
-// playOptions is what all commands that play a day share.
-type playOptions struct {
-	Balancer  string        `help:"The balancer program; by default streamrail beside this one." type:"path" placeholder:"FILE"`
-	Seed      uint64        `help:"Another seed than the file's."`
-	Balancers int           `help:"Another number of balancers than the file's."`
-	For       time.Duration `help:"Another length than the file's; faults that do not fit are left out."`
-	Operator  string        `help:"The operator's own file for the balancers, in place of the rehearsal's; 'none' for none." placeholder:"FILE"`
-	Out       string        `help:"A folder for the report and the balancers' logs." type:"path" placeholder:"DIR"`
+// runOptions holds the flags of all commands that run scenarios.
+type runOptions struct {
+	Balancer  string        `help:"The balancer program; by default streamrail in the directory of this program." type:"path" placeholder:"FILE"`
+	Seed      uint64        `help:"The seed, in place of the file's."`
+	Balancers int           `help:"The number of balancers, in place of the file's."`
+	For       time.Duration `help:"The length, in place of the file's; faults that would end later are left out."`
+	Operator  string        `help:"The operator's file for the balancers, in place of the rehearsal's; 'none' for none." placeholder:"FILE"`
+	Out       string        `help:"A directory for the report and the balancers' logs." type:"path" placeholder:"DIR"`
 }
 
-// findBalancer finds the balancer.
-func (p *playOptions) findBalancer() (string, error) {
+// findBalancer returns the path of the balancer program.
+func (p *runOptions) findBalancer() (string, error) {
 	path := p.Balancer
 	if path == "" {
 		self, err := os.Executable()
@@ -82,8 +84,8 @@
 	return path, nil
 }
 
-// openScenario reads a rehearsal with what the command line changes.
-func (p *playOptions) openScenario(name string) (*scenario.Day, error) {
+// openScenario reads a scenario and applies the changes from the command line.
+func (p *runOptions) openScenario(name string) (*scenario.Day, error) {
 	d, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
@@ -114,16 +116,16 @@
 	return d, nil
 }
 
-// prepare finds the balancer and reads a rehearsal.
-func (p *playOptions) prepare(name string) (program string, d *scenario.Day, err error) {
+// prepare finds the balancer program and reads a scenario.
+func (p *runOptions) prepare(name string) (program string, d *scenario.Day, err error) {
 	if program, err = p.findBalancer(); err == nil {
 		d, err = p.openScenario(name)
 	}
 	return program, d, err
 }
 
-// outputDir is where a rehearsal's files go, and what removes them where nobody asked for them.
-func (p *playOptions) outputDir(name string) (dir string, cleanup func(), err error) {
+// outputDir creates the directory for a scenario's files. The returned cleanup removes it unless --out asked for the files.
+func (p *runOptions) outputDir(name string) (dir string, cleanup func(), err error) {
 	if p.Out != "" {
 		dir = filepath.Join(p.Out, name)
 		return dir, func() {}, os.MkdirAll(dir, 0o755)
@@ -132,8 +134,8 @@
 	return dir, func() { os.RemoveAll(dir) }, err
 }
 
-// playOne plays a day and lays its report down.
-func (p *playOptions) playOne(ctx context.Context, d *scenario.Day, program string, monitor func(*runner.Stage)) (*report.Report, error) {
+// runOne runs a scenario and writes its report if --out is set.
+func (p *runOptions) runOne(ctx context.Context, d *scenario.Day, program string, monitor func(*runner.Stage)) (*report.Report, error) {
 	dir, cleanup, err := p.outputDir(d.Name)
 	if err != nil {
 		return nil, err
@@ -153,13 +155,14 @@
 	return r, r.HTML(filepath.Join(dir, "report.html"))
 }
 
-// interruptContext ends with the first interrupt.
+// interruptContext returns a context that ends with the first SIGINT or SIGTERM.
 func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
+// runCommand runs one scenario against real balancers.
 type runCommand struct {
-	playOptions
+	runOptions
 	Name string `arg:"" help:"A built-in rehearsal or a scenario file."`
 	JSON bool   `help:"Print the report as JSON."`
 }
@@ -175,7 +178,7 @@
 	if isTerminal(os.Stderr) {
 		monitor = showProgress
 	}
-	r, err := c.playOne(ctx, d, program, monitor)
+	r, err := c.runOne(ctx, d, program, monitor)
 	if err != nil {
 		return err
 	}
@@ -189,12 +192,14 @@
 	return exitError(r.Outcome)
 }
 
+// printJSON prints a value as JSON.
 func printJSON(v any) error {
 	e := json.NewEncoder(os.Stdout)
 	e.SetIndent("", " ")
 	return e.Encode(v)
 }
 
+// exitError returns the exit code of an outcome as an error, or nil if it is 0.
 func exitError(o report.Outcome) error {
 	if code := o.Exit(); code != 0 {
 		return exitCode(code)
@@ -202,26 +207,28 @@
 	return nil
 }
 
+// isTerminal says whether a file is a terminal.
 func isTerminal(f *os.File) bool {
 	s, err := f.Stat()
 	return err == nil && s.Mode()&os.ModeCharDevice != 0
 }
 
-// showProgress shows on a terminal how a day goes.
+// showProgress shows the progress of a running scenario on a terminal.
 func showProgress(s *runner.Stage) {
 	for now := s.W.Now(); now < s.W.Day.Length.D(); now = s.W.Now() {
 		t := s.Callers.Tally()
-		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d calls: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
+		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d requests: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
 			s.W.Day.Length.D().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
 		time.Sleep(time.Second / 2)
 	}
 	fmt.Fprintln(os.Stderr)
 }
 
+// upCommand starts a fleet and its balancers and keeps them running for manual tests.
 type upCommand struct {
-	playOptions
+	runOptions
 	Name string `arg:"" optional:"" default:"calm" help:"A built-in rehearsal or a scenario file."`
-	Try  bool   `help:"Read and write some keys through a balancer, print what comes back and end."`
+	Try  bool   `help:"Read and write some keys through a balancer, print the answers and exit."`
 }
 
 func (c upCommand) Run() error {
@@ -242,30 +249,30 @@
 	}
 	defer s.End()
 	s.W.Begin()
-	s.W.Open() // what is tried by hand was planned by nobody
+	s.W.Open() // accept requests that are not part of the scenario
 	for b := range d.Fleet.Balancers {
 		fmt.Printf("balancer %d serves at %s\n", b+1, s.Addr(b))
 	}
 	if d.Mates.On {
 		printMemberViews(s, d.Fleet.Balancers)
 	}
-	read := fmt.Sprintf("mg line-1 v Otry1 Pc=%s,t=%s,d=1000", d.Products[0].Name, d.Tenants[0].Name)
+	readRequest := fmt.Sprintf("mg line-1 v Otry1 Pc=%s,t=%s,d=1000", d.Products[0].Name, d.Tenants[0].Name)
 	if !c.Try {
 		host, port, _ := net.SplitHostPort(s.Addr(0))
-		fmt.Printf("to read a key, with an id that is new each time:\n  printf '%s\\r\\nquit\\r\\n' | nc %s %s\nan interrupt ends it\n", read, host, port)
+		fmt.Printf("to read a key, with a new request id each time:\n  printf '%s\\r\\nquit\\r\\n' | nc %s %s\ninterrupt this program to stop\n", readRequest, host, port)
 		<-ctx.Done()
 		return nil
 	}
-	return tryRequests(s.Addr(0), d, read)
+	return tryRequests(s.Addr(0), d, readRequest)
 }
 
-// printMemberViews prints what the balancers see of each other: a line a view, a column a member.
+// printMemberViews prints the balancers' views of each other: one line per balancer, one column per member.
 func printMemberViews(s *runner.Stage, n int) {
-	time.Sleep(2 * time.Second) // they find each other within that
+	time.Sleep(2 * time.Second) // the balancers find each other within this time
 	for b := range n {
 		v, ok := s.View(b)
 		if !ok {
-			fmt.Printf("%-4s does not answer at its door\n", fmt.Sprint("b", b+1))
+			fmt.Printf("%-4s: its admin API does not answer\n", fmt.Sprint("b", b+1))
 			continue
 		}
 		fmt.Printf("%-4s %-8s sees %d of %d, digest %s:", v.Name, v.Situation, v.Seen, v.Expected, v.Digest)
@@ -276,8 +283,8 @@
 	}
 }
 
-// tryRequests makes some calls by hand and prints both sides.
-func tryRequests(addr string, d *scenario.Day, read string) error {
+// tryRequests sends some requests to a balancer and prints the requests and the answers.
+func tryRequests(addr string, d *scenario.Day, readRequest string) error {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return err
@@ -285,13 +292,13 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	in := bufio.NewReader(conn)
-	lines := []string{"mn", read, strings.NewReplacer("line-1 ", "line-2 ", "try1", "try2").Replace(read)}
+	lines := []string{"mn", readRequest, strings.NewReplacer("line-1 ", "line-2 ", "try1", "try2").Replace(readRequest)}
 	for _, p := range d.Products {
 		if p.Write {
 			lines = append(lines, fmt.Sprintf("ms line-1 5 Otry%d Pc=%s,t=%s,d=2000,k=mark%d\r\nhello", len(lines), p.Name, d.Tenants[0].Name, len(lines)))
 		}
 	}
-	lines = append(lines, strings.Replace(read, "try1", "try9", 1))
+	lines = append(lines, strings.Replace(readRequest, "try1", "try9", 1))
 	for _, l := range lines {
 		fmt.Println("> " + strings.ReplaceAll(l, "\r\n", "\n> "))
 		fmt.Fprintf(conn, "%s\r\n", l)
@@ -312,15 +319,16 @@
 	return nil
 }
 
+// suiteCommand runs several scenarios, by default all built-in ones.
 type suiteCommand struct {
-	playOptions
-	Names  []string      `arg:"" optional:"" help:"These rehearsals only."`
-	Budget time.Duration `default:"8m" help:"How long all may take together; what does not fit is not played, and said."`
-	Lanes  int           `help:"How many are played at a time; by default one for each three cores."`
+	runOptions
+	Names  []string      `arg:"" optional:"" help:"The rehearsals to run; by default all built-in ones."`
+	Budget time.Duration `default:"8m" help:"Total time; rehearsals that do not fit are not run, and their number is printed."`
+	Lanes  int           `help:"How many rehearsals run at the same time; by default one per three cores."`
 	JSON   bool          `help:"Print the reports as JSON."`
 }
 
-// coresPerLane is what one rehearsal with its balancers keeps busy at the most.
+// coresPerLane is the number of cores that one scenario and its balancers use at most.
 const coresPerLane = 3
 
 func (c suiteCommand) Run() error {
@@ -332,17 +340,17 @@
 	if len(names) == 0 {
 		names = scenario.Names()
 	}
-	var days []*scenario.Day
+	var scenarios []*scenario.Day
 	for _, n := range names {
 		d, err := c.openScenario(n)
 		if err != nil {
 			return err
 		}
-		days = append(days, d)
+		scenarios = append(scenarios, d)
 	}
 	ctx, stop := interruptContext()
 	defer stop()
-	reports, err := c.playAll(ctx, days, program)
+	reports, err := c.runAll(ctx, scenarios, program)
 	if err != nil {
 		return err
 	}
@@ -367,8 +375,8 @@
 			return err
 		}
 	}
-	if n := len(days) - len(reports); n > 0 {
-		fmt.Fprintf(os.Stderr, "%d rehearsals did not fit into %v\n", n, c.Budget)
+	if n := len(scenarios) - len(reports); n > 0 {
+		fmt.Fprintf(os.Stderr, "%d rehearsals were not run because they did not fit into %v\n", n, c.Budget)
 		if worst == report.Kept {
 			worst = report.Unsure
 		}
@@ -376,21 +384,22 @@
 	return exitError(worst)
 }
 
-// playAll plays days on lanes; what the budget leaves no time for is left out. The reports come in the days' order.
-func (c suiteCommand) playAll(ctx context.Context, days []*scenario.Day, program string) (reports []*report.Report, err error) {
+// runAll runs scenarios, several at a time. It skips those for which the budget leaves too little time. The reports are in
+// the order of the scenarios.
+func (c suiteCommand) runAll(ctx context.Context, scenarios []*scenario.Day, program string) (reports []*report.Report, err error) {
 	lanes := c.Lanes
 	if lanes <= 0 {
 		lanes = max(1, runtime.GOMAXPROCS(0)/coresPerLane)
 	}
-	end := time.Now().Add(c.Budget)
-	played := make([]*report.Report, len(days))
-	err = measure.SideBySide(len(days), lanes, func(i int) (err error) {
-		if !time.Now().Add(days[i].Length.D()).After(end) {
-			played[i], err = c.playOne(ctx, days[i], program, nil)
+	deadline := time.Now().Add(c.Budget)
+	results := make([]*report.Report, len(scenarios))
+	err = measure.SideBySide(len(scenarios), lanes, func(i int) (err error) {
+		if !time.Now().Add(scenarios[i].Length.D()).After(deadline) {
+			results[i], err = c.runOne(ctx, scenarios[i], program, nil)
 		}
 		return err
 	})
-	for _, r := range played {
+	for _, r := range results {
 		if r != nil {
 			reports = append(reports, r)
 		}
@@ -398,26 +407,27 @@
 	return reports, err
 }
 
+// measureCommand measures balancers and the load generator.
 type measureCommand struct {
-	What     string        `arg:"" optional:"" enum:",members,limits,sizes,evidence" default:"" help:"evidence: balancers that tell each other of nodes beside the same ones alone, in virtual time; sizes: what a balancer takes with many hosts and balancers; members: how balancers see each other, in virtual time and on sockets; limits: parts that move beside equal ones, in virtual time; else what a balancer adds to a call."`
-	Virtual  []int         `default:"16,100,400" help:"With members: sizes in virtual time."`
-	Sockets  []int         `default:"5,16,40" help:"With members: sizes on sockets."`
-	Seeds    int           `default:"200" help:"With members: seeds in virtual time."`
-	Times    int           `default:"10" help:"With members: how many deaths and starts on sockets; a third as many cuts."`
-	Quiet    time.Duration `default:"2h" help:"With members: how long each quiet fleet is played in virtual time."`
-	Stalled  time.Duration `default:"2h" help:"With members: how long the fleet with 5% loss and stalls is played in virtual time."`
-	Balancer string        `help:"The balancer program; by default streamrail beside this one." type:"path" placeholder:"FILE"`
-	Rates    []float64     `default:"500,1000,2000,4000,8000,16000" help:"requests a second."`
-	For      time.Duration `default:"4s" help:"How long each rate is kept up, each way."`
-	Repeats  int           `default:"3" help:"How often; the figures are medians."`
-	Clients  []int         `help:"In place of rates: so many clients, each of which sends its next call as soon as it has its answer."`
-	Hosts    []int         `default:"8" help:"With --clients: so many cache hosts, which answer at once; with sizes: hosts in the list."`
+	What     string        `arg:"" optional:"" enum:",members,limits,sizes,evidence" default:"" help:"evidence: balancers that share their observations of hosts compared with ones that do not, in virtual time; sizes: the resources that a balancer needs with many hosts and balancers; members: how balancers detect each other, in virtual time and on sockets; limits: moving quota shares compared with equal ones, in virtual time; by default the latency and CPU time that a balancer adds to a request."`
+	Virtual  []int         `default:"16,100,400" help:"With members, limits and evidence: fleet sizes in virtual time."`
+	Sockets  []int         `default:"5,16,40" help:"With members: fleet sizes on sockets."`
+	Seeds    int           `default:"200" help:"With members, limits and evidence: number of seeds in virtual time."`
+	Times    int           `default:"10" help:"With members: how many process deaths and starts on sockets; a third as many network partitions."`
+	Quiet    time.Duration `default:"2h" help:"With members: virtual running time of each fleet without faults."`
+	Stalled  time.Duration `default:"2h" help:"With members: virtual running time of the fleet with 5% packet loss and stalls."`
+	Balancer string        `help:"The balancer program; by default streamrail in the directory of this program." type:"path" placeholder:"FILE"`
+	Rates    []float64     `default:"500,1000,2000,4000,8000,16000" help:"Rates to measure, in requests per second."`
+	For      time.Duration `default:"4s" help:"How long each rate is kept up, with and without the balancer."`
+	Repeats  int           `default:"3" help:"Number of repetitions; the printed values are medians."`
+	Clients  []int         `help:"In place of rates: numbers of clients, each of which sends its next request as soon as it has an answer."`
+	Hosts    []int         `default:"8" help:"With --clients: numbers of cache hosts, which answer immediately; with sizes: hosts in the list."`
 	Fleet    []int         `default:"8,350,1024" help:"With sizes: balancers in the settings."`
 	JSON     bool          `help:"Print the rows as JSON."`
 }
 
 func (c measureCommand) Run() error {
-	program, err := (&playOptions{Balancer: c.Balancer}).findBalancer()
+	program, err := (&runOptions{Balancer: c.Balancer}).findBalancer()
 	if err != nil {
 		return err
 	}
@@ -455,7 +465,7 @@
 	return nil
 }
 
-// measureBySize measures fleets of each size in virtual time and prints the figures.
+// measureBySize measures fleets of each size in virtual time and prints the results.
 func measureBySize[T interface{ Text(io.Writer) }](c measureCommand, measureSize func(balancers, seeds, parallel int) ([]T, error)) error {
 	var all []T
 	for _, n := range c.Virtual {
@@ -476,7 +486,7 @@
 	return nil
 }
 
-// measureSizes measures what one balancer takes.
+// measureSizes measures the resources that one balancer needs with many hosts and balancers.
 func (c measureCommand) measureSizes(ctx context.Context, program string) error {
 	printSize := func(s measure.Size) { measure.SizesLine(os.Stdout, s) }
 	if c.JSON {
@@ -491,7 +501,7 @@
 	return err
 }
 
-// measureMembers measures how balancers see each other.
+// measureMembers measures how quickly and accurately balancers detect each other's starts and failures.
 func (c measureCommand) measureMembers(ctx context.Context, program string) error {
 	var all []measure.Members
 	show := func(m measure.Members) {
@@ -516,7 +526,7 @@
 	return nil
 }
 
-// measureSaturation measures how much a balancer does at the most.
+// measureSaturation measures the highest throughput of a balancer.
 func (c measureCommand) measureSaturation(ctx context.Context, program string) error {
 	var rows []measure.Closed
 	if !c.JSON {
@@ -542,11 +552,12 @@
 	return nil
 }
 
+// compareCommand compares reports or balancer programs.
 type compareCommand struct {
-	playOptions
-	A     string   `arg:"" help:"A report, a folder of reports, or a balancer program."`
-	B     string   `arg:"" help:"Another one of the same sort."`
-	Names []string `arg:"" optional:"" help:"With programs: the rehearsals to play on both; by default all."`
+	runOptions
+	A     string   `arg:"" help:"A report, a directory of reports, or a balancer program."`
+	B     string   `arg:"" help:"Another one of the same kind."`
+	Names []string `arg:"" optional:"" help:"With programs: the rehearsals to run with both; by default all."`
 	Seeds []uint64 `help:"With programs: the seeds of each rehearsal." default:"1"`
 }
 
@@ -569,13 +580,13 @@
 	for _, name := range names {
 		for _, seed := range c.Seeds {
 			c.Seed = seed
-			// In turn, so that a machine whose speed drifts favours neither.
+			// The programs run alternately, so that a drift of the machine's speed favours neither.
 			for i, program := range []string{c.A, c.B} {
 				d, err := c.openScenario(name)
 				if err != nil {
 					return err
 				}
-				r, err := c.playOne(ctx, d, program, nil)
+				r, err := c.runOne(ctx, d, program, nil)
 				if err != nil {
 					return err
 				}
@@ -590,12 +601,13 @@
 	return report.Compare(os.Stdout, a, b)
 }
 
+// isExecutable says whether a path is an executable file.
 func isExecutable(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && !s.IsDir() && s.Mode()&0o111 != 0
 }
 
-// readReports reads one report, or all below a folder.
+// readReports reads one report, or all reports below a directory.
 func readReports(path string) (list []*report.Report, err error) {
 	s, err := os.Stat(path)
 	if err != nil {
--- a/cmd/rehearse/main.go
+++ b/cmd/rehearse/main.go
@@ -1,5 +1,6 @@
-// Command rehearse plays days against real balancers on one machine: stand-in cache nodes, a gateway and a register,
-// callers, faults, and a judge that says rule by rule what was checked and what was broken.
+// Command rehearse runs scenarios (rehearsals) against real balancers on one machine. It provides stand-ins for the cache
+// hosts, the origin (gateway) and the discovery service (register), generates clients' requests and injects faults. A judge
+// reports for each rule how often it was checked and whether it was broken.
 package main
 
 import (
@@ -18,22 +19,23 @@
 	exitUnsure = 3
 )
 
+// commandLine holds the commands. Their names and flags are derived from the names of the fields.
 type commandLine struct {
 	List     listCommand     `cmd:"" help:"List the built-in rehearsals and the kinds of faults."`
 	Check    checkCommand    `cmd:"" help:"Check scenario files."`
-	Run      runCommand      `cmd:"" help:"Play one rehearsal and judge it."`
-	Simulate simulateCommand `cmd:"" help:"Play a rehearsal in virtual time, without sockets, on many seeds."`
-	Search   searchCommand   `cmd:"" help:"Draw days with faults of all kinds in virtual time; tell and shrink those that break a rule or serve least."`
-	Up       upCommand       `cmd:"" help:"Hold a fleet and its balancers up, for trying by hand."`
-	Suite    suiteCommand    `cmd:"" help:"Play all built-in rehearsals, side by side as cores allow."`
-	Measure  measureCommand  `cmd:"" help:"Measure how far the load generator goes here, and what a balancer adds to a call."`
-	Compare  compareCommand  `cmd:"" help:"Compare two reports, or two balancer programs on the same days."`
+	Run      runCommand      `cmd:"" help:"Run one rehearsal and judge it."`
+	Simulate simulateCommand `cmd:"" help:"Run a rehearsal in virtual time, without sockets, with one or more seeds."`
+	Search   searchCommand   `cmd:"" help:"Run random scenarios with faults of all kinds in virtual time; print and shrink those that break a rule or have the lowest service."`
+	Up       upCommand       `cmd:"" help:"Start a fleet and its balancers and keep them running for manual tests."`
+	Suite    suiteCommand    `cmd:"" help:"Run all built-in rehearsals, as many at the same time as the cores allow."`
+	Measure  measureCommand  `cmd:"" help:"Measure the load generator's highest rate on this machine and what a balancer adds to a request."`
+	Compare  compareCommand  `cmd:"" help:"Compare two reports, or two balancer programs in the same rehearsals."`
 }
 
 func main() {
 	var c commandLine
 	p := kong.Must(&c, kong.Name("rehearse"), kong.UsageOnError(),
-		kong.Description("Exit 0: all rules kept; 1: a rule broken; 2: faulty file or usage; 3: the machine ran too late to judge."),
+		kong.Description("Exit 0: all rules kept; 1: a rule broken; 2: faulty file or usage; 3: the machine was too slow to judge, or another error."),
 		kong.Exit(func(code int) {
 			if code != 0 {
 				code = exitUsage
@@ -57,7 +59,7 @@
 	}
 }
 
-// exitCode ends the program with a code, all having been said.
+// exitCode is an error that ends the program with this exit code and without a message.
 type exitCode int
 
 func (c exitCode) Error() string { return fmt.Sprintf("exit code %d", int(c)) }
--- a/cmd/rehearse/search.go
+++ b/cmd/rehearse/search.go
@@ -13,13 +13,14 @@
 	"streamrail/internal/rehearsal/search"
 )
 
+// searchCommand runs random scenarios in virtual time and shrinks the worst ones.
 type searchCommand struct {
-	Name      string `arg:"" help:"A built-in rehearsal or a scenario file, over which faults are drawn."`
-	Days      int    `default:"1000" help:"How many days are drawn."`
-	From      uint64 `default:"1" help:"The first seed; each day has the next."`
-	Balancers int    `help:"Another number of balancers than the file's."`
-	Worst     int    `default:"3" help:"How many of the days that served least are shrunk and told, besides those that broke a rule."`
-	Out       string `help:"A folder for the days that were found, as scenario files." type:"path" placeholder:"DIR"`
+	Name      string `arg:"" help:"A built-in rehearsal or a scenario file, to which random faults are added."`
+	Days      int    `default:"1000" help:"The number of random scenarios."`
+	From      uint64 `default:"1" help:"The first seed; each further scenario has the next one."`
+	Balancers int    `help:"The number of balancers, in place of the file's."`
+	Worst     int    `default:"3" help:"How many of the scenarios with the lowest service are shrunk and printed, in addition to those that broke a rule."`
+	Out       string `help:"A directory for the shrunk scenarios, as scenario files." type:"path" placeholder:"DIR"`
 }
 
 func (c searchCommand) Run() error {
@@ -32,12 +33,12 @@
 	}
 	ctx, stop := interruptContext()
 	defer stop()
-	began := time.Now()
+	start := time.Now()
 	res, err := search.Days(ctx, base, c.From, c.Days, runtime.GOMAXPROCS(0))
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d days in virtual time from seed %d, %d without a broken rule, in %v\n", res.Played, c.From, res.Kept, time.Since(began).Round(time.Second))
+	fmt.Printf("%d scenarios in virtual time from seed %d, %d without a broken rule, in %v\n", res.Played, c.From, res.Kept, time.Since(start).Round(time.Second))
 	for _, r := range judge.Rules {
 		fmt.Printf("  %-38s %9d checked\n", r.Rule, res.Checked[r.Rule])
 	}
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// reportFinding prints a day that was found, and lays it down.
+// reportFinding prints a found scenario and its shrunk form, and writes the latter to a file if --out is set.
 func (c searchCommand) reportFinding(found, shrunk search.Found) error {
 	fmt.Printf("\nseed %d: service %.3f", found.Day.Seed, found.Service)
 	for _, r := range found.Broken {
@@ -66,7 +67,7 @@
 	for _, fault := range shrunk.Day.Faults {
 		fmt.Printf("  %s from %v for %v", fault.Do, fault.At, fault.For)
 		if len(fault.Nodes) > 0 {
-			fmt.Printf(" at %d nodes", len(fault.Nodes))
+			fmt.Printf(" at %d hosts", len(fault.Nodes))
 		}
 		fmt.Println()
 	}
--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -16,15 +16,16 @@
 	"streamrail/internal/rehearsal/virtual"
 )
 
+// simulateCommand runs a scenario in virtual time with one or more seeds.
 type simulateCommand struct {
 	Name      string `arg:"" help:"A built-in rehearsal or a scenario file."`
-	Seeds     string `default:"1" help:"Seeds, like 1-100 or 3,5."`
-	Balancers int    `help:"Another number of balancers than the file's."`
-	Trace     string `help:"Write one line an event to a file; with one seed only." type:"path" placeholder:"FILE"`
+	Seeds     string `default:"1" help:"Seeds, e.g. 1-100 or 3,5."`
+	Balancers int    `help:"The number of balancers, in place of the file's."`
+	Trace     string `help:"Write one line per event to a file; with one seed only." type:"path" placeholder:"FILE"`
 	JSON      bool   `help:"Print the reports as JSON."`
 }
 
-// parseSeeds reads a list of numbers and ranges.
+// parseSeeds parses a list of numbers and ranges.
 func parseSeeds(text string) (list []uint64, err error) {
 	for part := range strings.SplitSeq(text, ",") {
 		low, high, ranged := strings.Cut(part, "-")
@@ -43,6 +44,7 @@
 	return list, nil
 }
 
+// maxSeedsPerRange limits the length of one range of seeds.
 const maxSeedsPerRange = 100_000
 
 func (c simulateCommand) Run() error {
@@ -89,6 +91,7 @@
 	return nil
 }
 
+// simulateSeed runs the scenario with one seed.
 func (c simulateCommand) simulateSeed(seed uint64, trace io.Writer) (*report.Report, error) {
 	d, err := scenario.Open(c.Name)
 	if err != nil {
@@ -105,7 +108,7 @@
 	return report.Of(res), nil
 }
 
-// printSummary tells the spread of the service and every seed that broke a rule.
+// printSummary prints the range of the service over all seeds and every seed that broke a rule.
 func printSummary(reports []*report.Report) {
 	var service []float64
 	for _, r := range reports {
