--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -35,20 +35,20 @@
 	conn   *net.UnixConn
 	reader *bufio.Reader
 	mu     sync.Mutex // held while a message is written
-	gone   chan struct{}
+	closed chan struct{}
 	once   sync.Once
 }
 
 func newPeer(conn *net.UnixConn, reader *bufio.Reader) *Peer {
-	return &Peer{conn: conn, reader: reader, gone: make(chan struct{})}
+	return &Peer{conn: conn, reader: reader, closed: make(chan struct{})}
 }
 
 // Gone returns a channel that is closed once the connection has ended.
-func (p *Peer) Gone() <-chan struct{} { return p.gone }
+func (p *Peer) Gone() <-chan struct{} { return p.closed }
 
 // Close ends the connection; the other process continues alone.
 func (p *Peer) Close() {
-	p.once.Do(func() { close(p.gone) })
+	p.once.Do(func() { close(p.closed) })
 	p.conn.Close()
 }
 
--- a/internal/handover/seat.go
+++ b/internal/handover/seat.go
@@ -114,15 +114,15 @@
 	if err != nil {
 		return
 	}
-	var h hello
-	if err = json.Unmarshal(line, &h); err != nil {
+	var response hello
+	if err = json.Unmarshal(line, &response); err != nil {
 		return
 	}
 	switch {
-	case h.Refused != "":
-		err = errors.New(h.Refused)
-	case h.Version != protocolVersion:
-		err = fmt.Errorf("the older process uses message version %d, expected %d", h.Version, protocolVersion)
+	case response.Refused != "":
+		err = errors.New(response.Refused)
+	case response.Version != protocolVersion:
+		err = fmt.Errorf("the older process uses message version %d, expected %d", response.Version, protocolVersion)
 	case listener == nil:
 		err = errors.New("the older process gave no socket")
 	}
@@ -130,7 +130,7 @@
 		return
 	}
 	unixConn.SetDeadline(time.Time{})
-	return listener, h.State, newPeer(unixConn, reader), nil
+	return listener, response.State, newPeer(unixConn, reader), nil
 }
 
 // receiveListener reads the first byte and the listening socket that may be attached to it. It returns nil if none is.
@@ -197,16 +197,16 @@
 type Seat struct{ listener *net.UnixListener }
 
 // Keep listens at a path for newer processes and replaces any older process that listens there. A newer process that
-// connects gets the clients' listening socket and the state that join returns. Messages sent to the peer during join or
-// afterwards reach it only after that state.
-func Keep(path string, clientListener net.Listener, join func(*Peer) (State, error)) (*Seat, error) {
+// connects gets the clients' listening socket and the state that prepareState returns. Messages sent to the peer during
+// prepareState or afterwards reach it only after that state.
+func Keep(path string, clientListener net.Listener, prepareState func(*Peer) (State, error)) (*Seat, error) {
 	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(tempPath)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	l.SetUnlinkOnClose(false) // by then the path belongs to a newer process
+	l.SetUnlinkOnClose(false) // when it is closed, the path may belong to a newer process
 	if err = os.Chmod(tempPath, 0o600); err == nil {
 		err = os.Rename(tempPath, path)
 	}
@@ -225,7 +225,7 @@
 				time.Sleep(writeTimeout)
 				continue
 			}
-			handOver(conn, clientListener, join)
+			handOver(conn, clientListener, prepareState)
 		}
 	}()
 	return &Seat{l}, nil
@@ -235,13 +235,13 @@
 func (s *Seat) Leave() { s.listener.Close() }
 
 // handOver answers the connection of one newer process.
-func handOver(conn *net.UnixConn, clientListener net.Listener, join func(*Peer) (State, error)) {
+func handOver(conn *net.UnixConn, clientListener net.Listener, prepareState func(*Peer) (State, error)) {
 	conn.SetDeadline(time.Now().Add(exchangeTimeout))
 	reader := bufio.NewReaderSize(conn, 4<<10)
-	var h hello
+	var request hello
 	line, err := readLine(reader)
 	if err == nil {
-		err = json.Unmarshal(line, &h)
+		err = json.Unmarshal(line, &request)
 	}
 	if err == nil {
 		err = checkSameUser(conn)
@@ -252,12 +252,12 @@
 	}
 	p := newPeer(conn, reader)
 	answer := hello{Version: protocolVersion}
-	if h.Version != protocolVersion {
-		answer.Refused = fmt.Sprintf("the older process uses message version %d, not %d", protocolVersion, h.Version)
+	if request.Version != protocolVersion {
+		answer.Refused = fmt.Sprintf("the older process uses message version %d, not %d", protocolVersion, request.Version)
 	} else {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		if answer.State, err = join(p); err != nil {
+		if answer.State, err = prepareState(p); err != nil {
 			answer.Refused = err.Error()
 		}
 	}
