--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -36,7 +36,7 @@
 type Store struct{ Files FileSystem }
 
 // Save writes a new version. If it returns nil, the version is durable. If it returns an error, the file holds either the
-// new or the previous version, and the caller has to call Save again; each call writes the whole file anew, because a
+// new or the previous version, and the caller has to call Save again; each call writes the whole file again, because a
 // failed sync may lose data that a later sync does not write again.
 func (s Store) Save(path string, value any) error {
 	text, err := json.Marshal(value)
--- a/internal/handover/store_test.go
+++ b/internal/handover/store_test.go
@@ -129,7 +129,7 @@
 }
 
 // TestSaveIsDurable checks the order of a save: the content is synced before the rename, the directory before the save
-// returns. After a failed sync, the next save must sync both anew.
+// returns. After a failed sync, the next save must sync both again.
 func TestSaveIsDurable(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "bans")
 	files := &failingFiles{}
