--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -46,10 +46,10 @@
 )
 
 // setLimits sets the bounds anew. What is open beyond them makes room as more come.
-func (cs *clientConns) setLimits(most, open int) {
+func (cs *clientConns) setLimits(maxServed, maxAccepted int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	cs.maxServed, cs.maxAccepted = most, open
+	cs.maxServed, cs.maxAccepted = maxServed, maxAccepted
 }
 
 // full tells that no more are accepted for now.
@@ -78,11 +78,11 @@
 		cs.setServed(c, true)
 		return true
 	}
-	leaves := cs.evictionCandidate(func(o *clientConn, _ connStage) bool { return c == nil || o.served })
-	if leaves == nil {
+	candidate := cs.evictionCandidate(func(other *clientConn, _ connStage) bool { return c == nil || other.served })
+	if candidate == nil {
 		return false
 	}
-	cs.evict(leaves)
+	cs.evict(candidate)
 	if c != nil {
 		cs.setServed(c, true)
 	}
@@ -105,24 +105,24 @@
 		if cs.active <= cs.maxActive {
 			return
 		}
-		if o := cs.evictionCandidate(func(_ *clientConn, at connStage) bool { return at == stageIdle }); o != nil {
-			cs.evict(o)
+		if candidate := cs.evictionCandidate(func(_ *clientConn, stage connStage) bool { return stage == stageIdle }); candidate != nil {
+			cs.evict(candidate)
 		}
 	}
 }
 
 // evictionCandidate is the connection that makes room first of those that may.
-func (cs *clientConns) evictionCandidate(may func(*clientConn, connStage) bool) (leaves *clientConn) {
+func (cs *clientConns) evictionCandidate(eligible func(*clientConn, connStage) bool) (candidate *clientConn) {
 	now := time.Now()
-	least, since := stageInFlight, time.Time{}
-	for o := range cs.conns {
-		at, from, after := o.stage()
-		if at < stageInFlight && !o.evicted.Load() && now.Sub(from) >= after && may(o, at) &&
-			(at < least || at == least && from.Before(since)) {
-			leaves, least, since = o, at, from
+	firstStage, firstSince := stageInFlight, time.Time{}
+	for conn := range cs.conns {
+		stage, since, minTime := conn.stage()
+		if stage < stageInFlight && !conn.evicted.Load() && now.Sub(since) >= minTime && eligible(conn, stage) &&
+			(stage < firstStage || stage == firstStage && since.Before(firstSince)) {
+			candidate, firstStage, firstSince = conn, stage, since
 		}
 	}
-	return leaves
+	return candidate
 }
 
 // evict has a connection make room.
@@ -141,10 +141,10 @@
 	}
 }
 
-func (cs *clientConns) setServed(c *clientConn, on bool) {
-	if c.served != on {
-		c.served = on
-		if on {
+func (cs *clientConns) setServed(c *clientConn, served bool) {
+	if c.served != served {
+		c.served = served
+		if served {
 			cs.served++
 		} else {
 			cs.served--
@@ -163,16 +163,16 @@
 )
 
 // stage tells the stage, since when, and how long that is to be left alone.
-func (c *clientConn) stage() (at connStage, since time.Time, least time.Duration) {
+func (c *clientConn) stage() (at connStage, since time.Time, minTime time.Duration) {
 	switch {
 	case len(c.inFlight) > 0:
 		return stageInFlight, since, 0
 	case c.inCommand.Load():
 		return stageInCommand, c.lastReadTime(), minStalledTime
 	}
-	since, idles := c.idleSince()
+	since, isIdle := c.idleSince()
 	switch {
-	case !idles: // it changes over just now
+	case !isIdle: // it changes over just now
 		return stageInFlight, since, 0
 	case !c.carriedRequest.Load(): // nothing, or no request
 		return stageSilent, since, minSilentTime
@@ -246,7 +246,7 @@
 }
 
 func (b *Balancer) acceptLoop(listener net.Listener) {
-	wait := time.Millisecond
+	retryWait := time.Millisecond
 	queue := newAcceptQueue(listener, b.stalls, b.listeningSince)
 	for {
 		for b.clients.full() {
@@ -263,11 +263,11 @@
 		}
 		if err != nil {
 			b.log.Warn().Err(err).Msg("accept")
-			time.Sleep(wait)
-			wait = min(2*wait, 100*time.Millisecond)
+			time.Sleep(retryWait)
+			retryWait = min(2*retryWait, 100*time.Millisecond)
 			continue
 		}
-		wait = time.Millisecond
+		retryWait = time.Millisecond
 		c := newClientConn(conn, b.stalls, queue.afterAccept())
 		b.clients.add(c)
 		go b.serveClient(c)
--- a/internal/balancer/accept_faults_test.go
+++ b/internal/balancer/accept_faults_test.go
@@ -29,24 +29,24 @@
 // TestAcceptErrors fails accepts in every way for a while: the listener is not given up, nothing spins, and who came meanwhile is
 // served afterwards.
 func TestAcceptErrors(t *testing.T) {
-	for _, number := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
+	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EAGAIN, syscall.EINTR, syscall.EPERM, syscall.EPROTO, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINVAL} {
-		t.Run(number.Error(), func(t *testing.T) {
+		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
 			x := newTestBalancer(t, 0, 0, map[string]string{"h": "EN O%s\r\n"})
-			real, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
 			}
-			listener := &faultyListener{Listener: real}
-			listener.fault.Store(uint32(number))
+			faulty := &faultyListener{Listener: listener}
+			faulty.fault.Store(uint32(errno))
 			b := x.Balancer
-			ended := make(chan struct{})
+			loopEnded := make(chan struct{})
 			go func() {
-				defer close(ended)
-				b.acceptLoop(listener)
+				defer close(loopEnded)
+				b.acceptLoop(faulty)
 			}()
-			conn, err := net.Dial("tcp", real.Addr().String())
+			conn, err := net.Dial("tcp", listener.Addr().String())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -54,17 +54,17 @@
 			io.WriteString(conn, "mn\r\n")
 			time.Sleep(300 * time.Millisecond)
 			// 1 ms doubled up to 100 ms is eight in that time; four times as many leave room for chance.
-			if n := listener.failed.Load(); n < 3 || n > 32 {
+			if n := faulty.failed.Load(); n < 3 || n > 32 {
 				t.Errorf("%d accepts failed in 0.3 s", n)
 			}
-			listener.fault.Store(0)
+			faulty.fault.Store(0)
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" {
 				t.Errorf("got %q, %v", line, err)
 			}
-			real.Close()
+			listener.Close()
 			select {
-			case <-ended:
+			case <-loopEnded:
 			case <-time.After(testTimeout):
 				t.Error("accepting goes on without a listener")
 			}
--- a/internal/balancer/accept_queue.go
+++ b/internal/balancer/accept_queue.go
@@ -34,7 +34,7 @@
 func closeWhenQueueEmpty(listener net.Listener) {
 	raw := rawConnOf(listener)
 	for began := time.Now(); raw != nil && time.Since(began) < maxQueueEmptyWait; time.Sleep(queuePollInterval) {
-		if standing, err := pollEvents(raw, unix.POLLIN); err != nil || standing == 0 {
+		if ready, err := pollEvents(raw, unix.POLLIN); err != nil || ready == 0 {
 			break
 		}
 	}
@@ -47,18 +47,18 @@
 	if q.raw == nil {
 		return
 	}
-	standing, err := pollEvents(q.raw, unix.POLLIN)
-	q.pending = err != nil || standing != 0
+	ready, err := pollEvents(q.raw, unix.POLLIN)
+	q.pending = err != nil || ready != 0
 }
 
 // afterAccept is called after it, and tells when the connection may have come at the earliest.
 func (q *acceptQueue) afterAccept() time.Time {
 	ended := time.Now()
-	waited := !q.pending
+	hadToWait := !q.pending
 	if q.raw == nil {
-		waited = ended.Sub(q.acceptBegan) >= maxImmediateRead
+		hadToWait = ended.Sub(q.acceptBegan) >= maxImmediateRead
 	}
-	if waited {
+	if hadToWait {
 		q.emptyAt = q.stalls.Earliest(q.acceptBegan, ended)
 	}
 	return q.emptyAt
--- a/internal/balancer/accept_test.go
+++ b/internal/balancer/accept_test.go
@@ -24,19 +24,19 @@
 		cs.add(c)
 		return c
 	}
-	call := func(c *clientConn) { c.carriedCommand.Store(true); c.carriedRequest.Store(true) }
+	carryRequest := func(c *clientConn) { c.carriedCommand.Store(true); c.carriedRequest.Store(true) }
 	slow := func(stopped time.Duration) func(c *clientConn) {
 		return func(c *clientConn) { c.inCommand.Store(true); c.lastReadNanos.Store(int64(4*time.Second - stopped)) }
 	}
-	busy := add(3*time.Second, func(c *clientConn) { call(c); c.inFlight <- struct{}{} })
-	writes := add(4*time.Second, slow(300*time.Millisecond))
-	turns := add(300*time.Millisecond, func(c *clientConn) { call(c); c.carriedSeveral.Store(true) })
+	busy := add(3*time.Second, func(c *clientConn) { carryRequest(c); c.inFlight <- struct{}{} })
+	slowWriter := add(4*time.Second, slow(300*time.Millisecond))
+	reused := add(300*time.Millisecond, func(c *clientConn) { carryRequest(c); c.carriedSeveral.Store(true) })
 	fresh := add(0, func(*clientConn) {})
 	order := []*clientConn{
 		add(time.Second, func(*clientConn) {}),          // silent
 		add(100*time.Millisecond, func(*clientConn) {}), // silent, younger
-		add(900*time.Millisecond, call),                 // idle
-		add(50*time.Millisecond, call),                  // idle, younger
+		add(900*time.Millisecond, carryRequest),         // idle
+		add(50*time.Millisecond, carryRequest),          // idle, younger
 		add(4*time.Second, slow(1500*time.Millisecond)), // stopped
 	}
 	for i, want := range order {
@@ -44,7 +44,7 @@
 			t.Fatalf("the %d. to go is another", i+1)
 		}
 	}
-	for name, c := range map[string]*clientConn{"with a call in hand": busy, "writes in pieces": writes, "used by turns": turns, "fresh": fresh} {
+	for name, c := range map[string]*clientConn{"with a call in hand": busy, "writes in pieces": slowWriter, "used by turns": reused, "fresh": fresh} {
 		if c.evicted.Load() {
 			t.Errorf("the one %s was thrown out", name)
 		}
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -7,22 +7,22 @@
 )
 
 // sendAttempt starts an attempt; how it ends comes back through c.ended.
-func (c *clientRequest) sendAttempt(o action) {
-	n, sent := len(c.attempts), time.Now()
-	s := &upstream.Attempt{To: o.host, Command: &c.Command, Value: c.value, Deadline: o.deadline, BeginBy: o.beginBy}
-	s.Room = c.reserveMemory
-	s.Pass = c.streamValue
-	s.Gone = c.isUnwanted
+func (c *clientRequest) sendAttempt(send action) {
+	n, sentAt := len(c.attempts), time.Now()
+	attempt := &upstream.Attempt{To: send.host, Command: &c.Command, Value: c.value, Deadline: send.deadline, BeginBy: send.beginBy}
+	attempt.Room = c.reserveMemory
+	attempt.Pass = c.streamValue
+	attempt.Gone = c.isUnwanted
 	if c.upload != nil {
-		s.Upload = &c.upload.Upload
+		attempt.Upload = &c.upload.Upload
 	}
-	s.Done = func(r upstream.Result) { c.attemptResults <- attemptResult{r, n, time.Since(sent) - r.Peer} }
-	c.attempts = append(c.attempts, s)
+	attempt.Done = func(r upstream.Result) { c.attemptResults <- attemptResult{r, n, time.Since(sentAt) - r.Peer} }
+	c.attempts = append(c.attempts, attempt)
 	c.inFlight++
 	if c.client.hasLeft() || c.isAnswerChosen() { // since this was decided
-		s.GiveUp()
+		attempt.GiveUp()
 	}
-	c.b.hosts.Send(s)
+	c.b.hosts.Send(attempt)
 }
 
 // recentArrivalTime is how long after its arrival a request's client has not left for so long that it matters.
@@ -40,19 +40,19 @@
 }
 
 // cancelAttempt gives an attempt up.
-func (c *clientRequest) cancelAttempt(o action) {
+func (c *clientRequest) cancelAttempt(cancel action) {
 	if !c.isStreaming() { // the module may not have heard of that yet
-		c.attempts[o.attempt].GiveUp()
+		c.attempts[cancel.attempt].GiveUp()
 	}
 }
 
 // reserveMemory takes memory for a value until the request is left; false where there is no room for it.
 func (c *clientRequest) reserveMemory(bytes int) bool {
-	held := c.b.reserveMemory(bytes)
-	if held {
+	reserved := c.b.reserveMemory(bytes)
+	if reserved {
 		c.heldBytes.Add(int64(bytes))
 	}
-	return held
+	return reserved
 }
 
 // reserveMemory takes memory for values in hand; false where there is no room for it. Who takes some gives it back.
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -12,18 +12,18 @@
 
 // TestGraceCoversHoldUp holds that a write which is begun as late as it may be, and held up by 0.15 s, comes within the drain's grace.
 func TestGraceCoversHoldUp(t *testing.T) {
-	const holdUp = 150 * time.Millisecond
+	const delay = 150 * time.Millisecond
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
 		usable := usableGrace(grace)
-		if grace >= 2*holdUp && usable+holdUp > grace {
-			t.Errorf("grace %v: a write may come %v after its end", grace, usable+holdUp-grace)
+		if grace >= 2*delay && usable+delay > grace {
+			t.Errorf("grace %v: a write may come %v after its end", grace, usable+delay-grace)
 		}
 		if usable < grace/2 || usable > grace {
 			t.Errorf("grace %v: %v of it are used", grace, usable)
 		}
 	}
-	told := &deployment.Deployment{Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
-	b := New(told, &operator.File{}, zerolog.Nop())
+	deployed := &deployment.Deployment{Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
+	b := New(deployed, &operator.File{}, zerolog.Nop())
 	defer b.cancel()
 	defer b.hosts.Close()
 	if got := b.hosts.Grace(); got != usableGrace(time.Second) {
--- a/internal/balancer/bans.go
+++ b/internal/balancer/bans.go
@@ -34,9 +34,9 @@
 
 // writeExclusions writes what holds now. Under bans.mu.
 func (b *Balancer) writeExclusions() error {
-	var all []string
-	b.callPolicy(func() { all = b.excludedHosts() })
-	return b.exclusions.save(b.exclusionFile(), all)
+	var excluded []string
+	b.callPolicy(func() { excluded = b.excludedHosts() })
+	return b.exclusions.save(b.exclusionFile(), excluded)
 }
 
 // retrySavingExclusions goes on until the file has what holds then.
@@ -54,7 +54,7 @@
 	}
 }
 
-func (b *Balancer) retrySaveOnce() (kept bool) {
+func (b *Balancer) retrySaveOnce() (saved bool) {
 	b.exclusions.mu.Lock()
 	defer b.exclusions.mu.Unlock()
 	b.exclusions.retrying = b.writeExclusions() != nil
--- a/internal/balancer/bans_test.go
+++ b/internal/balancer/bans_test.go
@@ -19,27 +19,27 @@
 	kept  []string
 }
 
-func (d *failingStore) save(_ string, what any) error {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.tries++
-	if d.err == nil {
-		d.kept = what.([]string)
+func (s *failingStore) save(_ string, value any) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.tries++
+	if s.err == nil {
+		s.kept = value.([]string)
 	}
-	return d.err
+	return s.err
 }
 
 // TestExclusionOnFullDisk takes hosts out while nothing can be written: it holds at once, the answer says that it is not kept, and it is
 // kept as soon as there is room, with what was ordered meanwhile.
 func TestExclusionOnFullDisk(t *testing.T) {
-	for _, fault := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
-		t.Run(fault.Error(), func(t *testing.T) {
+	for _, saveErr := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
+		t.Run(saveErr.Error(), func(t *testing.T) {
 			t.Parallel()
 			x := newTestBalancer(t, 0, 0, map[string]string{"a": "EN O%s\r\n", "b": "EN O%s\r\n"})
-			disk := &failingStore{err: fault}
+			disk := &failingStore{err: saveErr}
 			x.exclusions.save = disk.save
 			for _, host := range []string{"a", "b"} {
-				if err := x.setExclusion(policy.CacheID(host), true, false); !errors.Is(err, errNotSaved) || !errors.Is(err, fault) {
+				if err := x.setExclusion(policy.CacheID(host), true, false); !errors.Is(err, errNotSaved) || !errors.Is(err, saveErr) {
 					t.Errorf("%s is out: %v", host, err)
 				}
 			}
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -59,12 +59,12 @@
 	return &attemptLog{requests: map[string]sentRequest{}, harmless: map[[2]string]bool{}}
 }
 
-func (l *attemptLog) recordRequests(ids []string, wait time.Duration) {
+func (l *attemptLog) recordRequests(ids []string, timeout time.Duration) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, id := range ids {
-		l.requests[id] = sentRequest{now, wait}
+		l.requests[id] = sentRequest{now, timeout}
 	}
 }
 
@@ -88,32 +88,32 @@
 }
 
 // check holds every attempt against its client's deadline, and repeats of writes against the window.
-func (l *attemptLog) check(slack time.Duration) (broken []violation, attempts int) {
+func (l *attemptLog) check(slack time.Duration) (violations []violation, attempts int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := map[string]time.Time{}
 	for _, a := range l.attempts {
 		request, known := l.requests[a.id]
 		if !known {
-			broken = append(broken, violation{a, "never sent by a client", 0})
+			violations = append(violations, violation{a, "never sent by a client", 0})
 			continue
 		}
 		deadline := request.sent.Add(request.timeout)
 		if by := a.at.Add(a.toldTimeout).Sub(deadline); by > slack {
-			broken = append(broken, violation{a, "told more than the client has left", by})
+			violations = append(violations, violation{a, "told more than the client has left", by})
 		}
 		if by := a.at.Sub(deadline); by > slack {
-			broken = append(broken, violation{a, "written after the deadline", by})
+			violations = append(violations, violation{a, "written after the deadline", by})
 		}
-		if began, repeat := first[a.id]; !repeat {
+		if firstAt, repeat := first[a.id]; !repeat {
 			if !l.harmless[[2]string{a.id, a.server}] {
 				first[a.id] = a.at
 			}
-		} else if by := a.at.Sub(began.Add(dedupWindow)); a.write && by > 0 {
-			broken = append(broken, violation{a, "repeated after the window", by})
+		} else if by := a.at.Sub(firstAt.Add(dedupWindow)); a.write && by > 0 {
+			violations = append(violations, violation{a, "repeated after the window", by})
 		}
 	}
-	return broken, len(l.attempts)
+	return violations, len(l.attempts)
 }
 
 // recordedConn is a connection to a server. It notes each attempt when its last byte is written, and may hold a write up.
@@ -148,12 +148,12 @@
 var valueLengthPattern = regexp.MustCompile(`(?i)^ms \S+ (\d+)|\r\ncontent-length: (\d+)`)
 
 // isStreamed tells that an attempt has begun whose long value is written piece by piece, as it comes from the client.
-func isStreamed(begun []byte) bool {
-	found := valueLengthPattern.FindSubmatch(begun)
-	if found == nil {
+func isStreamed(written []byte) bool {
+	match := valueLengthPattern.FindSubmatch(written)
+	if match == nil {
 		return false
 	}
-	length, _ := strconv.Atoi(string(found[1]) + string(found[2]))
+	length, _ := strconv.Atoi(string(match[1]) + string(match[2]))
 	return length > upstream.Whole
 }
 
@@ -214,7 +214,7 @@
 // timeoutIn is the deadline in a list of names and values.
 func timeoutIn(attrs string) time.Duration {
 	for _, pair := range strings.Split(attrs, ",") {
-		if digits, is := strings.CutPrefix(pair, "d="); is {
+		if digits, found := strings.CutPrefix(pair, "d="); found {
 			ms, _ := strconv.Atoi(digits)
 			return time.Duration(ms) * time.Millisecond
 		}
@@ -238,8 +238,8 @@
 	return d.rand.IntN(n)
 }
 
-func (d *randomSource) durationUpTo(most time.Duration) time.Duration {
-	return time.Duration(d.upTo(int(most) + 1))
+func (d *randomSource) durationUpTo(longest time.Duration) time.Duration {
+	return time.Duration(d.upTo(int(longest) + 1))
 }
 
 // faultyHosts is a balancer on loopback sockets with cache hosts and an origin that misbehave by draw.
@@ -312,24 +312,24 @@
 	f.addr = listener.Addr().String()
 	f.phase.Store(int32(Serving))
 	go f.accept(listener)
-	over := make(chan struct{})
+	done := make(chan struct{})
 	if faults.maxLockHold > 0 {
-		go f.holdUpDecisions(faults.maxLockHold, over)
+		go f.holdUpPolicy(faults.maxLockHold, done)
 	}
-	t.Cleanup(func() { close(over); listener.Close(); f.hosts.Close(); f.cancel() })
+	t.Cleanup(func() { close(done); listener.Close(); f.hosts.Close(); f.cancel() })
 	return f
 }
 
-// holdUpDecisions keeps the lock of the decisions now and then: who waits for it is held up.
-func (f *faultyHosts) holdUpDecisions(most time.Duration, over <-chan struct{}) {
+// holdUpPolicy keeps the lock of the decisions now and then: who waits for it is held up.
+func (f *faultyHosts) holdUpPolicy(maxHold time.Duration, done <-chan struct{}) {
 	for {
 		select {
-		case <-over:
+		case <-done:
 			return
 		case <-time.After(f.random.durationUpTo(50 * time.Millisecond)):
 		}
 		f.mu.Lock()
-		time.Sleep(f.random.durationUpTo(most))
+		time.Sleep(f.random.durationUpTo(maxHold))
 		f.mu.Unlock()
 	}
 }
@@ -354,11 +354,11 @@
 				return false
 			}
 		}
-		what := answers[f.random.upTo(len(answers))]
-		if strings.HasSuffix(what, "busy") || strings.HasSuffix(what, "miss") {
+		behaviour := answers[f.random.upTo(len(answers))]
+		if strings.HasSuffix(behaviour, "busy") || strings.HasSuffix(behaviour, "miss") {
 			f.attemptLog.recordRefusal(id, name)
 		}
-		return f.respond(conn, what, map[string]string{
+		return f.respond(conn, behaviour, map[string]string{
 			"hit": "VA 2 O" + id + "\r\nhi\r\n", "receipt": "HD O" + id + " cdone\r\n", "miss": "EN O" + id + "\r\n",
 			"failed": "SERVER_ERROR failed\r\n", "busy": "SERVER_ERROR busy\r\n"})
 	})
@@ -373,29 +373,29 @@
 		if _, err = io.Copy(io.Discard, request.Body); err != nil {
 			return false
 		}
-		what := answers[f.random.upTo(len(answers))]
-		if strings.HasSuffix(what, "busy") {
+		behaviour := answers[f.random.upTo(len(answers))]
+		if strings.HasSuffix(behaviour, "busy") {
 			f.attemptLog.recordRefusal(request.Header.Get("X-Request-ID"), "origin")
 		}
-		return f.respond(conn, what, map[string]string{
+		return f.respond(conn, behaviour, map[string]string{
 			"hit": "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "failed": "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
 			"busy": "HTTP/1.1 503 No\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n"})
 	})
 }
 
 // respond does one thing that a server may do; false: the connection ends.
-func (f *faultyHosts) respond(conn net.Conn, what string, texts map[string]string) bool {
-	if rest, slow := strings.CutPrefix(what, "slow "); slow {
+func (f *faultyHosts) respond(conn net.Conn, behaviour string, responses map[string]string) bool {
+	if rest, isSlow := strings.CutPrefix(behaviour, "slow "); isSlow {
 		time.Sleep(f.random.durationUpTo(400 * time.Millisecond))
-		what = rest
+		behaviour = rest
 	}
-	switch what {
+	switch behaviour {
 	case "hang":
 		return true
 	case "close":
 		return false
 	}
-	_, err := io.WriteString(conn, texts[what])
+	_, err := io.WriteString(conn, responses[behaviour])
 	return err == nil
 }
 
@@ -442,10 +442,10 @@
 		return
 	}
 	defer conn.Close()
-	wait := []time.Duration{150, 400, 1000, 2500}[f.random.upTo(4)] * time.Millisecond
+	timeout := []time.Duration{150, 400, 1000, 2500}[f.random.upTo(4)] * time.Millisecond
 	if f.random.upTo(5) == 0 {
-		f.slowWrite(conn, name, wait)
-		f.awaitAnswers(t, conn, name, 1, wait)
+		f.slowWrite(conn, name, timeout)
+		f.awaitAnswers(t, conn, name, 1, timeout)
 		return
 	}
 	size := []int{1, 1, 3, 40}[f.random.upTo(4)]
@@ -455,21 +455,21 @@
 		id := name + "-" + strconv.Itoa(n)
 		ids = append(ids, id)
 		if f.random.upTo(3) == 0 {
-			class := []string{"marked", "pay"}[f.random.upTo(2)]
-			fmt.Fprintf(&text, "ms key-%s 5 O%s Pc=%s,d=%d,k=%s\r\nhello\r\n", id, id, class, wait.Milliseconds(), id)
+			product := []string{"marked", "pay"}[f.random.upTo(2)]
+			fmt.Fprintf(&text, "ms key-%s 5 O%s Pc=%s,d=%d,k=%s\r\nhello\r\n", id, id, product, timeout.Milliseconds(), id)
 		} else {
-			fmt.Fprintf(&text, "mg key-%s v O%s Pc=read,d=%d\r\n", id, id, wait.Milliseconds())
+			fmt.Fprintf(&text, "mg key-%s v O%s Pc=read,d=%d\r\n", id, id, timeout.Milliseconds())
 		}
 	}
 	io.WriteString(conn, text.String())
-	f.attemptLog.recordRequests(ids, wait)
-	f.awaitAnswers(t, conn, name, len(ids), wait)
+	f.attemptLog.recordRequests(ids, timeout)
+	f.awaitAnswers(t, conn, name, len(ids), timeout)
 }
 
 // slowWrite sends a long value in pieces; its time begins with the last byte.
-func (f *faultyHosts) slowWrite(conn net.Conn, id string, wait time.Duration) {
+func (f *faultyHosts) slowWrite(conn net.Conn, id string, timeout time.Duration) {
 	value := bytes.Repeat([]byte("v"), []int{20 << 10, 60 << 10, 150 << 10}[f.random.upTo(3)])
-	fmt.Fprintf(conn, "ms key-%s %d O%s Pc=marked,d=%d,k=%s\r\n", id, len(value), id, wait.Milliseconds(), id)
+	fmt.Fprintf(conn, "ms key-%s %d O%s Pc=marked,d=%d,k=%s\r\n", id, len(value), id, timeout.Milliseconds(), id)
 	for len(value) > 0 {
 		time.Sleep(f.random.durationUpTo(100 * time.Millisecond))
 		piece := min(len(value), 16<<10)
@@ -477,12 +477,12 @@
 		value = value[piece:]
 	}
 	io.WriteString(conn, "\r\n")
-	f.attemptLog.recordRequests([]string{id}, wait)
+	f.attemptLog.recordRequests([]string{id}, timeout)
 }
 
 // awaitAnswers fails where a request gets none.
-func (f *faultyHosts) awaitAnswers(t *testing.T, conn net.Conn, name string, requests int, wait time.Duration) {
-	conn.SetReadDeadline(time.Now().Add(wait + testTimeout))
+func (f *faultyHosts) awaitAnswers(t *testing.T, conn net.Conn, name string, requests int, timeout time.Duration) {
+	conn.SetReadDeadline(time.Now().Add(timeout + testTimeout))
 	in := bufio.NewReader(conn)
 	for range requests {
 		line, err := in.ReadString('\n')
@@ -498,19 +498,19 @@
 
 // report fails the test for each rule that was broken, with how often and by how much.
 func (f *faultyHosts) report(t *testing.T) {
-	broken, attempts := f.attemptLog.check(deadlineSlack - f.maxWriteDelay)
-	count, most := map[string]int{}, map[string]time.Duration{}
-	for _, v := range broken {
+	violations, attempts := f.attemptLog.check(deadlineSlack - f.maxWriteDelay)
+	count, worst := map[string]int{}, map[string]time.Duration{}
+	for _, v := range violations {
 		kind, _, _ := strings.Cut(v.attempt.server, "-")
 		what := "to a " + kind + " server " + v.rule
 		count[what]++
-		most[what] = max(most[what], v.by)
+		worst[what] = max(worst[what], v.by)
 	}
-	for _, v := range broken[:min(len(broken), 3)] {
+	for _, v := range violations[:min(len(violations), 3)] {
 		t.Logf("%s at %s %s, by %v", v.attempt.id, v.attempt.server, v.rule, v.by)
 	}
 	for what, n := range count {
-		t.Errorf("%d of %d attempts %s, by %v at the most", n, attempts, what, most[what].Round(time.Millisecond))
+		t.Errorf("%d of %d attempts %s, by %v at the most", n, attempts, what, worst[what].Round(time.Millisecond))
 	}
 	if attempts == 0 {
 		t.Error("no attempt was made")
@@ -544,15 +544,15 @@
 // that waits for the decisions. Each counts from when it arrived.
 func TestRequestsReadLate(t *testing.T) {
 	answers := injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true}
-	const delay, wait = 500 * time.Millisecond, 1500 * time.Millisecond
-	one := func(f *faultyHosts, t *testing.T, id string) net.Conn {
+	const delay, timeout = 500 * time.Millisecond, 1500 * time.Millisecond
+	sendOne := func(f *faultyHosts, t *testing.T, id string) net.Conn {
 		conn, err := net.Dial("tcp", f.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
-		fmt.Fprintf(conn, "mg k v O%s Pc=read,d=%d\r\n", id, wait.Milliseconds())
-		f.attemptLog.recordRequests([]string{id}, wait)
+		fmt.Fprintf(conn, "mg k v O%s Pc=read,d=%d\r\n", id, timeout.Milliseconds())
+		f.attemptLog.recordRequests([]string{id}, timeout)
 		return conn
 	}
 	t.Run("accept queue", func(t *testing.T) {
@@ -560,13 +560,13 @@
 		f := newFaultyHosts(t, 1, answers)
 		f.clients.setLimits(0, 0)
 		time.Sleep(50 * time.Millisecond) // accepting waits for a connection by now, or for room
-		first := one(f, t, "before")      // accepted by the call that was under way
+		first := sendOne(f, t, "before")  // accepted by the call that was under way
 		time.Sleep(50 * time.Millisecond)
-		queued := one(f, t, "queued")
+		queued := sendOne(f, t, "queued")
 		time.Sleep(delay)
 		f.clients.setLimits(100, 100)
-		f.awaitAnswers(t, first, "before", 1, wait)
-		f.awaitAnswers(t, queued, "queued", 1, wait)
+		f.awaitAnswers(t, first, "before", 1, timeout)
+		f.awaitAnswers(t, queued, "queued", 1, timeout)
 		f.report(t)
 	})
 	t.Run("decisions", func(t *testing.T) {
@@ -579,13 +579,13 @@
 		defer conn.Close()
 		f.mu.Lock()
 		for i, id := range []string{"first", "second"} {
-			fmt.Fprintf(conn, "mg k v O%s Pc=read,d=%d\r\n", id, wait.Milliseconds())
-			f.attemptLog.recordRequests([]string{id}, wait)
+			fmt.Fprintf(conn, "mg k v O%s Pc=read,d=%d\r\n", id, timeout.Milliseconds())
+			f.attemptLog.recordRequests([]string{id}, timeout)
 			time.Sleep(time.Duration(1-i) * 20 * time.Millisecond)
 		}
 		time.Sleep(delay)
 		f.mu.Unlock()
-		f.awaitAnswers(t, conn, "both", 2, wait)
+		f.awaitAnswers(t, conn, "both", 2, timeout)
 		f.report(t)
 	})
 	t.Run("no memory to read ahead", func(t *testing.T) {
@@ -598,21 +598,21 @@
 		}
 		defer conn.Close()
 		sent := 0
-		send := func(requests int, wait time.Duration) {
+		send := func(requests int, timeout time.Duration) {
 			var text strings.Builder
 			var ids []string
 			for range requests {
 				ids = append(ids, "n"+strconv.Itoa(sent))
-				fmt.Fprintf(&text, "mg k%d v O%s Pc=read,d=%d\r\n", sent, ids[len(ids)-1], wait.Milliseconds())
+				fmt.Fprintf(&text, "mg k%d v O%s Pc=read,d=%d\r\n", sent, ids[len(ids)-1], timeout.Milliseconds())
 				sent++
 			}
 			io.WriteString(conn, text.String())
-			f.attemptLog.recordRequests(ids, wait)
+			f.attemptLog.recordRequests(ids, timeout)
 		}
 		send(maxInFlightPerConn, delay)
 		time.Sleep(50 * time.Millisecond)
-		send(200, wait)
-		f.awaitAnswers(t, conn, "all", sent, wait)
+		send(200, timeout)
+		f.awaitAnswers(t, conn, "all", sent, timeout)
 		f.report(t)
 	})
 }
@@ -627,10 +627,10 @@
 		t.Fatal(err)
 	}
 	sent := 0
-	send := func(requests int, wait time.Duration) {
+	send := func(requests int, timeout time.Duration) {
 		var text strings.Builder
 		for range requests {
-			fmt.Fprintf(&text, "mg k%d v On%d Pc=read,d=%d\r\n", sent, sent, wait.Milliseconds())
+			fmt.Fprintf(&text, "mg k%d v On%d Pc=read,d=%d\r\n", sent, sent, timeout.Milliseconds())
 			sent++
 		}
 		io.WriteString(conn, text.String())
@@ -640,7 +640,7 @@
 	send(300, 3*time.Second)
 	time.Sleep(50 * time.Millisecond)
 	conn.(*net.TCPConn).CloseWrite() // closed whole it would be reset by the first answer, which ends what stands unread
-	left := time.Now()
+	leftAt := time.Now()
 	t.Cleanup(func() { conn.Close() })
 	time.Sleep(time.Second)
 	f.attemptLog.mu.Lock()
@@ -649,7 +649,7 @@
 		t.Error("no attempt was made")
 	}
 	for _, a := range f.attemptLog.attempts {
-		if after := a.at.Sub(left); after > 100*time.Millisecond {
+		if after := a.at.Sub(leftAt); after > 100*time.Millisecond {
 			t.Errorf("%s was begun %v after its client had left", a.id, after)
 		}
 	}
--- a/internal/balancer/ends.go
+++ b/internal/balancer/ends.go
@@ -48,12 +48,12 @@
 }
 
 // take gives what was read ahead first, and when that came; none: the connection itself is to be read.
-func (a *readAheadBuffer) take(p []byte) (n int, at time.Time, none bool, err error) {
+func (a *readAheadBuffer) take(p []byte) (n int, arrivedAt time.Time, empty bool, err error) {
 	if len(a.chunks) == 0 {
-		return 0, at, a.err == nil, a.err
+		return 0, arrivedAt, a.err == nil, a.err
 	}
 	first := &a.chunks[0]
-	at = first.arrivedAt
+	arrivedAt = first.arrivedAt
 	n = copy(p, first.bytes)
 	a.size -= n
 	if first.bytes = first.bytes[n:]; len(first.bytes) == 0 {
@@ -62,7 +62,7 @@
 	if a.size == 0 {
 		a.release()
 	}
-	return n, at, false, nil
+	return n, arrivedAt, false, nil
 }
 
 // markGone notes that the client has gone away: it has closed the connection, or reset it. One that has only ended its sending
@@ -90,9 +90,9 @@
 // watchForClose waits for something other than the client's next bytes, and hears meanwhile when it goes away: what it asked for must
 // not be begun after that, and what is on its way is to be given up.
 func (c *clientConn) watchForClose(wait func()) {
-	over, heard := make(chan struct{}), make(chan struct{})
+	over, readerDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		defer close(heard)
+		defer close(readerDone)
 		c.readAheadUntil(over)
 	}()
 	wait()
@@ -100,7 +100,7 @@
 	c.readAheadBuf.mu.Lock()
 	c.conn.SetReadDeadline(pastDeadline)
 	c.readAheadBuf.mu.Unlock()
-	<-heard
+	<-readerDone
 	c.conn.SetReadDeadline(time.Time{})
 }
 
@@ -138,15 +138,15 @@
 
 // fill reads once; false where there is no memory for more.
 func (a *readAheadBuffer) fill(read func([]byte) (int, time.Time, error)) bool {
-	var room [readAheadChunkBytes]byte
-	n, arrived, err := read(room[:])
+	var buf [readAheadChunkBytes]byte
+	n, arrived, err := read(buf[:])
 	if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 		a.err = err
 	}
 	if n == 0 {
 		return true
 	}
-	a.chunks = append(a.chunks, chunk{bytes.Clone(room[:n]), arrived})
+	a.chunks = append(a.chunks, chunk{bytes.Clone(buf[:n]), arrived})
 	a.size += n
 	if a.balancer != nil {
 		if !a.balancer.reserveMemory(n) {
@@ -174,8 +174,8 @@
 // and a reset takes answers that the client has not read yet; so it ends its sending first, and passes over what still comes.
 func (c *clientConn) closeGracefully() {
 	c.discarding.Store(true)
-	if t, ok := c.conn.(*net.TCPConn); ok && c.readAheadBuf.err == nil {
-		t.CloseWrite()
+	if tcp, ok := c.conn.(*net.TCPConn); ok && c.readAheadBuf.err == nil {
+		tcp.CloseWrite()
 		c.conn.SetReadDeadline(time.Now().Add(lingerTime))
 		io.CopyN(io.Discard, c.conn, maxLingerBytes)
 	}
@@ -187,8 +187,8 @@
 func (c *clientConn) abortAnswer() {
 	c.noMoreCommands.Store(true)
 	c.markGone()
-	if t, ok := c.conn.(*net.TCPConn); ok {
-		t.CloseWrite()
+	if tcp, ok := c.conn.(*net.TCPConn); ok {
+		tcp.CloseWrite()
 	}
 	c.interrupt()
 }
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -37,63 +37,63 @@
 }
 
 // newTestBalancer has a host of each name; answers[name] is what it says, with the request's id for %s. Hosts in late are held up.
-func newTestBalancer(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, late ...string) *testBalancer {
+func newTestBalancer(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, delayed ...string) *testBalancer {
 	x := &testBalancer{T: t, connectAllowed: map[string]chan struct{}{}, connecting: map[string]chan struct{}{}, received: map[string][]string{}, lines: make(chan string, 1000)}
 	terms := policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: window}
 	read := terms
 	read.Effect = policy.Idempotent
-	told := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleLimit: time.Minute,
+	deployed := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleLimit: time.Minute,
 		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0},
 		Products: map[string]policy.Product{"pay": 0, "read": 1},
 		Terms:    policy.Terms{Balancers: 1, Products: []policy.ProductTerms{terms, read}, OriginKind: -1, MayCancel: true, MostAttempts: 4, Tick: policy.Millisecond}}
-	x.Balancer = New(told, &operator.File{}, zerolog.Nop())
+	x.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
-	l := discovery.List{Whole: true}
+	list := discovery.List{Whole: true}
 	for name, answer := range answers {
-		at, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { at.Close() })
-		names[at.Addr().String()] = name
-		go x.serveHost(at, name, answer)
-		l.Hosts = append(l.Hosts, discovery.Host{Addr: at.Addr().String(), Entry: policy.Entry{Cache: policy.CacheID(name), Size: 1}})
+		t.Cleanup(func() { listener.Close() })
+		names[listener.Addr().String()] = name
+		go x.serveHost(listener, name, answer)
+		list.Hosts = append(list.Hosts, discovery.Host{Addr: listener.Addr().String(), Entry: policy.Entry{Cache: policy.CacheID(name), Size: 1}})
 	}
-	for _, name := range late {
+	for _, name := range delayed {
 		x.connectAllowed[name], x.connecting[name] = make(chan struct{}), make(chan struct{}, 1000)
 	}
 	x.hosts.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if up := x.connectAllowed[names[addr]]; up != nil {
+		if allowed := x.connectAllowed[names[addr]]; allowed != nil {
 			x.connecting[names[addr]] <- struct{}{}
 			select {
-			case <-up:
+			case <-allowed:
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			}
 		}
 		return new(net.Dialer).DialContext(ctx, network, addr)
 	}
-	x.applyHostList(policy.ListRestored, l)
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	x.applyHostList(policy.ListRestored, list)
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.addr = at.Addr().String()
+	x.addr = listener.Addr().String()
 	x.phase.Store(int32(Serving))
-	go x.accept(at)
-	t.Cleanup(func() { at.Close(); x.hosts.Close(); x.cancel() })
+	go x.accept(listener)
+	t.Cleanup(func() { listener.Close(); x.hosts.Close(); x.cancel() })
 	return x
 }
 
-func (x *testBalancer) serveHost(at net.Listener, name, answer string) {
+func (x *testBalancer) serveHost(listener net.Listener, name, answer string) {
 	for {
-		c, err := at.Accept()
+		conn, err := listener.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			defer c.Close()
-			in := bufio.NewReader(c)
+			defer conn.Close()
+			in := bufio.NewReader(conn)
 			for {
 				line, err := in.ReadString('\n')
 				if err != nil {
@@ -103,21 +103,21 @@
 				x.received[name] = append(x.received[name], line)
 				x.mu.Unlock()
 				x.lines <- name + " " + line
-				w := strings.Fields(line)
-				if n := 0; w[0] == "ms" {
-					fmt.Sscan(w[2], &n)
+				words := strings.Fields(line)
+				if n := 0; words[0] == "ms" {
+					fmt.Sscan(words[2], &n)
 					if _, err := io.CopyN(io.Discard, in, int64(n)+2); err != nil {
 						return
 					}
 				}
 				id := ""
-				for _, f := range w {
-					if f[0] == 'O' {
-						id = f[1:]
+				for _, word := range words {
+					if word[0] == 'O' {
+						id = word[1:]
 					}
 				}
 				if answer != "" {
-					io.WriteString(c, strings.ReplaceAll(answer, "%s", id))
+					io.WriteString(conn, strings.ReplaceAll(answer, "%s", id))
 				}
 			}
 		}()
@@ -125,28 +125,28 @@
 }
 
 func (x *testBalancer) dial() (*net.TCPConn, *bufio.Reader) {
-	c, err := net.Dial("tcp", x.addr)
+	conn, err := net.Dial("tcp", x.addr)
 	if err != nil {
 		x.Fatal(err)
 	}
-	x.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(testTimeout))
-	return c.(*net.TCPConn), bufio.NewReader(c)
+	x.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(testTimeout))
+	return conn.(*net.TCPConn), bufio.NewReader(conn)
 }
 
 func (x *testBalancer) expectAnswer(request, want string) {
 	x.Helper()
-	c, in := x.dial()
-	io.WriteString(c, request)
+	conn, in := x.dial()
+	io.WriteString(conn, request)
 	if got, err := in.ReadString('\n'); !strings.HasPrefix(got, want) {
 		x.Errorf("%.40q: got %q, %v, expected %q", request, got, err, want)
 	}
 }
 
-func receiveSoon[T any](t *testing.T, from <-chan T, what string) (v T) {
+func receiveSoon[T any](t *testing.T, ch <-chan T, what string) (v T) {
 	t.Helper()
 	select {
-	case v = <-from:
+	case v = <-ch:
 	case <-time.After(testTimeout):
 		t.Fatal("never came: " + what)
 	}
@@ -154,9 +154,9 @@
 }
 
 // waitFor waits for something that nothing tells of.
-func (x *testBalancer) waitFor(what string, holds func() bool) {
+func (x *testBalancer) waitFor(what string, condition func() bool) {
 	x.Helper()
-	for began := time.Now(); !holds(); time.Sleep(time.Millisecond) {
+	for began := time.Now(); !condition(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > testTimeout {
 			x.Fatal("never: " + what)
 		}
@@ -167,10 +167,10 @@
 
 // A client that goes away while its request waits for a connection to a host: when that comes up late, not a byte is sent.
 func TestClientGoneBeforeTheConnect(t *testing.T) {
-	leavings := map[string]func(c *net.TCPConn){
-		"closes":       func(c *net.TCPConn) { c.Close() },
-		"resets":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
-		"ends sending": func(c *net.TCPConn) { c.CloseWrite() },
+	waysToLeave := map[string]func(conn *net.TCPConn){
+		"closes":       func(conn *net.TCPConn) { conn.Close() },
+		"resets":       func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() },
+		"ends sending": func(conn *net.TCPConn) { conn.CloseWrite() },
 	}
 	for name, request := range map[string]string{
 		"a read":                  "mg k v Oa Pc=read,d=9000\r\n",
@@ -181,14 +181,14 @@
 		"a read, a probe behind":  "mg k v Oa Pc=read,d=9000\r\nmn\r\n",
 		"a read, 300 more behind": strings.Repeat("mg k v Oa Pc=read,d=9000\r\n", 300),
 	} {
-		for how, leave := range leavings {
+		for how, leave := range waysToLeave {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
 				x := newTestBalancer(t, policy.NonIdempotent, 0, map[string]string{"late": receipt}, "late")
-				c, _ := x.dial()
-				io.WriteString(c, request)
+				conn, _ := x.dial()
+				io.WriteString(conn, request)
 				receiveSoon(t, x.connecting["late"], "the connect")
-				leave(c)
+				leave(conn)
 				x.waitFor("given up", func() bool { return x.inFlight.Load() == 0 })
 				close(x.connectAllowed["late"])
 				x.expectAnswer("ms k 5 Olast Pc=pay,d=9000\r\nhello\r\n", "HD Olast") // over a connection that comes up late
@@ -206,9 +206,9 @@
 // sent, and nothing is promised.
 func TestWindowOverBeforeTheConnect(t *testing.T) {
 	for name, row := range map[string]struct {
-		effect policy.Effect
-		window policy.Nanos
-		again  bool
+		effect   policy.Effect
+		window   policy.Nanos
+		repeated bool
 	}{
 		"over":       {policy.Deduplicated, 2 * policy.Second, false},
 		"not over":   {policy.Deduplicated, 60 * policy.Second, true},
@@ -219,8 +219,8 @@
 			x := newTestBalancer(t, row.effect, row.window, map[string]string{"fails": "SERVER_ERROR failed\r\n", "late": receipt}, "late")
 			for i := range 40 { // half of the keys' homes are at the host that fails
 				id := fmt.Sprint("w", i)
-				c, in := x.dial()
-				fmt.Fprintf(c, "ms %d-key 5 O%s Pc=pay,d=8000,k=1\r\nhello\r\n", i, id)
+				conn, in := x.dial()
+				fmt.Fprintf(conn, "ms %d-key 5 O%s Pc=pay,d=8000,k=1\r\nhello\r\n", i, id)
 				before := time.Now()
 				for first := ""; ; {
 					select {
@@ -240,17 +240,17 @@
 				failed := len(x.received["fails"]) > 0
 				x.mu.Unlock()
 				if !failed {
-					c.Close()
+					conn.Close()
 					continue
 				}
-				if !row.again { // the answer comes when the window is over, the client timeout is far
+				if !row.repeated { // the answer comes when the window is over, the client timeout is far
 					got, _ := in.ReadString('\n')
 					if took := time.Since(before); got != "SERVER_ERROR failed\r\n" || took > 6*time.Second {
 						t.Errorf("got %q after %v", got, took)
 					}
 				}
 				close(x.connectAllowed["late"])
-				if row.again {
+				if row.repeated {
 					if got, _ := in.ReadString('\n'); got != "HD O"+id+" cdone\r\n" {
 						t.Errorf("got %q", got)
 					}
@@ -264,7 +264,7 @@
 						n++
 					}
 				}
-				if (n == 1) != row.again {
+				if (n == 1) != row.repeated {
 					t.Errorf("%d attempts over the late connection", n)
 				}
 				return
@@ -282,14 +282,14 @@
 		defer near.Close()
 		defer far.Close()
 		c := newClientConn(near, stall.New(time.Now()), time.Now())
-		var came []time.Time
+		var arrivals []time.Time
 		for _, text := range []string{"mn\r\n", "mn\r\nm", "n\r\n"} {
 			time.Sleep(time.Second)
-			came = append(came, time.Now())
+			arrivals = append(arrivals, time.Now())
 			c.readAheadBuf.fill(func(p []byte) (int, time.Time, error) { return copy(p, text), time.Now(), nil })
 		}
 		time.Sleep(time.Second)
-		for i, want := range []time.Time{came[0], came[1], came[2]} {
+		for i, want := range []time.Time{arrivals[0], arrivals[1], arrivals[2]} {
 			if line, err := c.reader.ReadSlice('\n'); err != nil || string(line) != "mn\r\n" || !c.lastReadTime().Equal(want) {
 				t.Errorf("request %d: %q, %v, counts from %v, came after %v", i, line, err, c.lastReadTime().Sub(c.openedAt), want.Sub(c.openedAt))
 			}
--- a/internal/balancer/phases.go
+++ b/internal/balancer/phases.go
@@ -56,27 +56,27 @@
 // Run takes the balancer through its phases and returns when it has stopped.
 func (b *Balancer) Run() error {
 	b.listeningSince = time.Now()
-	listener, from := b.takeOverListener() // nil: no older process serves there
+	listener, older := b.takeOverListener() // nil: no older process serves there
 	if listener != nil {
 		defer listener.Close()
 	}
 	if b.deployment.Admin != "" {
-		l, err := net.Listen("tcp", b.deployment.Admin)
+		adminListener, err := net.Listen("tcp", b.deployment.Admin)
 		if err != nil {
 			return fmt.Errorf("admin_addr: %w", err)
 		}
-		defer admin.Open(l, adminAPI{b}).Close()
+		defer admin.Open(adminListener, adminAPI{b}).Close()
 	}
 	defer b.closeHandover()
 	defer b.cancel()
-	if from == nil {
+	if older == nil {
 		if err := b.joinFleet(nil); err != nil {
 			return err
 		}
 	}
 	defer b.leaveFleet()
-	b.restoreHostList(from)
-	b.restoreState(from)
+	b.restoreHostList(older)
+	b.restoreState(older)
 	b.startWatch()
 	b.awaitHostList()
 	if listener == nil {
@@ -95,15 +95,15 @@
 	b.advanceTo(Serving)
 	go b.accept(listener)
 	b.offerHandover(listener)
-	if from != nil {
-		b.takeOverMembership(from.Fleet)
+	if older != nil {
+		b.takeOverMembership(older.Fleet)
 	}
-	report := time.NewTicker(reportInterval)
-	defer report.Stop()
+	reportTicker := time.NewTicker(reportInterval)
+	defer reportTicker.Stop()
 	for b.currentPhase() == Serving {
 		select {
 		case <-b.phaseChanged:
-		case <-report.C:
+		case <-reportTicker.C:
 			b.logReport()
 		}
 	}
@@ -148,13 +148,13 @@
 // starts again at the same time may not be back yet. It ends early once nobody is connected.
 func (b *Balancer) runLeaving() {
 	end := time.After(max(frontDelay, min(b.deployment.ClientTimeout, maxClientTimeout)-finishReserve))
-	look := time.NewTicker(frontDelay)
-	defer look.Stop()
+	ticker := time.NewTicker(frontDelay)
+	defer ticker.Stop()
 	for b.currentPhase() == Leaving {
 		select {
 		case <-end:
 			b.advanceTo(Draining)
-		case <-look.C:
+		case <-ticker.C:
 			if b.clients.count() == 0 {
 				b.advanceTo(Draining)
 			}
@@ -166,10 +166,10 @@
 // runDraining closes connections between requests and waits for what is in hand.
 func (b *Balancer) runDraining(listener net.Listener, end <-chan time.Time) {
 	b.clients.closeIdle()
-	front := time.After(unusedConnGrace)
+	unusedTimer := time.After(unusedConnGrace)
 	for b.currentPhase() == Draining {
 		select {
-		case <-front:
+		case <-unusedTimer:
 			closeWhenQueueEmpty(listener)
 			b.clients.closeIdle()
 		case <-b.clients.allClosed:
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -20,14 +20,14 @@
 }
 
 // pollEvents asks the system which of some events stand at a socket, without a wait. An error tells that it does not know.
-func pollEvents(raw syscall.RawConn, events int16) (standing int16, err error) {
-	failed := raw.Control(func(fd uintptr) {
-		state := []unix.PollFd{{Fd: int32(fd), Events: events}}
-		_, err = unix.Poll(state, 0)
-		standing = state[0].Revents
+func pollEvents(raw syscall.RawConn, events int16) (ready int16, err error) {
+	controlErr := raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
+		_, err = unix.Poll(fds, 0)
+		ready = fds[0].Revents
 	})
-	if failed != nil {
-		return 0, failed
+	if controlErr != nil {
+		return 0, controlErr
 	}
-	return standing, err
+	return ready, err
 }
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -70,9 +70,9 @@
 func (c *clientConn) noteIdle(at time.Time) { c.idleSinceNanos.Store(int64(at.Sub(c.openedAt)) + 1) }
 
 // idleSinceNanos tells since when the connection stands idle; false while anything is in hand.
-func (c *clientConn) idleSince() (at time.Time, idle bool) {
-	since := c.idleSinceNanos.Load()
-	return c.openedAt.Add(time.Duration(since - 1)), since != 0
+func (c *clientConn) idleSince() (since time.Time, idle bool) {
+	nanos := c.idleSinceNanos.Load()
+	return c.openedAt.Add(time.Duration(nanos - 1)), nanos != 0
 }
 
 // interrupt ends the wait for the next command. A command that has begun to come is still read.
@@ -84,21 +84,21 @@
 
 // Read notes when what it reads had arrived, and goes on with a command that has begun when the connection is woken.
 func (c *clientConn) Read(p []byte) (int, error) {
-	n, at, none, err := c.readAheadBuf.take(p)
-	if !none {
+	n, arrivedAt, empty, err := c.readAheadBuf.take(p)
+	if !empty {
 		if n > 0 {
-			c.lastReadNanos.Store(int64(at.Sub(c.openedAt)))
-			c.lastByteAt = at
+			c.lastReadNanos.Store(int64(arrivedAt.Sub(c.openedAt)))
+			c.lastByteAt = arrivedAt
 		}
 		return n, err
 	}
-	n, at, err = c.receiver.read(p)
+	n, arrivedAt, err = c.receiver.read(p)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && c.inCommand.Load() && !c.evicted.Load() && !c.noMoreCommands.Load() && time.Now().Before(c.commandDeadline) {
 		c.conn.SetReadDeadline(c.commandDeadline)
-		n, at, err = c.receiver.read(p)
+		n, arrivedAt, err = c.receiver.read(p)
 	}
 	if n > 0 {
-		c.lastReadNanos.Store(int64(at.Sub(c.openedAt)))
+		c.lastReadNanos.Store(int64(arrivedAt.Sub(c.openedAt)))
 		c.lastByteAt = c.receiver.lastByteAt
 	}
 	return n, err
@@ -119,7 +119,7 @@
 
 // idleDeadline tells when the next command must have begun to come; while an answer is due that moves on.
 func (c *clientConn) idleDeadline(p Phase) time.Time {
-	at, idle := c.idleSince()
+	since, idle := c.idleSince()
 	switch {
 	case p >= Draining:
 		return time.Now().Add(unusedConnGrace)
@@ -128,7 +128,7 @@
 	case !idle:
 		return time.Now().Add(maxIdleTime)
 	}
-	return at.Add(maxIdleTime)
+	return since.Add(maxIdleTime)
 }
 
 // applyIdleDeadline sets how long the next command may take to come.
@@ -247,40 +247,40 @@
 		return c.refuse()
 	}
 	started, admitted := false, b.inFlight.Add(1) <= b.maxInFlight.Load() && b.clients.makeRoomFor(c)
-	long := req.Write && fault == nil && req.Length > upstream.Whole
-	room := req.Length
-	if long {
-		room = upstream.PieceBytes
+	streamed := req.Write && fault == nil && req.Length > upstream.Whole
+	needed := req.Length
+	if streamed {
+		needed = upstream.PieceBytes
 	}
-	admitted = admitted && (!req.Write || fault != nil || req.reserveMemory(room))
+	admitted = admitted && (!req.Write || fault != nil || req.reserveMemory(needed))
 	defer func() {
 		if !started {
 			b.inFlight.Add(-1)
 			b.valueBytes.Add(-req.heldBytes.Load())
 		}
 	}()
-	if long {
+	if streamed {
 		fault = b.resolveNames(req)
 	}
-	if long = long && fault == nil && admitted && b.claimID(req); long {
+	if streamed = streamed && fault == nil && admitted && b.claimID(req); streamed {
 		req.upload = newUpload(req)
 	} else if req.Write {
-		whole, err := req.readValue(admitted && fault == nil)
+		terminated, err := req.readValue(admitted && fault == nil)
 		if err != nil {
 			return c.connectionLost(err)
 		}
-		if !whole {
+		if !terminated {
 			return c.replyAndStop(memcache.BadChunk.Line())
 		}
 		req.arrived = c.commandArrival()
 	}
-	if c.noMoreCommands.Load() && !long { // ended while this was read: nothing is sent on any more
+	if c.noMoreCommands.Load() && !streamed { // ended while this was read: nothing is sent on any more
 		return c.refuse()
 	}
 	if fault == nil {
 		fault = b.resolveNames(req)
 	}
-	if fault == nil && admitted && !long && !b.claimID(req) {
+	if fault == nil && admitted && !streamed && !b.claimID(req) {
 		fault = memcache.IDInHand
 	}
 	if fault != nil {
@@ -288,14 +288,14 @@
 	}
 	b.clients.noteRequest(c)
 	if !admitted {
-		said := c.writeReply(string(memcache.AppendRateLimited(nil, 0)))
-		if said {
+		written := c.writeReply(string(memcache.AppendRateLimited(nil, 0)))
+		if written {
 			b.answerStats.countAnswer(req.product, rateLimited)
 		}
-		return said
+		return written
 	}
 	started = true
-	if !long { // its deadline follows from its last byte
+	if !streamed { // its deadline follows from its last byte
 		req.deadline = deadline.After(req.arrived, req.Left)
 	}
 	b.answerStats.unanswered.Add(1)
@@ -307,22 +307,22 @@
 		c.watchForClose(func() { c.inFlight <- struct{}{} })
 	}
 	b.startRequest(req)
-	if long {
+	if streamed {
 		return req.upload.skipRemaining()
 	}
 	return true
 }
 
 // resolveNames finds the product and the customer by their names.
-func (b *Balancer) resolveNames(c *clientRequest) *memcache.Fault {
+func (b *Balancer) resolveNames(req *clientRequest) *memcache.Fault {
 	var known bool
-	if c.product, known = b.deployment.Products[string(c.Product)]; !known {
+	if req.product, known = b.deployment.Products[string(req.Product)]; !known {
 		return memcache.UnknownProduct
 	}
-	if c.customer, known = b.deployment.Customers[string(c.Customer)]; !known && len(b.deployment.Customers) > 0 {
+	if req.customer, known = b.deployment.Customers[string(req.Customer)]; !known && len(b.deployment.Customers) > 0 {
 		return memcache.UnknownCustomer
 	}
-	if c.Write && len(c.Mark) == 0 && b.deployment.Terms.Products[c.product].Effect == policy.Deduplicated {
+	if req.Write && len(req.Mark) == 0 && b.deployment.Terms.Products[req.product].Effect == policy.Deduplicated {
 		return memcache.NoMark // a host could not tell its repeat
 	}
 	return nil
@@ -336,21 +336,21 @@
 
 // claimID takes the call's id; false where another request in hand has it. Hosts know an attempt by that id, and would
 // take one of two for the other's repeat.
-func (b *Balancer) claimID(c *clientRequest) bool {
+func (b *Balancer) claimID(req *clientRequest) bool {
 	b.requestIDs.mu.Lock()
 	defer b.requestIDs.mu.Unlock()
-	if _, taken := b.requestIDs.inUse[string(c.ID)]; taken {
+	if _, taken := b.requestIDs.inUse[string(req.ID)]; taken {
 		return false
 	}
-	b.requestIDs.inUse[string(c.ID)] = struct{}{}
+	b.requestIDs.inUse[string(req.ID)] = struct{}{}
 	return true
 }
 
 // releaseID leaves the call's id to others.
-func (b *Balancer) releaseID(c *clientRequest) {
+func (b *Balancer) releaseID(req *clientRequest) {
 	b.requestIDs.mu.Lock()
 	defer b.requestIDs.mu.Unlock()
-	delete(b.requestIDs.inUse, string(c.ID))
+	delete(b.requestIDs.inUse, string(req.ID))
 }
 
 // readValue reads a write's value, or passes over it; whole tells that its line end stands where it should.
@@ -367,11 +367,11 @@
 			return false, err
 		}
 	}
-	var end [2]byte
-	if _, err = io.ReadFull(in, end[:]); err != nil {
+	var lineEnd [2]byte
+	if _, err = io.ReadFull(in, lineEnd[:]); err != nil {
 		return false, err
 	}
-	return string(end[:]) == "\r\n", nil
+	return string(lineEnd[:]) == "\r\n", nil
 }
 
 // connectionLost ends the connection. A client that has closed it has gone away, and with it what it asked for.
--- a/internal/balancer/read_test.go
+++ b/internal/balancer/read_test.go
@@ -14,17 +14,17 @@
 
 // newBareBalancer joins a client's end to a balancer that has no module: no request gets that far.
 func newBareBalancer(t *testing.T) (*Balancer, *clientConn, net.Conn) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	peer, err := net.Dial("tcp", l.Addr().String())
+	defer listener.Close()
+	peer, err := net.Dial("tcp", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { peer.Close() })
-	conn, err := l.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/balancer/receiver.go
+++ b/internal/balancer/receiver.go
@@ -107,8 +107,8 @@
 	if r.raw == nil {
 		return false
 	}
-	standing, err := pollEvents(r.raw, unix.POLLRDHUP)
-	return err == nil && standing&(unix.POLLRDHUP|unix.POLLHUP) != 0
+	ready, err := pollEvents(r.raw, unix.POLLRDHUP)
+	return err == nil && ready&(unix.POLLRDHUP|unix.POLLHUP) != 0
 }
 
 func (r *receiver) prepare(p []byte) { r.buf, r.n, r.err, r.hadToWait = p, 0, nil, false }
@@ -172,9 +172,9 @@
 		return nil
 	}
 	r.raw.Control(func(fd uintptr) {
-		told, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		if err == nil && told.State != 0 { // else nothing was filled in: every connection has a state
-			info = told
+		got, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		if err == nil && got.State != 0 { // else nothing was filled in: every connection has a state
+			info = got
 		}
 	})
 	return info
@@ -205,16 +205,16 @@
 
 // readByTiming tells by how long a read took whether it had to wait.
 func (r *receiver) readByTiming(p []byte) (n int, arrived time.Time, err error) {
-	began := time.Now()
+	startedAt := time.Now()
 	n, err = r.conn.Read(p)
-	ended := time.Now()
-	if ended.Sub(began) >= maxImmediateRead {
-		r.arrivedAfter = r.stalls.Earliest(began, ended)
+	endedAt := time.Now()
+	if endedAt.Sub(startedAt) >= maxImmediateRead {
+		r.arrivedAfter = r.stalls.Earliest(startedAt, endedAt)
 	}
 	arrived = r.arrivedAfter
 	r.lastByteAt = arrived
 	if n < len(p) && !errors.Is(err, os.ErrDeadlineExceeded) {
-		r.arrivedAfter = began
+		r.arrivedAfter = startedAt
 	}
 	return n, arrived, err
 }
--- a/internal/balancer/reply.go
+++ b/internal/balancer/reply.go
@@ -30,7 +30,7 @@
 }
 
 // writeAnswer writes the final answer in its turn.
-func (c *clientRequest) writeAnswer(as finalAnswer, parts ...[]byte) {
+func (c *clientRequest) writeAnswer(kind finalAnswer, parts ...[]byte) {
 	defer close(c.answered)
 	defer c.b.answerStats.unanswered.Add(-1)
 	select {
@@ -44,6 +44,6 @@
 		c.client.abortAnswer()
 		return
 	}
-	c.b.answerStats.countAnswer(c.product, as)
-	c.b.recordLateAnswer(c, as)
+	c.b.answerStats.countAnswer(c.product, kind)
+	c.b.recordLateAnswer(c, kind)
 }
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -30,14 +30,14 @@
 	case <-c.client.gone:
 		return false
 	}
-	to := upstream.Patient{Conn: c.client.conn}
-	_, err := to.Write(memcache.AppendValue(nil, c.ID, v.Length))
+	out := upstream.Patient{Conn: c.client.conn}
+	_, err := out.Write(memcache.AppendValue(nil, c.ID, v.Length))
 	if err == nil {
-		_, err = upstream.Copy(to, v, v.Length)
+		_, err = upstream.Copy(out, v, v.Length)
 	}
 	if err == nil {
 		if err = v.End(); err == nil {
-			_, err = io.WriteString(to, "\r\n")
+			_, err = io.WriteString(out, "\r\n")
 		}
 	}
 	if err != nil {
@@ -109,16 +109,16 @@
 		}
 		return n, err
 	}
-	var end [3]byte
-	if _, u.err = io.ReadFull(in, end[:]); u.err != nil {
+	var lastBytes [3]byte
+	if _, u.err = io.ReadFull(in, lastBytes[:]); u.err != nil {
 		return 0, u.err
 	}
 	u.remaining = 0
-	if string(end[1:]) != "\r\n" {
+	if string(lastBytes[1:]) != "\r\n" {
 		u.err = errBadChunk
 		return 0, u.err
 	}
-	p[0] = end[0]
+	p[0] = lastBytes[0]
 	b := u.call.b
 	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Left).Earlier(answerTravelReserve)
 	u.call.armDeadlineTimer(u.Deadline)
@@ -161,8 +161,8 @@
 		u.remaining -= n
 		u.err = err
 		if u.remaining == 0 && err == nil {
-			var end [2]byte
-			if _, u.err = io.ReadFull(c.reader, end[:]); u.err == nil && string(end[:]) != "\r\n" {
+			var lineEnd [2]byte
+			if _, u.err = io.ReadFull(c.reader, lineEnd[:]); u.err == nil && string(lineEnd[:]) != "\r\n" {
 				u.err = errBadChunk
 			}
 		}
