--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -7,59 +7,60 @@
 	"time"
 )
 
-// clientConns are the connections that clients hold.
+// clientConns holds the open client connections, counts them against the limits and decides which ones are evicted.
 type clientConns struct {
 	mu          sync.Mutex
 	conns       map[*clientConn]struct{}
-	served      int // of these, served
-	maxServed   int // may be
-	maxAccepted int // are accepted: some more, so that each gets a prompt answer instead of silence
-	active      int // have carried a request and are not making room
-	maxActive   int // of those, before idle ones make room
+	served      int // connections whose commands are served
+	maxServed   int // limit on served
+	maxAccepted int // limit on accepted connections; above maxServed, so that excess clients get a prompt answer instead of none
+	active      int // connections that have carried a request and are not evicted
+	maxActive   int // limit on active before idle connections are evicted
 	closed      bool
-	allClosed   chan struct{} // closed once the listener is closed and all have left
-	freed       chan struct{} // one has left
+	allClosed   chan struct{} // closed once the listener is closed and no connection is left
+	freed       chan struct{} // receives a value when a connection is removed
 }
 
-// newClientConns bounds them by limit. Clients hold a third of the descriptors at most for requests: kept is to be a good part of
-// that, so that a burst still finds some.
+// newClientConns returns an empty set; setLimits must be called before use. Clients hold at most a third of the file descriptors
+// for requests. maxActive should be a large part of that third and leave some of it for bursts.
 func newClientConns(maxActive int) *clientConns {
 	return &clientConns{maxActive: maxActive, conns: map[*clientConn]struct{}{}, allClosed: make(chan struct{}), freed: make(chan struct{}, 1)}
 }
 
-// maxIdleTime is how long a connection that has carried a request stands idle at the most, as the operators allow it: some
-// clients ask once and never close, and hold connections that they could open elsewhere.
+// maxIdleTime bounds how long a connection that has carried a request may stay idle; the operators permit closing it then. Some
+// clients send one request and never close, and so occupy connections that they could open to another balancer.
 const maxIdleTime = 2050 * time.Millisecond
 
-// Over the bound connections make room before their time, but none before this:
+// Minimum time in a stage before a connection may be evicted when the limits are exceeded.
 const (
-	// One that has carried no command was opened for one that follows at once; after this it says nothing.
+	// For a connection that has carried no request. Clients open a connection to send a command at once.
 	minSilentTime = 40 * time.Millisecond
-	// One that was answered just now often has its next command on the way: a few turns of the network, and of a client.
+	// For an idle connection that has carried one request. The next command is often on its way already: this covers a few
+	// network round trips and the client's own processing.
 	minIdleTime = 20 * time.Millisecond
-	// One that has carried several is in use by turns: closing it would only have its client open another, which would
-	// have the next one closed.
+	// For an idle connection that has carried several requests. It is in regular use: its client would open another one, which
+	// would cause the next eviction.
 	minReusedIdleTime = 500 * time.Millisecond
-	// One within a command is a slow client's, who writes in pieces for two seconds, or will never end. Pieces come a good
-	// part of a second apart at the most.
+	// For a connection within a command. A slow client may write one in pieces for two seconds, with gaps well below a second;
+	// after a longer gap the rest will probably never arrive.
 	minStalledTime = time.Second
 )
 
-// setLimits sets the bounds anew. What is open beyond them makes room as more come.
+// setLimits replaces the limits. Connections beyond them are evicted as new ones arrive.
 func (cs *clientConns) setLimits(maxServed, maxAccepted int) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	cs.maxServed, cs.maxAccepted = maxServed, maxAccepted
 }
 
-// full tells that no more are accepted for now.
+// full reports whether no further connection may be accepted for now.
 func (cs *clientConns) full() bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
 	return len(cs.conns) >= cs.maxAccepted
 }
 
-// add counts a connection in, and seats it if there is room.
+// add registers a connection, and marks it as served if there is room.
 func (cs *clientConns) add(c *clientConn) {
 	cs.mu.Lock()
 	cs.conns[c] = struct{}{}
@@ -67,10 +68,10 @@
 	cs.makeRoomFor(c)
 }
 
-// makeRoomFor tells whether a connection is among those that are served; it is from the first time on that there is room. Where
-// all places are taken one makes room: of those that have said nothing yet, or nothing of use, the oldest, else the one
-// that is idle longest, else the one that has stopped within a command for longest. Where all are in use what comes is
-// turned away for now. With none to serve one of all makes room for those that wait to be accepted.
+// makeRoomFor reports whether a connection is served, which it stays once there was room for it. At the limit it evicts another
+// connection: the oldest of those that have carried no request, else the one that has been idle longest, else the one that has
+// stalled within a command for longest. If all are in use it returns false and the request is turned away for now. With c == nil
+// it evicts any one connection, to make room for those that wait to be accepted.
 func (cs *clientConns) makeRoomFor(c *clientConn) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -89,8 +90,8 @@
 	return true
 }
 
-// noteRequest hears that a connection carries a request. Clients may hold only so many connections for those, and some ask
-// once and stay: where they hold nearly all, an idle one makes room, lest the next request finds none to come over.
+// noteRequest records that a connection carries a request. Some clients send one request and keep the connection open; when
+// active connections approach the number that clients can hold, idle ones are evicted so that the next request finds a free one.
 func (cs *clientConns) noteRequest(c *clientConn) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -101,7 +102,7 @@
 		c.countedActive = true
 		cs.active++
 	}
-	for range 2 { // one for this one, and one of those that were not idle long enough before
+	for range 2 { // one for this connection, and one that had not been idle long enough at an earlier call
 		if cs.active <= cs.maxActive {
 			return
 		}
@@ -111,7 +112,8 @@
 	}
 }
 
-// evictionCandidate is the connection that makes room first of those that may.
+// evictionCandidate returns the eligible connection to evict first: the one in the lowest stage, and among those the one that has been
+// in it for longest; nil if there is none.
 func (cs *clientConns) evictionCandidate(eligible func(*clientConn, connStage) bool) (candidate *clientConn) {
 	now := time.Now()
 	firstStage, firstSince := stageInFlight, time.Time{}
@@ -125,14 +127,14 @@
 	return candidate
 }
 
-// evict has a connection make room.
+// evict interrupts a connection so that it closes, and takes it out of the counts.
 func (cs *clientConns) evict(c *clientConn) {
 	c.evicted.Store(true)
 	c.interrupt()
 	cs.uncount(c)
 }
 
-// uncount takes one out of all counts.
+// uncount takes a connection out of the served and active counts.
 func (cs *clientConns) uncount(c *clientConn) {
 	cs.setServed(c, false)
 	if c.countedActive {
@@ -152,17 +154,17 @@
 	}
 }
 
-// connStage is where a connection stands, in the order in which they make room.
+// connStage is the state of a connection as eviction sees it, ordered from evicted first to never evicted.
 type connStage int
 
 const (
-	stageSilent connStage = iota
+	stageSilent connStage = iota // has carried no request
 	stageIdle
 	stageInCommand
 	stageInFlight
 )
 
-// stage tells the stage, since when, and how long that is to be left alone.
+// stage returns the connection's stage, the time since which it has been in it, and the minimum time in it before eviction.
 func (c *clientConn) stage() (at connStage, since time.Time, minTime time.Duration) {
 	switch {
 	case len(c.inFlight) > 0:
@@ -172,9 +174,9 @@
 	}
 	since, isIdle := c.idleSince()
 	switch {
-	case !isIdle: // it changes over just now
+	case !isIdle: // a command has just begun or ended
 		return stageInFlight, since, 0
-	case !c.carriedRequest.Load(): // nothing, or no request
+	case !c.carriedRequest.Load(): // no command, or none that was a request
 		return stageSilent, since, minSilentTime
 	}
 	if c.carriedSeveral.Load() {
@@ -195,7 +197,7 @@
 	cs.signalIfEmpty()
 }
 
-// close says that no more will enter.
+// close records that no further connection will be added.
 func (cs *clientConns) close() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -215,8 +217,8 @@
 	return len(cs.conns)
 }
 
-// closeIdle interrupts the readers of all connections: those between requests close. One that has carried none yet
-// was opened for one that is on its way, and is given a moment.
+// closeIdle interrupts the readers of all connections, so that those between requests close. A connection that has carried no
+// command yet was opened for one that is on its way; it gets unusedConnGrace to deliver it.
 func (cs *clientConns) closeIdle() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -229,7 +231,7 @@
 	}
 }
 
-// closeAll ends all connections once what is in hand is answered: there is no time left to read on.
+// closeAll closes every connection as soon as its requests in flight are answered; no further command is read.
 func (cs *clientConns) closeAll() {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -239,7 +241,7 @@
 	}
 }
 
-// accept takes connections until the listener closes. A lack of descriptors passes: it is waited out.
+// accept accepts connections until the listener closes. Other accept errors, such as a lack of file descriptors, are retried.
 func (b *Balancer) accept(listener net.Listener) {
 	defer b.clients.close()
 	b.acceptLoop(listener)
@@ -253,7 +255,7 @@
 			select {
 			case <-b.clients.freed:
 			case <-time.After(20 * time.Millisecond):
-				b.clients.makeRoomFor(nil) // for one of those that wait to be taken
+				b.clients.makeRoomFor(nil) // evict one for those that wait to be accepted
 			}
 		}
 		queue.beforeAccept()
--- a/internal/balancer/accept_faults_test.go
+++ b/internal/balancer/accept_faults_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// faultyListener fails accepts until it is mended.
+// faultyListener fails every accept with an errno while one is set.
 type faultyListener struct {
 	net.Listener
 	fault  atomic.Uint32 // 0: none
@@ -26,8 +26,8 @@
 	return l.Listener.Accept()
 }
 
-// TestAcceptErrors fails accepts in every way for a while: the listener is not given up, nothing spins, and who came meanwhile is
-// served afterwards.
+// TestAcceptErrors makes accepts fail for a while with each errno that the system may return. The accept loop must neither end nor spin,
+// and a client that connected meanwhile must be served afterwards.
 func TestAcceptErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EAGAIN, syscall.EINTR, syscall.EPERM, syscall.EPROTO, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.EINVAL} {
@@ -53,7 +53,7 @@
 			defer conn.Close()
 			io.WriteString(conn, "mn\r\n")
 			time.Sleep(300 * time.Millisecond)
-			// 1 ms doubled up to 100 ms is eight in that time; four times as many leave room for chance.
+			// Waits that double from 1 ms to 100 ms give eight tries in that time; four times as many leave room for timing.
 			if n := faulty.failed.Load(); n < 3 || n > 32 {
 				t.Errorf("%d accepts failed in 0.3 s", n)
 			}
@@ -66,7 +66,7 @@
 			select {
 			case <-loopEnded:
 			case <-time.After(testTimeout):
-				t.Error("accepting goes on without a listener")
+				t.Error("the accept loop goes on after its listener was closed")
 			}
 		})
 	}
--- a/internal/balancer/accept_queue.go
+++ b/internal/balancer/accept_queue.go
@@ -10,16 +10,17 @@
 	"streamrail/internal/stall"
 )
 
-// acceptQueue tells since when a connection that is accepted may have waited for that, with what its client had sent.
+// acceptQueue finds the earliest time at which an accepted connection, and what its client has sent, may have arrived: both may have
+// waited in the listener's accept queue.
 type acceptQueue struct {
-	raw         syscall.RawConn // of the listener; nil: only how long an accept takes can tell
+	raw         syscall.RawConn // of the listener; nil: judged by the duration of the accept alone
 	stalls      *stall.Detector
-	emptyAt     time.Time // nothing waited then
-	pending     bool      // something did before the accept that is under way
-	acceptBegan time.Time // of that accept
+	emptyAt     time.Time // the queue was empty then
+	pending     bool      // the queue was not empty before the current accept
+	acceptBegan time.Time // start of the current accept
 }
 
-// newAcceptQueue watches the queue of a listener that was opened at a moment.
+// newAcceptQueue observes the queue of a listener that was opened at the given time.
 func newAcceptQueue(listener net.Listener, stalls *stall.Detector, opened time.Time) *acceptQueue {
 	return &acceptQueue{raw: rawConnOf(listener), stalls: stalls, emptyAt: opened}
 }
@@ -29,8 +30,8 @@
 	queuePollInterval = 2 * time.Millisecond
 )
 
-// closeWhenQueueEmpty closes a listener once nothing waits to be accepted, or after a while: the system resets what waits then, with what
-// its clients have sent.
+// closeWhenQueueEmpty closes a listener once its accept queue is empty, or after maxQueueEmptyWait. The kernel resets connections that
+// are still queued when the listener closes, and what their clients have sent is lost.
 func closeWhenQueueEmpty(listener net.Listener) {
 	raw := rawConnOf(listener)
 	for began := time.Now(); raw != nil && time.Since(began) < maxQueueEmptyWait; time.Sleep(queuePollInterval) {
@@ -41,7 +42,7 @@
 	listener.Close()
 }
 
-// beforeAccept is called before an accept.
+// beforeAccept must be called right before each accept.
 func (q *acceptQueue) beforeAccept() {
 	q.acceptBegan = time.Now()
 	if q.raw == nil {
@@ -51,7 +52,7 @@
 	q.pending = err != nil || ready != 0
 }
 
-// afterAccept is called after it, and tells when the connection may have come at the earliest.
+// afterAccept must be called right after each accept. It returns the earliest time at which the connection may have arrived.
 func (q *acceptQueue) afterAccept() time.Time {
 	ended := time.Now()
 	hadToWait := !q.pending
--- a/internal/balancer/accept_test.go
+++ b/internal/balancer/accept_test.go
@@ -8,8 +8,9 @@
 	"streamrail/internal/stall"
 )
 
-// Who makes room first decides which clients are hurt: those that say nothing, then those that asked once and stay, then
-// those that stopped within a command; never one with a call in hand, nor one that is used by turns or writes in pieces.
+// The order of eviction decides which clients are affected: first those that have sent nothing, then those that sent one request and
+// stay connected, then those that stalled within a command. Never evicted are connections with a request in flight, in regular use,
+// just opened, or whose client writes a command in pieces.
 func TestEvictionByStage(t *testing.T) {
 	cs := newClientConns(100)
 	cs.setLimits(9, 9)
@@ -37,35 +38,35 @@
 		add(100*time.Millisecond, func(*clientConn) {}), // silent, younger
 		add(900*time.Millisecond, carryRequest),         // idle
 		add(50*time.Millisecond, carryRequest),          // idle, younger
-		add(4*time.Second, slow(1500*time.Millisecond)), // stopped
+		add(4*time.Second, slow(1500*time.Millisecond)), // stalled within a command
 	}
 	for i, want := range order {
 		if !cs.makeRoomFor(&clientConn{}) || !want.evicted.Load() {
-			t.Fatalf("the %d. to go is another", i+1)
+			t.Fatalf("eviction %d chose another connection", i+1)
 		}
 	}
-	for name, c := range map[string]*clientConn{"with a call in hand": busy, "writes in pieces": slowWriter, "used by turns": reused, "fresh": fresh} {
+	for name, c := range map[string]*clientConn{"with a request in flight": busy, "whose client writes in pieces": slowWriter, "in regular use": reused, "just opened": fresh} {
 		if c.evicted.Load() {
-			t.Errorf("the one %s was thrown out", name)
+			t.Errorf("the connection %s was evicted", name)
 		}
 	}
 	if cs.makeRoomFor(&clientConn{}) {
-		t.Error("there is room though nobody may go")
+		t.Error("room was made although no connection may be evicted")
 	}
 }
 
-// Two processes of an upgrade may hold no more together than one, whatever each holds and whichever leaves.
+// The two processes of an upgrade may together hold no more than one alone, whatever each holds and whichever of them ends.
 func TestPortions(t *testing.T) {
 	for _, row := range [][2]int64{{0, 0}, {40, 0}, {30, 60}, {50, 50}, {80, 60}} {
 		a, b := row[0], row[1]
 		for _, sum := range []int64{processShare(100, a, b, false) + processShare(100, b, a, false), // both stay
 			processShare(100, a, b, true) + 100 - processShare(100, a, b, true)} {
 			if sum > max(100, a+b) {
-				t.Errorf("holding %d and %d they may hold %d", a, b, sum)
+				t.Errorf("processes that hold %d and %d may hold %d together", a, b, sum)
 			}
 		}
 		if processShare(100, a, b, false) < a {
-			t.Errorf("holding %d, %d: what it has is taken from it", a, b)
+			t.Errorf("holding %d, with %d in the other process: the share is below what it holds", a, b)
 		}
 	}
 }
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -6,7 +6,7 @@
 	"streamrail/internal/upstream"
 )
 
-// sendAttempt starts an attempt; how it ends comes back through c.ended.
+// sendAttempt starts an attempt. Its result arrives on c.attemptResults.
 func (c *clientRequest) sendAttempt(send action) {
 	n, sentAt := len(c.attempts), time.Now()
 	attempt := &upstream.Attempt{To: send.host, Command: &c.Command, Value: c.value, Deadline: send.deadline, BeginBy: send.beginBy}
@@ -19,16 +19,18 @@
 	attempt.Done = func(r upstream.Result) { c.attemptResults <- attemptResult{r, n, time.Since(sentAt) - r.Peer} }
 	c.attempts = append(c.attempts, attempt)
 	c.inFlight++
-	if c.client.hasLeft() || c.isAnswerChosen() { // since this was decided
+	if c.client.hasLeft() || c.isAnswerChosen() { // the client left, or the answer was chosen, after this attempt was decided
 		attempt.GiveUp()
 	}
 	c.b.hosts.Send(attempt)
 }
 
-// recentArrivalTime is how long after its arrival a request's client has not left for so long that it matters.
+// recentArrivalTime is the time after a request's arrival in which the system is not asked whether its client has left: it cannot
+// have left long enough ago to matter.
 const recentArrivalTime = 50 * time.Millisecond
 
-// isUnwanted tells whether nobody waits for the call any more, since its client has left or it is answered, right before an attempt would begin.
+// isUnwanted reports whether nobody waits for the request any more, because its client has left or its answer is chosen. It is called
+// right before an attempt would begin.
 func (c *clientRequest) isUnwanted() bool {
 	if c.isAnswerChosen() {
 		return true
@@ -39,14 +41,14 @@
 	return c.client.hasLeftNow()
 }
 
-// cancelAttempt gives an attempt up.
+// cancelAttempt gives up an attempt, unless its value is already being passed on to the client.
 func (c *clientRequest) cancelAttempt(cancel action) {
-	if !c.isStreaming() { // the module may not have heard of that yet
+	if !c.isStreaming() { // the policy may not have been notified of the streaming yet
 		c.attempts[cancel.attempt].GiveUp()
 	}
 }
 
-// reserveMemory takes memory for a value until the request is left; false where there is no room for it.
+// reserveMemory reserves memory for a value until the request is released; false if the limit does not allow it.
 func (c *clientRequest) reserveMemory(bytes int) bool {
 	reserved := c.b.reserveMemory(bytes)
 	if reserved {
@@ -55,7 +57,8 @@
 	return reserved
 }
 
-// reserveMemory takes memory for values in hand; false where there is no room for it. Who takes some gives it back.
+// reserveMemory reserves memory for values of requests in flight; false if the limit does not allow it. The caller must release what it
+// reserved.
 func (b *Balancer) reserveMemory(bytes int) bool {
 	if b.valueBytes.Add(int64(bytes)) > b.maxValueBytes.Load() {
 		b.valueBytes.Add(-int64(bytes))
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,6 +1,6 @@
-// Package balancer serves clients: it takes requests from their connections, has the module decide about
-// each, carries out what it orders and answers. The files follow the stages of a request: accept, read,
-// decide, send, reply. Nothing here chooses where a call goes or whether it is tried again.
+// Package balancer serves clients: it reads requests from their connections, lets package policy decide about
+// each, carries out the decisions and answers. The files follow the stages of a request: accept, read,
+// decide, send, reply. Nothing here chooses where a request goes or whether it is retried.
 package balancer
 
 import (
@@ -27,26 +27,26 @@
 	deployment     *deployment.Deployment
 	log            zerolog.Logger
 	hosts          *upstream.Hosts
-	epoch          time.Time    // the decisions' clock goes on from here
-	epochNanos     policy.Nanos // what it shows then
+	epoch          time.Time    // start of the policy's clock
+	epochNanos     policy.Nanos // the policy's clock at epoch
 	stalls         *stall.Detector
 	startTimes     *startTimes
-	listeningSince time.Time // no client's connection came before that
+	listeningSince time.Time // no client connection arrived before that
 
 	phase              atomic.Int32
-	phaseChanged       chan struct{} // a phase was ordered
+	phaseChanged       chan struct{} // receives a value for each new phase
 	ctx                context.Context
-	cancel             context.CancelFunc // of running
+	cancel             context.CancelFunc // ends ctx
 	listSource         listSource
-	hasHostList        atomic.Bool // a list: discovery's, or one of before with a host; without any nothing can be served
+	hasHostList        atomic.Bool // there is a host list from discovery, or a restored one with at least one host; without one nothing can be served
 	pace               discovery.Pace
 	subscribeRequested chan struct{}
 
-	// mu guards the module, which is not concurrent, and what its orders touch. Nothing is sent, written or
-	// waited for under it, and no answer waits for it: events are posted (decisions.go).
+	// mu guards the policy, which is not safe for concurrent use, and what its actions change. Nothing is sent, written or
+	// waited for while it is held, and no answer waits for it: events are posted (decisions.go).
 	mu       policyLock
 	policy   *policy.Balancer
-	now      policy.Nanos // fixed for the thing that happens
+	now      policy.Nanos // constant while one event is handled
 	timers   timerWheel
 	requests map[policy.CallID]*clientRequest
 
@@ -54,12 +54,12 @@
 	requestIDs   idSet
 
 	clients       *clientConns
-	toIdleWorker  chan *clientRequest // is read by goroutines that rest between calls
-	idleWorkers   atomic.Int64        // are so many
-	capacity      resourceLimits      // what a balancer may hold
-	inFlight      atomic.Int64        // requests in hand
+	toIdleWorker  chan *clientRequest // hands a request to an idle goroutine
+	idleWorkers   atomic.Int64        // goroutines that receive from toIdleWorker
+	capacity      resourceLimits      // limits of the whole balancer, which the two processes of an upgrade split
+	inFlight      atomic.Int64        // requests in flight
 	maxInFlight   atomic.Int64
-	valueBytes    atomic.Int64 // bytes of values in hand
+	valueBytes    atomic.Int64 // bytes of values of requests in flight
 	maxValueBytes atomic.Int64
 	traffic       trafficStats
 	delays        delayStats
@@ -67,12 +67,12 @@
 	upgrade       upgradeLink
 	exclusions    exclusionStore
 	fleet         fleetMembership
-	limitShares   *limitShares         // nil: parts of what holds for the fleet are equal ones
-	fleetOrders   *exclusionOrders     // nil: orders by hand hold here alone
-	observations  *observationExchange // nil: hosts are judged by own attempts alone
+	limitShares   *limitShares         // nil: fleet-wide limits are split into equal shares
+	fleetOrders   *exclusionOrders     // nil: operators' exclusions apply to this balancer only
+	observations  *observationExchange // nil: hosts are judged by this balancer's attempts only
 }
 
-// New makes a balancer in the phase starting, of what the platform tells it and what the operator sets.
+// New returns a balancer in phase Starting, configured by the deployment and by the operator's file.
 func New(deployed *deployment.Deployment, operatorFile *operator.File, log zerolog.Logger) *Balancer {
 	grace := usableGrace(deployed.DrainGrace)
 	sockets := deployed.Sockets - reservedSockets
@@ -116,16 +116,17 @@
 	return b
 }
 
-// graceReserve is for how long the process may be held up between a look at the clock and the write that follows, and some more for
-// goroutines that are late.
+// graceReserve covers a stall of the process between reading the clock and the write that follows, and goroutines that are scheduled
+// late.
 const graceReserve = 200 * time.Millisecond
 
-// usableGrace is the part of a drain's grace after which no write may begin: whatever holds it up then, it comes within the whole.
+// usableGrace returns the part of a drain's grace in which a write may begin. A write that is delayed after that still happens within
+// the whole grace.
 func usableGrace(grace time.Duration) time.Duration {
 	return grace - min(max(graceReserve, grace/10), grace/2)
 }
 
-// runStallTicker tells the stall detector that the process runs.
+// runStallTicker periodically notifies the stall detector that the process runs.
 func (b *Balancer) runStallTicker() {
 	t := time.NewTicker(stall.Period)
 	defer t.Stop()
@@ -140,11 +141,11 @@
 }
 
 const (
-	// upstreamEighths is the eighths of the room for connections to hosts. Clients hold a third of the descriptors at most
-	// for requests, and each of those needs one to a host; what else connects stands on the clients' side.
+	// upstreamEighths is how many eighths of the sockets are for connections to hosts. Clients use at most a third of the descriptors
+	// for requests, and each request needs one connection to a host. Other incoming connections use the clients' part.
 	upstreamEighths     = 3
-	reservedSockets     = 16       // descriptors for the listener, discovery, logs and the runtime: seven, and some to spare
-	memoryDivisor       = 4        // of the memory for requests in hand, and as much for their values
-	bytesPerRequest     = 32 << 10 // stacks and buffers of one with its two connections
-	maxAttemptsToOrigin = 64       // the module starts with as many attempts out there
+	reservedSockets     = 16       // descriptors for the listener, discovery, logs and the runtime: seven, plus a reserve
+	memoryDivisor       = 4        // one such part of the memory is for requests in flight, another one for their values
+	bytesPerRequest     = 32 << 10 // stacks and buffers of a request and its two connections
+	maxAttemptsToOrigin = 64       // the policy's initial limit on concurrent attempts to the origin is the same
 )
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -10,16 +10,17 @@
 	"streamrail/internal/operator"
 )
 
-// TestGraceCoversHoldUp holds that a write which is begun as late as it may be, and held up by 0.15 s, comes within the drain's grace.
+// TestGraceCoversHoldUp checks that a write which begins as late as allowed and is then delayed by 0.15 s still happens within the drain's
+// grace.
 func TestGraceCoversHoldUp(t *testing.T) {
 	const delay = 150 * time.Millisecond
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
 		usable := usableGrace(grace)
 		if grace >= 2*delay && usable+delay > grace {
-			t.Errorf("grace %v: a write may come %v after its end", grace, usable+delay-grace)
+			t.Errorf("grace %v: a write may happen %v after its end", grace, usable+delay-grace)
 		}
 		if usable < grace/2 || usable > grace {
-			t.Errorf("grace %v: %v of it are used", grace, usable)
+			t.Errorf("grace %v: usable part %v is out of range", grace, usable)
 		}
 	}
 	deployed := &deployment.Deployment{Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
@@ -27,6 +28,6 @@
 	defer b.cancel()
 	defer b.hosts.Close()
 	if got := b.hosts.Grace(); got != usableGrace(time.Second) {
-		t.Errorf("writes end %v after a drain was told", got)
+		t.Errorf("writes end %v after the notice of a drain", got)
 	}
 }
--- a/internal/balancer/bans.go
+++ b/internal/balancer/bans.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// A save of the bans that fails is tried again, at first after a short wait, which doubles and is spread.
+// A failed save of the exclusions is retried. The wait doubles from minSaveRetryWait to maxSaveRetryWait, with jitter.
 const (
 	minSaveRetryWait = 100 * time.Millisecond
 	maxSaveRetryWait = 5 * time.Second
 )
 
-// exclusionStore are how the hosts out by hand are kept.
+// exclusionStore saves the hosts that operators have excluded.
 type exclusionStore struct {
-	mu       sync.Mutex // over what holds and the file: of two saves the later one has what holds then
+	mu       sync.Mutex // held from reading the exclusions until they are written, so that a later save never has an older state
 	save     func(path string, what any) error
 	retrying bool
 }
 
-// saveExclusions keeps the hosts out by hand in a file. Where that fails it is tried again until it holds.
+// saveExclusions writes the excluded hosts to a file. If that fails it returns the error and retries in the background until it succeeds.
 func (b *Balancer) saveExclusions() error {
 	b.exclusions.mu.Lock()
 	defer b.exclusions.mu.Unlock()
@@ -26,20 +26,20 @@
 	if err == nil || b.exclusions.retrying {
 		return err
 	}
-	b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the hosts out by hand are not kept in a file, trying again")
+	b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("could not save the excluded hosts, retrying")
 	b.exclusions.retrying = true
 	go b.retrySavingExclusions()
 	return err
 }
 
-// writeExclusions writes what holds now. Under bans.mu.
+// writeExclusions writes the present exclusions. The caller holds exclusions.mu.
 func (b *Balancer) writeExclusions() error {
 	var excluded []string
 	b.callPolicy(func() { excluded = b.excludedHosts() })
 	return b.exclusions.save(b.exclusionFile(), excluded)
 }
 
-// retrySavingExclusions goes on until the file has what holds then.
+// retrySavingExclusions retries the save until it succeeds or the balancer stops.
 func (b *Balancer) retrySavingExclusions() {
 	for wait := minSaveRetryWait; ; wait = min(2*wait, maxSaveRetryWait) {
 		select {
@@ -48,7 +48,7 @@
 			return
 		}
 		if b.retrySaveOnce() {
-			b.log.Info().Str("file", b.exclusionFile()).Msg("the hosts out by hand are kept in a file again")
+			b.log.Info().Str("file", b.exclusionFile()).Msg("the excluded hosts are saved again")
 			return
 		}
 	}
--- a/internal/balancer/bans_test.go
+++ b/internal/balancer/bans_test.go
@@ -11,7 +11,7 @@
 	"streamrail/policy"
 )
 
-// failingStore keeps nothing until it is given room.
+// failingStore fails every save while err is set.
 type failingStore struct {
 	mu    sync.Mutex
 	err   error
@@ -29,8 +29,8 @@
 	return s.err
 }
 
-// TestExclusionOnFullDisk takes hosts out while nothing can be written: it holds at once, the answer says that it is not kept, and it is
-// kept as soon as there is room, with what was ordered meanwhile.
+// TestExclusionOnFullDisk excludes hosts while nothing can be written. Each exclusion must take effect at once, the returned error must
+// say that it is not saved, and all of them must be saved as soon as writing works again.
 func TestExclusionOnFullDisk(t *testing.T) {
 	for _, saveErr := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS} {
 		t.Run(saveErr.Error(), func(t *testing.T) {
@@ -40,18 +40,18 @@
 			x.exclusions.save = disk.save
 			for _, host := range []string{"a", "b"} {
 				if err := x.setExclusion(policy.CacheID(host), true, false); !errors.Is(err, errNotSaved) || !errors.Is(err, saveErr) {
-					t.Errorf("%s is out: %v", host, err)
+					t.Errorf("excluding %s: got error %v", host, err)
 				}
 			}
 			var out []string
 			x.callPolicy(func() { out = x.excludedHosts() })
 			if !slices.Equal(out, []string{"a", "b"}) {
-				t.Errorf("out are %q", out)
+				t.Errorf("excluded hosts: %q", out)
 			}
 			time.Sleep(500 * time.Millisecond)
 			disk.mu.Lock()
-			if disk.tries < 4 || disk.tries > 12 { // two at once, then 50 to 100 ms, doubled
-				t.Errorf("%d tries in half a second", disk.tries)
+			if disk.tries < 4 || disk.tries > 12 { // one for each exclusion at once, then waits from 50 to 100 ms that double
+				t.Errorf("%d saves in half a second", disk.tries)
 			}
 			disk.err = nil
 			disk.mu.Unlock()
@@ -63,11 +63,11 @@
 					break
 				}
 				if time.Since(began) > testTimeout {
-					t.Fatalf("kept are %q", kept)
+					t.Fatalf("saved hosts: %q", kept)
 				}
 			}
 			if err := x.setExclusion(policy.CacheID("a"), false, false); err != nil {
-				t.Errorf("a is back: %v", err)
+				t.Errorf("including a again: %v", err)
 			}
 		})
 	}
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -26,33 +26,33 @@
 	"streamrail/policy"
 )
 
-// deadlineSlack is what the deadline that a server is told may exceed the client's by, at the most.
+// deadlineSlack is the most by which the deadline sent to a server may exceed the client's.
 const deadlineSlack = 150 * time.Millisecond
 
-// dedupWindow is how long the hosts of these tests recognise a repeat of a deduplicated request.
+// dedupWindow is how long the hosts in these tests recognise a repeat of a deduplicated request.
 const dedupWindow = 600 * time.Millisecond
 
-// sentRequest is what a client said when it sent a request.
+// sentRequest is when a client sent a request and the timeout it gave.
 type sentRequest struct {
 	sent    time.Time
 	timeout time.Duration
 }
 
-// recordedAttempt is one attempt as it left the balancer for a server.
+// recordedAttempt is one attempt as it was written to a server.
 type recordedAttempt struct {
 	id          string
 	server      string
-	at          time.Time // when its last byte was handed to the connection
+	at          time.Time // when the write of its last byte began
 	toldTimeout time.Duration
 	write       bool
 }
 
-// attemptLog holds what clients sent and what was written to servers.
+// attemptLog records what clients sent and what was written to servers.
 type attemptLog struct {
 	mu       sync.Mutex
 	requests map[string]sentRequest
 	attempts []recordedAttempt
-	harmless map[[2]string]bool // by request and server: its answer tells that nothing ran there
+	harmless map[[2]string]bool // by request and server: the answer said that nothing ran there
 }
 
 func newAttemptLog() *attemptLog {
@@ -80,14 +80,14 @@
 	l.harmless[[2]string{id, server}] = true
 }
 
-// violation is one attempt that broke a rule of time.
+// violation is one attempt that broke a rule about deadlines or windows.
 type violation struct {
 	attempt recordedAttempt
 	rule    string
 	by      time.Duration
 }
 
-// check holds every attempt against its client's deadline, and repeats of writes against the window.
+// check compares every attempt with its client's deadline, and repeats of writes with the window.
 func (l *attemptLog) check(slack time.Duration) (violations []violation, attempts int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -95,40 +95,40 @@
 	for _, a := range l.attempts {
 		request, known := l.requests[a.id]
 		if !known {
-			violations = append(violations, violation{a, "never sent by a client", 0})
+			violations = append(violations, violation{a, "belongs to no request of a client", 0})
 			continue
 		}
 		deadline := request.sent.Add(request.timeout)
 		if by := a.at.Add(a.toldTimeout).Sub(deadline); by > slack {
-			violations = append(violations, violation{a, "told more than the client has left", by})
+			violations = append(violations, violation{a, "was sent a longer timeout than the client has left", by})
 		}
 		if by := a.at.Sub(deadline); by > slack {
-			violations = append(violations, violation{a, "written after the deadline", by})
+			violations = append(violations, violation{a, "was written after the deadline", by})
 		}
 		if firstAt, repeat := first[a.id]; !repeat {
 			if !l.harmless[[2]string{a.id, a.server}] {
 				first[a.id] = a.at
 			}
 		} else if by := a.at.Sub(firstAt.Add(dedupWindow)); a.write && by > 0 {
-			violations = append(violations, violation{a, "repeated after the window", by})
+			violations = append(violations, violation{a, "was repeated after the window", by})
 		}
 	}
 	return violations, len(l.attempts)
 }
 
-// recordedConn is a connection to a server. It notes each attempt when its last byte is written, and may hold a write up.
+// recordedConn is a connection to a server. It records each attempt once its last byte is written, and may delay writes.
 type recordedConn struct {
 	net.Conn
 	server     string
 	attemptLog *attemptLog
 	holdUp     func() time.Duration
 	pending    []byte
-	at         time.Time // of the write that is under way
+	at         time.Time // start of the current write
 }
 
 func (c *recordedConn) Write(p []byte) (int, error) {
-	if len(c.pending) == 0 || isStreamed(c.pending) { // else it is of the write that is under way: a socket takes its buffers in one call
-		c.at = time.Now() // before the hold-up, which a busy machine makes longer: the slack is less by the most that it may be
+	if len(c.pending) == 0 || isStreamed(c.pending) { // else it continues the current write: a socket would take all its buffers in one call
+		c.at = time.Now() // before the delay, which a busy machine makes longer; report reduces the slack by the longest delay
 		time.Sleep(c.holdUp())
 	}
 	n, err := c.Conn.Write(p)
@@ -144,10 +144,11 @@
 	}
 }
 
-// valueLengthPattern finds the length of a value in the head of a write, of either protocol.
+// valueLengthPattern finds the length of the value in the head of a write, in either protocol.
 var valueLengthPattern = regexp.MustCompile(`(?i)^ms \S+ (\d+)|\r\ncontent-length: (\d+)`)
 
-// isStreamed tells that an attempt has begun whose long value is written piece by piece, as it comes from the client.
+// isStreamed reports whether what was written begins an attempt with a long value, which is written in pieces as they arrive from the
+// client.
 func isStreamed(written []byte) bool {
 	match := valueLengthPattern.FindSubmatch(written)
 	if match == nil {
@@ -157,7 +158,7 @@
 	return length > upstream.Whole
 }
 
-// parseAttempt reads the first attempt of what was written, of either protocol; size 0: it is not whole yet.
+// parseAttempt parses the first attempt in what was written, in either protocol; size 0 means that it is incomplete.
 func parseAttempt(text []byte) (a recordedAttempt, size int) {
 	line, _, found := bytes.Cut(text, []byte("\r\n"))
 	if !found {
@@ -211,7 +212,7 @@
 	return a, size
 }
 
-// timeoutIn is the deadline in a list of names and values.
+// timeoutIn returns the timeout in a list of attributes.
 func timeoutIn(attrs string) time.Duration {
 	for _, pair := range strings.Split(attrs, ",") {
 		if digits, found := strings.CutPrefix(pair, "d="); found {
@@ -222,7 +223,7 @@
 	return 0
 }
 
-// randomSource is a seeded source of chance that several goroutines use.
+// randomSource is a seeded source of random numbers for concurrent use.
 type randomSource struct {
 	mu   sync.Mutex
 	rand *rand.Rand
@@ -242,23 +243,23 @@
 	return time.Duration(d.upTo(int(longest) + 1))
 }
 
-// faultyHosts is a balancer on loopback sockets with cache hosts and an origin that misbehave by draw.
+// faultyHosts is a balancer on loopback sockets whose cache hosts and origin misbehave at random.
 type faultyHosts struct {
 	*Balancer
 	attemptLog    *attemptLog
 	random        *randomSource
 	addr          string
-	maxWriteDelay time.Duration // that is put between the clock and a write, at the most
+	maxWriteDelay time.Duration // longest delay between reading the clock and a write
 }
 
 type injectedFaults struct {
-	answers          []string      // what cache hosts do, one drawn for each attempt
-	origin           []string      // the same of the origin
-	refusedPercent   int           // of a hundred connections to servers
-	maxConnectDelay  time.Duration // how late a connection comes up, at the most
-	maxWriteDelay    time.Duration // between the clock and a write, at the most
-	maxLockHold      time.Duration // for how long the decisions are held up now and then, at the most
-	cachesTakeWrites bool          // caches take writes and fetch what they lack: there is no origin
+	answers          []string      // what cache hosts do, one picked at random for each attempt
+	origin           []string      // the same for the origin
+	refusedPercent   int           // share of connections to servers that are refused
+	maxConnectDelay  time.Duration // longest delay until a connection is established
+	maxWriteDelay    time.Duration // longest delay between reading the clock and a write
+	maxLockHold      time.Duration // longest time for which the policy's lock is held now and then
+	cachesTakeWrites bool          // caches take writes and fetch misses themselves: the balancer contacts no origin
 }
 
 func newFaultyHosts(t *testing.T, seed uint64, faults injectedFaults) *faultyHosts {
@@ -320,7 +321,7 @@
 	return f
 }
 
-// holdUpPolicy keeps the lock of the decisions now and then: who waits for it is held up.
+// holdUpPolicy holds the policy's lock now and then, which delays everything that waits for it.
 func (f *faultyHosts) holdUpPolicy(maxHold time.Duration, done <-chan struct{}) {
 	for {
 		select {
@@ -334,7 +335,7 @@
 	}
 }
 
-// cacheHost answers each attempt with what is drawn, and tells its address.
+// cacheHost starts a cache host that treats each attempt in one of the given ways at random, and returns its address.
 func (f *faultyHosts) cacheHost(t *testing.T, name string, answers []string) string {
 	return f.startServer(t, func(conn net.Conn, in *bufio.Reader) bool {
 		line, err := in.ReadString('\n')
@@ -383,7 +384,7 @@
 	})
 }
 
-// respond does one thing that a server may do; false: the connection ends.
+// respond does one of the things that a server may do; false if the connection ends.
 func (f *faultyHosts) respond(conn net.Conn, behaviour string, responses map[string]string) bool {
 	if rest, isSlow := strings.CutPrefix(behaviour, "slow "); isSlow {
 		time.Sleep(f.random.durationUpTo(400 * time.Millisecond))
@@ -421,7 +422,7 @@
 	return listener.Addr().String()
 }
 
-// sendRequests sends requests over several connections, some of them pipelined, and waits until each has its answer or its time.
+// sendRequests sends requests over several connections, some of them pipelined, and waits until each is answered or times out.
 func (f *faultyHosts) sendRequests(t *testing.T, name string, connections, batches int) {
 	var clients sync.WaitGroup
 	for i := range connections {
@@ -466,7 +467,7 @@
 	f.awaitAnswers(t, conn, name, len(ids), timeout)
 }
 
-// slowWrite sends a long value in pieces; its time begins with the last byte.
+// slowWrite sends a long value in pieces; its timeout runs from the last byte.
 func (f *faultyHosts) slowWrite(conn net.Conn, id string, timeout time.Duration) {
 	value := bytes.Repeat([]byte("v"), []int{20 << 10, 60 << 10, 150 << 10}[f.random.upTo(3)])
 	fmt.Fprintf(conn, "ms key-%s %d O%s Pc=marked,d=%d,k=%s\r\n", id, len(value), id, timeout.Milliseconds(), id)
@@ -480,7 +481,7 @@
 	f.attemptLog.recordRequests([]string{id}, timeout)
 }
 
-// awaitAnswers fails where a request gets none.
+// awaitAnswers reads the answers and fails the test if a request gets none.
 func (f *faultyHosts) awaitAnswers(t *testing.T, conn net.Conn, name string, requests int, timeout time.Duration) {
 	conn.SetReadDeadline(time.Now().Add(timeout + testTimeout))
 	in := bufio.NewReader(conn)
@@ -496,7 +497,7 @@
 	}
 }
 
-// report fails the test for each rule that was broken, with how often and by how much.
+// report fails the test for each rule that was broken, and says how often and by how much.
 func (f *faultyHosts) report(t *testing.T) {
 	violations, attempts := f.attemptLog.check(deadlineSlack - f.maxWriteDelay)
 	count, worst := map[string]int{}, map[string]time.Duration{}
@@ -517,7 +518,7 @@
 	}
 }
 
-// TestDeadlinesToldToServers draws faults and delays: no attempt tells a server more than its client has left.
+// TestDeadlinesToldToServers injects random faults and delays: no attempt may send a server a longer timeout than its client has left.
 func TestDeadlinesToldToServers(t *testing.T) {
 	answers := []string{"hit", "receipt", "miss", "failed", "busy", "close", "hang", "slow failed", "slow miss", "slow busy"}
 	origin := []string{"hit", "failed", "busy", "close", "slow hit", "slow busy"}
@@ -540,8 +541,8 @@
 	}
 }
 
-// TestRequestsReadLate has requests stand unread: in the accept queue, behind a reader that has no memory for more, and behind one
-// that waits for the decisions. Each counts from when it arrived.
+// TestRequestsReadLate leaves requests unread for a while: in the accept queue, behind a reader that has no memory to read ahead, and
+// behind one that waits for the policy. The time of each must count from its arrival.
 func TestRequestsReadLate(t *testing.T) {
 	answers := injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true}
 	const delay, timeout = 500 * time.Millisecond, 1500 * time.Millisecond
@@ -559,8 +560,8 @@
 		t.Parallel()
 		f := newFaultyHosts(t, 1, answers)
 		f.clients.setLimits(0, 0)
-		time.Sleep(50 * time.Millisecond) // accepting waits for a connection by now, or for room
-		first := sendOne(f, t, "before")  // accepted by the call that was under way
+		time.Sleep(50 * time.Millisecond) // the accept loop waits for a connection by now, or for room
+		first := sendOne(f, t, "before")  // accepted by the call in progress
 		time.Sleep(50 * time.Millisecond)
 		queued := sendOne(f, t, "queued")
 		time.Sleep(delay)
@@ -617,8 +618,8 @@
 	})
 }
 
-// TestClientGoneBehindUnread has a client leave while much of what it sent stands unread, as there is no memory to read ahead: once
-// those before are over nothing of it is begun.
+// TestClientGoneBehindUnread closes a client connection of which much is unread, as there is no memory to read ahead. Once the requests
+// before are finished, no attempt may begin for the unread ones.
 func TestClientGoneBehindUnread(t *testing.T) {
 	f := newFaultyHosts(t, 4, injectedFaults{answers: []string{"slow hit"}, cachesTakeWrites: true})
 	f.maxValueBytes.Store(0)
@@ -639,7 +640,7 @@
 	time.Sleep(50 * time.Millisecond)
 	send(300, 3*time.Second)
 	time.Sleep(50 * time.Millisecond)
-	conn.(*net.TCPConn).CloseWrite() // closed whole it would be reset by the first answer, which ends what stands unread
+	conn.(*net.TCPConn).CloseWrite() // after a full close the first answer would cause a reset, which discards the unread input
 	leftAt := time.Now()
 	t.Cleanup(func() { conn.Close() })
 	time.Sleep(time.Second)
--- a/internal/balancer/ends.go
+++ b/internal/balancer/ends.go
@@ -10,36 +10,37 @@
 	"time"
 )
 
-// What ends a connection of a client, from either side. docs/notes/endings.md lists what is still owed at each end.
+// This file ends client connections, from either side. docs/notes/endings.md lists which answers are still owed in each case.
 
 const (
-	// A client sends on while it has not heard of the end of a connection: what comes is passed over for so long, and so much of
-	// it. A client that has heard closes it, which ends the wait.
+	// A client goes on sending until it receives the end of the connection. For lingerTime, and up to maxLingerBytes, what it sends
+	// is read and discarded. A client that has received the end closes the connection, which ends the wait.
 	lingerTime     = 200 * time.Millisecond
 	maxLingerBytes = 1 << 20
-	// maxReadAheadBytes bounds what is read of a connection while its reader waits for something else, and so do the values that may be
-	// in hand: some thousand requests. The end of a client that has sent more than that is heard when it is come to.
+	// maxReadAheadBytes bounds what is read ahead of one connection while its reader waits for something else; it is enough for some
+	// thousand requests. The limit on value memory bounds it too. If a client has sent more, its close is noticed only when the
+	// reader gets there.
 	maxReadAheadBytes   = 1 << 20
 	readAheadChunkBytes = 4 << 10
 )
 
-// readAheadBuffer is what has been read of a connection while its reader could not take it.
+// readAheadBuffer holds what was read from a connection while its reader was waiting for something else.
 type readAheadBuffer struct {
 	chunks   []chunk
-	size     int        // of all
-	err      error      // of the stream, behind them
-	balancer *Balancer  // whose memory it is; nil: there is enough
-	reserved int        // bytes of it
-	mu       sync.Mutex // over the connection's time limit, while another goroutine reads ahead
+	size     int        // bytes in all chunks
+	err      error      // error or end of the stream behind the chunks
+	balancer *Balancer  // whose value memory is used; nil: without limit
+	reserved int        // bytes of value memory in use
+	mu       sync.Mutex // guards the connection's read deadline while another goroutine reads ahead
 }
 
-// chunk is what one read brought: a request's time counts from when it had arrived, however long it stands here.
+// chunk is the result of one read. A request's time counts from arrivedAt, however long the request waits in the buffer.
 type chunk struct {
 	bytes     []byte
 	arrivedAt time.Time
 }
 
-// release gives all memory back.
+// release drops the chunks and releases their memory.
 func (a *readAheadBuffer) release() {
 	if a.balancer != nil {
 		a.balancer.valueBytes.Add(-int64(a.reserved))
@@ -47,7 +48,7 @@
 	a.chunks, a.size, a.reserved = nil, 0, 0
 }
 
-// take gives what was read ahead first, and when that came; none: the connection itself is to be read.
+// take copies the oldest bytes of the buffer to p and returns when they had arrived. If empty is set, the connection itself must be read.
 func (a *readAheadBuffer) take(p []byte) (n int, arrivedAt time.Time, empty bool, err error) {
 	if len(a.chunks) == 0 {
 		return 0, arrivedAt, a.err == nil, a.err
@@ -65,11 +66,11 @@
 	return n, arrivedAt, false, nil
 }
 
-// markGone notes that the client has gone away: it has closed the connection, or reset it. One that has only ended its sending
-// counts as gone too: nothing that comes tells the two apart.
+// markGone records that the client has closed or reset the connection. A client that has only shut down its sending side counts as
+// gone too: the two cannot be told apart from what is received.
 func (c *clientConn) markGone() { c.goneOnce.Do(func() { close(c.gone) }) }
 
-// hasLeft tells whether it has.
+// hasLeft reports whether markGone was called.
 func (c *clientConn) hasLeft() bool {
 	select {
 	case <-c.gone:
@@ -79,7 +80,8 @@
 	}
 }
 
-// hasLeftNow is hasLeft that does not wait for the reader to hear of the end: it may be held up, or be before other bytes.
+// hasLeftNow is like hasLeft but also asks the system: the reader may not have noticed the close yet, because it is delayed or because
+// other bytes come before it.
 func (c *clientConn) hasLeftNow() bool {
 	if !c.hasLeft() && c.receiver.peerClosed() {
 		c.markGone()
@@ -87,8 +89,8 @@
 	return c.hasLeft()
 }
 
-// watchForClose waits for something other than the client's next bytes, and hears meanwhile when it goes away: what it asked for must
-// not be begun after that, and what is on its way is to be given up.
+// watchForClose runs wait, and meanwhile reads ahead to notice when the client closes the connection: then no attempt may begin for it
+// any more, and attempts in flight are given up.
 func (c *clientConn) watchForClose(wait func()) {
 	over, readerDone := make(chan struct{}), make(chan struct{})
 	go func() {
@@ -115,7 +117,7 @@
 
 var pastDeadline = time.Unix(1, 0)
 
-// readAheadUntil reads on until the wait is over, the client's end or the bound.
+// readAheadUntil reads into the buffer until over is closed, the stream ends or the buffer is full.
 func (c *clientConn) readAheadUntil(over <-chan struct{}) {
 	for c.readAheadBuf.size < maxReadAheadBytes && c.readAheadBuf.err == nil {
 		c.readAheadBuf.mu.Lock()
@@ -125,7 +127,7 @@
 			return
 		default:
 		}
-		c.conn.SetReadDeadline(time.Time{}) // others who woke it meant its reader, which looks for itself when it is back
+		c.conn.SetReadDeadline(time.Time{}) // an interrupt was meant for the reader, which checks its state itself when it is back
 		c.readAheadBuf.mu.Unlock()
 		if !c.readAheadBuf.fill(c.receiver.read) {
 			return
@@ -136,7 +138,7 @@
 	}
 }
 
-// fill reads once; false where there is no memory for more.
+// fill does one read into the buffer; false if there is no memory for more.
 func (a *readAheadBuffer) fill(read func([]byte) (int, time.Time, error)) bool {
 	var buf [readAheadChunkBytes]byte
 	n, arrived, err := read(buf[:])
@@ -157,8 +159,8 @@
 	return true
 }
 
-// pollInput tells whether anything has come that is not read yet, the client's end too. It asks the system, whatever time it is:
-// a wait of any length may be over before the first look on a busy machine.
+// pollInput reports whether there is unread input or the end of the stream. It asks the system without waiting and whatever the read
+// deadline is: on a busy machine a wait of any length may expire before the first read.
 func (c *clientConn) pollInput() bool {
 	if c.reader.Buffered() > 0 || c.readAheadBuf.size > 0 || c.readAheadBuf.err != nil {
 		return true
@@ -170,8 +172,8 @@
 	return c.readAheadBuf.size > 0 || c.readAheadBuf.err != nil
 }
 
-// closeGracefully ends the connection once all of its commands are answered. Closed over bytes that have come unread it would be reset,
-// and a reset takes answers that the client has not read yet; so it ends its sending first, and passes over what still comes.
+// closeGracefully closes the connection once all of its commands are answered. Closing it with unread input would reset it, and a
+// reset destroys answers that the client has not read yet; so it first shuts down the sending side and discards what still arrives.
 func (c *clientConn) closeGracefully() {
 	c.discarding.Store(true)
 	if tcp, ok := c.conn.(*net.TCPConn); ok && c.readAheadBuf.err == nil {
@@ -182,8 +184,8 @@
 	c.conn.Close()
 }
 
-// abortAnswer ends the sending short of an answer's length, so that the client can tell that it is not whole; the reader does the rest.
-// No answer behind that one can reach the client any more: it is as gone.
+// abortAnswer shuts down the sending side before an answer is complete, so that the client can tell that it is truncated; the reader
+// closes the connection. No later answer can reach the client, so it is marked as gone.
 func (c *clientConn) abortAnswer() {
 	c.noMoreCommands.Store(true)
 	c.markGone()
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -21,22 +21,23 @@
 	"streamrail/policy"
 )
 
-// testTimeout bounds every wait; none of them decides a verdict unless something never comes.
+// testTimeout bounds every wait for something that must happen; it only expires if that never happens.
 const testTimeout = 10 * time.Second
 
-// testBalancer is a balancer on loopback sockets whose connections to some hosts come up when the test says so.
+// testBalancer is a balancer on loopback sockets; the test decides when connections to some of its hosts are established.
 type testBalancer struct {
 	*testing.T
 	*Balancer
 	addr           string
 	mu             sync.Mutex
-	connectAllowed map[string]chan struct{} // by host: closed when connections to it may come up
-	connecting     map[string]chan struct{} // by host: one for each that is being opened
-	received       map[string][]string      // by host: the lines that have begun to come
-	lines          chan string              // each of these lines, behind the host's name
+	connectAllowed map[string]chan struct{} // by host: closed when connections to it may be established
+	connecting     map[string]chan struct{} // by host: receives a value for each connection being opened
+	received       map[string][]string      // by host: the command lines received
+	lines          chan string              // each of these lines, after the host's name and a space
 }
 
-// newTestBalancer has a host of each name; answers[name] is what it says, with the request's id for %s. Hosts in late are held up.
+// newTestBalancer starts a balancer with a host for each name in answers. A host answers every request with its text, in which %s stands
+// for the request's id. Connections to the delayed hosts wait for connectAllowed.
 func newTestBalancer(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, delayed ...string) *testBalancer {
 	x := &testBalancer{T: t, connectAllowed: map[string]chan struct{}{}, connecting: map[string]chan struct{}{}, received: map[string][]string{}, lines: make(chan string, 1000)}
 	terms := policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: window}
@@ -148,24 +149,25 @@
 	select {
 	case v = <-ch:
 	case <-time.After(testTimeout):
-		t.Fatal("never came: " + what)
+		t.Fatal("timed out waiting for " + what)
 	}
 	return v
 }
 
-// waitFor waits for something that nothing tells of.
+// waitFor polls a condition until it holds.
 func (x *testBalancer) waitFor(what string, condition func() bool) {
 	x.Helper()
 	for began := time.Now(); !condition(); time.Sleep(time.Millisecond) {
 		if time.Since(began) > testTimeout {
-			x.Fatal("never: " + what)
+			x.Fatal("timed out waiting until " + what)
 		}
 	}
 }
 
 const receipt = "HD O%s cdone\r\n"
 
-// A client that goes away while its request waits for a connection to a host: when that comes up late, not a byte is sent.
+// If a client closes its connection while its request waits for a connection to a host, nothing of the request may be sent once that
+// connection is established.
 func TestClientGoneBeforeTheConnect(t *testing.T) {
 	waysToLeave := map[string]func(conn *net.TCPConn){
 		"closes":       func(conn *net.TCPConn) { conn.Close() },
@@ -187,11 +189,11 @@
 				x := newTestBalancer(t, policy.NonIdempotent, 0, map[string]string{"late": receipt}, "late")
 				conn, _ := x.dial()
 				io.WriteString(conn, request)
-				receiveSoon(t, x.connecting["late"], "the connect")
+				receiveSoon(t, x.connecting["late"], "the connection to the host")
 				leave(conn)
-				x.waitFor("given up", func() bool { return x.inFlight.Load() == 0 })
+				x.waitFor("the request is given up", func() bool { return x.inFlight.Load() == 0 })
 				close(x.connectAllowed["late"])
-				x.expectAnswer("ms k 5 Olast Pc=pay,d=9000\r\nhello\r\n", "HD Olast") // over a connection that comes up late
+				x.expectAnswer("ms k 5 Olast Pc=pay,d=9000\r\nhello\r\n", "HD Olast") // over a connection that was established late
 				x.mu.Lock()
 				defer x.mu.Unlock()
 				if len(x.received["late"]) != 1 {
@@ -202,8 +204,8 @@
 	}
 }
 
-// A repeat of work that may have run must begin while the hosts still know it: where its connection comes up later it is not
-// sent, and nothing is promised.
+// A retry of a write that may have run must begin within the window in which hosts recognise repeats. If its connection is established
+// later the retry is not sent, and the request is answered as errored.
 func TestWindowOverBeforeTheConnect(t *testing.T) {
 	for name, row := range map[string]struct {
 		effect   policy.Effect
@@ -217,7 +219,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			x := newTestBalancer(t, row.effect, row.window, map[string]string{"fails": "SERVER_ERROR failed\r\n", "late": receipt}, "late")
-			for i := range 40 { // half of the keys' homes are at the host that fails
+			for i := range 40 { // the host that fails is the home of half of the keys
 				id := fmt.Sprint("w", i)
 				conn, in := x.dial()
 				fmt.Fprintf(conn, "ms %d-key 5 O%s Pc=pay,d=8000,k=1\r\nhello\r\n", i, id)
@@ -227,10 +229,10 @@
 					case first = <-x.lines:
 					case <-x.connecting["late"]:
 					case <-time.After(testTimeout):
-						t.Fatal("the request goes nowhere")
+						t.Fatal("no attempt was made")
 					}
-					if strings.HasPrefix(first, "fails") { // the next attempt is for the late one
-						receiveSoon(t, x.connecting["late"], "the connect of the further attempt")
+					if strings.HasPrefix(first, "fails") { // the next attempt goes to the late host
+						receiveSoon(t, x.connecting["late"], "the connection of the next attempt")
 						break
 					} else if first == "" {
 						break
@@ -243,7 +245,7 @@
 					conn.Close()
 					continue
 				}
-				if !row.repeated { // the answer comes when the window is over, the client timeout is far
+				if !row.repeated { // the answer arrives when the window ends, long before the client's deadline
 					got, _ := in.ReadString('\n')
 					if took := time.Since(before); got != "SERVER_ERROR failed\r\n" || took > 6*time.Second {
 						t.Errorf("got %q after %v", got, took)
@@ -265,17 +267,17 @@
 					}
 				}
 				if (n == 1) != row.repeated {
-					t.Errorf("%d attempts over the late connection", n)
+					t.Errorf("%d attempts were sent over the late connection", n)
 				}
 				return
 			}
-			t.Fatal("no key's home is the host that fails")
+			t.Fatal("the host that fails was the home of no key")
 		})
 	}
 }
 
-// A request's time counts from when it came, also where it stood behind others and was read ahead: neither from when those came,
-// which would turn it away too early, nor from when it is taken, which would answer it too late.
+// The time of a request that was read ahead behind others counts from its own arrival. Counted from the arrival of those before it, it
+// would be turned away too early; counted from when it is handled, it would be answered too late.
 func TestTimeOfWhatIsReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -291,7 +293,7 @@
 		time.Sleep(time.Second)
 		for i, want := range []time.Time{arrivals[0], arrivals[1], arrivals[2]} {
 			if line, err := c.reader.ReadSlice('\n'); err != nil || string(line) != "mn\r\n" || !c.lastReadTime().Equal(want) {
-				t.Errorf("request %d: %q, %v, counts from %v, came after %v", i, line, err, c.lastReadTime().Sub(c.openedAt), want.Sub(c.openedAt))
+				t.Errorf("request %d: %q, %v, counts from %v, arrived after %v", i, line, err, c.lastReadTime().Sub(c.openedAt), want.Sub(c.openedAt))
 			}
 		}
 	})
--- a/internal/balancer/phases.go
+++ b/internal/balancer/phases.go
@@ -8,14 +8,14 @@
 	"streamrail/internal/admin"
 )
 
-// Phase is a stage of the program from start to exit.
+// Phase is a stage of the process from start to exit.
 type Phase int32
 
 const (
-	Starting Phase = iota // knows the list as it had it last and asks for the present one
+	Starting Phase = iota // has the last known host list at most and asks discovery for the present one
 	Serving
-	Leaving  // goes on serving while its peers and the front take note
-	Draining // answers what comes and has come, closes connections between requests
+	Leaving  // goes on serving while other balancers and the load balancer in front notice that it ends
+	Draining // answers all requests that arrive, and closes connections between requests
 	Stopped
 )
 
@@ -25,38 +25,38 @@
 
 func (b *Balancer) currentPhase() Phase { return Phase(b.phase.Load()) }
 
-// advanceTo goes on to a later phase; there is no way back.
+// advanceTo moves to a later phase, never to an earlier one.
 func (b *Balancer) advanceTo(p Phase) {
 	for old := b.currentPhase(); old < p; old = b.currentPhase() {
 		if b.phase.CompareAndSwap(int32(old), int32(p)) {
 			b.log.Info().Stringer("from", old).Stringer("phase", p).Msg("phase")
-			b.phaseChanged <- struct{}{} // there are fewer phases than it holds
+			b.phaseChanged <- struct{}{} // does not block: the buffer holds as many as there are later phases
 		}
 	}
 }
 
-// Drain begins the ordered end.
+// Drain begins the orderly shutdown.
 func (b *Balancer) Drain() { b.advanceTo(Leaving) }
 
-// Stop ends at once; requests in hand are lost.
+// Stop ends the balancer at once; requests in flight are lost.
 func (b *Balancer) Stop() { b.advanceTo(Stopped) }
 
 const (
-	maxHostListWait = time.Second            // for the present list; the old one serves if it does not come
-	frontDelay      = 600 * time.Millisecond // the front sends new connections for up to 0.4 s after the order to end
-	unusedConnGrace = 300 * time.Millisecond // for a connection that has carried nothing when the rest close
-	// Of the longest client timeout, of which three seconds at most are waited for: what is kept to end what is in
-	// hand, and what may go beyond it. The order to die comes 0.7 s after it at the soonest.
+	maxHostListWait = time.Second            // wait for the present host list; the last known one is used if it does not arrive
+	frontDelay      = 600 * time.Millisecond // the load balancer in front sends new connections for up to 0.4 s after the shutdown was ordered
+	unusedConnGrace = 300 * time.Millisecond // for a connection that has carried no command when idle ones close
+	// Shutdown waits for the client timeout, of which at most maxClientTimeout counts. finishReserve of it is kept to finish requests
+	// in flight, and draining may exceed it by drainOverrun. The process is killed 0.7 s after the client timeout at the earliest.
 	finishReserve    = 500 * time.Millisecond
 	drainOverrun     = 400 * time.Millisecond
 	maxClientTimeout = 3 * time.Second
-	finalAnswerTime  = lingerTime + 50*time.Millisecond // for the answers that are left then, and for the clients to hear of the end
+	finalAnswerTime  = lingerTime + 50*time.Millisecond // for the remaining answers, and for clients to receive the end of the connection
 )
 
-// Run takes the balancer through its phases and returns when it has stopped.
+// Run takes the balancer through its phases and returns once it has stopped.
 func (b *Balancer) Run() error {
 	b.listeningSince = time.Now()
-	listener, older := b.takeOverListener() // nil: no older process serves there
+	listener, older := b.takeOverListener() // nil: no older process serves on this address
 	if listener != nil {
 		defer listener.Close()
 	}
@@ -80,11 +80,11 @@
 	b.startWatch()
 	b.awaitHostList()
 	if listener == nil {
-		if b.currentPhase() != Starting { // ordered to end before it took anything on
+		if b.currentPhase() != Starting { // shutdown was ordered before it served
 			b.cleanUp()
 			return nil
 		}
-		// Only now: what clients send to an open address counts as taken, and cannot be answered before all this is done.
+		// The address is opened only now: what clients send to an open one counts as accepted, and cannot be answered before this point.
 		b.listeningSince = time.Now()
 		var err error
 		if listener, err = b.listen(); err != nil {
@@ -112,20 +112,20 @@
 	return nil
 }
 
-// awaitHostList waits for the present list, for as long as the one last known may serve in its place.
+// awaitHostList waits for the present host list, at most for maxHostListWait; after that the last known one is used.
 func (b *Balancer) awaitHostList() {
 	select {
 	case <-b.listSource.ready:
-	case <-b.phaseChanged: // ordered to end before it served
+	case <-b.phaseChanged: // shutdown was ordered before it served
 	case <-time.After(maxHostListWait):
-		b.log.Warn().Msg("no list from discovery yet, serving with the one last known")
+		b.log.Warn().Msg("no host list from discovery yet, serving with the last known one")
 	}
 }
 
-// shutDown goes through the phases that are left after Serving.
+// shutDown goes through the phases after Serving.
 func (b *Balancer) shutDown(listener net.Listener) {
 	end := time.After(min(b.deployment.ClientTimeout, maxClientTimeout) + drainOverrun)
-	if b.currentPhase() == Leaving && b.upgrade.newerReady.Load() { // the socket stays open there: nobody is turned back
+	if b.currentPhase() == Leaving && b.upgrade.newerReady.Load() { // the listening socket stays open in the newer process, so no client is refused
 		listener.Close()
 		b.advanceTo(Draining)
 	}
@@ -137,15 +137,15 @@
 	}
 }
 
-// cleanUp ends what Run began.
+// cleanUp ends what Run began, after a last report.
 func (b *Balancer) cleanUp() {
 	b.logReport()
 	b.advanceTo(Stopped)
 	b.hosts.Close()
 }
 
-// runLeaving serves on: clients use the connections they have for as long as these stay open, and a peer that
-// starts again at the same time may not be back yet. It ends early once nobody is connected.
+// runLeaving goes on serving: clients use their connections for as long as these stay open, and another balancer that restarts at the
+// same time may not be back yet. It ends early once no client is connected.
 func (b *Balancer) runLeaving() {
 	end := time.After(max(frontDelay, min(b.deployment.ClientTimeout, maxClientTimeout)-finishReserve))
 	ticker := time.NewTicker(frontDelay)
@@ -163,7 +163,7 @@
 	}
 }
 
-// runDraining closes connections between requests and waits for what is in hand.
+// runDraining closes connections between requests and waits for the requests in flight.
 func (b *Balancer) runDraining(listener net.Listener, end <-chan time.Time) {
 	b.clients.closeIdle()
 	unusedTimer := time.After(unusedConnGrace)
--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawConnOf gives access to the system's socket behind a connection or a listener; nil where there is none.
+// rawConnOf returns the raw socket of a connection or a listener, nil if it has none.
 func rawConnOf(socket any) syscall.RawConn {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
@@ -19,7 +19,7 @@
 	return raw
 }
 
-// pollEvents asks the system which of some events stand at a socket, without a wait. An error tells that it does not know.
+// pollEvents returns which of the given poll events are ready on a socket, without waiting. On an error the state is unknown.
 func pollEvents(raw syscall.RawConn, events int16) (ready int16, err error) {
 	controlErr := raw.Control(func(fd uintptr) {
 		fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -18,39 +18,39 @@
 	"streamrail/policy"
 )
 
-// clientConn is one connection of a client; its goroutine runs serve.
+// clientConn is one client connection; its goroutine runs serveClient.
 type clientConn struct {
 	conn            net.Conn
 	reader          *bufio.Reader
 	openedAt        time.Time
-	lastReadNanos   atomic.Int64 // nanoseconds after opened, when the last bytes had arrived
-	commandDeadline time.Time    // when the command that has begun must be whole
-	inCommand       atomic.Bool  // a command has begun to come
-	carriedCommand  atomic.Bool  // it has carried a command
-	carriedRequest  atomic.Bool  // it has carried a request, if only one that was turned away
-	carriedSeveral  atomic.Bool  // it has carried several
-	idleSinceNanos  atomic.Int64 // nanoseconds after opened, and one; 0 while anything is in hand
-	evicted         atomic.Bool  // it makes room for others
-	served          bool         // it is served; under the mu of clients
-	countedActive   bool         // among the proven; the same
+	lastReadNanos   atomic.Int64 // arrival of the last bytes, in nanoseconds after openedAt
+	commandDeadline time.Time    // when the command that has begun must be complete
+	inCommand       atomic.Bool  // a command has begun to arrive and is not complete
+	carriedCommand  atomic.Bool  // it has carried at least one command
+	carriedRequest  atomic.Bool  // it has carried at least one request, even if that was turned away
+	carriedSeveral  atomic.Bool  // it has carried several requests
+	idleSinceNanos  atomic.Int64 // nanoseconds after openedAt plus one; 0 while a command or a request is in progress
+	evicted         atomic.Bool  // it must close to make room for others
+	served          bool         // its commands are served; guarded by clientConns.mu
+	countedActive   bool         // it is included in clientConns.active; guarded by clientConns.mu
 	receiver        *receiver
 	lastByteAt      time.Time       // when the last byte that was read had arrived
-	readAheadBuf    readAheadBuffer // read while the reader waited for something else
-	noMoreCommands  atomic.Bool     // no further command is taken
-	discarding      atomic.Bool     // all is answered, and what still comes is passed over
-	gone            chan struct{}   // closed when the client has gone away
+	readAheadBuf    readAheadBuffer // what was read while the reader waited for something else
+	noMoreCommands  atomic.Bool     // no further command is handled
+	discarding      atomic.Bool     // all is answered, and further input is discarded
+	gone            chan struct{}   // closed when the client has closed the connection
 	goneOnce        sync.Once
 	lastAnswered    chan struct{} // closed when the last command is answered
-	inFlight        chan struct{} // holds one for each request in hand
+	inFlight        chan struct{} // holds one value for each request in flight
 }
 
 const (
-	maxCommandTime      = 2500 * time.Millisecond // for the whole of a command
-	maxFirstCommandWait = 2500 * time.Millisecond // for the first one, from when the connection was opened
-	maxInFlightPerConn  = 32                      // requests of one connection in hand
+	maxCommandTime      = 2500 * time.Millisecond // for a whole command
+	maxFirstCommandWait = 2500 * time.Millisecond // for the first command, counted from when the connection was opened
+	maxInFlightPerConn  = 32                      // requests in flight of one connection
 )
 
-// newClientConn serves a connection on which nothing had arrived at a moment.
+// newClientConn wraps a connection on which nothing had arrived at emptyAt.
 func newClientConn(conn net.Conn, stalls *stall.Detector, emptyAt time.Time) *clientConn {
 	c := &clientConn{conn: conn, receiver: newReceiver(conn, stalls, emptyAt), openedAt: time.Now(), gone: make(chan struct{}), lastAnswered: make(chan struct{}), inFlight: make(chan struct{}, maxInFlightPerConn)}
 	close(c.lastAnswered)
@@ -59,30 +59,31 @@
 	return c
 }
 
-// noteIfIdle notes since when the connection stands idle, if it does.
+// noteIfIdle records that the connection is idle from now on, if it is.
 func (c *clientConn) noteIfIdle() {
 	if !c.inCommand.Load() && len(c.inFlight) == 0 {
 		c.noteIdle(time.Now())
 	}
 }
 
-// noteIdle notes that the connection stands idle from a moment on.
+// noteIdle records that the connection is idle from a time on.
 func (c *clientConn) noteIdle(at time.Time) { c.idleSinceNanos.Store(int64(at.Sub(c.openedAt)) + 1) }
 
-// idleSinceNanos tells since when the connection stands idle; false while anything is in hand.
+// idleSince returns since when the connection has been idle; false while a command or a request is in progress.
 func (c *clientConn) idleSince() (since time.Time, idle bool) {
 	nanos := c.idleSinceNanos.Load()
 	return c.openedAt.Add(time.Duration(nanos - 1)), nanos != 0
 }
 
-// interrupt ends the wait for the next command. A command that has begun to come is still read.
+// interrupt ends the wait for the next command. A command that has begun to arrive is still read.
 func (c *clientConn) interrupt() {
-	if !c.discarding.Load() { // else its end would be cut short
+	if !c.discarding.Load() { // else the wait for the client's end would be cut short
 		c.conn.SetReadDeadline(pastDeadline)
 	}
 }
 
-// Read notes when what it reads had arrived, and goes on with a command that has begun when the connection is woken.
+// Read reads from the read-ahead buffer, then from the connection, and records when the bytes had arrived. When it is interrupted within a
+// command it reads on until the command's deadline.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, arrivedAt, empty, err := c.readAheadBuf.take(p)
 	if !empty {
@@ -104,12 +105,13 @@
 	return n, err
 }
 
-// lastReadTime is when the last bytes had arrived, at the earliest: what stood unread for long arrived long ago.
+// lastReadTime returns the earliest time at which the last bytes can have arrived; they may have waited unread.
 func (c *clientConn) lastReadTime() time.Time {
 	return c.openedAt.Add(time.Duration(c.lastReadNanos.Load()))
 }
 
-// commandArrival is when the last byte of the command in hand had arrived. Where others stand behind it, it may have come before them.
+// commandArrival returns when the last byte of the present command had arrived. If further input is buffered behind it, that may have
+// arrived later, so the earliest time of the read counts.
 func (c *clientConn) commandArrival() time.Time {
 	if c.reader.Buffered() == 0 {
 		return c.lastByteAt
@@ -117,7 +119,7 @@
 	return c.lastReadTime()
 }
 
-// idleDeadline tells when the next command must have begun to come; while an answer is due that moves on.
+// idleDeadline returns when the next command must have begun to arrive. While an answer is owed it moves on.
 func (c *clientConn) idleDeadline(p Phase) time.Time {
 	since, idle := c.idleSince()
 	switch {
@@ -131,16 +133,16 @@
 	return since.Add(maxIdleTime)
 }
 
-// applyIdleDeadline sets how long the next command may take to come.
+// applyIdleDeadline sets the read deadline for the next command.
 func (c *clientConn) applyIdleDeadline(p Phase) { c.conn.SetReadDeadline(c.idleDeadline(p)) }
 
-// idleDeadlinePassed tells that the wait for the next command is over, not that an answer took long.
+// idleDeadlinePassed reports whether the wait for the next command is over, as opposed to a read timeout while an answer was owed.
 func (c *clientConn) idleDeadlinePassed() bool {
 	return c.evicted.Load() || !time.Now().Before(c.idleDeadline(Serving))
 }
 
-// serveClient reads the commands of one connection. Each request lives in a goroutine of its own, so that this one
-// hears when the client goes away.
+// serveClient reads the commands of one connection. Each request has a goroutine of its own, so that this one
+// notices when the client closes the connection.
 func (b *Balancer) serveClient(c *clientConn) {
 	defer b.clients.remove(c)
 	c.readAheadBuf.balancer = b
@@ -148,17 +150,17 @@
 	for {
 		for b.handleCommand(c) && b.currentPhase() <= Leaving {
 		}
-		c.awaitAnswers() // what is in hand first; the answers to a client that has gone are not waited for
+		c.awaitAnswers() // requests in flight first; answers to a client that has gone are not waited for
 		if c.noMoreCommands.Load() || c.hasLeft() || !c.pollInput() {
-			break // else what has come meanwhile is taken too
+			break // else what has arrived meanwhile is handled too
 		}
 	}
 	c.closeGracefully()
 }
 
-// handleCommand takes the next command; false where none follows it for now, or ever.
+// handleCommand handles the next command; false if no further one is to be read, for now or at all.
 func (b *Balancer) handleCommand(c *clientConn) bool {
-	if c.hasLeft() { // what it left behind is not begun
+	if c.hasLeft() { // what it had sent before is not begun
 		return c.stopCommands()
 	}
 	if !b.awaitCommand(c) {
@@ -171,11 +173,11 @@
 	return b.admit(req, fault)
 }
 
-// awaitCommand waits until a command has begun to come; false where none follows.
+// awaitCommand waits until a command has begun to arrive; false if none follows.
 func (b *Balancer) awaitCommand(c *clientConn) bool {
 	c.inCommand.Store(false)
 	c.applyIdleDeadline(b.currentPhase())
-	c.noteIfIdle() // after that: who interrupts a connection at rest must not be overruled
+	c.noteIfIdle() // after applyIdleDeadline, which would undo an interrupt that follows once the connection counts as idle
 	if b.currentPhase() >= Draining {
 		c.applyIdleDeadline(Draining)
 	}
@@ -188,7 +190,7 @@
 		_, err = c.reader.Peek(1)
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		// Woken without a look at what has come: closing now would lose a request that the machine has taken.
+		// Interrupted without a check for input: closing now would lose a request that the kernel has accepted.
 		if c.noMoreCommands.Load() || !c.pollInput() {
 			return c.stopCommands()
 		}
@@ -200,8 +202,8 @@
 	return true
 }
 
-// readCommand reads a command's line. What is no request is answered here: request is nil then, and more tells whether a further
-// command may follow. A request comes with what is wrong with it, if anything.
+// readCommand reads the line of a command. A command that is no request is answered here; then req is nil and more tells whether a
+// further command may follow. A request is returned with its fault, if it has one.
 func (b *Balancer) readCommand(c *clientConn) (req *clientRequest, fault *memcache.Fault, more bool) {
 	c.inCommand.Store(true)
 	c.commandDeadline = time.Now().Add(maxCommandTime)
@@ -226,7 +228,7 @@
 		return nil, nil, c.stopCommands()
 	case fault != nil && fault.Lost:
 		return nil, nil, c.replyAndStop(fault.Line())
-	case req.Noop && b.currentPhase() == Serving && b.hasHostList.Load(): // a front sends to who says so
+	case req.Noop && b.currentPhase() == Serving && b.hasHostList.Load(): // a load balancer in front sends requests to those that answer so
 		return nil, nil, c.writeReply(memcache.Alive)
 	case req.Noop:
 		return nil, nil, c.writeReply(memcache.NotServing)
@@ -234,16 +236,16 @@
 	return req, fault, true
 }
 
-// refuse answers a request that was not sent on, before the connection ends.
+// refuse answers a request of which nothing was sent to a host as rate-limited, and stops reading commands.
 func (c *clientConn) refuse() bool {
 	c.writeReply(string(memcache.AppendRateLimited(nil, 0)))
 	return c.stopCommands()
 }
 
-// admit reads a request's value, admits the request or answers it, and starts its life; false where no command follows.
+// admit reads a request's value, then either starts handling the request or answers it; false if no further command is to be read.
 func (b *Balancer) admit(req *clientRequest, fault *memcache.Fault) bool {
 	c := req.client
-	if req.Write && req.Length > upstream.Whole && c.noMoreCommands.Load() { // ended before its value has come
+	if req.Write && req.Length > upstream.Whole && c.noMoreCommands.Load() { // the connection was ended before the value arrived
 		return c.refuse()
 	}
 	started, admitted := false, b.inFlight.Add(1) <= b.maxInFlight.Load() && b.clients.makeRoomFor(c)
@@ -274,7 +276,7 @@
 		}
 		req.arrived = c.commandArrival()
 	}
-	if c.noMoreCommands.Load() && !streamed { // ended while this was read: nothing is sent on any more
+	if c.noMoreCommands.Load() && !streamed { // the connection was ended while the request was read: nothing is sent to hosts any more
 		return c.refuse()
 	}
 	if fault == nil {
@@ -313,7 +315,7 @@
 	return true
 }
 
-// resolveNames finds the product and the customer by their names.
+// resolveNames looks up the product and the customer of a request by their names.
 func (b *Balancer) resolveNames(req *clientRequest) *memcache.Fault {
 	var known bool
 	if req.product, known = b.deployment.Products[string(req.Product)]; !known {
@@ -323,19 +325,19 @@
 		return memcache.UnknownCustomer
 	}
 	if req.Write && len(req.Mark) == 0 && b.deployment.Terms.Products[req.product].Effect == policy.Deduplicated {
-		return memcache.NoMark // a host could not tell its repeat
+		return memcache.NoMark // a host could not recognise a repeat of it
 	}
 	return nil
 }
 
-// idSet are the ids that clients gave their requests in hand.
+// idSet holds the ids that clients gave to their requests in flight.
 type idSet struct {
 	mu    sync.Mutex
 	inUse map[string]struct{}
 }
 
-// claimID takes the call's id; false where another request in hand has it. Hosts know an attempt by that id, and would
-// take one of two for the other's repeat.
+// claimID reserves the request's id; false if another request in flight has it. Hosts identify an attempt by that id, and would
+// mistake one of the two for a repeat of the other.
 func (b *Balancer) claimID(req *clientRequest) bool {
 	b.requestIDs.mu.Lock()
 	defer b.requestIDs.mu.Unlock()
@@ -346,15 +348,15 @@
 	return true
 }
 
-// releaseID leaves the call's id to others.
+// releaseID lets other requests use the id.
 func (b *Balancer) releaseID(req *clientRequest) {
 	b.requestIDs.mu.Lock()
 	defer b.requestIDs.mu.Unlock()
 	delete(b.requestIDs.inUse, string(req.ID))
 }
 
-// readValue reads a write's value, or passes over it; whole tells that its line end stands where it should.
-func (c *clientRequest) readValue(keep bool) (whole bool, err error) {
+// readValue reads a write's value, or discards it; terminated reports whether the line end follows it as it must.
+func (c *clientRequest) readValue(keep bool) (terminated bool, err error) {
 	in := c.client.reader
 	c.client.extendValueDeadline()
 	if !keep {
@@ -374,7 +376,8 @@
 	return string(lineEnd[:]) == "\r\n", nil
 }
 
-// connectionLost ends the connection. A client that has closed it has gone away, and with it what it asked for.
+// connectionLost stops reading commands after a read error. Unless the error is a timeout the client counts as gone, and its requests are
+// abandoned.
 func (c *clientConn) connectionLost(err error) bool {
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		c.readAheadBuf.err = err
@@ -383,13 +386,13 @@
 	return c.stopCommands()
 }
 
-// stopCommands says that no further command is taken.
+// stopCommands records that no further command is handled. It returns false, for its callers to return.
 func (c *clientConn) stopCommands() bool {
 	c.noMoreCommands.Store(true)
 	return false
 }
 
-// writeReply answers a command that is no request, in its turn.
+// writeReply writes a reply that is not the answer of a request in flight, once the commands before it are answered.
 func (c *clientConn) writeReply(text string) bool {
 	c.awaitAnswers()
 	c.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
@@ -397,7 +400,7 @@
 	return err == nil
 }
 
-// replyAndStop says a last word where the next command cannot be made out.
+// replyAndStop writes a last reply where the start of the next command cannot be found.
 func (c *clientConn) replyAndStop(text string) bool {
 	c.writeReply(text)
 	return c.stopCommands()
--- a/internal/balancer/read_test.go
+++ b/internal/balancer/read_test.go
@@ -12,7 +12,8 @@
 	"streamrail/policy"
 )
 
-// newBareBalancer joins a client's end to a balancer that has no module: no request gets that far.
+// newBareBalancer returns a balancer without a policy, one of its client connections, and the client's end of that. Requests must not get
+// as far as the policy.
 func newBareBalancer(t *testing.T) (*Balancer, *clientConn, net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,39 +39,39 @@
 	return b, newClientConn(conn, stall.New(time.Now()), time.Now()), peer
 }
 
-// A connection that is woken to close may hold a command that has come by then: closing without a look would
-// lose a request that this machine has taken.
+// A connection that is interrupted to be closed may hold a command that has arrived by then. Closing it without a check for input would
+// lose a request that this machine has accepted.
 func TestCommandReadBeforeClosing(t *testing.T) {
 	b, c, peer := newBareBalancer(t)
 	io.WriteString(peer, "mn\r\n")
 	c.interrupt()
 	if !b.handleCommand(c) {
-		t.Fatal("closed with a command unread")
+		t.Fatal("closed with an unread command")
 	}
 	if got, _ := bufio.NewReader(peer).ReadString('\n'); got != "MN\r\n" {
 		t.Errorf("got %q", got)
 	}
 }
 
-// TestLongWriteAtConnectionEnd ends a connection between the head of a long write and its value: what was read gets its answer, and that is
-// harmless, as nothing of it was sent on.
+// TestLongWriteAtConnectionEnd ends a connection between the command line of a long write and its value. The write must be answered as
+// rate-limited, as nothing of it was sent to a host.
 func TestLongWriteAtConnectionEnd(t *testing.T) {
 	b, c, peer := newBareBalancer(t)
 	b.maxInFlight.Store(1)
 	more := make(chan bool, 1)
 	go func() { more <- b.handleCommand(c) }()
-	time.Sleep(20 * time.Millisecond) // it waits for the head by now; if not, the command is not read and there is no answer
+	time.Sleep(20 * time.Millisecond) // it waits for the line by now; if not, the command is not read and there is no answer
 	c.noMoreCommands.Store(true)
 	io.WriteString(peer, "ms k 100000 O1 Pc=pay,d=900,k=1\r\n")
 	if got, _ := bufio.NewReader(peer).ReadString('\n'); got != "SERVER_ERROR busy\r\n" {
 		t.Errorf("got %q", got)
 	}
 	if <-more {
-		t.Error("the connection goes on")
+		t.Error("the connection is still read")
 	}
 }
 
-// A product or customer that the settings do not name has no terms: it is answered, and the connection goes on.
+// A request for a product or customer that the settings do not name gets an error reply, and the connection stays usable.
 func TestUnknownNames(t *testing.T) {
 	b, c, peer := newBareBalancer(t)
 	b.deployment.Customers = map[string]policy.Customer{"acme": 0}
@@ -88,10 +89,10 @@
 	}
 }
 
-// With as much in hand as the memory allows, a write gets a prompt harmless answer, its value is passed over and
-// the next command is found: held in memory, values would get the balancer killed with all that it holds.
+// When the requests in flight use all the memory they may, a write must be answered as rate-limited at once, its value discarded and the
+// next command found. Values kept in memory beyond the limit would get the balancer killed, with all its requests.
 func TestWriteRefusedWithoutMemory(t *testing.T) {
-	b, c, peer := newBareBalancer(t) // its limit is none at all
+	b, c, peer := newBareBalancer(t) // its limits are zero: no request may be in flight
 	b.maxValueBytes.Store(100)
 	io.WriteString(peer, "ms k 7 O1 Pc=pay,d=900\r\nmn\r\nmn\r\r\nmn\r\n")
 	for range 2 {
@@ -106,7 +107,7 @@
 		}
 	}
 	b.maxInFlight.Store(9)
-	b.maxValueBytes.Store(6) // no room for the value's bytes
+	b.maxValueBytes.Store(6) // not enough for the value's bytes
 	io.WriteString(peer, "ms k 7 O1 Pc=pay,d=900\r\n1234567\r\n")
 	if !b.handleCommand(c) {
 		t.Fatal("the connection ends")
@@ -115,6 +116,6 @@
 		t.Errorf("got %q", got)
 	}
 	if n, held := b.inFlight.Load(), b.valueBytes.Load(); n != 0 || held != 0 {
-		t.Errorf("%d still count as in hand, with %d bytes", n, held)
+		t.Errorf("%d requests still count as in flight, with %d bytes", n, held)
 	}
 }
--- a/internal/balancer/receiver.go
+++ b/internal/balancer/receiver.go
@@ -13,37 +13,37 @@
 	"streamrail/internal/stall"
 )
 
-// receiver reads a client's connection and tells when what it read had arrived at the earliest. The time of the read itself is
-// too late where the bytes stood unread before: behind a reader that had stopped, in the accept queue, or while the whole
-// process was held up. It is used by one goroutine at a time.
+// receiver reads a client connection and returns the earliest time at which what it read can have arrived. The time of the read itself
+// is too late if the bytes waited unread: because the reader had paused, in the accept queue, or while the whole process was stalled.
+// It must be used by one goroutine at a time.
 type receiver struct {
 	conn    net.Conn
-	raw     syscall.RawConn // nil: the connection is no socket
+	raw     syscall.RawConn // nil: the connection is not a socket
 	stalls  *stall.Detector
 	tryOnce func(fd uintptr) bool
 
-	// Of the read in hand.
+	// State of the read in progress.
 	buf           []byte
 	n             int
 	err           error
-	lastSyscallAt time.Time // its last system call
-	hadToWait     bool      // nothing stood there at first
-	emptyAt       time.Time // its first system call that found nothing
-
-	arrivedAfter     time.Time     // what stands unread arrived after that
-	lastByteAt       time.Time     // when the last byte that was read had arrived: later than what the read tells, or the same
-	bytesWithoutWait int           // bytes that stood there already, since a read had to wait
-	settleTime       time.Duration // the client was held back: it may have more to send until nothing comes for so long; 0: it was not
+	lastSyscallAt time.Time // start of its last system call
+	hadToWait     bool      // its first system call found nothing
+	emptyAt       time.Time // start of its first system call that found nothing
+
+	arrivedAfter     time.Time     // unread input arrived after that
+	lastByteAt       time.Time     // when the last byte that was read had arrived: not before the time that the read returned
+	bytesWithoutWait int           // bytes that were there without a wait, since the last read that had to wait
+	settleTime       time.Duration // 0: the client was not blocked by a full window; else it may have more to send until nothing arrives for so long
 }
 
-// newReceiver reads from a connection on which nothing had arrived at a moment.
+// newReceiver returns a receiver of a connection on which nothing had arrived at emptyAt.
 func newReceiver(conn net.Conn, stalls *stall.Detector, emptyAt time.Time) *receiver {
 	r := &receiver{conn: conn, raw: rawConnOf(conn), stalls: stalls, arrivedAfter: emptyAt}
 	r.tryOnce = r.tryRead
 	return r
 }
 
-// tryRead makes one read; false where nothing is there.
+// tryRead does one read; false if there is no input.
 func (r *receiver) tryRead(fd uintptr) bool {
 	for {
 		r.lastSyscallAt = time.Now()
@@ -65,7 +65,7 @@
 	}
 }
 
-// foundNothing notes that a read has to wait.
+// foundNothing records that a read has to wait.
 func (r *receiver) foundNothing() {
 	if !r.hadToWait {
 		r.hadToWait, r.emptyAt = true, r.lastSyscallAt
@@ -75,7 +75,7 @@
 	}
 }
 
-// read waits for bytes and tells when they had arrived.
+// read waits for bytes and returns the earliest time at which they can have arrived.
 func (r *receiver) read(p []byte) (n int, arrived time.Time, err error) {
 	if r.raw == nil {
 		return r.readByTiming(p)
@@ -87,7 +87,7 @@
 	return r.result()
 }
 
-// poll is read that does not wait, whatever time limit the connection has.
+// poll is like read, but does not wait and ignores the connection's read deadline.
 func (r *receiver) poll(p []byte) (n int, arrived time.Time, err error) {
 	r.prepare(p)
 	r.err = os.ErrDeadlineExceeded
@@ -102,7 +102,7 @@
 	return r.result()
 }
 
-// peerClosed asks the system whether the client has ended its sending, or the connection, also where bytes before that are unread.
+// peerClosed asks the system whether the client has shut down its sending side or the connection, even if bytes before that are unread.
 func (r *receiver) peerClosed() bool {
 	if r.raw == nil {
 		return false
@@ -130,7 +130,7 @@
 	return r.n, arrived, nil
 }
 
-// earliestArrival is the earliest moment at which what was read can have arrived.
+// earliestArrival returns the earliest time at which what was just read can have arrived.
 func (r *receiver) earliestArrival() time.Time {
 	if !r.hadToWait {
 		r.bytesWithoutWait += r.n
@@ -150,14 +150,15 @@
 }
 
 const (
-	// minReceiveWindow is how much a client may have sent before it is held back, at the least: the system's receive buffers start
-	// with twice as much. What it has written beyond that stands on its own machine, and its time runs.
+	// minReceiveWindow is the least that a client can have sent before a full receive window blocks it; receive buffers start at twice
+	// that size. What the client has written beyond it waits on the client's machine, while the time of its requests runs.
 	minReceiveWindow = 48 << 10
-	// minSettlingTime is how long nothing must come for a client that was held back to have nothing more to send, at the least.
+	// minSettlingTime is the minimum time without input after which a client that was blocked is assumed to have nothing more to send.
 	minSettlingTime = 10 * time.Millisecond
 )
 
-// settlingTime is how long nothing must come then: two turns of the network.
+// settlingTime returns the time without input after which the client of this connection is assumed to have nothing more to send: two
+// round trips, or minSettlingTime if that is longer.
 func (r *receiver) settlingTime() time.Duration {
 	info := r.tcpInfo()
 	if info == nil {
@@ -166,25 +167,25 @@
 	return max(minSettlingTime, 2*time.Duration(info.Rtt)*time.Microsecond)
 }
 
-// tcpInfo is what the system tells of the connection, nil where it tells nothing.
+// tcpInfo returns the kernel's information about the connection, nil if there is none.
 func (r *receiver) tcpInfo() (info *unix.TCPInfo) {
 	if r.raw == nil {
 		return nil
 	}
 	r.raw.Control(func(fd uintptr) {
 		got, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
-		if err == nil && got.State != 0 { // else nothing was filled in: every connection has a state
+		if err == nil && got.State != 0 { // a state of 0 means that nothing was filled in
 			info = got
 		}
 	})
 	return info
 }
 
-// kernelQueryThreshold is from how long a time in which bytes may have arrived the system is asked.
+// kernelQueryThreshold is the span of possible arrival times above which the kernel is asked when the last byte arrived.
 const kernelQueryThreshold = 40 * time.Millisecond
 
-// lastArrival asks the system when bytes last arrived; where it does not tell that was as early as it can have been. What it
-// tells is of the last byte alone: others before it may have stood there for longer.
+// lastArrival asks the kernel when the last byte arrived, and returns earliest if the kernel does not know. Bytes before the last one may
+// have arrived earlier.
 func (r *receiver) lastArrival(earliest time.Time) time.Time {
 	info := r.tcpInfo()
 	if info == nil {
@@ -197,13 +198,13 @@
 	return last
 }
 
-// kernelTimeResolution is how exact the system's times of connections are, at the worst.
+// kernelTimeResolution is the coarsest resolution of the kernel's times in TCP_INFO.
 const kernelTimeResolution = 10 * time.Millisecond
 
-// maxImmediateRead is the longest that a read of what stands there already takes.
+// maxImmediateRead is the longest that a read takes if the input was already there.
 const maxImmediateRead = 2 * time.Millisecond
 
-// readByTiming tells by how long a read took whether it had to wait.
+// readByTiming reads from a connection that is not a socket, and judges by the duration of the read whether it had to wait.
 func (r *receiver) readByTiming(p []byte) (n int, arrived time.Time, err error) {
 	startedAt := time.Now()
 	n, err = r.conn.Read(p)
--- a/internal/balancer/reply.go
+++ b/internal/balancer/reply.go
@@ -7,10 +7,10 @@
 	"streamrail/internal/memcache"
 )
 
-// replyTimeout bounds how long a client may leave an answer unread.
+// replyTimeout bounds how long writing an answer may be blocked by a client that does not read.
 const replyTimeout = 5 * time.Second
 
-// fulfil passes on the value or the receipt that a host gave for this request.
+// fulfil answers with the value or the receipt that a host returned for this request.
 func (c *clientRequest) fulfil(body []byte) {
 	if c.Write {
 		c.writeAnswer(fulfilled, memcache.AppendReceipt(nil, c.ID, body))
@@ -29,7 +29,7 @@
 	c.writeAnswer(errored, []byte(memcache.NoAnswer))
 }
 
-// writeAnswer writes the final answer in its turn.
+// writeAnswer writes the final answer once the commands before this one on the connection are answered.
 func (c *clientRequest) writeAnswer(kind finalAnswer, parts ...[]byte) {
 	defer close(c.answered)
 	defer c.b.answerStats.unanswered.Add(-1)
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -11,8 +11,8 @@
 	"streamrail/internal/upstream"
 )
 
-// streamValue is the one final answer where a host gives a long value: it goes on as it comes, in its turn. What cannot be
-// finished ends the client's connection short of its length, so that the client can tell.
+// streamValue answers the request with a long value of a host, which is passed on as it arrives, once the commands before it are answered.
+// If the value cannot be completed, the client's connection ends short of the announced length, so that the client can tell.
 func (c *clientRequest) streamValue(v *upstream.Value) (whole bool) {
 	begun := false
 	c.b.callPolicy(func() {
@@ -49,7 +49,7 @@
 	return true
 }
 
-// startStream chooses a long value as the final answer; false where another one is chosen already.
+// startStream chooses a long value as the final answer; false if another one is chosen already.
 func (c *clientRequest) startStream() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,24 +66,25 @@
 	return c.streaming
 }
 
-// upload is a long value that a client writes. Its reader is the attempt that takes it; what no attempt takes is passed over.
+// upload is a long value that a client writes. The attempt that sends it reads it from the client's connection; what no attempt reads is
+// discarded.
 type upload struct {
 	upstream.Upload
 	call         *clientRequest
-	remaining    int // bytes that have not been read
+	remaining    int // bytes not yet read
 	err          error
-	wanted       chan struct{} // closed when the value is to be read
-	connFree     chan struct{} // closed when nobody else reads the connection
+	wanted       chan struct{} // closed when an attempt begins to read the value
+	connFree     chan struct{} // closed when no other goroutine reads the connection
 	startReading sync.Once
 }
 
-// maxUploadTime is how long a client may take to write a value, beyond its time for the answer. Slow ones take some seconds;
-// who takes longer is ended, and so is a call that waits for it.
+// maxUploadTime is how long a client may take to write a value, beyond its time for the answer. Slow clients take some seconds; a client
+// that takes longer is disconnected, and its request ends.
 const maxUploadTime = 30 * time.Second
 
 var (
-	errBadChunk = errors.New("no line end behind the value")
-	errTooLate  = errors.New("the server was slower to take the value than the client was to write it")
+	errBadChunk = errors.New("no line end after the value")
+	errTooLate  = errors.New("the host accepted the value more slowly than the client wrote it")
 )
 
 func newUpload(c *clientRequest) *upload {
@@ -93,7 +94,7 @@
 	return u
 }
 
-// Read gives the last byte only once the line end behind the value has come whole: until then it must not run.
+// Read returns the last byte only once the line end after the value has arrived: until then the write must not run.
 func (u *upload) Read(p []byte) (n int, err error) {
 	u.startReading.Do(func() {
 		close(u.wanted)
@@ -129,17 +130,18 @@
 	return 1, nil
 }
 
-// extendValueDeadline moves the time limit for a value's next piece on; who stops within a value is ended like who stops within a head.
+// extendValueDeadline extends the read deadline for the next piece of a value. A client that stalls within a value is disconnected like
+// one that stalls within a command's line.
 func (c *clientConn) extendValueDeadline() {
 	c.commandDeadline = time.Now().Add(maxCommandTime)
 	c.conn.SetReadDeadline(c.commandDeadline)
 }
 
-// skipRemaining waits until nobody reads the value any more and passes over what is left of it; false where the next command cannot
-// be made out.
+// skipRemaining waits until no attempt reads the value any more and discards the rest of it; false if the start of the next command
+// cannot be found.
 func (u *upload) skipRemaining() bool {
 	c := u.call.client
-	c.watchForClose(func() { // while the value waits for a connection to a host, its client may leave
+	c.watchForClose(func() { // the client may close the connection while the value waits for a connection to a host
 		select {
 		case <-u.wanted:
 		case <-u.Ended:
