--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -41,7 +41,7 @@
 	// For an idle connection that has carried several requests. It is in regular use: its client would open another one, which
 	// would cause the next eviction.
 	minReusedIdleTime = 500 * time.Millisecond
-	// For a connection within a command. A slow client may write one in pieces for two seconds, with gaps well below a second;
+	// For a connection within a command. A slow client may write one in pieces for two seconds, with gaps below a second;
 	// after a longer gap the rest will probably never arrive.
 	minStalledTime = time.Second
 )
