--- a/internal/balancer/poll.go
+++ b/internal/balancer/poll.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// rawConnOf gives access to the system's socket behind a connection or a listener; nil where there is none.
+// rawConnOf returns the raw socket of a connection or a listener, nil if it has none.
 func rawConnOf(socket any) syscall.RawConn {
 	conn, ok := socket.(syscall.Conn)
 	if !ok {
@@ -19,15 +19,15 @@
 	return raw
 }
 
-// pollEvents asks the system which of some events stand at a socket, without a wait. An error tells that it does not know.
-func pollEvents(raw syscall.RawConn, events int16) (standing int16, err error) {
-	failed := raw.Control(func(fd uintptr) {
-		state := []unix.PollFd{{Fd: int32(fd), Events: events}}
-		_, err = unix.Poll(state, 0)
-		standing = state[0].Revents
+// pollEvents returns which of the given poll events are ready on a socket, without waiting. On an error the state is unknown.
+func pollEvents(raw syscall.RawConn, events int16) (ready int16, err error) {
+	controlErr := raw.Control(func(fd uintptr) {
+		fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
+		_, err = unix.Poll(fds, 0)
+		ready = fds[0].Revents
 	})
-	if failed != nil {
-		return 0, failed
+	if controlErr != nil {
+		return 0, controlErr
 	}
-	return standing, err
+	return ready, err
 }
