--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -12,100 +12,103 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// moment is something to do in a day.
-type moment struct {
+// action is a step of the scenario, such as the begin of a fault, with its time.
+type action struct {
 	at time.Duration
 	do func()
 }
 
-// Day is a rehearsal's balancers as they speak with each other, in virtual time.
+// Day simulates the communication between the balancers of a scenario in virtual time and records it for the judge.
 type Day struct {
 	*Play
-	day     *scenario.Day
-	rec     *record.Record
-	moments []moment
-	life    []int // of each balancer, its line in rec.Mates; -1: nobody runs
-	astray  map[int]bool
-	came    [][]arrivals // by balancer and tenant
+	day           *scenario.Day
+	rec           *record.Record
+	actions       []action
+	memberLife    []int // by balancer: index into rec.Mates of its last process; -1: none was started
+	wrongSeeds    map[int]bool
+	requestCounts [][]requestCounter // by balancer and tenant
 }
 
-// arrivals are the calls of the last turns.
-type arrivals struct {
-	turn int
-	n    [share.NeedTurns + 1]int // by turn; the one that goes on among them
+// requestCounter counts a tenant's requests at one balancer over the last intervals of length share.Turn.
+type requestCounter struct {
+	turn   int
+	counts [share.NeedTurns + 1]int // ring buffer by interval, including the unfinished current one
 }
 
-func (a *arrivals) to(now time.Duration) {
+// advance moves the counter to the current interval and clears the intervals that it enters.
+func (a *requestCounter) advance(now time.Duration) {
 	turn := int(now / share.Turn)
-	for k := a.turn + 1; k <= min(turn, a.turn+len(a.n)); k++ {
-		a.n[k%len(a.n)] = 0
+	for k := a.turn + 1; k <= min(turn, a.turn+len(a.counts)); k++ {
+		a.counts[k%len(a.counts)] = 0
 	}
 	a.turn = turn
 }
 
-// perS is how many came in each second of the turns that are over.
-func (a *arrivals) perS(now time.Duration) float64 {
-	a.to(now)
-	sum := -a.n[a.turn%len(a.n)]
-	for _, n := range a.n {
+// perS returns the rate of requests per second over the finished intervals.
+func (a *requestCounter) perS(now time.Duration) float64 {
+	a.advance(now)
+	sum := -a.counts[a.turn%len(a.counts)]
+	for _, n := range a.counts {
 		sum += n
 	}
 	return float64(sum) / (share.NeedTurns * share.Turn.Seconds())
 }
 
-// lookEvery is how often the views are noted, as at the doors of a day on sockets.
-const lookEvery = 250 * time.Millisecond
+// viewInterval is how often the members' views are recorded. A rehearsal on sockets polls the admin APIs at the same interval.
+const viewInterval = 250 * time.Millisecond
 
-// RestartAfter is how long a balancer that is told to end goes on: its clients use the connections that they have.
+// RestartAfter is how long a balancer that is asked to end goes on running, because clients still use their open connections.
 const RestartAfter = 3 * time.Second
 
-// NewDay lays out what the balancers of a day will say to each other, which is noted. Before may change the play, for tests.
-func NewDay(day *scenario.Day, rec *record.Record, before func(*Play)) *Day {
+// NewDay starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
+// not nil, it may change the simulation before the balancers start; tests use it.
+func NewDay(day *scenario.Day, rec *record.Record, configure func(*Play)) *Day {
 	m := day.Mates
-	d := &Day{day: day, rec: rec, astray: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.D(), Suspect: m.Suspect.D(),
+	d := &Day{day: day, rec: rec, wrongSeeds: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.D(), Suspect: m.Suspect.D(),
 		Budget: m.Budget, Seed: day.Seed, Ways: m.Way()})}
-	d.names = map[int]int{}
+	d.nameOverrides = map[int]int{}
 	if m.Limits {
-		d.Shares = d.shares()
+		d.Shares = d.newShares()
 	}
-	if before != nil {
-		before(d.Play)
+	if configure != nil {
+		configure(d.Play)
 	}
 	for i := range d.Mates {
-		d.life = append(d.life, -1)
+		d.memberLife = append(d.memberLife, -1)
 		d.start(i)
 	}
 	for i := range day.Faults {
-		d.fault(i)
+		d.scheduleFault(i)
 	}
-	for at := lookEvery; at <= day.Length.D(); at += lookEvery {
-		d.at(at, d.look)
+	for at := viewInterval; at <= day.Length.D(); at += viewInterval {
+		d.at(at, d.recordViews)
 	}
-	slices.SortStableFunc(d.moments, func(a, b moment) int { return int(a.at - b.at) })
+	slices.SortStableFunc(d.actions, func(a, b action) int { return int(a.at - b.at) })
 	return d
 }
 
-// To plays up to a moment.
+// To advances the simulation up to the given time, including the scheduled faults.
 func (d *Day) To(until time.Duration) {
-	for len(d.moments) > 0 && d.moments[0].at <= until {
-		x := d.moments[0]
-		d.moments = d.moments[1:]
+	for len(d.actions) > 0 && d.actions[0].at <= until {
+		x := d.actions[0]
+		d.actions = d.actions[1:]
 		d.Run(x.at)
 		x.do()
 	}
 	d.Run(until)
 }
 
-// Came counts a call of a tenant in at a balancer, now.
+// Came counts a request of a tenant that a balancer has received now.
 func (d *Day) Came(balancer, tenant int) {
 	if d.Shares != nil {
-		a := &d.came[balancer][tenant]
-		a.to(d.Now)
-		a.n[a.turn%len(a.n)]++
+		a := &d.requestCounts[balancer][tenant]
+		a.advance(d.Now)
+		a.counts[a.turn%len(a.counts)]++
 	}
 }
 
-// Parts tells what a balancer may use of each tenant's allowance now; nothing where no parts move.
+// Parts calls tell with the fraction of each tenant's quota that the balancer may use now. It does nothing if shares do
+// not move between balancers.
 func (d *Day) Parts(balancer int, tell func(tenant int, part float64)) {
 	m := d.Mates[balancer]
 	if m.Share == nil {
@@ -116,26 +119,26 @@
 	}
 }
 
-func (d *Day) at(at time.Duration, do func()) { d.moments = append(d.moments, moment{at, do}) }
+func (d *Day) at(at time.Duration, do func()) { d.actions = append(d.actions, action{at, do}) }
 
-func lifeName(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
+func formatID(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
 
 func (d *Day) start(i int) {
 	if d.Mates[i].Machine != nil {
 		return
 	}
-	d.lost = d.astray[i]
+	d.nextSeedsWrong = d.wrongSeeds[i]
 	d.Start(i)
-	d.lost = false
-	d.life[i] = len(d.rec.Mates)
-	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: lifeName(d.Mates[i].Life()), From: d.Now})
+	d.nextSeedsWrong = false
+	d.memberLife[i] = len(d.rec.Mates)
+	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: formatID(d.Mates[i].Life()), From: d.Now})
 }
 
-func (d *Day) end(i int, leave bool) {
+func (d *Day) stop(i int, leave bool) {
 	if d.Mates[i].Machine == nil {
 		return
 	}
-	d.rec.Mates[d.life[i]].To = d.Now
+	d.rec.Mates[d.memberLife[i]].To = d.Now
 	if leave {
 		d.Leave(i)
 	} else {
@@ -143,31 +146,31 @@
 	}
 }
 
-// shares are the tenants' allowances, with needs as the day's calls came in.
-func (d *Day) shares() *Shares {
+// newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by Came.
+func (d *Day) newShares() *Shares {
 	n := len(d.day.Tenants)
 	s := &Shares{Lease: d.day.Mates.Lease.D(), Floor: make([]float64, n)}
 	for t := range n {
 		s.Names, s.Bound, s.Grain = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Bound, d.day.Allowance(t)), append(s.Grain, 1)
 	}
 	for range d.day.Fleet.Balancers {
-		d.came = append(d.came, make([]arrivals, n))
+		d.requestCounts = append(d.requestCounts, make([]requestCounter, n))
 	}
-	s.Need = func(mate, name int, now time.Duration) float64 { return d.came[mate][name].perS(now) }
+	s.Need = func(index, name int, now time.Duration) float64 { return d.requestCounts[index][name].perS(now) }
 	return s
 }
 
-// look notes all views, and what each has sent.
-func (d *Day) look() {
+// recordViews records the membership view, the quota shares and the bytes sent so far of each running balancer.
+func (d *Day) recordViews() {
 	for i, m := range d.Mates {
 		if m.Machine == nil || m.Stalled > d.Now {
 			continue
 		}
 		v := m.View()
-		to := record.View{Balancer: i, At: d.Now, Life: lifeName(v.Self.Life), Situation: v.Situation.String(), Digest: lifeName(member.Life(v.Digest)),
+		to := record.View{Balancer: i, At: d.Now, Life: formatID(v.Self.Life), Situation: v.Situation.String(), Digest: formatID(member.Life(v.Digest)),
 			Rival: v.Rival.Life != 0}
 		for _, o := range v.Members {
-			to.Mates = append(to.Mates, record.Mate{Name: o.Name, Life: lifeName(o.Life), State: o.State.String()})
+			to.Mates = append(to.Mates, record.Mate{Name: o.Name, Life: formatID(o.Life), State: o.State.String()})
 		}
 		d.rec.Views = append(d.rec.Views, to)
 		for name := range len(d.day.Tenants) {
@@ -182,62 +185,64 @@
 	}
 }
 
-// fault lays one of the day's faults on the clock; those that are not about balancers do nothing here.
-func (d *Day) fault(i int) {
+// scheduleFault schedules a fault of the scenario. Faults that do not concern the balancers themselves or the links between
+// them have no effect here.
+func (d *Day) scheduleFault(i int) {
 	f := &d.day.Faults[i]
-	from, to, hit := f.At.D(), (f.At + f.For).D(), d.day.HitBalancers(i)
+	from, to, targets := f.At.D(), (f.At + f.For).D(), d.day.HitBalancers(i)
 	switch f.Do {
 	case "balancer-kill":
-		for _, b := range hit {
-			d.at(from, func() { d.end(b, false) })
+		for _, b := range targets {
+			d.at(from, func() { d.stop(b, false) })
 			d.at(to, func() { d.start(b) })
 		}
 	case "balancer-astray":
-		for _, b := range hit {
-			d.at(from, func() { d.end(b, false); d.astray[b] = true; d.start(b) })
+		for _, b := range targets {
+			d.at(from, func() { d.stop(b, false); d.wrongSeeds[b] = true; d.start(b) })
 		}
 	case "balancer-restart":
-		for _, b := range hit {
-			d.at(min(from+RestartAfter, d.day.Length.D()), func() { d.end(b, true); d.start(b) })
+		for _, b := range targets {
+			d.at(min(from+RestartAfter, d.day.Length.D()), func() { d.stop(b, true); d.start(b) })
 		}
 	case "balancer-stall":
-		for _, b := range hit {
+		for _, b := range targets {
 			d.at(from, func() {
 				d.Stall(b, f.For.D())
 				d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to})
 			})
 		}
 	case "balancer-twin":
-		b, other := hit[0], f.To[0]-1
+		b, other := targets[0], f.To[0]-1
 		d.at(from, func() {
-			d.end(b, false)
-			d.names[b] = other
+			d.stop(b, false)
+			d.nameOverrides[b] = other
 			d.start(b)
 			d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to, Twin: other + 1})
 		})
 		d.at(to, func() {
-			delete(d.names, b)
+			delete(d.nameOverrides, b)
 			for _, x := range []int{b, other} {
-				d.end(x, false)
+				d.stop(x, false)
 				d.start(x)
 			}
 		})
 	case "mate-flap":
-		on := false
+		faulty := false
 		for at := from; at < to; at += f.Delay.D() {
-			on = !on
-			end := !on
-			d.at(at, func() { d.harm(i, end) })
+			faulty = !faulty
+			end := !faulty
+			d.at(at, func() { d.changeLinks(i, end) })
 		}
-		d.at(to, func() { d.harm(i, true) })
+		d.at(to, func() { d.changeLinks(i, true) })
 	case "mate-cut", "mate-loss", "mate-delay", "mate-repeat", "mate-reorder", "mate-spoil", "mate-narrow":
-		d.at(from, func() { d.harm(i, false) })
-		d.at(to, func() { d.harm(i, true) })
+		d.at(from, func() { d.changeLinks(i, false) })
+		d.at(to, func() { d.changeLinks(i, true) })
 	}
 	d.rec.MateCuts = append(d.rec.MateCuts, faults.Cuts(f, d.day.Ways(i))...)
 }
 
-func (d *Day) harm(i int, end bool) {
+// changeLinks applies a fault to the links that it concerns, or ends it there.
+func (d *Day) changeLinks(i int, end bool) {
 	change := d.day.Harm(i, end)
 	for _, w := range d.day.Ways(i) {
 		change(&d.Way(w[0], w[1]).WayTerms)
--- a/internal/rehearsal/gather/gather_test.go
+++ b/internal/rehearsal/gather/gather_test.go
@@ -11,16 +11,16 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-func usual(n int, seed uint64, loss float64) Terms {
+func testTerms(n int, seed uint64, loss float64) Terms {
 	return Terms{Mates: n, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
 		Ways: model.WayTerms{Loss: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
-// A seed plays the same on every machine: what a search finds can be played again.
+// The same seed must give the same simulation, so that findings of a search can be reproduced.
 func TestSameSeed(t *testing.T) {
 	play := func() uint64 {
 		h := fnv.New64a()
-		p := New(usual(12, 5, 0.1))
+		p := New(testTerms(12, 5, 0.1))
 		p.On = func(i int, e member.Event) { fmt.Fprintln(h, p.Now, i, e) }
 		p.Whole(time.Minute)
 		p.Kill(3)
@@ -29,73 +29,75 @@
 		return h.Sum64()
 	}
 	if a, b := play(), play(); a != b {
-		t.Errorf("%x and %x", a, b)
+		t.Errorf("the same seed gave different event logs: hashes %x and %x", a, b)
 	}
 }
 
-// The figures that the note promises, on a few seeds: a death in all views, a start, the end of a cut, and no wrong death
-// at one datagram in twenty lost with members that stand still for up to a second.
-func TestPromises(t *testing.T) {
+// Checks the documented bounds with a few seeds: the time until all views reflect a death, a start and the end of a
+// partition, and that no member is wrongly declared dead when one datagram in twenty is lost and members stall for up to a
+// second.
+func TestDetectionTimes(t *testing.T) {
 	for _, n := range []int{5, 16, 40} {
 		for seed := range uint64(3) {
-			u := usual(n, seed+1, 0)
+			u := testTerms(n, seed+1, 0)
 			if _, last := Death(u); last > 6*time.Second {
-				t.Errorf("%d mates, seed %d: a death after %v", n, u.Seed, last)
+				t.Errorf("%d members, seed %d: a death reached all views after %v", n, u.Seed, last)
 			}
 			if d := Birth(u); d > 3*time.Second {
-				t.Errorf("%d mates, seed %d: a start after %v", n, u.Seed, d)
+				t.Errorf("%d members, seed %d: a start reached all views after %v", n, u.Seed, d)
 			}
 			if d := Heal(u, 3); d > 6*time.Second {
-				t.Errorf("%d mates, seed %d: equal views %v after a cut", n, u.Seed, d)
+				t.Errorf("%d members, seed %d: views were equal %v after the end of a partition", n, u.Seed, d)
 			}
-			c := Quiet(usual(n, seed+1, 0.05), time.Minute, 100*time.Millisecond, time.Second)
+			c := Quiet(testTerms(n, seed+1, 0.05), time.Minute, 100*time.Millisecond, time.Second)
 			if c.Deaths != 0 || c.BytesPerS > 3000 {
-				t.Errorf("%d mates, seed %d: %+v", n, u.Seed, c)
+				t.Errorf("%d members, seed %d: false deaths or too much traffic: %+v", n, u.Seed, c)
 			}
 		}
 	}
 }
 
-// Two that have one name by mistake: both know, the newer one keeps the name, and nobody sees both.
-func TestOneName(t *testing.T) {
-	p := New(usual(6, 1, 0))
+// Two members use the same name by mistake: both must notice it, the newer one keeps the name, and no view lists both.
+func TestNameConflict(t *testing.T) {
+	p := New(testTerms(6, 1, 0))
 	p.Whole(time.Minute)
-	p.names = map[int]int{5: 0} // the sixth is started again as a second first one
+	p.nameOverrides = map[int]int{5: 0} // the sixth member is restarted under the name of the first
 	p.Kill(5)
 	p.Run(p.Now + 20*time.Second)
 	p.Start(5)
 	p.Run(p.Now + 5*time.Second)
 	older, newer := p.Mates[0].View(), p.Mates[5].View()
 	if older.Situation != member.Unsure || older.Rival.Addr != addr(5) || newer.Rival.Addr != addr(0) {
-		t.Errorf("older %v %v, newer %v %v", older.Situation, older.Rival, newer.Situation, newer.Rival)
+		t.Errorf("older member: situation %v, name conflict %v; newer member: situation %v, name conflict %v", older.Situation, older.Rival, newer.Situation, newer.Rival)
 	}
 	for i := 1; i < 5; i++ {
 		if p.Mates[i].Holds(p.Mates[0].Life()) || !p.Mates[i].Holds(p.Mates[5].Life()) {
-			t.Errorf("%s does not hold the newer one alone", record.MateName(i))
+			t.Errorf("%s does not list only the newer member of that name", record.MateName(i))
 		}
 	}
 }
 
-// A death is told of once by each who looked itself: the log of a member that had died said so each turn for a second.
-func TestOneVerdict(t *testing.T) {
-	p := New(usual(6, 1, 0))
+// Each member that has detected a death by its own probes must report it once. Guards against a log that repeated the same
+// death at every tick for a second.
+func TestDeathReportedOnce(t *testing.T) {
+	p := New(testTerms(6, 1, 0))
 	p.Whole(time.Minute)
-	told := make([]int, 6)
-	p.On = func(mate int, e member.Event) {
+	reports := make([]int, 6)
+	p.On = func(index int, e member.Event) {
 		if e.What == "verdict" {
-			told[mate]++
+			reports[index]++
 		}
 	}
 	p.Kill(2)
 	p.Run(p.Now + 20*time.Second)
 	sum := 0
-	for i, n := range told {
+	for i, n := range reports {
 		sum += n
 		if n > 1 {
-			t.Errorf("%s told %d times of one death", record.MateName(i), n)
+			t.Errorf("%s reported one death %d times", record.MateName(i), n)
 		}
 	}
 	if sum == 0 {
-		t.Error("nobody told of it")
+		t.Error("no member reported the death")
 	}
 }
--- a/internal/rehearsal/gather/measure.go
+++ b/internal/rehearsal/gather/measure.go
@@ -7,10 +7,11 @@
 	"streamrail/internal/fleet/member"
 )
 
-// Spread is a figure over many seeds.
+// Spread summarizes the durations measured with many seeds.
 type Spread struct{ Median, P99, Worst time.Duration }
 
-// Of sorts and sums up; never is what did not come within the play.
+// Of sorts the durations in place and returns their median, 99th percentile and maximum. Use Never for an event that did
+// not happen.
 func Of(all []time.Duration) Spread {
 	if len(all) == 0 {
 		return Spread{}
@@ -20,13 +21,13 @@
 	return Spread{at(0.5), at(0.99), all[len(all)-1]}
 }
 
-// Never stands for what did not come within the play.
+// Never is the duration reported for an event that did not happen during the simulation.
 const Never = time.Hour
 
-// holds tells whether a mate's view has another present.
-func (p *Play) holds(of int, l member.Life) bool { return p.Mates[of].Holds(l) }
+// sees reports whether a member's view lists a process as present.
+func (p *Play) sees(member int, l member.Life) bool { return p.Mates[member].Holds(l) }
 
-// Whole starts a fleet and lets it find itself. It tells whether all see all then.
+// Whole starts all members and reports whether all views are complete and equal within the given time.
 func (p *Play) Whole(within time.Duration) bool {
 	for i := range p.Mates {
 		p.Start(i)
@@ -35,9 +36,10 @@
 	return p.Until(p.Now+within, func() bool { return p.Equal(nil) }) < Never
 }
 
-// Until runs until something holds, which is looked at every 20 ms, and tells when that was; Never where it does not.
-func (p *Play) Until(most time.Duration, holds func() bool) time.Duration {
-	for p.Now < most {
+// Until advances the simulation until the condition holds, which is checked every 20 ms, and returns the time at which it
+// held, or Never if it does not hold before the limit.
+func (p *Play) Until(limit time.Duration, holds func() bool) time.Duration {
+	for p.Now < limit {
 		p.Run(p.Now + 20*time.Millisecond)
 		if holds() {
 			return p.Now
@@ -46,21 +48,21 @@
 	return Never
 }
 
-// Equal tells whether those that run, or of these some, all see just each other.
-func (p *Play) Equal(some []int) bool {
-	if some == nil {
+// Equal reports whether the running ones of the given members list exactly each other in their views; nil means all members.
+func (p *Play) Equal(members []int) bool {
+	if members == nil {
 		for i := range p.Mates {
-			some = append(some, i)
+			members = append(members, i)
 		}
 	}
 	n, digest := 0, uint64(0)
-	for _, i := range some {
+	for _, i := range members {
 		if p.Mates[i].Machine != nil {
 			n++
 		}
 	}
 	first := true
-	for _, i := range some {
+	for _, i := range members {
 		m := p.Mates[i].Machine
 		if m == nil {
 			continue
@@ -74,32 +76,32 @@
 	return true
 }
 
-// Death is how long after a kill the first and the last view had it.
+// Death returns how long after the kill of a random member the first and the last view no longer list it.
 func Death(t Terms) (first, last time.Duration) {
 	p := New(t)
 	if !p.Whole(time.Minute) {
 		return Never, Never
 	}
 	p.Run(p.Now + 5*time.Second)
-	i := p.dice.IntN(t.Mates)
+	i := p.rng.IntN(t.Mates)
 	l := p.Mates[i].Life()
 	p.Kill(i)
 	at := p.Now
 	first = Never
 	p.Until(at+2*time.Minute, func() bool {
-		left := 0
+		seeing := 0
 		for k := range p.Mates {
-			if k != i && p.holds(k, l) {
-				left++
+			if k != i && p.sees(k, l) {
+				seeing++
 			}
 		}
-		if left < t.Mates-1 && first == Never {
+		if seeing < t.Mates-1 && first == Never {
 			first = p.Now - at
 		}
-		if left == 0 {
+		if seeing == 0 {
 			last = p.Now - at
 		}
-		return left == 0
+		return seeing == 0
 	})
 	if last == 0 {
 		last = Never
@@ -107,7 +109,7 @@
 	return first, last
 }
 
-// Birth is how long after a start the last view had it.
+// Birth returns how long after the start of a member all views are complete and equal.
 func Birth(t Terms) time.Duration {
 	p := New(t)
 	for i := range t.Mates - 1 {
@@ -119,7 +121,8 @@
 	return p.Until(at+2*time.Minute, func() bool { return p.Equal(nil) }) - at
 }
 
-// Heal is how long after the end of a cut in some sides all views are equal; the cut lasts until each side sees only itself.
+// Heal returns how long after the end of a network partition into the given number of sides all views are equal again. The
+// partition lasts a minute, long enough that each side lists only its own members.
 func Heal(t Terms, sides int) time.Duration {
 	p := New(t)
 	if !p.Whole(time.Minute) {
@@ -133,16 +136,18 @@
 	return p.Until(at+2*time.Minute, func() bool { return p.Equal(nil) }) - at
 }
 
-// Calm is what a play without deaths shows: wrong suspicions and deaths, and what the talk costs a mate.
+// Calm is the result of a simulation in which no member dies: the false suspicions and false deaths, and the traffic that
+// each member sends.
 type Calm struct {
-	Suspicions, Deaths int // changes to it in a view by own looks
-	BytesPerS          float64
-	PerS               float64 // datagrams
+	Suspicions, Deaths int     // state changes in a member's view that follow from its own probes
+	BytesPerS          float64 // per member
+	PerS               float64 // datagrams per second and member
 	Played             time.Duration
 }
 
-// Quiet plays a whole fleet for a while; a mate stands still every so often, up to so long, where that is given. Loss
-// begins when all see all: with much of it some suspicion is in the way of equal views at most times.
+// Quiet simulates a complete fleet for the given length. Unless stallEvery is 0, a random member is stalled at that interval
+// for a random time up to stall. Packet loss begins only once all views are equal: with high loss some member is suspected
+// most of the time, so the views would rarely become equal. If they do not, Deaths is -1.
 func Quiet(t Terms, length, stallEvery, stall time.Duration) (c Calm) {
 	loss := t.Ways.Loss
 	t.Ways.Loss = 0
@@ -151,7 +156,7 @@
 		c.Deaths = -1
 		return c
 	}
-	p.common.Loss = loss
+	p.defaultLink.Loss = loss
 	p.Run(p.Now + 10*time.Second)
 	for _, m := range p.Mates {
 		m.Bytes, m.Sent = 0, 0
@@ -170,14 +175,14 @@
 			p.Run(from + length)
 			break
 		}
-		p.Stall(p.dice.IntN(t.Mates), time.Duration(p.dice.Int64N(int64(stall)))+1)
+		p.Stall(p.rng.IntN(t.Mates), time.Duration(p.rng.Int64N(int64(stall)))+1)
 		p.Run(min(p.Now+stallEvery, from+length))
 	}
 	for _, m := range p.Mates {
 		c.BytesPerS += float64(m.Bytes)
 		c.PerS += float64(m.Sent)
 	}
-	by := float64(t.Mates) * (p.Now - from).Seconds()
-	c.BytesPerS, c.PerS, c.Played = c.BytesPerS/by, c.PerS/by, p.Now-from
+	memberSeconds := float64(t.Mates) * (p.Now - from).Seconds()
+	c.BytesPerS, c.PerS, c.Played = c.BytesPerS/memberSeconds, c.PerS/memberSeconds, p.Now-from
 	return c
 }
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -1,5 +1,6 @@
-// Package gather plays a fleet's membership in virtual time: the state machines as they ship, on one clock, with datagrams
-// that are late, lost, repeated or cut. A seed gives the same play every time.
+// Package gather simulates the membership protocol of a fleet of balancers in virtual time. It runs the production state
+// machines of packages member and share on one simulated clock, over links that can delay, lose, duplicate or cut
+// datagrams. The same seed always gives the same simulation.
 package gather
 
 import (
@@ -15,73 +16,75 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Terms are what is fixed of a play.
+// Terms are the fixed parameters of a simulation.
 type Terms struct {
 	Mates   int
 	Zones   int
-	Seeds   int // addresses that each is given to ask first
+	Seeds   int // number of seed addresses that each member starts with
 	Period  time.Duration
 	Suspect time.Duration
 	Budget  int
 	Seed    uint64
-	Ways    model.WayTerms // between any two, at first
+	Ways    model.WayTerms // initial properties of the link between any two members
 }
 
-// Play is a fleet at a moment.
+// Play is a simulated fleet and its current state.
 type Play struct {
 	Now   time.Duration
 	Mates []*Mate
-	// Twist may change what a mate sends, and what it hears (in), before that goes on: a wrong member, for tests.
-	Twist func(mate int, in bool, msg *member.Message)
-	// On hears what each machine tells; Sent what leaves each; both may be nil.
-	On   func(mate int, e member.Event)
-	Sent func(mate, to, bytes int)
-
-	// Shares, where given, are the bounds whose parts move; Wrong may change a machine after its turn, for tests.
+	// Twist may change a message that a member sends, or receives (in is true), before it is processed further. Tests use
+	// it to simulate a faulty member.
+	Twist func(index int, in bool, msg *member.Message)
+	// On is called with each event that a state machine reports, Sent for each datagram that a member sends. Both may be nil.
+	On   func(index int, e member.Event)
+	Sent func(index, to, bytes int)
+
+	// Shares, if set, are the limits whose shares move between members. Wrong may change a share machine after its
+	// periodic tick, for tests.
 	Shares *Shares
-	Wrong  func(mate int, m *share.Machine)
-
-	terms  Terms
-	ways   map[[2]int]*model.Way
-	common *model.Way
-	cut    func(from, to int) bool
-	queue  queue
-	count  uint64
-	lives  uint64
-	names  map[int]int // a mate that has another's name by mistake
-	lost   bool        // the next start is given addresses where nobody is
-	dice   *rand.Rand
+	Wrong  func(index int, m *share.Machine)
+
+	terms          Terms
+	links          map[[2]int]*model.Way
+	defaultLink    *model.Way
+	cut            func(from, to int) bool
+	queue          queue
+	eventCount     uint64
+	starts         uint64
+	nameOverrides  map[int]int // by member: the member whose name it uses by mistake
+	nextSeedsWrong bool        // the next start gets seed addresses that nobody listens on
+	rng            *rand.Rand
 }
 
-// Shares are the bounds of a fleet whose parts move.
+// Shares are the limits of a fleet whose shares move between its members. The slices are indexed by limit.
 type Shares struct {
 	Names []string
 	Bound []float64
 	Grain []float64
 	Floor []float64
 	Lease time.Duration
-	Need  func(mate, name int, now time.Duration) float64 // what came in there lately, in the bound's unit
+	Need  func(index, name int, now time.Duration) float64 // recent demand at a member, in the limit's unit
 }
 
-// Mate is one balancer's place in the play.
+// Mate is one balancer of the simulation. Over time it may run several processes, one after the other.
 type Mate struct {
-	*member.Machine // nil while nobody runs here
+	*member.Machine // nil while no process runs
 	Share           *share.Machine
 	Starts          int
-	Stalled         time.Duration // until then
-	held            []event       // what came meanwhile
-	gen             uint32
-	armed           time.Duration
+	Stalled         time.Duration // the process does not run before this time
+	queued          []event       // datagrams that arrived while the process was stalled
+	generation      uint32
+	timerAt         time.Duration
 	Bytes, Sent     int64
 }
 
-// mostHeld bounds what a socket keeps for a process that stands still.
-const mostHeld = 250
+// maxQueued is how many datagrams a socket buffers for a stalled process; further ones are lost.
+const maxQueued = 250
 
-// New makes a fleet of which nobody runs yet.
+// New returns a fleet in which no process runs yet.
 func New(t Terms) *Play {
-	p := &Play{terms: t, ways: map[[2]int]*model.Way{}, dice: model.Stream(t.Seed, "gather")}
-	p.common = model.NewWay(t.Ways, p.dice)
+	p := &Play{terms: t, links: map[[2]int]*model.Way{}, rng: model.Stream(t.Seed, "gather")}
+	p.defaultLink = model.NewWay(t.Ways, p.rng)
 	for range t.Mates {
 		p.Mates = append(p.Mates, &Mate{})
 	}
@@ -92,133 +95,134 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(i >> 16), byte(i >> 8), byte(i)}), 7946)
 }
 
-func index(a netip.AddrPort) int {
+func memberIndex(a netip.AddrPort) int {
 	b := a.Addr().As4()
 	return int(b[1])<<16 | int(b[2])<<8 | int(b[3])
 }
 
-// Start runs a new process at a place.
+// Start starts a new process for a balancer; it does nothing if one runs already.
 func (p *Play) Start(i int) {
 	m := p.Mates[i]
 	if m.Machine != nil {
 		return
 	}
 	m.Starts++
-	p.lives++
+	p.starts++
 	t := member.Terms{Expected: p.terms.Mates, Period: p.terms.Period, Suspect: p.terms.Suspect, Budget: p.terms.Budget,
-		Most: 4*p.terms.Mates + 64, Seed: p.dice.Uint64()}
+		Most: 4*p.terms.Mates + 64, Seed: p.rng.Uint64()}
 	name := record.MateName(i)
-	if other, ok := p.names[i]; ok {
+	if other, ok := p.nameOverrides[i]; ok {
 		name = record.MateName(other)
 	}
-	t.Self = member.Record{Life: member.NewLife(p.Now.Milliseconds()+1, p.lives), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
+	t.Self = member.Record{Life: member.NewLife(p.Now.Milliseconds()+1, p.starts), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
 	for s := range min(p.terms.Seeds, p.terms.Mates) {
-		if p.lost {
+		if p.nextSeedsWrong {
 			s += p.terms.Mates
 		}
 		t.Seeds = append(t.Seeds, addr(s))
 	}
 	m.Machine = member.New(t, p.Now, nil)
-	m.gen++
-	m.Stalled, m.held, m.armed = 0, nil, 0
-	p.take(i)
+	m.generation++
+	m.Stalled, m.queued, m.timerAt = 0, nil, 0
+	p.flush(i)
 	if s := p.Shares; s != nil {
 		m.Share = share.New(share.Terms{Self: m.Machine.Life(), Among: p.terms.Mates, Names: s.Names, Bound: s.Bound, Grain: s.Grain, Floor: s.Floor, Lease: s.Lease,
-			First: uint64(p.Now/time.Microsecond) + 1, Seed: p.dice.Uint64()}, p.Now)
-		p.push(event{at: p.Now + time.Duration(p.dice.Int64N(int64(share.Turn))), kind: turn, to: int32(i), gen: m.gen})
+			First: uint64(p.Now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, p.Now)
+		p.push(event{at: p.Now + time.Duration(p.rng.Int64N(int64(share.Turn))), kind: shareTick, to: int32(i), generation: m.generation})
 	}
 }
 
-// shareTurn lets a mate's parts look at its needs.
-func (p *Play) shareTurn(i int) {
+// tickShare passes a member's current demand to its share machine and runs the machine's periodic tick.
+func (p *Play) tickShare(i int) {
 	m := p.Mates[i]
 	for name := range p.Shares.Names {
 		m.Share.Need(p.Now, name, p.Shares.Need(i, name, p.Now))
 	}
 	lives, _ := m.Machine.Members()
 	m.Share.Tick(p.Now, lives)
-	p.takeShare(i)
+	p.flushShare(i)
 	if p.Wrong != nil {
 		p.Wrong(i, m.Share)
 	}
-	p.push(event{at: p.Now + share.Turn, kind: turn, to: int32(i), gen: m.gen})
+	p.push(event{at: p.Now + share.Turn, kind: shareTick, to: int32(i), generation: m.generation})
 }
 
-// letterBytes bounds a letter about so many bounds.
-func letterBytes(wants int) int { return 130 + 30*wants }
+// shareMessageBytes is an upper bound for the size of a share message about this many limits.
+func shareMessageBytes(wants int) int { return 130 + 30*wants }
 
-// takeShare moves the letters of a mate's parts.
-func (p *Play) takeShare(i int) {
+// flushShare sends the pending messages of a member's share machine over the simulated links.
+func (p *Play) flushShare(i int) {
 	m := p.Mates[i]
 	for _, s := range m.Share.Out() {
 		at, ok := m.Machine.Letter(s.To)
 		if !ok {
 			continue
 		}
-		to, n := index(at.To), letterBytes(len(s.Msg.Wants))
-		m.Bytes += int64(n)
+		to, size := memberIndex(at.To), shareMessageBytes(len(s.Msg.Wants))
+		m.Bytes += int64(size)
 		m.Sent++
 		if to >= len(p.Mates) || p.cut != nil && p.cut(i, to) {
 			continue
 		}
-		w := p.common
-		if own := p.ways[[2]int{i, to}]; own != nil {
-			w = own
+		link := p.defaultLink
+		if override := p.links[[2]int{i, to}]; override != nil {
+			link = override
 		}
-		l := &parcel{m.Machine.Life(), s.To, s.Msg}
-		for _, d := range w.Pass(p.Now, n) {
+		delivery := &shareDelivery{m.Machine.Life(), s.To, s.Msg}
+		for _, d := range link.Pass(p.Now, size) {
 			if !d.Spoilt {
-				p.push(event{at: d.At, kind: letter, to: int32(to), from: int32(i), share: l})
+				p.push(event{at: d.At, kind: deliverShare, to: int32(to), from: int32(i), share: delivery})
 			}
 		}
 	}
 }
 
-// parcel is a letter about parts on its way.
-type parcel struct {
+// shareDelivery is a share message in transit.
+type shareDelivery struct {
 	from, to member.Life
 	msg      share.Message
 }
 
-// Kill ends the process at a place without a word.
+// Kill ends a balancer's process without notice to the other members.
 func (p *Play) Kill(i int) {
 	m := p.Mates[i]
 	m.Machine, m.Share = nil, nil
-	m.gen++
-	m.held = nil
+	m.generation++
+	m.queued = nil
 }
 
-// Leave ends it in order.
+// Leave ends a balancer's process after it has announced its departure to the other members.
 func (p *Play) Leave(i int) {
 	if m := p.Mates[i]; m.Machine != nil {
 		m.Machine.Leave(p.Now)
-		p.take(i)
+		p.flush(i)
 		p.Kill(i)
 	}
 }
 
-// Stall has the process at a place stand still.
+// Stall suspends a balancer's process for the given time.
 func (p *Play) Stall(i int, d time.Duration) {
 	if m := p.Mates[i]; m.Machine != nil && m.Stalled <= p.Now {
 		m.Stalled = p.Now + d
-		p.push(event{at: m.Stalled, kind: wake, to: int32(i), gen: m.gen})
+		p.push(event{at: m.Stalled, kind: wake, to: int32(i), generation: m.generation})
 	}
 }
 
-// Cut tells which ways lose all from now on; nil for none.
+// Cut sets which links lose all datagrams from now on; nil means none.
 func (p *Play) Cut(cut func(from, to int) bool) { p.cut = cut }
 
-// Way is the way between two, apart from the common one from now on.
+// Way returns the link from one member to another. From the first call on, this link has its own properties instead of the
+// default ones.
 func (p *Play) Way(from, to int) *model.Way {
-	w := p.ways[[2]int{from, to}]
-	if w == nil {
-		w = model.NewWay(p.terms.Ways, p.dice)
-		p.ways[[2]int{from, to}] = w
+	link := p.links[[2]int{from, to}]
+	if link == nil {
+		link = model.NewWay(p.terms.Ways, p.rng)
+		p.links[[2]int{from, to}] = link
 	}
-	return w
+	return link
 }
 
-// Run goes on until a moment.
+// Run advances the simulation up to the given time.
 func (p *Play) Run(until time.Duration) {
 	for len(p.queue) > 0 && p.queue[0].at <= until {
 		p.step()
@@ -230,18 +234,18 @@
 	e := p.queue.pop()
 	p.Now = e.at
 	m := p.Mates[e.to]
-	arrives := e.kind == deliver || e.kind == letter
-	if m.Machine == nil || !arrives && e.gen != m.gen {
+	arrives := e.kind == deliver || e.kind == deliverShare
+	if m.Machine == nil || !arrives && e.generation != m.generation {
 		return
 	}
 	if m.Stalled > p.Now {
-		if e.kind == turn {
+		if e.kind == shareTick {
 			e.at = m.Stalled
 			p.push(e)
-		} else if arrives && len(m.held) < mostHeld {
-			m.held = append(m.held, e)
+		} else if arrives && len(m.queued) < maxQueued {
+			m.queued = append(m.queued, e)
 		} else if e.kind == tick {
-			m.armed = 0
+			m.timerAt = 0
 		}
 		return
 	}
@@ -255,48 +259,48 @@
 		}
 		m.Machine.Hear(p.Now, addr(int(e.from)), e.msg)
 	case tick:
-		if m.armed != e.at { // another has taken its place
+		if m.timerAt != e.at { // an earlier timer has replaced this one
 			return
 		}
-		m.armed = 0
+		m.timerAt = 0
 		m.Machine.Tick(p.Now)
-	case letter:
-		p.hearShare(int(e.to), e.share)
+	case deliverShare:
+		p.receiveShare(int(e.to), e.share)
 		return
-	case turn:
-		p.shareTurn(int(e.to))
+	case shareTick:
+		p.tickShare(int(e.to))
 		return
 	case wake:
-		// The clock's turn and what has come are both there; which is first is chance.
-		if p.dice.IntN(2) == 0 {
+		// After a stall the timer and the buffered datagrams are due at once; a real process may handle either first.
+		if p.rng.IntN(2) == 0 {
 			m.Machine.Tick(p.Now)
-			p.take(int(e.to))
+			p.flush(int(e.to))
 		}
-		held := m.held
-		m.held = nil
-		for _, h := range held {
-			if h.kind == letter {
-				p.hearShare(int(e.to), h.share)
+		queued := m.queued
+		m.queued = nil
+		for _, q := range queued {
+			if q.kind == deliverShare {
+				p.receiveShare(int(e.to), q.share)
 				continue
 			}
-			m.Machine.Hear(p.Now, addr(int(h.from)), h.msg)
-			p.take(int(e.to))
+			m.Machine.Hear(p.Now, addr(int(q.from)), q.msg)
+			p.flush(int(e.to))
 		}
 		m.Machine.Tick(p.Now)
 	}
-	p.take(int(e.to))
+	p.flush(int(e.to))
 }
 
-func (p *Play) hearShare(i int, l *parcel) {
+func (p *Play) receiveShare(i int, delivery *shareDelivery) {
 	m := p.Mates[i]
-	if m.Share != nil && l.to == m.Machine.Life() && m.Machine.Holds(l.from) {
-		m.Share.Hear(p.Now, l.from, &l.msg)
-		p.takeShare(i)
+	if m.Share != nil && delivery.to == m.Machine.Life() && m.Machine.Holds(delivery.from) {
+		m.Share.Hear(p.Now, delivery.from, &delivery.msg)
+		p.flushShare(i)
 	}
 }
 
-// take moves what a machine sends and tells, and arms its next turn.
-func (p *Play) take(i int) {
+// flush sends a member machine's pending datagrams over the simulated links, reports its events and sets its next timer.
+func (p *Play) flush(i int) {
 	m := p.Mates[i]
 	sends, events := m.Machine.Out()
 	for k := range sends {
@@ -304,26 +308,26 @@
 		if p.Twist != nil {
 			p.Twist(i, false, &s.Msg)
 		}
-		to := index(s.To)
-		n := s.Msg.Size()
-		m.Bytes += int64(n)
+		to := memberIndex(s.To)
+		size := s.Msg.Size()
+		m.Bytes += int64(size)
 		m.Sent++
 		if p.Sent != nil {
-			p.Sent(i, to, n)
+			p.Sent(i, to, size)
 		}
 		if to >= len(p.Mates) || p.cut != nil && p.cut(i, to) {
 			continue
 		}
-		w := p.common
-		if len(p.ways) > 0 {
-			if own := p.ways[[2]int{i, to}]; own != nil {
-				w = own
+		link := p.defaultLink
+		if len(p.links) > 0 {
+			if override := p.links[[2]int{i, to}]; override != nil {
+				link = override
 			}
 		}
 		msg := new(member.Message)
 		*msg = s.Msg
-		for _, d := range w.Pass(p.Now, n) {
-			if !d.Spoilt { // a spoilt one is dropped by its checksum
+		for _, d := range link.Pass(p.Now, size) {
+			if !d.Spoilt { // receivers drop corrupted datagrams because of the checksum
 				p.push(event{at: d.At, kind: deliver, to: int32(to), from: int32(i), msg: msg})
 			}
 		}
@@ -333,42 +337,43 @@
 			p.On(i, e)
 		}
 	}
-	if due := max(m.Machine.Due(), p.Now); m.armed == 0 || due < m.armed {
-		m.armed = due
-		p.push(event{at: due, kind: tick, to: int32(i), gen: m.gen})
+	if due := max(m.Machine.Due(), p.Now); m.timerAt == 0 || due < m.timerAt {
+		m.timerAt = due
+		p.push(event{at: due, kind: tick, to: int32(i), generation: m.generation})
 	}
 }
 
+// kind is the kind of an event.
 type kind uint8
 
 const (
 	deliver kind = iota
 	tick
 	wake
-	letter
-	turn
+	deliverShare
+	shareTick
 )
 
 type event struct {
-	at       time.Duration
-	n        uint64
-	msg      *member.Message
-	share    *parcel
-	to, from int32
-	gen      uint32
-	kind     kind
+	at         time.Duration
+	seq        uint64
+	msg        *member.Message
+	share      *shareDelivery
+	to, from   int32
+	generation uint32
+	kind       kind
 }
 
 func (p *Play) push(e event) {
-	p.count++
-	e.n = p.count
+	p.eventCount++
+	e.seq = p.eventCount
 	p.queue.push(e)
 }
 
-// queue is a heap of four branches, by time and then by when things were asked for.
+// queue is a 4-ary heap of events, ordered by time and then by the order of scheduling.
 type queue []event
 
-func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.n < b.n }
+func (a *event) before(b *event) bool { return a.at < b.at || a.at == b.at && a.seq < b.seq }
 
 func (q *queue) push(e event) {
 	*q = append(*q, e)
--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -12,7 +12,7 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-const wrongDay = `
+const faultyMemberScenario = `
 name = "wrong"
 length = "60s"
 [fleet]
@@ -31,70 +31,71 @@
 balancers = [4]
 `
 
-// Each wrong member is named for just the rule that it breaks, and the right one for none. The second balancer is the wrong one.
-func TestWrongMembers(t *testing.T) {
-	day, err := scenario.Parse("wrong.toml", []byte(wrongDay))
+// The judge must report exactly the rule that a faulty member breaks, and none for a correct one. The second balancer is the
+// faulty one.
+func TestJudgeReportsFaultyMembers(t *testing.T) {
+	day, err := scenario.Parse("wrong.toml", []byte(faultyMemberScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
-	const wrong = 1
-	named := func(p *Play, l member.Life) int { // whose life it is
+	const faulty = 1
+	memberOf := func(p *Play, l member.Life) int { // index of the member that runs this process, or -1
 		return slices.IndexFunc(p.Mates, func(m *Mate) bool { return m.Machine != nil && m.Life() == l })
 	}
 	for name, row := range map[string]struct {
-		twist func(p *Play, mate int, in bool, msg *member.Message)
+		twist func(p *Play, index int, in bool, msg *member.Message)
 		want  []judge.Rule
 	}{
-		"right": {func(*Play, int, bool, *member.Message) {}, nil},
-		"does not hear of newcomers": {func(p *Play, mate int, in bool, msg *member.Message) {
-			old := func(l member.Life) bool { return p.Now > 4*time.Second && named(p, l) == 3 }
-			if mate != wrong || !in {
+		"correct": {func(*Play, int, bool, *member.Message) {}, nil},
+		"ignores new members": {func(p *Play, index int, in bool, msg *member.Message) {
+			ignored := func(l member.Life) bool { return p.Now > 4*time.Second && memberOf(p, l) == 3 }
+			if index != faulty || !in {
 				return
 			}
-			msg.Records = slices.DeleteFunc(msg.Records, func(r member.Record) bool { return old(r.Life) })
-			msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return old(r.Life) })
+			msg.Records = slices.DeleteFunc(msg.Records, func(r member.Record) bool { return ignored(r.Life) })
+			msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return ignored(r.Life) })
 		}, []judge.Rule{judge.MatesKnown}},
-		"declares one dead without cause": {func(p *Play, mate int, in bool, msg *member.Message) {
-			if mate == wrong && in && p.Now > 15*time.Second && p.Mates[2].Machine != nil {
+		"declares a live member dead": {func(p *Play, index int, in bool, msg *member.Message) {
+			if index == faulty && in && p.Now > 15*time.Second && p.Mates[2].Machine != nil {
 				l := p.Mates[2].Life()
 				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.Life == l })
 				msg.Rumours = append(msg.Rumours, member.Rumour{Life: l, Inc: member.MostInc - 1, State: member.Dead})
 				if msg.From == l {
-					msg.From = 0 // nor does it hear the one itself
+					msg.From = 0 // nor does it accept messages from that member
 				}
-			} else if mate == wrong && !in {
+			} else if index == faulty && !in {
 				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.State == member.Dead })
 			}
 		}, []judge.Rule{judge.MatesAlive}},
-		"never gives up the dead": {func(p *Play, mate int, in bool, msg *member.Message) {
-			if mate != wrong || !in {
+		"never removes dead members": {func(p *Play, index int, in bool, msg *member.Message) {
+			if index != faulty || !in {
 				return
 			}
 			msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.State != member.Alive })
 			if msg.Kind == member.Nack {
-				msg.Kind = member.Ack // what others could not reach it takes for reached
+				msg.Kind = member.Ack // counts a failed indirect probe as a success
 			}
 		}, []judge.Rule{judge.MatesDead}},
-		"sees one that nobody else sees": {func(p *Play, mate int, in bool, msg *member.Message) {
-			if mate == wrong && in && p.Now > 10*time.Second {
+		"lists a member that no other lists": {func(p *Play, index int, in bool, msg *member.Message) {
+			if index == faulty && in && p.Now > 10*time.Second {
 				msg.Records = append(msg.Records, member.Record{Life: 1<<40 + member.Life(p.Now/time.Second)<<2, Name: "ghost", Addr: addr(2)})
-			} else if mate == wrong {
-				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return named(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
+			} else if index == faulty {
+				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return memberOf(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
 			}
 		}, []judge.Rule{judge.MatesSame}},
-		"talks without end": {func(p *Play, mate int, in bool, msg *member.Message) {
-			if mate == wrong && !in {
-				p.Mates[mate].Bytes += 20_000
+		"sends too much": {func(p *Play, index int, in bool, msg *member.Message) {
+			if index == faulty && !in {
+				p.Mates[index].Bytes += 20_000
 			}
 		}, []judge.Rule{judge.MatesTalk}},
 	} {
 		rec := record.New()
 		NewDay(day, rec, func(p *Play) {
-			p.Twist = func(mate int, in bool, msg *member.Message) { row.twist(p, mate, in, msg) }
+			p.Twist = func(index int, in bool, msg *member.Message) { row.twist(p, index, in, msg) }
 		}).To(day.Length.D())
 		v := judge.Judge(rec, runner.Terms(day))
 		if got := v.BrokenRules(); !slices.Equal(got, row.want) {
-			t.Errorf("%s: named for %q, expected %q", name, got, row.want)
+			t.Errorf("%s: broken rules %q, expected %q", name, got, row.want)
 			for _, f := range v.Findings {
 				for _, b := range f.Examples[:min(2, len(f.Examples))] {
 					t.Log(b.At, b.Text)
