--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -33,27 +33,27 @@
 	Checked map[judge.Rule]int
 }
 
-// mostKept bounds what is kept of either sort.
-const mostKept = 10
+// maxKept bounds what is kept of either sort.
+const maxKept = 10
 
 // Days plays so many drawn days, on the cores that there are, until the context ends.
-func Days(ctx context.Context, base *scenario.Day, from uint64, days, lanes int) (Result, error) {
+func Days(ctx context.Context, base *scenario.Day, firstSeed uint64, days, workers int) (Result, error) {
 	res := Result{Checked: map[judge.Rule]int{}}
 	var mu sync.Mutex
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	var failed error
 	next := make(chan uint64)
-	for range lanes {
-		group.Add(1)
+	for range workers {
+		wg.Add(1)
 		go func() {
-			defer group.Done()
+			defer wg.Done()
 			for seed := range next {
-				f, v, err := playOne(Draw(base, seed))
+				f, v, err := simulate(Draw(base, seed))
 				mu.Lock()
 				if err != nil {
 					failed = err
 				} else {
-					res.take(f, v)
+					res.add(f, v)
 				}
 				mu.Unlock()
 			}
@@ -63,22 +63,22 @@
 		if ctx.Err() != nil {
 			break
 		}
-		next <- from + uint64(i)
+		next <- firstSeed + uint64(i)
 	}
 	close(next)
-	group.Wait()
+	wg.Wait()
 	return res, failed
 }
 
-func (r *Result) take(f Found, v *judge.Verdict) {
+func (r *Result) add(f Found, verdict *judge.Verdict) {
 	r.Played++
-	for _, x := range v.Findings {
+	for _, x := range verdict.Findings {
 		r.Checked[x.Rule] += x.Checked
 	}
 	if len(f.Broken) > 0 {
 		r.Broken = append(r.Broken, f)
 		slices.SortFunc(r.Broken, bySeed) // the lanes' order must not decide which are kept
-		r.Broken = r.Broken[:min(len(r.Broken), mostKept)]
+		r.Broken = r.Broken[:min(len(r.Broken), maxKept)]
 	} else {
 		r.Kept++
 	}
@@ -92,7 +92,7 @@
 		}
 		return bySeed(x, y)
 	})
-	r.Worst = r.Worst[:min(len(r.Worst), mostKept)]
+	r.Worst = r.Worst[:min(len(r.Worst), maxKept)]
 }
 
 func bySeed(x, y Found) int {
@@ -102,7 +102,7 @@
 	return 1
 }
 
-func playOne(d *scenario.Day) (Found, *judge.Verdict, error) {
+func simulate(d *scenario.Day) (Found, *judge.Verdict, error) {
 	res, err := virtual.Play(d, nil)
 	if err != nil {
 		return Found{}, nil, err
@@ -110,13 +110,13 @@
 	return Found{Day: d, Service: report.Of(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
 }
 
-// drawn are the kinds of faults that a search draws: those that virtual time plays.
-var drawn = []string{"slow", "stall", "kill", "vanish", "reset", "spoil", "fail", "link-delay", "link-cut", "zone-dark", "deploy",
+// faultKinds are the kinds of faults that a search draws: those that virtual time plays.
+var faultKinds = []string{"slow", "stall", "kill", "vanish", "reset", "spoil", "fail", "link-delay", "link-cut", "zone-dark", "deploy",
 	"register-silent", "register-rewind", "gateway-slow", "gateway-reset", "gateway-fail", "balancer-kill", "balancer-restart", "surge",
 	"scan", "hot"}
 
-// faultsMost is how many faults a day gets: more overlap so much that nothing is told apart.
-const faultsMost = 4
+// maxFaults is how many faults a day gets: more overlap so much that nothing is told apart.
+const maxFaults = 4
 
 // Draw makes a day of a base and a seed: one to four faults of any kind, size and time, over those that the base has.
 func Draw(base *scenario.Day, seed uint64) *scenario.Day {
@@ -125,19 +125,19 @@
 	d.Name = fmt.Sprintf("found-%d", seed)
 	r := model.Stream(seed, "search")
 	d.Faults = slices.Clone(base.Faults)
-	for range 1 + r.IntN(faultsMost) {
-		d.Faults = append(d.Faults, fault(r, &d))
+	for range 1 + r.IntN(maxFaults) {
+		d.Faults = append(d.Faults, drawFault(r, &d))
 	}
 	return &d
 }
 
-func fault(r *rand.Rand, d *scenario.Day) scenario.Fault {
+func drawFault(r *rand.Rand, d *scenario.Day) scenario.Fault {
 	length := d.Length.D()
 	at := time.Duration(r.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
-	span := time.Duration(r.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
-	f := scenario.Fault{Do: drawn[r.IntN(len(drawn))], At: scenario.Span(at), For: scenario.Span(min(span, length-at))}
-	part := 0.05 + 0.6*r.Float64()
-	some := func() {
+	duration := time.Duration(r.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
+	f := scenario.Fault{Do: faultKinds[r.IntN(len(faultKinds))], At: scenario.Span(at), For: scenario.Span(min(duration, length-at))}
+	probability := 0.05 + 0.6*r.Float64()
+	pickNodes := func() {
 		ids, _ := d.NodeIDs()
 		r.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 		f.Nodes = ids[:1+r.IntN(max(1, len(ids)*2/3))]
@@ -145,25 +145,25 @@
 	}
 	switch f.Do {
 	case "slow":
-		some()
+		pickNodes()
 		f.By = 2 + 10*r.Float64()
 	case "stall", "kill", "vanish", "link-cut":
-		some()
+		pickNodes()
 	case "link-delay":
-		some()
+		pickNodes()
 		f.Delay = scenario.Span(time.Duration(5+r.IntN(200)) * time.Millisecond)
 	case "reset", "spoil", "fail":
-		some()
-		f.Part = part
+		pickNodes()
+		f.Part = probability
 	case "zone-dark":
 		f.Zone = d.Fleet.Zones[r.IntN(len(d.Fleet.Zones))]
 	case "deploy":
-		some()
+		pickNodes()
 		f.AtOnce, f.Drain, f.Same = 1+r.IntN(len(f.Nodes)), scenario.Span(2*time.Second), r.IntN(2) == 0
 	case "gateway-slow":
 		f.By = 1.5 + 6*r.Float64()
 	case "gateway-reset", "gateway-fail":
-		f.Part = part / 2
+		f.Part = probability / 2
 	case "register-rewind", "balancer-restart":
 		f.For = 0
 		f.Balancers = []int{1 + r.IntN(d.Fleet.Balancers)}
@@ -175,9 +175,9 @@
 			f.Tenant = d.Tenants[r.IntN(len(d.Tenants))].Name
 		}
 	case "scan":
-		f.Part = part / 2
+		f.Part = probability / 2
 	case "hot":
-		f.Part, f.Keys = part, 1+r.IntN(5)
+		f.Part, f.Keys = probability, 1+r.IntN(5)
 	}
 	return f
 }
@@ -185,7 +185,7 @@
 // Shrink looks for the smallest day that still shows what was found: without a fault, with fewer balancers, with less of
 // the day. A rule that was broken has to be broken still; else the service may rise by a tenth of what was lost.
 func Shrink(f Found) (Found, error) {
-	shows := func(x Found) bool {
+	reproduces := func(x Found) bool {
 		if len(f.Broken) > 0 {
 			return slices.Contains(x.Broken, f.Broken[0])
 		}
@@ -193,12 +193,12 @@
 	}
 	for again := true; again; {
 		again = false
-		for _, smaller := range steps(f.Day) {
-			x, _, err := playOne(smaller)
+		for _, smaller := range smallerScenarios(f.Day) {
+			x, _, err := simulate(smaller)
 			if err != nil {
 				return f, err
 			}
-			if shows(x) {
+			if reproduces(x) {
 				f.Day, again = x.Day, true
 				f.Service, f.Broken = x.Service, x.Broken
 				break
@@ -208,8 +208,8 @@
 	return f, nil
 }
 
-// steps are the days that are one step smaller.
-func steps(d *scenario.Day) (list []*scenario.Day) {
+// smallerScenarios are the days that are one step smaller.
+func smallerScenarios(d *scenario.Day) (list []*scenario.Day) {
 	for i := range d.Faults {
 		x := *d
 		x.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
--- a/internal/rehearsal/search/search_test.go
+++ b/internal/rehearsal/search/search_test.go
@@ -7,7 +7,7 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-const small = `
+const smallScenario = `
 length = "8s"
 [fleet]
 zones = ["east", "west"]
@@ -29,7 +29,7 @@
 
 func base(t *testing.T) *scenario.Day {
 	t.Helper()
-	d, err := scenario.Parse("small", []byte(small))
+	d, err := scenario.Parse("small", []byte(smallScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if f, _, err := playOne(d); err != nil || f.Service != a.Worst[0].Service {
+	if f, _, err := simulate(d); err != nil || f.Service != a.Worst[0].Service {
 		t.Errorf("read back: service %v, expected %v; %v", f.Service, a.Worst[0].Service, err)
 	}
 }
@@ -71,7 +71,7 @@
 		{Do: "vanish", At: scenario.Span(2e9), For: scenario.Span(5e9), Nodes: []string{"*"}},
 		{Do: "register-silent", At: scenario.Span(1e9), For: scenario.Span(1e9), Balancers: []int{1}},
 	}
-	f, _, err := playOne(d)
+	f, _, err := simulate(d)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -15,32 +15,32 @@
 
 // balancer is one real decision module with the world's side of it. It is the module's policy.Host.
 type balancer struct {
-	d     *Day
-	index int
-	zone  int
-	mod   *policy.Balancer // nil while it is down
-	lives uint64
-	calls map[policy.CallID]*call
-	after int64 // generation of the list that it has
-	up    map[string]bool
-	life  record.Life
-	dealt bool // the front holds it for alive
-	round int
-	until time.Duration     // it stands still until then
-	seen  *evidence.Machine // nil: none yet
-	words []evidence.Word   // that the module has heard
+	d                *Day
+	index            int
+	zone             int
+	decider          *policy.Balancer // nil while it is down
+	startCount       uint64
+	requests         map[policy.CallID]*request
+	generation       int64 // generation of the list that it has
+	listedUp         map[string]bool
+	lifeRecord       record.Life
+	getsTraffic      bool // the front holds it for alive
+	noticeSeq        int
+	pausedUntil      time.Duration     // it stands still until then
+	observations     *evidence.Machine // nil: none yet
+	peerObservations []evidence.Word   // that the module has heard
 }
 
-// awake lets the process that runs now do something: at once, or when it goes on after it stood still. Where it has ended by
+// whenRunning lets the process that runs now do something: at once, or when it goes on after it stood still. Where it has ended by
 // then, that is done instead, if anything.
-func (b *balancer) awake(do, ended func()) {
-	lives := b.lives
-	if b.d.now >= b.until && b.mod != nil {
+func (b *balancer) whenRunning(do, ended func()) {
+	startCount := b.startCount
+	if b.d.now >= b.pausedUntil && b.decider != nil {
 		do()
 		return
 	}
-	b.d.at(b.until, func() {
-		if b.mod != nil && b.lives == lives {
+	b.d.at(b.pausedUntil, func() {
+		if b.decider != nil && b.startCount == startCount {
 			do()
 		} else if ended != nil {
 			ended()
@@ -48,83 +48,83 @@
 	})
 }
 
-// call is a request as a balancer has it.
-type call struct {
+// request is a request as a balancer has it.
+type request struct {
 	id, key, mark string
 	write         bool
-	b             *balancer
+	balancer      *balancer
 	attempts      []*attempt
-	out           int
-	settled       bool
-	rec           *record.Call
-	answered      func(reply record.Reply, comeBack time.Duration)
-	missed        []*node
+	inFlight      int
+	answered      bool
+	record        *record.Call
+	onAnswer      func(reply record.Reply, comeBack time.Duration)
+	missedHosts   []*cacheHost
 }
 
 // attempt is one attempt.
 type attempt struct {
-	b     *balancer
-	lives uint64 // of the balancer when it was sent
-	call  *call
-	n     int
-	to    *node // nil: the gateway
-	work  time.Duration
-	sent  time.Duration
-	told  time.Duration // that is left
-	came  time.Duration
-	ended time.Duration // at the server, or when it heard that it was given up
-	proof record.Proof
-	whole bool // an answer went out whole
-	ran   bool
-	cold  bool
-
-	swallowed, over bool
+	balancer        *balancer
+	startCount      uint64 // of the balancer when it was sent
+	request         *request
+	index           int
+	host            *cacheHost // nil: the gateway
+	work            time.Duration
+	sentAt          time.Duration
+	reportedTimeout time.Duration // that is left
+	receivedAt      time.Duration
+	endedAt         time.Duration // at the server, or when it heard that it was given up
+	proof           record.Proof
+	answerComplete  bool // an answer went out whole
+	executed        bool
+	cold            bool
+
+	dropped, done bool
 }
 
 // epoch is the Unix time of a day's begin; any would do.
 const epoch = policy.Nanos(1_700_000_000) * policy.Second
 
-// wayBack is kept of a client's time for the answer to reach it, as the balancer on sockets does.
-const wayBack = 3 * time.Millisecond
+// replyReserve is kept of a client's time for the answer to reach it, as the balancer on sockets does.
+const replyReserve = 3 * time.Millisecond
 
 func (b *balancer) start() {
-	if b.mod != nil {
+	if b.decider != nil {
 		return // another fault has started it already
 	}
-	b.lives++
-	b.until = 0
-	b.calls, b.up, b.after, b.seen, b.words = map[policy.CallID]*call{}, map[string]bool{}, 0, nil, nil
-	b.life = record.Life{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
-	seed := model.Stream(b.d.Seed, fmt.Sprint("balancer ", b.index, b.lives)).Uint64()
-	b.mod = policy.New(host{b, b.lives}, b.d.terms(b.zone), seed)
-	b.hear(true)
-	b.dealt = true
-	b.round++
+	b.startCount++
+	b.pausedUntil = 0
+	b.requests, b.listedUp, b.generation, b.observations, b.peerObservations = map[policy.CallID]*request{}, map[string]bool{}, 0, nil, nil
+	b.lifeRecord = record.Life{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
+	seed := model.Stream(b.d.Seed, fmt.Sprint("balancer ", b.index, b.startCount)).Uint64()
+	b.decider = policy.New(policyHost{b, b.startCount}, b.d.policyTerms(b.zone), seed)
+	b.pollDiscovery(true)
+	b.getsTraffic = true
+	b.noticeSeq++
 }
 
 // stop ends the balancer as the end of its process does.
 func (b *balancer) stop() {
-	if b.mod == nil {
+	if b.decider == nil {
 		return
 	}
-	b.mod = nil
-	b.life.End, b.life.Ordered = b.d.now, true
-	b.d.rec.Lives = append(b.d.rec.Lives, b.life)
-	for _, id := range sorted(b.calls) {
-		c := b.calls[id]
-		for _, s := range c.attempts {
-			s.giveUp()
+	b.decider = nil
+	b.lifeRecord.End, b.lifeRecord.Ordered = b.d.now, true
+	b.d.rec.Lives = append(b.d.rec.Lives, b.lifeRecord)
+	for _, id := range sorted(b.requests) {
+		req := b.requests[id]
+		for _, a := range req.attempts {
+			a.cancel()
 		}
-		if !c.settled {
-			c.settled = true
-			c.rec.Excused = true
-			c.answered(record.Closed, 0)
+		if !req.answered {
+			req.answered = true
+			req.record.Excused = true
+			req.onAnswer(record.Closed, 0)
 		}
 	}
-	b.calls = nil
+	b.requests = nil
 }
 
-func sorted(calls map[policy.CallID]*call) []policy.CallID {
+func sorted(calls map[policy.CallID]*request) []policy.CallID {
 	ids := make([]policy.CallID, 0, len(calls))
 	for id := range calls {
 		ids = append(ids, id)
@@ -133,298 +133,298 @@
 	return ids
 }
 
-// unnoticed lets the front deal to a balancer that has ended until it notices.
-func (b *balancer) unnoticed(after time.Duration) {
-	b.round++
-	round := b.round
-	b.d.after(after, func() {
-		if b.round == round {
-			b.dealt = false
+// endTrafficAfter lets the front deal to a balancer that has ended until it notices.
+func (b *balancer) endTrafficAfter(delay time.Duration) {
+	b.noticeSeq++
+	seq := b.noticeSeq
+	b.d.after(delay, func() {
+		if b.noticeSeq == seq {
+			b.getsTraffic = false
 		}
 	})
 }
 
-// hear takes what the register's agent has: the whole list, or what has changed.
-func (b *balancer) hear(whole bool) {
-	if b.mod != nil {
-		b.awake(func() { b.listed(whole) }, nil)
+// pollDiscovery takes what the register's agent has: the whole list, or what has changed.
+func (b *balancer) pollDiscovery(whole bool) {
+	if b.decider != nil {
+		b.whenRunning(func() { b.applyList(whole) }, nil)
 	}
 }
 
-func (b *balancer) listed(whole bool) {
-	if b.d.register.Silent(b.index) {
+func (b *balancer) applyList(whole bool) {
+	if b.d.discovery.Silent(b.index) {
 		return
 	}
-	generation, reset, entries := b.d.register.List(b.index, b.after, whole)
-	if generation == b.after && !reset {
+	generation, reset, entries := b.d.discovery.List(b.index, b.generation, whole)
+	if generation == b.generation && !reset {
 		return
 	}
-	b.after = generation
+	b.generation = generation
 	var list []policy.Entry
 	named := map[string]bool{}
 	for _, e := range entries {
 		named[e.Node] = true
-		b.told(e.Node, e.Condition == model.Active)
-		list = append(list, b.d.entry(e))
+		b.recordNotice(e.Node, e.Condition == model.Active)
+		list = append(list, b.d.policyEntry(e))
 	}
 	kind := policy.ListUpdate
 	if reset {
 		kind = policy.ListReplace
-		for _, n := range b.d.order {
-			if b.up[n.id] && !named[n.id] {
-				b.told(n.id, false)
+		for _, h := range b.d.hostsInOrder {
+			if b.listedUp[h.id] && !named[h.id] {
+				b.recordNotice(h.id, false)
 			}
 		}
 	}
-	b.mod.Listed(kind, list)
+	b.decider.Listed(kind, list)
 }
 
-func (b *balancer) told(node string, up bool) {
-	if was, known := b.up[node]; known && was == up || !known && !up {
+func (b *balancer) recordNotice(hostID string, up bool) {
+	if was, known := b.listedUp[hostID]; known && was == up || !known && !up {
 		return
 	}
-	b.up[node] = up
-	b.d.note("told %d %s %v", b.index, node, up)
-	b.d.rec.Tolds = append(b.d.rec.Tolds, record.Told{Balancer: b.index, Node: node, Up: up, At: b.d.now})
+	b.listedUp[hostID] = up
+	b.d.tracef("told %d %s %v", b.index, hostID, up)
+	b.d.rec.Tolds = append(b.d.rec.Tolds, record.Told{Balancer: b.index, Node: hostID, Up: up, At: b.d.now})
 }
 
-// take takes a call that a client has sent.
-func (b *balancer) take(c *call) {
-	b.calls[policy.CallID(c.id)] = c
-	c.b = b
-	left := c.rec.Timeout - b.d.now - wayBack
+// receive takes a call that a client has sent.
+func (b *balancer) receive(req *request) {
+	b.requests[policy.CallID(req.id)] = req
+	req.balancer = b
+	left := req.record.Timeout - b.d.now - replyReserve
 	if left <= 0 {
-		c.settle(record.RateLimited, 0)
-		delete(b.calls, policy.CallID(c.id))
+		req.answer(record.RateLimited, 0)
+		delete(b.requests, policy.CallID(req.id))
 		return
 	}
-	if b.d.mates != nil {
-		b.d.mates.To(b.d.now)
-		b.d.mates.Came(b.index, c.rec.Tenant)
-		b.d.mates.Parts(b.index, func(tenant int, part float64) {
-			b.mod.Part(policy.Customer(tenant), max(part, math.SmallestNonzeroFloat64))
+	if b.d.members != nil {
+		b.d.members.To(b.d.now)
+		b.d.members.Came(b.index, req.record.Tenant)
+		b.d.members.Parts(b.index, func(tenant int, share float64) {
+			b.decider.Part(policy.Customer(tenant), max(share, math.SmallestNonzeroFloat64))
 		})
 	}
-	b.mod.Arrived(policy.Call{ID: policy.CallID(c.id), Customer: policy.Customer(c.rec.Tenant), Product: policy.Product(c.rec.Product),
-		Key: policy.Key(c.key), Write: c.write, Deadline: epoch + policy.Nanos(c.rec.Timeout-wayBack)})
-	b.leave(c)
+	b.decider.Arrived(policy.Call{ID: policy.CallID(req.id), Customer: policy.Customer(req.record.Tenant), Product: policy.Product(req.record.Product),
+		Key: policy.Key(req.key), Write: req.write, Deadline: epoch + policy.Nanos(req.record.Timeout-replyReserve)})
+	b.forgetIfDone(req)
 }
 
-// leave forgets a call that has its answer and whose attempts have ended.
-func (b *balancer) leave(c *call) {
-	if c.settled && c.out == 0 && b.calls != nil {
-		delete(b.calls, policy.CallID(c.id))
+// forgetIfDone forgets a call that has its answer and whose attempts have ended.
+func (b *balancer) forgetIfDone(req *request) {
+	if req.answered && req.inFlight == 0 && b.requests != nil {
+		delete(b.requests, policy.CallID(req.id))
 	}
 }
 
-// abandoned hears that a call's client has left.
-func (b *balancer) abandoned(c *call) {
-	if c.settled {
+// clientGone hears that a call's client has left.
+func (b *balancer) clientGone(req *request) {
+	if req.answered {
 		return
 	}
-	c.settled = true
-	b.mod.Abandoned(policy.CallID(c.id))
-	b.leave(c)
+	req.answered = true
+	b.decider.Abandoned(policy.CallID(req.id))
+	b.forgetIfDone(req)
 }
 
-// settle chooses a call's one final answer.
-func (c *call) settle(reply record.Reply, comeBack time.Duration) {
-	if !c.settled {
-		c.settled = true
-		c.b.d.after(c.b.d.Fleet.Same.D(), func() { c.answered(reply, comeBack) })
+// answer chooses a call's one final answer.
+func (r *request) answer(reply record.Reply, retryAfter time.Duration) {
+	if !r.answered {
+		r.answered = true
+		r.balancer.d.after(r.balancer.d.Fleet.Same.D(), func() { r.onAnswer(reply, retryAfter) })
 	}
 }
 
-// host is what a module acts through. A module that has ended can do nothing any more.
-type host struct {
-	b     *balancer
-	lives uint64
+// policyHost is what a module acts through. A module that has ended can do nothing any more.
+type policyHost struct {
+	b          *balancer
+	startCount uint64
 }
 
-func (h host) Now() policy.Nanos { return epoch + policy.Nanos(h.b.d.now) }
+func (h policyHost) Now() policy.Nanos { return epoch + policy.Nanos(h.b.d.now) }
 
-func (h host) Subscribe() {}
+func (h policyHost) Subscribe() {}
 
-func (h host) SetTimer(after policy.Nanos, id policy.TimerID) {
+func (h policyHost) SetTimer(after policy.Nanos, id policy.TimerID) {
 	h.b.d.after(time.Duration(after), func() {
-		if h.b.mod != nil && h.b.lives == h.lives {
-			h.b.awake(func() { h.b.mod.TimerFired(id) }, nil)
+		if h.b.decider != nil && h.b.startCount == h.startCount {
+			h.b.whenRunning(func() { h.b.decider.TimerFired(id) }, nil)
 		}
 	})
 }
 
-func (h host) RateLimit(id policy.CallID, comeBack policy.Nanos) {
-	h.final(id, record.RateLimited, time.Duration(comeBack))
+func (h policyHost) RateLimit(id policy.CallID, retryAfter policy.Nanos) {
+	h.answer(id, record.RateLimited, time.Duration(retryAfter))
 }
 
-func (h host) Error(id policy.CallID) { h.final(id, record.Errored, 0) }
+func (h policyHost) Error(id policy.CallID) { h.answer(id, record.Errored, 0) }
 
-func (h host) final(id policy.CallID, reply record.Reply, comeBack time.Duration) {
-	if c := h.b.calls[id]; c != nil {
-		c.settle(reply, comeBack)
-		h.b.d.after(0, func() { h.b.leave(c) })
+func (h policyHost) answer(id policy.CallID, reply record.Reply, retryAfter time.Duration) {
+	if req := h.b.requests[id]; req != nil {
+		req.answer(reply, retryAfter)
+		h.b.d.after(0, func() { h.b.forgetIfDone(req) })
 	}
 }
 
-func (h host) Cancel(id policy.CallID, attempt int) {
-	c := h.b.calls[id]
-	if c == nil || attempt >= len(c.attempts) {
+func (h policyHost) Cancel(id policy.CallID, attempt int) {
+	req := h.b.requests[id]
+	if req == nil || attempt >= len(req.attempts) {
 		return
 	}
 	// Heard later, as on sockets: the module is not called from within itself.
 	h.b.d.after(0, func() {
-		if s := c.attempts[attempt]; !s.over && h.b.lives == h.lives {
-			s.giveUp()
-			s.end(policy.Cancelled, 0)
+		if a := req.attempts[attempt]; !a.done && h.b.startCount == h.startCount {
+			a.cancel()
+			a.complete(policy.Cancelled, 0)
 		}
 	})
 }
 
-func (h host) Send(id policy.CallID, to policy.CacheID, deadline, _ policy.Nanos) {
+func (h policyHost) Send(id policy.CallID, to policy.CacheID, deadline, _ policy.Nanos) {
 	b, d := h.b, h.b.d
-	c := b.calls[id]
-	if c == nil {
+	req := b.requests[id]
+	if req == nil {
 		return
 	}
-	s := &attempt{b: b, lives: h.lives, call: c, n: len(c.attempts), sent: d.now, told: time.Duration(deadline - h.Now()), work: d.work(c)}
-	c.attempts = append(c.attempts, s)
-	c.out++
+	a := &attempt{balancer: b, startCount: h.startCount, request: req, index: len(req.attempts), sentAt: d.now, reportedTimeout: time.Duration(deadline - h.Now()), work: d.drawWork(req)}
+	req.attempts = append(req.attempts, a)
+	req.inFlight++
 	if to != record.Gateway {
-		s.to = d.nodes[string(to)]
+		a.host = d.hosts[string(to)]
 	}
-	d.attempts = append(d.attempts, s)
-	d.note("attempt %s/%d %d to %s", id, s.n, b.index, s.server())
-	d.after(s.way(), func() {
-		if s.over {
+	d.attempts = append(d.attempts, a)
+	d.tracef("attempt %s/%d %d to %s", id, a.index, b.index, a.serverName())
+	d.after(a.oneWayDelay(), func() {
+		if a.done {
 			return // given up on the way: its connection ended before it came
 		}
-		if s.to != nil {
-			s.to.offer(s)
+		if a.host != nil {
+			a.host.receive(a)
 		} else {
-			d.gateway.offer(s)
+			d.origin.receive(a)
 		}
 	})
 	d.after(time.Duration(max(1, deadline-h.Now())), func() {
-		late := func() {
-			if !s.over {
-				s.giveUp()
-				s.end(policy.TimedOut, 0)
+		timeOut := func() {
+			if !a.done {
+				a.cancel()
+				a.complete(policy.TimedOut, 0)
 			}
 		}
-		if b.mod == nil || b.lives != s.lives {
-			late()
+		if b.decider == nil || b.startCount != a.startCount {
+			timeOut()
 			return
 		}
-		b.awake(late, nil)
+		b.whenRunning(timeOut, nil)
 	})
 }
 
-// way is how long bytes take one way between an attempt's balancer and its server.
-func (s *attempt) way() time.Duration {
-	if s.to == nil {
-		return s.usual()
+// oneWayDelay is how long bytes take one way between an attempt's balancer and its server.
+func (a *attempt) oneWayDelay() time.Duration {
+	if a.host == nil {
+		return a.baseDelay()
 	}
-	return s.usual() + s.to.links[s.b.index].more
+	return a.baseDelay() + a.host.links[a.balancer.index].extraDelay
 }
 
-// usual is the way without what a fault adds to it.
-func (s *attempt) usual() time.Duration {
-	d := s.b.d
-	if s.to == nil || s.to.group.Zone == d.Fleet.Zones[s.b.zone] {
+// baseDelay is the way without what a fault adds to it.
+func (a *attempt) baseDelay() time.Duration {
+	d := a.balancer.d
+	if a.host == nil || a.host.group.Zone == d.Fleet.Zones[a.balancer.zone] {
 		return d.Fleet.Same.D()
 	}
 	return d.Fleet.Cross.D()
 }
 
-// server is the name of an attempt's server.
-func (s *attempt) server() string {
-	if s.to == nil {
+// serverName is the name of an attempt's server.
+func (a *attempt) serverName() string {
+	if a.host == nil {
 		return record.Gateway
 	}
-	return s.to.id
+	return a.host.id
 }
 
-// refused is a connection that nobody takes. It is noted as an attempt: the balancer meant it as one.
-func (s *attempt) refused() {
-	s.ended, s.proof = s.b.d.now+s.usual(), record.NeverRan
-	s.b.d.after(s.usual(), func() { s.heard(policy.ConnectFailed, 0) })
+// refuse is a connection that nobody takes. It is noted as an attempt: the balancer meant it as one.
+func (a *attempt) refuse() {
+	a.endedAt, a.proof = a.balancer.d.now+a.baseDelay(), record.NeverRan
+	a.balancer.d.after(a.baseDelay(), func() { a.deliver(policy.ConnectFailed, 0) })
 }
 
 // answer sends a server's answer on its way.
-func (s *attempt) answer(o policy.Outcome, note int) {
-	d := s.b.d
-	if s.to != nil && s.to.links[s.b.index].cut {
+func (a *attempt) answer(outcome policy.Outcome, cacheResult int) {
+	d := a.balancer.d
+	if a.host != nil && a.host.links[a.balancer.index].cut {
 		return // lost on the way: for the balancer it is still out
 	}
-	if s.ended == 0 {
-		s.ended, s.whole = d.now+s.way(), o != policy.Reset && o != policy.Spoilt
-		s.proof = proofs[o]
+	if a.endedAt == 0 {
+		a.endedAt, a.answerComplete = d.now+a.oneWayDelay(), outcome != policy.Reset && outcome != policy.Spoilt
+		a.proof = proofs[outcome]
 	}
 	if d.Fleet.Mode != scenario.Through {
-		note = 0
+		cacheResult = 0
 	}
-	d.after(s.way(), func() { s.heard(o, note) })
+	d.after(a.oneWayDelay(), func() { a.deliver(outcome, cacheResult) })
 }
 
 var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.WasServed, policy.Missed: record.Missed, policy.TurnedAway: record.NeverRan}
 
-// giveUp ends the connection that carries an attempt; its server hears that.
-func (s *attempt) giveUp() {
-	if s.over {
+// cancel ends the connection that carries an attempt; its server hears that.
+func (a *attempt) cancel() {
+	if a.done {
 		return
 	}
-	d := s.b.d
-	if s.ended == 0 || s.ended > d.now { // an answer that is still on its way proves nothing to who does not wait for it
+	d := a.balancer.d
+	if a.endedAt == 0 || a.endedAt > d.now { // an answer that is still on its way proves nothing to who does not wait for it
 		// As on sockets, where the end of a connection is noted as it is made, however long its way.
-		s.ended, s.whole, s.proof = d.now, false, record.Nothing
-	}
-	d.after(s.way(), func() {
-		if !s.whole {
-			if s.to != nil && s.to.m != nil && s.to.m.GiveUp(s.call.id) {
-				s.to.leaves(s)
-			} else if s.to == nil {
-				d.gateway.m.GiveUp(s.call.id)
+		a.endedAt, a.answerComplete, a.proof = d.now, false, record.Nothing
+	}
+	d.after(a.oneWayDelay(), func() {
+		if !a.answerComplete {
+			if a.host != nil && a.host.model != nil && a.host.model.GiveUp(a.request.id) {
+				a.host.remove(a)
+			} else if a.host == nil {
+				d.origin.model.GiveUp(a.request.id)
 			}
 		}
 	})
 }
 
-// heard is what came for an attempt: the balancer looks at it when it runs.
-func (s *attempt) heard(o policy.Outcome, note int) {
-	if s.b.mod == nil || s.b.lives != s.lives {
-		s.end(o, note)
+// deliver is what came for an attempt: the balancer looks at it when it runs.
+func (a *attempt) deliver(outcome policy.Outcome, cacheResult int) {
+	if a.balancer.decider == nil || a.balancer.startCount != a.startCount {
+		a.complete(outcome, cacheResult)
 		return
 	}
-	s.b.awake(func() { s.end(o, note) }, nil)
+	a.balancer.whenRunning(func() { a.complete(outcome, cacheResult) }, nil)
 }
 
-// end lets the balancer hear how an attempt ended.
-func (s *attempt) end(o policy.Outcome, note int) {
-	b := s.b
-	if s.over {
+// complete lets the balancer hear how an attempt ended.
+func (a *attempt) complete(outcome policy.Outcome, cacheResult int) {
+	b := a.balancer
+	if a.done {
 		return
 	}
-	s.over = true
-	if b.mod == nil || b.lives != s.lives {
+	a.done = true
+	if b.decider == nil || b.startCount != a.startCount {
 		return
 	}
-	if b.d.wrong.lie != nil {
-		o = b.d.wrong.lie(o)
+	if b.d.deliberateFaults.alterOutcome != nil {
+		outcome = b.d.deliberateFaults.alterOutcome(outcome)
 	}
-	c := s.call
-	c.out--
-	b.d.note("end %s/%d %d %d", c.id, s.n, o, note)
-	won := o == policy.Fulfilled && !c.settled
+	req := a.request
+	req.inFlight--
+	b.d.tracef("end %s/%d %d %d", req.id, a.index, outcome, cacheResult)
+	won := outcome == policy.Fulfilled && !req.answered
 	if won {
-		c.settle(record.Fulfilled, 0)
+		req.answer(record.Fulfilled, 0)
 	}
-	if b.seen != nil && s.to != nil {
-		slo := policy.Nanos(b.d.Products[c.rec.Product].LatencySLO)
-		if good, proves := evidence.Proves(o, policy.Nanos(b.d.now-s.sent), slo); proves {
-			b.seen.Ended(b.d.now, s.to.id, good)
+	if b.observations != nil && a.host != nil {
+		slo := policy.Nanos(b.d.Products[req.record.Product].LatencySLO)
+		if good, conclusive := evidence.Proves(outcome, policy.Nanos(b.d.now-a.sentAt), slo); conclusive {
+			b.observations.Ended(b.d.now, a.host.id, good)
 		}
 	}
-	b.mod.Ended(policy.Ending{Call: policy.CallID(c.id), Attempt: s.n, Final: c.settled, Outcome: o, Took: policy.Nanos(b.d.now - s.sent),
-		Cache: policy.CacheID(s.server())})
-	b.leave(c)
+	b.decider.Ended(policy.Ending{Call: policy.CallID(req.id), Attempt: a.index, Final: req.answered, Outcome: outcome, Took: policy.Nanos(b.d.now - a.sentAt),
+		Cache: policy.CacheID(a.serverName())})
+	b.forgetIfDone(req)
 }
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -12,104 +12,104 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// list changes a node's line in the register; each balancer hears of it when the model says.
-func (d *Day) list(n *node, c model.Condition) {
-	for _, at := range d.register.Set(d.now, n.entry(c)) {
-		d.at(at, d.tell)
+// setCondition changes a node's line in the register; each balancer hears of it when the model says.
+func (d *Day) setCondition(h *cacheHost, condition model.Condition) {
+	for _, at := range d.discovery.Set(d.now, h.listEntry(condition)) {
+		d.at(at, d.notifyBalancers)
 	}
 }
 
-func (d *Day) tell() {
-	for _, b := range d.register.Advance(d.now) {
-		d.balancers[b].hear(false)
+func (d *Day) notifyBalancers() {
+	for _, b := range d.discovery.Advance(d.now) {
+		d.balancers[b].pollDiscovery(false)
 	}
 }
 
-// leavesIn is how long a front deals to a balancer that was told to end.
-const leavesIn = 300 * time.Millisecond
+// restartNoticeDelay is how long a front deals to a balancer that was told to end.
+const restartNoticeDelay = 300 * time.Millisecond
 
-// fault lays one of the day's faults on the clock.
-func (d *Day) fault(i int) {
+// scheduleFault lays one of the day's faults on the clock.
+func (d *Day) scheduleFault(i int) {
 	f := &d.Faults[i]
 	from, to := f.At.D(), (f.At + f.For).D()
-	span := func(begin, end func(n *node)) {
+	span := func(begin, end func(h *cacheHost)) {
 		for _, p := range d.Hit(i) {
-			d.at(from, func() { begin(d.place[p]) })
-			d.at(to, func() { end(d.place[p]) })
+			d.at(from, func() { begin(d.currentHost[p]) })
+			d.at(to, func() { end(d.currentHost[p]) })
 		}
 	}
-	part := func(of func(n *node) *float64) {
-		span(func(n *node) { *of(n) = f.Part }, func(n *node) { *of(n) = 0 })
+	setProbability := func(field func(h *cacheHost) *float64) {
+		span(func(h *cacheHost) { *field(h) = f.Part }, func(h *cacheHost) { *field(h) = 0 })
 	}
-	back := func(n *node) { n.start(true); d.list(n, model.Active) }
+	restart := func(h *cacheHost) { h.start(true); d.setCondition(h, model.Active) }
 	switch f.Do {
 	case "slow":
-		span(func(n *node) { n.change(func() { n.m.Slow(f.By) }) }, func(n *node) { n.change(func() { n.m.Slow(1) }) })
+		span(func(h *cacheHost) { h.update(func() { h.model.Slow(f.By) }) }, func(h *cacheHost) { h.update(func() { h.model.Slow(1) }) })
 	case "stall":
-		span(func(n *node) { n.change(func() { n.m.Stall(true) }) }, func(n *node) { n.change(func() { n.m.Stall(false) }) })
+		span(func(h *cacheHost) { h.update(func() { h.model.Stall(true) }) }, func(h *cacheHost) { h.update(func() { h.model.Stall(false) }) })
 	case "spoil":
-		part(func(n *node) *float64 { return &n.spoil })
+		setProbability(func(h *cacheHost) *float64 { return &h.spoilProbability })
 	case "reset":
-		part(func(n *node) *float64 { return &n.reset })
+		setProbability(func(h *cacheHost) *float64 { return &h.resetProbability })
 	case "fail":
-		part(func(n *node) *float64 { return &n.fail })
+		setProbability(func(h *cacheHost) *float64 { return &h.failProbability })
 	case "kill":
-		span(func(n *node) { n.stop(false); d.list(n, model.Left) }, back)
+		span(func(h *cacheHost) { h.stop(false); d.setCondition(h, model.Left) }, restart)
 	case "vanish", "zone-dark":
-		span(func(n *node) { n.stop(true); d.list(n, model.Left) }, back)
+		span(func(h *cacheHost) { h.stop(true); d.setCondition(h, model.Left) }, restart)
 	case "link-delay":
 		for _, b := range d.HitBalancers(i) {
-			span(func(n *node) { n.links[b].more = f.Delay.D() }, func(n *node) { n.links[b].more = 0 })
+			span(func(h *cacheHost) { h.links[b].extraDelay = f.Delay.D() }, func(h *cacheHost) { h.links[b].extraDelay = 0 })
 		}
 	case "link-cut":
 		for _, b := range d.HitBalancers(i) {
-			span(func(n *node) { n.links[b].cut = true }, func(n *node) { n.links[b].cut = false })
+			span(func(h *cacheHost) { h.links[b].cut = true }, func(h *cacheHost) { h.links[b].cut = false })
 		}
 	case "deploy":
-		d.deploy(f, d.Hit(i))
+		d.scheduleDeploy(f, d.Hit(i))
 	case "register-silent":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.register.Silence(b, true) })
-			d.at(to, func() { d.register.Silence(b, false); d.balancers[b].hear(false) })
+			d.at(from, func() { d.discovery.Silence(b, true) })
+			d.at(to, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "watch-silent": // noticed and opened anew as on sockets
 		pace := discovery.PaceOf(d.Rules.DrainGrace.D()*9/10, true)
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.register.Silence(b, true) })
-			d.at(from+pace.Wait+pace.Answer, func() { d.register.Silence(b, false); d.balancers[b].hear(false) })
+			d.at(from, func() { d.discovery.Silence(b, true) })
+			d.at(from+pace.Wait+pace.Answer, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "register-rewind":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.register.Rewind(b); d.balancers[b].hear(true) })
+			d.at(from, func() { d.discovery.Rewind(b); d.balancers[b].pollDiscovery(true) })
 		}
 	case "gateway-slow":
-		slow := func(times float64) func() {
-			return func() { d.gateway.advance(); d.gateway.m.Slow(times); d.gateway.awaits() }
+		slow := func(factor float64) func() {
+			return func() { d.origin.advance(); d.origin.model.Slow(factor); d.origin.scheduleAdvance() }
 		}
 		d.at(from, slow(f.By))
 		d.at(to, slow(1))
 	case "gateway-reset":
-		d.at(from, func() { d.gateway.reset = f.Part })
-		d.at(to, func() { d.gateway.reset = 0 })
+		d.at(from, func() { d.origin.resetProbability = f.Part })
+		d.at(to, func() { d.origin.resetProbability = 0 })
 	case "gateway-fail":
-		d.at(from, func() { d.gateway.fail = f.Part })
-		d.at(to, func() { d.gateway.fail = 0 })
+		d.at(from, func() { d.origin.failProbability = f.Part })
+		d.at(to, func() { d.origin.failProbability = 0 })
 	case "balancer-kill":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.balancers[b].unnoticed(d.Clients.Notice.D()); d.balancers[b].stop() })
+			d.at(from, func() { d.balancers[b].endTrafficAfter(d.Clients.Notice.D()); d.balancers[b].stop() })
 			d.at(to, d.balancers[b].start)
 		}
 	case "balancer-stall":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.balancers[b].until = max(d.balancers[b].until, to) })
+			d.at(from, func() { d.balancers[b].pausedUntil = max(d.balancers[b].pausedUntil, to) })
 		}
 	case "balancer-restart":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.balancers[b].unnoticed(leavesIn) })
+			d.at(from, func() { d.balancers[b].endTrafficAfter(restartNoticeDelay) })
 			d.at(from, func() {
-				lives := d.balancers[b].lives
+				startCount := d.balancers[b].startCount
 				d.after(gather.RestartAfter, func() {
-					if d.balancers[b].lives == lives && d.balancers[b].mod != nil { // else another fault has ended it by then
+					if d.balancers[b].startCount == startCount && d.balancers[b].decider != nil { // else another fault has ended it by then
 						d.balancers[b].stop()
 						d.balancers[b].start()
 					}
@@ -126,30 +126,30 @@
 	d.rec.Bands = append(d.rec.Bands, record.Band{Text: about, From: from, To: to})
 }
 
-// deploy replaces nodes in waves, as on sockets.
-func (d *Day) deploy(f *scenario.Fault, places []string) {
+// scheduleDeploy replaces nodes in waves, as on sockets.
+func (d *Day) scheduleDeploy(f *scenario.Fault, places []string) {
 	waves := (len(places) + f.AtOnce - 1) / f.AtOnce
 	for i, p := range places {
 		at := f.At.D() + f.For.D()*time.Duration(i/f.AtOnce)/time.Duration(waves)
-		var old, next *node
-		successor := func() {
-			next = d.addNode(fmt.Sprintf("%s.%d", p, strings.Count(old.id, ".")+2), old.group, true)
-			d.list(next, model.Active)
+		var old, replacement *cacheHost
+		startReplacement := func() {
+			replacement = d.addHost(fmt.Sprintf("%s.%d", p, strings.Count(old.id, ".")+2), old.group, true)
+			d.setCondition(replacement, model.Active)
 		}
 		d.at(at, func() {
-			old = d.place[p]
-			d.list(old, model.Leaving)
+			old = d.currentHost[p]
+			d.setCondition(old, model.Leaving)
 			if !f.Same {
-				successor()
+				startReplacement()
 			}
 		})
 		d.at(at+d.Register.Late[1].D()+f.Drain.D(), func() {
 			old.stop(false)
-			d.list(old, model.Left)
+			d.setCondition(old, model.Left)
 			if f.Same {
-				successor()
+				startReplacement()
 			}
-			d.place[p] = next
+			d.currentHost[p] = replacement
 		})
 	}
 }
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -10,272 +10,272 @@
 	"streamrail/policy"
 )
 
-// node is a cache node.
-type node struct {
-	d      *Day
-	id     string
-	group  *scenario.Node
-	m      *model.Node // nil while its process is down
-	silent bool        // its machine says nothing
-	born   time.Duration
-	cold   bool
-	dueAt  time.Duration
-	out    []*attempt // in hand, in the order of their coming
-	links  []link     // by balancer
-	chance *rand.Rand
+// cacheHost is a cache node.
+type cacheHost struct {
+	d           *Day
+	id          string
+	group       *scenario.Node
+	model       *model.Node // nil while its process is down
+	unreachable bool        // its machine says nothing
+	startedAt   time.Duration
+	cold        bool
+	scheduledAt time.Duration
+	inFlight    []*attempt // in hand, in the order of their coming
+	links       []link     // by balancer
+	rng         *rand.Rand
 
-	spoil, reset, fail float64
+	spoilProbability, resetProbability, failProbability float64
 }
 
 type link struct {
-	more time.Duration // than the usual way
-	cut  bool
+	extraDelay time.Duration // than the usual way
+	cut        bool
 }
 
-// idle is the moment of a server that waits for nothing.
-const idle = time.Duration(1<<63 - 1)
+// never is the moment of a server that waits for nothing.
+const never = time.Duration(1<<63 - 1)
 
-func (d *Day) addNode(id string, g *scenario.Node, cold bool) *node {
-	n := &node{d: d, id: id, group: g, chance: model.Stream(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
-	d.nodes[id] = n
-	d.order = append(d.order, n)
-	n.start(cold)
-	return n
+func (d *Day) addHost(id string, group *scenario.Node, cold bool) *cacheHost {
+	h := &cacheHost{d: d, id: id, group: group, rng: model.Stream(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
+	d.hosts[id] = h
+	d.hostsInOrder = append(d.hostsInOrder, h)
+	h.start(cold)
+	return h
 }
 
-func (n *node) start(cold bool) {
-	n.m = model.NewNode(n.d.NodeTerms(n.group), n.d.now, cold, model.Stream(n.d.Seed, "pauses "+n.id))
-	n.silent, n.cold, n.dueAt, n.born = false, cold, idle, 0
+func (h *cacheHost) start(cold bool) {
+	h.model = model.NewNode(h.d.NodeTerms(h.group), h.d.now, cold, model.Stream(h.d.Seed, "pauses "+h.id))
+	h.unreachable, h.cold, h.scheduledAt, h.startedAt = false, cold, never, 0
 	if cold {
-		n.born = n.d.now
-		n.d.rec.ColdLast[n.id] = n.d.now + n.group.WarmFor.D()
+		h.startedAt = h.d.now
+		h.d.rec.ColdLast[h.id] = h.d.now + h.group.WarmFor.D()
 	}
 }
 
 // stop ends the node's process; what it had in hand is lost with it.
-func (n *node) stop(silent bool) {
-	if n.m == nil {
+func (h *cacheHost) stop(silent bool) {
+	if h.model == nil {
 		return
 	}
-	n.d.rec.Strain(n.id, n.m.Strain())
-	n.m, n.silent = nil, silent
-	out := n.out
-	n.out = nil
-	for _, s := range out {
+	h.d.rec.Strain(h.id, h.model.Strain())
+	h.model, h.unreachable = nil, silent
+	inFlight := h.inFlight
+	h.inFlight = nil
+	for _, a := range inFlight {
 		if !silent {
-			s.answer(policy.Reset, 0)
+			a.answer(policy.Reset, 0)
 		}
 	}
 }
 
-func (n *node) entry(c model.Condition) model.Entry {
-	return model.Entry{Node: n.id, Zone: n.group.Zone, Kind: "cache", Condition: c, Weight: n.group.Speed * float64(n.group.Cores), Born: n.born}
+func (h *cacheHost) listEntry(condition model.Condition) model.Entry {
+	return model.Entry{Node: h.id, Zone: h.group.Zone, Kind: "cache", Condition: condition, Weight: h.group.Speed * float64(h.group.Cores), Born: h.startedAt}
 }
 
-// change disturbs the node from now on.
-func (n *node) change(do func()) {
-	if n.m != nil {
-		n.advance()
+// update disturbs the node from now on.
+func (h *cacheHost) update(do func()) {
+	if h.model != nil {
+		h.advance()
 		do()
-		n.awaits()
+		h.scheduleAdvance()
 	}
 }
 
-// offer takes an attempt that has come.
-func (n *node) offer(s *attempt) {
-	s.came = n.d.now
+// receive takes an attempt that has come.
+func (h *cacheHost) receive(a *attempt) {
+	a.receivedAt = h.d.now
 	switch {
-	case n.silent || n.links[s.b.index].cut:
-		s.swallowed = true
+	case h.unreachable || h.links[a.balancer.index].cut:
+		a.dropped = true
 		return
-	case n.m == nil:
-		s.refused()
+	case h.model == nil:
+		a.refuse()
 		return
 	}
-	n.advance()
-	if n.m == nil { // it fell over just now
-		s.answer(policy.Reset, 0)
+	h.advance()
+	if h.model == nil { // it fell over just now
+		a.answer(policy.Reset, 0)
 		return
 	}
-	s.cold = n.m.Cold(n.d.now)
-	if !n.m.Offer(n.d.now, model.Job{ID: s.call.id, Key: s.call.key, Mark: s.call.mark, Write: s.call.write, Work: s.work, Tag: s}) {
-		s.answer(policy.TurnedAway, 0)
+	a.cold = h.model.Cold(h.d.now)
+	if !h.model.Offer(h.d.now, model.Job{ID: a.request.id, Key: a.request.key, Mark: a.request.mark, Write: a.request.write, Work: a.work, Tag: a}) {
+		a.answer(policy.TurnedAway, 0)
 	} else {
-		n.out = append(n.out, s)
+		h.inFlight = append(h.inFlight, a)
 	}
-	n.awaits()
+	h.scheduleAdvance()
 }
 
 // advance plays the model up to now.
-func (n *node) advance() {
-	for _, done := range n.m.Advance(n.d.now) {
-		s, ok := done.Tag.(*attempt)
+func (h *cacheHost) advance() {
+	for _, done := range h.model.Advance(h.d.now) {
+		a, ok := done.Tag.(*attempt)
 		if !ok {
 			continue
 		}
-		n.leaves(s)
-		s.ran = !done.Lost
+		h.remove(a)
+		a.executed = !done.Lost
 		switch {
 		case done.Lost:
-			s.answer(policy.Reset, 0)
-		case n.fail > 0 && n.chance.Float64() < n.fail:
-			s.answer(policy.Errored, 0)
-		case n.reset > 0 && n.chance.Float64() < n.reset:
-			s.answer(policy.Reset, 0)
-		case n.spoil > 0 && n.chance.Float64() < n.spoil:
-			s.answer(policy.Spoilt, 0)
-		case n.d.Fleet.Mode == scenario.Through && (done.Write || !done.Hit):
-			n.through(s, done)
+			a.answer(policy.Reset, 0)
+		case h.failProbability > 0 && h.rng.Float64() < h.failProbability:
+			a.answer(policy.Errored, 0)
+		case h.resetProbability > 0 && h.rng.Float64() < h.resetProbability:
+			a.answer(policy.Reset, 0)
+		case h.spoilProbability > 0 && h.rng.Float64() < h.spoilProbability:
+			a.answer(policy.Spoilt, 0)
+		case h.d.Fleet.Mode == scenario.Through && (done.Write || !done.Hit):
+			h.fetchFromOrigin(a, done)
 		case done.Write:
-			s.answer(policy.Errored, 0)
+			a.answer(policy.Errored, 0)
 		case done.Hit:
-			s.answer(policy.Fulfilled, 1)
+			a.answer(policy.Fulfilled, 1)
 		default:
-			s.call.missed = append(s.call.missed, n)
-			s.answer(policy.Missed, 2)
+			a.request.missedHosts = append(a.request.missedHosts, h)
+			a.answer(policy.Missed, 2)
 		}
 	}
-	if at, multiple, fell := n.m.Fallen(); fell && n.cold {
-		n.cold = false
-		n.d.rec.Falls = append(n.d.rec.Falls, record.Fall{Server: n.id, At: at, Multiple: multiple})
-		n.stop(false)
-		n.d.list(n, model.Left)
+	if at, multiple, fell := h.model.Fallen(); fell && h.cold {
+		h.cold = false
+		h.d.rec.Falls = append(h.d.rec.Falls, record.Fall{Server: h.id, At: at, Multiple: multiple})
+		h.stop(false)
+		h.d.setCondition(h, model.Left)
 	}
 }
 
-func (n *node) leaves(s *attempt) {
-	for i, x := range n.out {
-		if x == s {
-			n.out = append(n.out[:i], n.out[i+1:]...)
+func (h *cacheHost) remove(a *attempt) {
+	for i, x := range h.inFlight {
+		if x == a {
+			h.inFlight = append(h.inFlight[:i], h.inFlight[i+1:]...)
 			return
 		}
 	}
 }
 
-// through asks the gateway for a read's value or hands a write on. Fetches of one key are not joined here.
-func (n *node) through(s *attempt, done model.Done) {
-	n.d.gateway.take(s.call, done.Write, func(r fetched) {
+// fetchFromOrigin asks the gateway for a read's value or hands a write on. Fetches of one key are not joined here.
+func (h *cacheHost) fetchFromOrigin(a *attempt, done model.Done) {
+	h.d.origin.submit(a.request, done.Write, func(r fetchResult) {
 		switch {
-		case r.full:
-			s.answer(policy.TurnedAway, 2)
+		case r.rejected:
+			a.answer(policy.TurnedAway, 2)
 		case r.lost:
-			s.answer(policy.Errored, 2)
+			a.answer(policy.Errored, 2)
 		default:
-			if n.m != nil && !done.Write {
-				n.m.Keep(s.call.key, r.version, n.d.Load.ValueSize)
+			if h.model != nil && !done.Write {
+				h.model.Keep(a.request.key, r.version, h.d.Load.ValueSize)
 			}
-			s.answer(policy.Fulfilled, 2)
+			a.answer(policy.Fulfilled, 2)
 		}
 	})
 }
 
-// awaits sets when the node is looked at next.
-func (n *node) awaits() {
-	if n.m == nil {
+// scheduleAdvance sets when the node is looked at next.
+func (h *cacheHost) scheduleAdvance() {
+	if h.model == nil {
 		return
 	}
-	due := n.m.Due()
-	if due >= n.dueAt || due == idle {
+	due := h.model.Due()
+	if due >= h.scheduledAt || due == never {
 		return
 	}
-	n.dueAt = due
-	m := n.m
-	n.d.at(due, func() {
-		if n.m != m || n.dueAt != due {
+	h.scheduledAt = due
+	m := h.model
+	h.d.at(due, func() {
+		if h.model != m || h.scheduledAt != due {
 			return // another process, or looked at by then
 		}
-		n.dueAt = idle
-		n.advance()
-		n.awaits()
+		h.scheduledAt = never
+		h.advance()
+		h.scheduleAdvance()
 	})
 }
 
-// gateway is the slow store.
-type gateway struct {
-	d           *Day
-	m           *model.Gateway
-	dueAt       time.Duration
-	told, stops int
-	reset, fail float64
-	chance      *rand.Rand
+// origin is the slow store.
+type origin struct {
+	d                                 *Day
+	model                             *model.Gateway
+	scheduledAt                       time.Duration
+	effectsRecorded, stopsRecorded    int
+	resetProbability, failProbability float64
+	rng                               *rand.Rand
 }
 
-type fetched struct {
-	lost, full bool
-	version    uint64
+type fetchResult struct {
+	lost, rejected bool
+	version        uint64
 }
 
-// take sends a job; done hears what came of it.
-func (g *gateway) take(c *call, write bool, done func(fetched)) {
-	g.advance()
-	work := model.Work(g.d.Seed, "gateway "+c.id, model.Exponential, g.d.Gateway.Time.D(), 1)
-	if !g.m.Offer(g.d.now, model.Job{ID: c.id, Key: c.key, Mark: c.mark, Write: write, Work: work, Tag: done}) {
-		g.d.after(0, func() { done(fetched{full: true}) })
+// submit sends a job; done hears what came of it.
+func (o *origin) submit(req *request, write bool, done func(fetchResult)) {
+	o.advance()
+	work := model.Work(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Gateway.Time.D(), 1)
+	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, Mark: req.mark, Write: write, Work: work, Tag: done}) {
+		o.d.after(0, func() { done(fetchResult{rejected: true}) })
 	}
-	g.awaits()
+	o.scheduleAdvance()
 }
 
-// offer takes a balancer's attempt.
-func (g *gateway) offer(s *attempt) {
-	s.came = g.d.now
-	if g.fail > 0 && g.chance.Float64() < g.fail {
-		s.answer(policy.Errored, 0)
+// receive takes a balancer's attempt.
+func (o *origin) receive(a *attempt) {
+	a.receivedAt = o.d.now
+	if o.failProbability > 0 && o.rng.Float64() < o.failProbability {
+		a.answer(policy.Errored, 0)
 		return
 	}
-	reset := g.reset > 0 && g.chance.Float64() < g.reset
-	g.take(s.call, s.call.write, func(r fetched) {
-		s.ran = !r.lost && !r.full
+	reset := o.resetProbability > 0 && o.rng.Float64() < o.resetProbability
+	o.submit(a.request, a.request.write, func(r fetchResult) {
+		a.executed = !r.lost && !r.rejected
 		switch {
-		case r.full:
-			s.answer(policy.TurnedAway, 0)
+		case r.rejected:
+			a.answer(policy.TurnedAway, 0)
 		case r.lost || reset:
-			s.answer(policy.Reset, 0)
+			a.answer(policy.Reset, 0)
 		default:
-			s.answer(policy.Fulfilled, 0)
+			a.answer(policy.Fulfilled, 0)
 		}
-		if s.ran && !s.call.write {
-			for _, n := range s.call.missed {
-				if n.m != nil {
-					n.m.Keep(s.call.key, r.version, g.d.Load.ValueSize)
+		if a.executed && !a.request.write {
+			for _, h := range a.request.missedHosts {
+				if h.model != nil {
+					h.model.Keep(a.request.key, r.version, o.d.Load.ValueSize)
 				}
 			}
-			s.call.missed = nil
+			a.request.missedHosts = nil
 		}
 	})
 }
 
-func (g *gateway) advance() {
-	for _, done := range g.m.Advance(g.d.now) {
+func (o *origin) advance() {
+	for _, done := range o.model.Advance(o.d.now) {
 		if done.Write && !done.Lost {
-			for _, n := range g.d.order {
-				if n.m != nil {
-					n.m.Void(done.Key, done.Version)
+			for _, h := range o.d.hostsInOrder {
+				if h.model != nil {
+					h.model.Void(done.Key, done.Version)
 				}
 			}
 		}
-		done.Tag.(func(fetched))(fetched{lost: done.Lost, version: done.Version})
+		done.Tag.(func(fetchResult))(fetchResult{lost: done.Lost, version: done.Version})
 	}
-	for _, e := range g.m.Effects()[g.told:] {
-		g.d.rec.Effects = append(g.d.rec.Effects, record.Effect{Call: e.ID, Mark: e.Mark, At: e.At})
-		g.told++
+	for _, e := range o.model.Effects()[o.effectsRecorded:] {
+		o.d.rec.Effects = append(o.d.rec.Effects, record.Effect{Call: e.ID, Mark: e.Mark, At: e.At})
+		o.effectsRecorded++
 	}
-	for _, s := range g.m.Stops()[g.stops:] {
-		g.d.rec.Falls = append(g.d.rec.Falls, record.Fall{Server: record.Gateway, At: s.At, Multiple: s.Multiple})
-		g.stops++
+	for _, s := range o.model.Stops()[o.stopsRecorded:] {
+		o.d.rec.Falls = append(o.d.rec.Falls, record.Fall{Server: record.Gateway, At: s.At, Multiple: s.Multiple})
+		o.stopsRecorded++
 	}
 }
 
-func (g *gateway) awaits() {
-	due := g.m.Due()
-	if due >= g.dueAt || due == idle {
+func (o *origin) scheduleAdvance() {
+	due := o.model.Due()
+	if due >= o.scheduledAt || due == never {
 		return
 	}
-	g.dueAt = due
-	g.d.at(due, func() {
-		if g.dueAt == due {
-			g.dueAt = idle
-			g.advance()
-			g.awaits()
+	o.scheduledAt = due
+	o.d.at(due, func() {
+		if o.scheduledAt == due {
+			o.scheduledAt = never
+			o.advance()
+			o.scheduleAdvance()
 		}
 	})
 }
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -12,7 +12,7 @@
 	"streamrail/policy"
 )
 
-func open(t *testing.T, name string, seed uint64, balancers int) *scenario.Day {
+func openScenario(t *testing.T, name string, seed uint64, balancers int) *scenario.Day {
 	t.Helper()
 	d, err := scenario.Open(name)
 	if err != nil {
@@ -26,10 +26,10 @@
 }
 
 // A seed gives the same day byte for byte, another one another day.
-func TestSameDay(t *testing.T) {
+func TestSeedIsReproducible(t *testing.T) {
 	sum := func(seed uint64) [32]byte {
 		var trace bytes.Buffer
-		if _, err := Play(open(t, "restarts", seed, 0), &trace); err != nil {
+		if _, err := Play(openScenario(t, "restarts", seed, 0), &trace); err != nil {
 			t.Fatal(err)
 		}
 		return sha256.Sum256(trace.Bytes())
@@ -43,39 +43,39 @@
 }
 
 // The judge bites here as on sockets: modules that are lied to break just the rules that the lie is about.
-func TestJudgeNamesTheWrong(t *testing.T) {
+func TestJudgeReportsDeliberateFaults(t *testing.T) {
 	for name, row := range map[string]struct {
-		day   string
-		wrong wrong
-		want  []judge.Rule
+		day    string
+		faults deliberateFaults
+		want   []judge.Rule
 	}{
-		"resets never ran": {"spoilt", wrong{lie: func(o policy.Outcome) policy.Outcome {
+		"resets never ran": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
 			if o == policy.Reset {
 				return policy.ConnectFailed
 			}
 			return o
 		}}, []judge.Rule{judge.NoRepeat, judge.OneEffect}},
-		"resets turned away": {"spoilt", wrong{lie: func(o policy.Outcome) policy.Outcome {
+		"resets turned away": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
 			if o == policy.Reset {
 				return policy.TurnedAway
 			}
 			return o
 		}}, []judge.Rule{judge.Promise}},
-		"deaf to drains":      {"cold-deploy-surge", wrong{deaf: true}, []judge.Rule{judge.Drains}},
-		"takes cold for warm": {"payday-cold", wrong{warm: true}, []judge.Rule{judge.ColdHosts}},
+		"deaf to drains":      {"cold-deploy-surge", deliberateFaults{hideDrains: true}, []judge.Rule{judge.Drains}},
+		"takes cold for warm": {"payday-cold", deliberateFaults{hideColdStarts: true}, []judge.Rule{judge.ColdHosts}},
 	} {
 		var d *scenario.Day
 		if row.day == "payday-cold" { // all at once, cold, under a surge
-			d = open(t, "payday", 1, 8)
+			d = openScenario(t, "payday", 1, 8)
 			f := scenario.Fault{Do: "kill", At: d.Faults[0].At - scenario.Span(time.Second), For: scenario.Span(time.Second), Nodes: []string{"*"}}
 			d.Faults = append(d.Faults, f)
 			for i := range d.Nodes {
 				d.Nodes[i].ColdFrom, d.Nodes[i].WarmFor = 0.05, scenario.Span(30*time.Second)
 			}
 		} else {
-			d = open(t, row.day, 1, 0)
+			d = openScenario(t, row.day, 1, 0)
 		}
-		res, err := play(d, nil, row.wrong)
+		res, err := play(d, nil, row.faults)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,10 +86,10 @@
 }
 
 // On the built-in days no rule is broken by the module, also by many balancers that see little each.
-func TestLibraryKept(t *testing.T) {
+func TestBuiltInScenariosBreakNoRule(t *testing.T) {
 	for _, name := range scenario.Names() {
 		for _, balancers := range []int{0, 40} {
-			d := open(t, name, 1, balancers)
+			d := openScenario(t, name, 1, balancers)
 			if balancers > 0 && d.Mates.On {
 				continue // these name their balancers, and views of many are what rehearse measure members is for
 			}
