--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -1,5 +1,5 @@
-// Package search draws days with faults of all kinds, plays them in virtual time and keeps those that break a rule or
-// serve least; each is shrunk to the smallest day that still shows it.
+// Package search generates scenarios with random faults, simulates them in virtual time and keeps those that break a rule
+// or have the lowest service. A scenario that was kept can be shrunk to the smallest one that still shows the problem.
 package search
 
 import (
@@ -17,26 +17,27 @@
 	"streamrail/internal/rehearsal/virtual"
 )
 
-// Found is a day that was kept.
+// Found is a scenario that was kept, with its simulated service and the rules that it broke.
 type Found struct {
 	Day     *scenario.Day
 	Service float64
 	Broken  []judge.Rule
 }
 
-// Result is what a search came to.
+// Result is the result of a search.
 type Result struct {
 	Played  int
-	Kept    int // without a broken rule
+	Kept    int // number of scenarios that broke no rule
 	Broken  []Found
-	Worst   []Found // by service, the least first
+	Worst   []Found // sorted by service, the lowest first
 	Checked map[judge.Rule]int
 }
 
-// maxKept bounds what is kept of either sort.
+// maxKept is how many scenarios are kept in each of Result.Broken and Result.Worst.
 const maxKept = 10
 
-// Days plays so many drawn days, on the cores that there are, until the context ends.
+// Days simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
+// context ends, it starts no further ones.
 func Days(ctx context.Context, base *scenario.Day, firstSeed uint64, days, workers int) (Result, error) {
 	res := Result{Checked: map[judge.Rule]int{}}
 	var mu sync.Mutex
@@ -70,6 +71,7 @@
 	return res, failed
 }
 
+// add counts a simulated scenario and keeps it if it belongs to those to be kept.
 func (r *Result) add(f Found, verdict *judge.Verdict) {
 	r.Played++
 	for _, x := range verdict.Findings {
@@ -77,7 +79,7 @@
 	}
 	if len(f.Broken) > 0 {
 		r.Broken = append(r.Broken, f)
-		slices.SortFunc(r.Broken, bySeed) // the lanes' order must not decide which are kept
+		slices.SortFunc(r.Broken, bySeed) // which ones are kept must not depend on the order in which workers finish
 		r.Broken = r.Broken[:min(len(r.Broken), maxKept)]
 	} else {
 		r.Kept++
@@ -95,6 +97,7 @@
 	r.Worst = r.Worst[:min(len(r.Worst), maxKept)]
 }
 
+// bySeed orders scenarios by their seed.
 func bySeed(x, y Found) int {
 	if x.Day.Seed < y.Day.Seed {
 		return -1
@@ -102,6 +105,7 @@
 	return 1
 }
 
+// simulate runs one scenario in virtual time.
 func simulate(d *scenario.Day) (Found, *judge.Verdict, error) {
 	res, err := virtual.Play(d, nil)
 	if err != nil {
@@ -110,80 +114,84 @@
 	return Found{Day: d, Service: report.Of(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
 }
 
-// faultKinds are the kinds of faults that a search draws: those that virtual time plays.
+// faultKinds are the kinds of faults that a search draws: kinds that package virtual simulates.
 var faultKinds = []string{"slow", "stall", "kill", "vanish", "reset", "spoil", "fail", "link-delay", "link-cut", "zone-dark", "deploy",
 	"register-silent", "register-rewind", "gateway-slow", "gateway-reset", "gateway-fail", "balancer-kill", "balancer-restart", "surge",
 	"scan", "hot"}
 
-// maxFaults is how many faults a day gets: more overlap so much that nothing is told apart.
+// maxFaults is the most faults that are added to a scenario. With more, faults overlap so much that their effects cannot be
+// told apart.
 const maxFaults = 4
 
-// Draw makes a day of a base and a seed: one to four faults of any kind, size and time, over those that the base has.
+// Draw returns a copy of the base scenario with the given seed and one to maxFaults random faults, of any kind, size and time,
+// in addition to those of the base.
 func Draw(base *scenario.Day, seed uint64) *scenario.Day {
 	d := *base
 	d.Seed = seed
 	d.Name = fmt.Sprintf("found-%d", seed)
-	r := model.Stream(seed, "search")
+	rng := model.Stream(seed, "search")
 	d.Faults = slices.Clone(base.Faults)
-	for range 1 + r.IntN(maxFaults) {
-		d.Faults = append(d.Faults, drawFault(r, &d))
+	for range 1 + rng.IntN(maxFaults) {
+		d.Faults = append(d.Faults, drawFault(rng, &d))
 	}
 	return &d
 }
 
-func drawFault(r *rand.Rand, d *scenario.Day) scenario.Fault {
+// drawFault returns a random fault within the length of the scenario.
+func drawFault(rng *rand.Rand, d *scenario.Day) scenario.Fault {
 	length := d.Length.D()
-	at := time.Duration(r.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
-	duration := time.Duration(r.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
-	f := scenario.Fault{Do: faultKinds[r.IntN(len(faultKinds))], At: scenario.Span(at), For: scenario.Span(min(duration, length-at))}
-	probability := 0.05 + 0.6*r.Float64()
+	at := time.Duration(rng.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
+	duration := time.Duration(rng.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
+	f := scenario.Fault{Do: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), For: scenario.Span(min(duration, length-at))}
+	probability := 0.05 + 0.6*rng.Float64()
 	pickNodes := func() {
 		ids, _ := d.NodeIDs()
-		r.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-		f.Nodes = ids[:1+r.IntN(max(1, len(ids)*2/3))]
+		rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+		f.Nodes = ids[:1+rng.IntN(max(1, len(ids)*2/3))]
 		slices.Sort(f.Nodes)
 	}
 	switch f.Do {
 	case "slow":
 		pickNodes()
-		f.By = 2 + 10*r.Float64()
+		f.By = 2 + 10*rng.Float64()
 	case "stall", "kill", "vanish", "link-cut":
 		pickNodes()
 	case "link-delay":
 		pickNodes()
-		f.Delay = scenario.Span(time.Duration(5+r.IntN(200)) * time.Millisecond)
+		f.Delay = scenario.Span(time.Duration(5+rng.IntN(200)) * time.Millisecond)
 	case "reset", "spoil", "fail":
 		pickNodes()
 		f.Part = probability
 	case "zone-dark":
-		f.Zone = d.Fleet.Zones[r.IntN(len(d.Fleet.Zones))]
+		f.Zone = d.Fleet.Zones[rng.IntN(len(d.Fleet.Zones))]
 	case "deploy":
 		pickNodes()
-		f.AtOnce, f.Drain, f.Same = 1+r.IntN(len(f.Nodes)), scenario.Span(2*time.Second), r.IntN(2) == 0
+		f.AtOnce, f.Drain, f.Same = 1+rng.IntN(len(f.Nodes)), scenario.Span(2*time.Second), rng.IntN(2) == 0
 	case "gateway-slow":
-		f.By = 1.5 + 6*r.Float64()
+		f.By = 1.5 + 6*rng.Float64()
 	case "gateway-reset", "gateway-fail":
 		f.Part = probability / 2
 	case "register-rewind", "balancer-restart":
 		f.For = 0
-		f.Balancers = []int{1 + r.IntN(d.Fleet.Balancers)}
+		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "register-silent", "balancer-kill":
-		f.Balancers = []int{1 + r.IntN(d.Fleet.Balancers)}
+		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "surge":
-		f.By = 1.5 + 2.5*r.Float64()
-		if r.IntN(2) == 0 {
-			f.Tenant = d.Tenants[r.IntN(len(d.Tenants))].Name
+		f.By = 1.5 + 2.5*rng.Float64()
+		if rng.IntN(2) == 0 {
+			f.Tenant = d.Tenants[rng.IntN(len(d.Tenants))].Name
 		}
 	case "scan":
 		f.Part = probability / 2
 	case "hot":
-		f.Part, f.Keys = probability, 1+r.IntN(5)
+		f.Part, f.Keys = probability, 1+rng.IntN(5)
 	}
 	return f
 }
 
-// Shrink looks for the smallest day that still shows what was found: without a fault, with fewer balancers, with less of
-// the day. A rule that was broken has to be broken still; else the service may rise by a tenth of what was lost.
+// Shrink reduces a scenario as long as it still shows the problem, by removing faults, removing balancers or shortening it.
+// If the scenario broke rules, the first of them must still be broken. Otherwise the service may rise by at most a tenth of
+// what was missing to 1.
 func Shrink(f Found) (Found, error) {
 	reproduces := func(x Found) bool {
 		if len(f.Broken) > 0 {
@@ -191,15 +199,15 @@
 		}
 		return x.Service <= f.Service+(1-f.Service)/10
 	}
-	for again := true; again; {
-		again = false
+	for shrunk := true; shrunk; {
+		shrunk = false
 		for _, smaller := range smallerScenarios(f.Day) {
 			x, _, err := simulate(smaller)
 			if err != nil {
 				return f, err
 			}
 			if reproduces(x) {
-				f.Day, again = x.Day, true
+				f.Day, shrunk = x.Day, true
 				f.Service, f.Broken = x.Service, x.Broken
 				break
 			}
@@ -208,7 +216,7 @@
 	return f, nil
 }
 
-// smallerScenarios are the days that are one step smaller.
+// smallerScenarios returns the scenarios that are one reduction step smaller.
 func smallerScenarios(d *scenario.Day) (list []*scenario.Day) {
 	for i := range d.Faults {
 		x := *d
--- a/internal/rehearsal/search/search_test.go
+++ b/internal/rehearsal/search/search_test.go
@@ -36,8 +36,8 @@
 	return d
 }
 
-// A fixed set of drawn days breaks no rule, and is the same whatever the number of lanes; each can be written as a file
-// that is sound and plays the same day.
+// A fixed set of random scenarios must break no rule and give the same result with any number of workers. A scenario that was
+// found must survive being written to a file and read back, with the same simulated service.
 func TestDays(t *testing.T) {
 	a, err := Days(context.Background(), base(t), 1, 150, 8)
 	if err != nil {
@@ -45,10 +45,10 @@
 	}
 	b, _ := Days(context.Background(), base(t), 1, 150, 2)
 	if a.Played != 150 || b.Played != 150 || a.Worst[0].Service != b.Worst[0].Service || a.Worst[9].Day.Seed != b.Worst[9].Day.Seed {
-		t.Errorf("%d and %d days, worst %v and %v", a.Played, b.Played, a.Worst[0].Service, b.Worst[0].Service)
+		t.Errorf("results differ between 8 and 2 workers: %d and %d scenarios, lowest service %v and %v", a.Played, b.Played, a.Worst[0].Service, b.Worst[0].Service)
 	}
 	for _, f := range a.Broken {
-		t.Errorf("seed %d: broken %q", f.Day.Seed, f.Broken)
+		t.Errorf("seed %d: broken rules %q", f.Day.Seed, f.Broken)
 	}
 	text, err := a.Worst[0].Day.Text()
 	if err != nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// What is shrunk shows the same and has nothing left that it does not need.
+// A shrunk scenario must show the same problem and contain nothing that is not needed for it.
 func TestShrink(t *testing.T) {
 	d := base(t)
 	d.Faults = []scenario.Fault{
@@ -80,6 +80,6 @@
 		t.Fatal(err)
 	}
 	if len(got.Day.Faults) != 1 || got.Day.Faults[0].Do != "vanish" || got.Day.Fleet.Balancers != 1 {
-		t.Errorf("%d faults, %d balancers are left: %+v", len(got.Day.Faults), got.Day.Fleet.Balancers, got.Day.Faults)
+		t.Errorf("%d faults and %d balancers are left, expected the vanish fault and 1 balancer: %+v", len(got.Day.Faults), got.Day.Fleet.Balancers, got.Day.Faults)
 	}
 }
