--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -13,26 +13,27 @@
 	"streamrail/policy"
 )
 
-// balancer is one real decision module with the world's side of it. It is the module's policy.Host.
+// balancer is a simulated balancer: the production decision code (decider) and the simulated process around it, which gives
+// the decider its input and carries out its decisions.
 type balancer struct {
 	d                *Day
 	index            int
 	zone             int
-	decider          *policy.Balancer // nil while it is down
+	decider          *policy.Balancer // nil while the process is down
 	startCount       uint64
 	requests         map[policy.CallID]*request
-	generation       int64 // generation of the list that it has
+	generation       int64 // generation of its host list
 	listedUp         map[string]bool
 	lifeRecord       record.Life
-	getsTraffic      bool // the front holds it for alive
+	getsTraffic      bool // the load balancing in front of the fleet considers it alive
 	noticeSeq        int
-	pausedUntil      time.Duration     // it stands still until then
-	observations     *evidence.Machine // nil: none yet
-	peerObservations []evidence.Word   // that the module has heard
+	pausedUntil      time.Duration     // the process is stalled until then
+	observations     *evidence.Machine // nil before the first exchange
+	peerObservations []evidence.Word   // what was last reported to the decider
 }
 
-// whenRunning lets the process that runs now do something: at once, or when it goes on after it stood still. Where it has ended by
-// then, that is done instead, if anything.
+// whenRunning calls do in the current process, at once or, if the process is stalled, at the end of the stall. If the process
+// has ended by then, it calls ended instead, unless that is nil.
 func (b *balancer) whenRunning(do, ended func()) {
 	startCount := b.startCount
 	if b.d.now >= b.pausedUntil && b.decider != nil {
@@ -48,7 +49,7 @@
 	})
 }
 
-// request is a request as a balancer has it.
+// request is a client's request at a balancer, with its attempts.
 type request struct {
 	id, key, mark string
 	write         bool
@@ -57,39 +58,40 @@
 	inFlight      int
 	answered      bool
 	record        *record.Call
-	onAnswer      func(reply record.Reply, comeBack time.Duration)
+	onAnswer      func(reply record.Reply, retryAfter time.Duration)
 	missedHosts   []*cacheHost
 }
 
-// attempt is one attempt.
+// attempt is one sending of a request to a cache host or the origin.
 type attempt struct {
 	balancer        *balancer
-	startCount      uint64 // of the balancer when it was sent
+	startCount      uint64 // of the balancer's process that sent it
 	request         *request
 	index           int
-	host            *cacheHost // nil: the gateway
+	host            *cacheHost // nil: the origin
 	work            time.Duration
 	sentAt          time.Duration
-	reportedTimeout time.Duration // that is left
+	reportedTimeout time.Duration // remaining time that the server is given
 	receivedAt      time.Duration
-	endedAt         time.Duration // at the server, or when it heard that it was given up
+	endedAt         time.Duration // at the server: when it answered or noticed the cancellation
 	proof           record.Proof
-	answerComplete  bool // an answer went out whole
+	answerComplete  bool // the server sent a complete answer
 	executed        bool
 	cold            bool
 
 	dropped, done bool
 }
 
-// epoch is the Unix time of a day's begin; any would do.
+// epoch is the Unix time at which each simulation starts. Its value has no special meaning.
 const epoch = policy.Nanos(1_700_000_000) * policy.Second
 
-// replyReserve is kept of a client's time for the answer to reach it, as the balancer on sockets does.
+// replyReserve is the part of a client's timeout that is reserved for the answer to reach the client. The production balancer
+// reserves it too.
 const replyReserve = 3 * time.Millisecond
 
 func (b *balancer) start() {
 	if b.decider != nil {
-		return // another fault has started it already
+		return // already started by another fault
 	}
 	b.startCount++
 	b.pausedUntil = 0
@@ -102,7 +104,7 @@
 	b.noticeSeq++
 }
 
-// stop ends the balancer as the end of its process does.
+// stop ends the balancer's process: its attempts are cancelled and its unanswered clients see a closed connection.
 func (b *balancer) stop() {
 	if b.decider == nil {
 		return
@@ -133,7 +135,8 @@
 	return ids
 }
 
-// endTrafficAfter lets the front deal to a balancer that has ended until it notices.
+// endTrafficAfter keeps new requests coming to a balancer that ends for the given time, until the load balancing in front of
+// the fleet notices. A restart within that time cancels it.
 func (b *balancer) endTrafficAfter(delay time.Duration) {
 	b.noticeSeq++
 	seq := b.noticeSeq
@@ -144,13 +147,14 @@
 	})
 }
 
-// pollDiscovery takes what the register's agent has: the whole list, or what has changed.
+// pollDiscovery fetches the host list from discovery: the whole list, or the changes since the last generation.
 func (b *balancer) pollDiscovery(whole bool) {
 	if b.decider != nil {
 		b.whenRunning(func() { b.applyList(whole) }, nil)
 	}
 }
 
+// applyList fetches the list or its changes and hands them to the decider.
 func (b *balancer) applyList(whole bool) {
 	if b.d.discovery.Silent(b.index) {
 		return
@@ -179,6 +183,7 @@
 	b.decider.Listed(kind, list)
 }
 
+// recordNotice records that the balancer has been notified that a host is up or not.
 func (b *balancer) recordNotice(hostID string, up bool) {
 	if was, known := b.listedUp[hostID]; known && was == up || !known && !up {
 		return
@@ -188,7 +193,7 @@
 	b.d.rec.Tolds = append(b.d.rec.Tolds, record.Told{Balancer: b.index, Node: hostID, Up: up, At: b.d.now})
 }
 
-// receive takes a call that a client has sent.
+// receive passes a client's request to the decider. A request without time left is rate-limited at once.
 func (b *balancer) receive(req *request) {
 	b.requests[policy.CallID(req.id)] = req
 	req.balancer = b
@@ -210,14 +215,14 @@
 	b.forgetIfDone(req)
 }
 
-// forgetIfDone forgets a call that has its answer and whose attempts have ended.
+// forgetIfDone removes a request that has its final answer and no attempts in flight.
 func (b *balancer) forgetIfDone(req *request) {
 	if req.answered && req.inFlight == 0 && b.requests != nil {
 		delete(b.requests, policy.CallID(req.id))
 	}
 }
 
-// clientGone hears that a call's client has left.
+// clientGone handles a client that left before its request was answered.
 func (b *balancer) clientGone(req *request) {
 	if req.answered {
 		return
@@ -227,7 +232,7 @@
 	b.forgetIfDone(req)
 }
 
-// answer chooses a call's one final answer.
+// answer sends the request's final answer to the client. Only the first call has an effect.
 func (r *request) answer(reply record.Reply, retryAfter time.Duration) {
 	if !r.answered {
 		r.answered = true
@@ -235,7 +240,8 @@
 	}
 }
 
-// policyHost is what a module acts through. A module that has ended can do nothing any more.
+// policyHost implements policy.Host for one process of a balancer. The timers and cancellations of a process that has ended
+// have no effect.
 type policyHost struct {
 	b          *balancer
 	startCount uint64
@@ -259,6 +265,7 @@
 
 func (h policyHost) Error(id policy.CallID) { h.answer(id, record.Errored, 0) }
 
+// answer gives a request its final answer on behalf of the decider.
 func (h policyHost) answer(id policy.CallID, reply record.Reply, retryAfter time.Duration) {
 	if req := h.b.requests[id]; req != nil {
 		req.answer(reply, retryAfter)
@@ -271,7 +278,7 @@
 	if req == nil || attempt >= len(req.attempts) {
 		return
 	}
-	// Heard later, as on sockets: the module is not called from within itself.
+	// Reported by a later event, as on sockets, so that the decider is not called from within its own call.
 	h.b.d.after(0, func() {
 		if a := req.attempts[attempt]; !a.done && h.b.startCount == h.startCount {
 			a.cancel()
@@ -296,7 +303,7 @@
 	d.tracef("attempt %s/%d %d to %s", id, a.index, b.index, a.serverName())
 	d.after(a.oneWayDelay(), func() {
 		if a.done {
-			return // given up on the way: its connection ended before it came
+			return // cancelled in transit: its connection was closed before it arrived
 		}
 		if a.host != nil {
 			a.host.receive(a)
@@ -319,7 +326,7 @@
 	})
 }
 
-// oneWayDelay is how long bytes take one way between an attempt's balancer and its server.
+// oneWayDelay is the one-way network delay between an attempt's balancer and its server.
 func (a *attempt) oneWayDelay() time.Duration {
 	if a.host == nil {
 		return a.baseDelay()
@@ -327,7 +334,7 @@
 	return a.baseDelay() + a.host.links[a.balancer.index].extraDelay
 }
 
-// baseDelay is the way without what a fault adds to it.
+// baseDelay is the one-way network delay without what a fault adds to it.
 func (a *attempt) baseDelay() time.Duration {
 	d := a.balancer.d
 	if a.host == nil || a.host.group.Zone == d.Fleet.Zones[a.balancer.zone] {
@@ -336,7 +343,7 @@
 	return d.Fleet.Cross.D()
 }
 
-// serverName is the name of an attempt's server.
+// serverName returns the name of an attempt's server, as it stands in records.
 func (a *attempt) serverName() string {
 	if a.host == nil {
 		return record.Gateway
@@ -344,17 +351,17 @@
 	return a.host.id
 }
 
-// refuse is a connection that nobody takes. It is noted as an attempt: the balancer meant it as one.
+// refuse reports that the connection was refused. The attempt is still recorded, because the balancer chose to make it.
 func (a *attempt) refuse() {
 	a.endedAt, a.proof = a.balancer.d.now+a.baseDelay(), record.NeverRan
 	a.balancer.d.after(a.baseDelay(), func() { a.deliver(policy.ConnectFailed, 0) })
 }
 
-// answer sends a server's answer on its way.
+// answer sends a server's answer to the balancer.
 func (a *attempt) answer(outcome policy.Outcome, cacheResult int) {
 	d := a.balancer.d
 	if a.host != nil && a.host.links[a.balancer.index].cut {
-		return // lost on the way: for the balancer it is still out
+		return // lost in transit: for the balancer the attempt remains in flight
 	}
 	if a.endedAt == 0 {
 		a.endedAt, a.answerComplete = d.now+a.oneWayDelay(), outcome != policy.Reset && outcome != policy.Spoilt
@@ -366,16 +373,17 @@
 	d.after(a.oneWayDelay(), func() { a.deliver(outcome, cacheResult) })
 }
 
+// proofs maps outcomes to what the server's answer proves about the execution of the request.
 var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.WasServed, policy.Missed: record.Missed, policy.TurnedAway: record.NeverRan}
 
-// cancel ends the connection that carries an attempt; its server hears that.
+// cancel closes the connection of an attempt; the server notices after the network delay.
 func (a *attempt) cancel() {
 	if a.done {
 		return
 	}
 	d := a.balancer.d
-	if a.endedAt == 0 || a.endedAt > d.now { // an answer that is still on its way proves nothing to who does not wait for it
-		// As on sockets, where the end of a connection is noted as it is made, however long its way.
+	if a.endedAt == 0 || a.endedAt > d.now { // an answer still in transit proves nothing, since nobody waits for it any more
+		// As on sockets, the end of a connection is recorded when it is closed, whatever the network delay.
 		a.endedAt, a.answerComplete, a.proof = d.now, false, record.Nothing
 	}
 	d.after(a.oneWayDelay(), func() {
@@ -389,7 +397,7 @@
 	})
 }
 
-// deliver is what came for an attempt: the balancer looks at it when it runs.
+// deliver hands an attempt's outcome to its balancer, which handles it once it is not stalled.
 func (a *attempt) deliver(outcome policy.Outcome, cacheResult int) {
 	if a.balancer.decider == nil || a.balancer.startCount != a.startCount {
 		a.complete(outcome, cacheResult)
@@ -398,7 +406,7 @@
 	a.balancer.whenRunning(func() { a.complete(outcome, cacheResult) }, nil)
 }
 
-// complete lets the balancer hear how an attempt ended.
+// complete reports an attempt's outcome to the decider, and answers the client if the attempt was the first to be fulfilled.
 func (a *attempt) complete(outcome policy.Outcome, cacheResult int) {
 	b := a.balancer
 	if a.done {
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -17,14 +17,14 @@
 	"streamrail/policy"
 )
 
-// Day is a rehearsal as it is played.
+// Day is a running simulation of a scenario.
 type Day struct {
 	*scenario.Day
 	clock
 	rec              *record.Record
 	hosts            map[string]*cacheHost
-	hostsInOrder     []*cacheHost // in the order of their coming
-	currentHost      map[string]*cacheHost
+	hostsInOrder     []*cacheHost          // in the order of their first start
+	currentHost      map[string]*cacheHost // by the scenario's node name; a deploy replaces the host
 	origin           *origin
 	discovery        *model.Register
 	balancers        []*balancer
@@ -32,18 +32,19 @@
 	retry            model.Retry
 	roundRobin       int
 	latency          *hdrhistogram.Histogram
-	trace            io.Writer // one line an event; nil: none
+	trace            io.Writer // receives one line for each event; nil: no trace
 	deliberateFaults deliberateFaults
-	members          *gather.Day          // nil: balancers do not speak
-	observations     *observationExchange // nil: they do not speak of nodes
+	members          *gather.Day          // nil: balancers do not communicate
+	observations     *observationExchange // nil: balancers do not exchange observations of hosts
 }
 
-// deliberateFaults is what a day does to its modules on purpose, to see that the judge names it. Its zero value does nothing.
+// deliberateFaults gives the deciders false input, to check that the judge reports the rules that are broken by it. The zero
+// value does nothing.
 type deliberateFaults struct {
-	alterOutcome   func(policy.Outcome) policy.Outcome // how an attempt's end is told
-	hideDrains     bool                                // leaving hosts are not told of
-	hideColdStarts bool                                // cold hosts are told to be warm
-	alterReports   Liars                               // who tell something else of hosts than they saw
+	alterOutcome   func(policy.Outcome) policy.Outcome // replaces the outcome of attempts
+	hideDrains     bool                                // draining hosts are listed as up
+	hideColdStarts bool                                // start times of hosts are left out, so that cold hosts seem warm
+	alterReports   Liars                               // replaces the observations sent to other balancers
 }
 
 // tracef writes a line of the trace.
@@ -53,12 +54,14 @@
 	}
 }
 
-// Play plays a day. Balancers' own resources, rude clients and reloads, which only sockets have, are left out.
-// The trace, if there is one, is the same byte for byte for the same day and seed.
+// Play simulates a scenario. It leaves out what exists only on sockets: the balancers' own resources, misbehaving clients and
+// reloads. If trace is not nil, it receives one line for each event; the same scenario and seed give the same trace byte for
+// byte.
 func Play(s *scenario.Day, trace io.Writer) (*runner.Result, error) {
 	return play(s, trace, deliberateFaults{})
 }
 
+// play is Play with deliberate faults.
 func play(s *scenario.Day, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
 	began := time.Now()
 	arrivals, err := model.Arrivals(s.Seed, s.LoadTerms())
@@ -107,7 +110,8 @@
 	return d.result(began), nil
 }
 
-// scheduleArrivals lets one call after the other come; all at once would fill the clock with a day.
+// scheduleArrivals schedules the next request, which schedules the one after it. Scheduling all at once would fill the event
+// queue with the requests of the whole scenario.
 func (d *Day) scheduleArrivals(arrivals []model.Arrival, i int) {
 	if i < len(arrivals) {
 		d.at(arrivals[i].At, func() {
@@ -117,7 +121,7 @@
 	}
 }
 
-// sendRequest makes a client's try of a call.
+// sendRequest sends a client's request or, if try is above 1, a client retry of it. It schedules the next client retry, if any.
 func (d *Day) sendRequest(arrival *model.Arrival, try int) {
 	rec := &record.Call{ID: arrival.ID, Base: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, Mark: arrival.Mark, Once: arrival.Once,
 		Due: d.now, Sent: d.now, Timeout: d.now + arrival.Patience}
@@ -174,7 +178,8 @@
 	})
 }
 
-// pickBalancer deals a call to a balancer of its client's zone, else to any that the front holds for alive.
+// pickBalancer chooses a balancer for a request, in turn among those that get traffic: first among the balancers that the
+// scenario sets for the tenant now, then in the client's zone, then in any zone.
 func (d *Day) pickBalancer(zone, tenant int) *balancer {
 	if allowed := d.TenantAt(tenant, d.now); len(allowed) > 0 {
 		d.roundRobin++
@@ -195,12 +200,13 @@
 	return d.balancers[0]
 }
 
+// drawWork returns the service time that a request needs at a cache host, drawn by the product's distribution.
 func (d *Day) drawWork(req *request) time.Duration {
 	p := &d.Products[req.record.Product]
 	return model.Work(d.Seed, req.id, p.Law, p.Work.D(), p.Variation)
 }
 
-// policyEntry is a register's line as the module takes it.
+// policyEntry converts an entry of the discovery model to the form of package policy.
 func (d *Day) policyEntry(e model.Entry) policy.Entry {
 	p := policy.Entry{Cache: policy.CacheID(e.Node), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
 	if e.Kind == "origin" {
@@ -221,6 +227,7 @@
 	return p
 }
 
+// zoneIndex returns the index of a zone; unknown zones get the index after the last one.
 func (d *Day) zoneIndex(name string) int {
 	for i, z := range d.Fleet.Zones {
 		if z == name {
@@ -230,10 +237,11 @@
 	return len(d.Fleet.Zones)
 }
 
+// effects maps the effects of products in scenario files to those of package policy.
 var effects = map[string]policy.Effect{scenario.Idempotent: policy.Idempotent, scenario.Deduplicated: policy.Deduplicated,
 	scenario.NonIdempotent: policy.NonIdempotent}
 
-// policyTerms are what a balancer in a zone is told, as on sockets.
+// policyTerms returns the configuration of the decider of a balancer in a zone, the same as on sockets.
 func (d *Day) policyTerms(zone int) policy.Terms {
 	t := policy.Terms{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), Aside: d.Fleet.Mode == scenario.Aside, OriginKind: -1, MayCancel: true,
 		MostAttempts: d.Fleet.Attempts, MaxComeBack: policy.Nanos(d.Clients.ComeBack), ColdFrom: 1, FallMultiple: d.Rules.FallMultiple,
@@ -254,7 +262,7 @@
 	return t
 }
 
-// result closes the record and has it judged.
+// result completes the record and has it judged.
 func (d *Day) result(began time.Time) *runner.Result {
 	for _, b := range d.balancers {
 		b.stop()
@@ -267,7 +275,7 @@
 	d.rec.Strain(record.Gateway, d.origin.model.Strain())
 	for _, a := range d.attempts {
 		if a.receivedAt == 0 {
-			continue // given up on the way: no server saw it
+			continue // cancelled in transit: no server received it
 		}
 		r := record.Attempt{Call: a.request.id, Balancer: a.balancer.index, Server: a.serverName(), Began: a.sentAt, Came: a.sentAt, Told: max(0, a.reportedTimeout), Ended: a.endedAt, Proof: a.proof,
 			Answered: a.answerComplete, Ran: a.executed, Cold: a.cold, Work: a.work, Write: a.request.write, Swallowed: a.dropped}
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -12,23 +12,26 @@
 	"streamrail/policy"
 )
 
-// Liars is what balancers tell in place of what they saw; nil tells it as it is.
+// Liars returns the observations that a balancer sends to the others instead of its own ones, which are passed as rows. If
+// the function is nil, balancers send their own observations.
 type Liars func(balancer int, rows []evidence.Row) []evidence.Row
 
-// PlayLying plays a day on which some balancers tell others something else of nodes than they saw.
+// PlayLying simulates a scenario in which some balancers send false observations of hosts to the others.
 func PlayLying(s *scenario.Day, alterReports Liars) (*runner.Result, error) {
 	return play(s, nil, deliberateFaults{alterReports: alterReports})
 }
 
-// observationExchange has the balancers of a day tell each other of nodes, over the ways that the day has between balancers. Who is there is
-// known to all at once: what views of members do when they are late is played with the members.
+// observationExchange simulates the exchange of observations of hosts between balancers, with the delay, loss and cuts that
+// the scenario sets between balancers. All balancers know at once which others run; the effect of outdated member views is
+// simulated in package gather.
 type observationExchange struct {
 	d            *Day
 	rng          *rand.Rand
 	alterReports Liars
-	Sent         int // messages
+	Sent         int // number of messages
 }
 
+// startObservationExchange schedules each balancer's periodic exchange, with a random offset.
 func (d *Day) startObservationExchange(alterReports Liars) {
 	e := &observationExchange{d: d, rng: model.Stream(d.Seed, "evidence"), alterReports: alterReports}
 	d.observations = e
@@ -37,13 +40,14 @@
 	}
 }
 
-// processID is a mark for a process of a balancer in these letters.
+// processID identifies a balancer's current process in these messages.
 func (e *observationExchange) processID(i int) member.Life {
 	return member.Life(uint64(e.d.balancers[i].startCount)<<32 | uint64(i+1))
 }
 
 func (e *observationExchange) zone(i int) string { return e.d.Fleet.Zones[e.d.balancers[i].zone] }
 
+// tick sends a balancer's observations, hands those received to its decider and schedules the next tick.
 func (e *observationExchange) tick(i int) {
 	d, b := e.d, e.d.balancers[i]
 	if d.now < d.Length.D() {
@@ -83,7 +87,7 @@
 	b.peerObservations = peerObservations
 }
 
-// isCut tells whether a cut lies between two balancers now.
+// isCut reports whether the link from one balancer to another is cut now.
 func (d *Day) isCut(from, to int) bool {
 	for _, c := range d.rec.MateCuts {
 		if c.From == from && c.To == to && c.Begin <= d.now && d.now < c.End {
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -12,23 +12,24 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// setCondition changes a node's line in the register; each balancer hears of it when the model says.
+// setCondition changes a host's condition in discovery; the discovery model decides when each balancer is notified.
 func (d *Day) setCondition(h *cacheHost, condition model.Condition) {
 	for _, at := range d.discovery.Set(d.now, h.listEntry(condition)) {
 		d.at(at, d.notifyBalancers)
 	}
 }
 
+// notifyBalancers lets the balancers that are due for a notification fetch the changes of the host list.
 func (d *Day) notifyBalancers() {
 	for _, b := range d.discovery.Advance(d.now) {
 		d.balancers[b].pollDiscovery(false)
 	}
 }
 
-// restartNoticeDelay is how long a front deals to a balancer that was told to end.
+// restartNoticeDelay is how long a balancer that was asked to end still gets new requests.
 const restartNoticeDelay = 300 * time.Millisecond
 
-// scheduleFault lays one of the day's faults on the clock.
+// scheduleFault schedules the begin and end of a fault of the scenario.
 func (d *Day) scheduleFault(i int) {
 	f := &d.Faults[i]
 	from, to := f.At.D(), (f.At + f.For).D()
@@ -72,7 +73,7 @@
 			d.at(from, func() { d.discovery.Silence(b, true) })
 			d.at(to, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
 		}
-	case "watch-silent": // noticed and opened anew as on sockets
+	case "watch-silent": // the balancer notices and reopens the watch after the same time as on sockets
 		pace := discovery.PaceOf(d.Rules.DrainGrace.D()*9/10, true)
 		for _, b := range d.HitBalancers(i) {
 			d.at(from, func() { d.discovery.Silence(b, true) })
@@ -109,14 +110,14 @@
 			d.at(from, func() {
 				startCount := d.balancers[b].startCount
 				d.after(gather.RestartAfter, func() {
-					if d.balancers[b].startCount == startCount && d.balancers[b].decider != nil { // else another fault has ended it by then
+					if d.balancers[b].startCount == startCount && d.balancers[b].decider != nil { // otherwise another fault has ended or restarted it
 						d.balancers[b].stop()
 						d.balancers[b].start()
 					}
 				})
 			})
 		}
-	case "reload", "rude", "by-hand", "upgrade", "crowd": // of sockets and processes alone
+	case "reload", "rude", "by-hand", "upgrade", "crowd": // concern only real sockets and processes
 		return
 	}
 	about := f.Do
@@ -126,7 +127,7 @@
 	d.rec.Bands = append(d.rec.Bands, record.Band{Text: about, From: from, To: to})
 }
 
-// scheduleDeploy replaces nodes in waves, as on sockets.
+// scheduleDeploy schedules a deployment that drains and replaces hosts in waves, as on sockets.
 func (d *Day) scheduleDeploy(f *scenario.Fault, places []string) {
 	waves := (len(places) + f.AtOnce - 1) / f.AtOnce
 	for i, p := range places {
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -10,29 +10,30 @@
 	"streamrail/policy"
 )
 
-// cacheHost is a cache node.
+// cacheHost is a simulated cache host.
 type cacheHost struct {
 	d           *Day
 	id          string
 	group       *scenario.Node
 	model       *model.Node // nil while its process is down
-	unreachable bool        // its machine says nothing
+	unreachable bool        // requests get neither an answer nor a refused connection
 	startedAt   time.Duration
 	cold        bool
 	scheduledAt time.Duration
-	inFlight    []*attempt // in hand, in the order of their coming
-	links       []link     // by balancer
+	inFlight    []*attempt // in the order of their arrival
+	links       []link     // by index of the balancer
 	rng         *rand.Rand
 
 	spoilProbability, resetProbability, failProbability float64
 }
 
+// link is the state of the connection between a balancer and a cache host.
 type link struct {
-	extraDelay time.Duration // than the usual way
+	extraDelay time.Duration // added to the base delay
 	cut        bool
 }
 
-// never is the moment of a server that waits for nothing.
+// never is the time of the next step of a server that has nothing to do.
 const never = time.Duration(1<<63 - 1)
 
 func (d *Day) addHost(id string, group *scenario.Node, cold bool) *cacheHost {
@@ -52,7 +53,7 @@
 	}
 }
 
-// stop ends the node's process; what it had in hand is lost with it.
+// stop ends the host's process and with it the attempts in flight. If silent, its balancers are not notified by resets.
 func (h *cacheHost) stop(silent bool) {
 	if h.model == nil {
 		return
@@ -68,11 +69,12 @@
 	}
 }
 
+// listEntry is the host's entry in discovery.
 func (h *cacheHost) listEntry(condition model.Condition) model.Entry {
 	return model.Entry{Node: h.id, Zone: h.group.Zone, Kind: "cache", Condition: condition, Weight: h.group.Speed * float64(h.group.Cores), Born: h.startedAt}
 }
 
-// update disturbs the node from now on.
+// update changes the host's model, after advancing it to the current time.
 func (h *cacheHost) update(do func()) {
 	if h.model != nil {
 		h.advance()
@@ -81,7 +83,7 @@
 	}
 }
 
-// receive takes an attempt that has come.
+// receive handles an attempt that has arrived at the host.
 func (h *cacheHost) receive(a *attempt) {
 	a.receivedAt = h.d.now
 	switch {
@@ -93,7 +95,7 @@
 		return
 	}
 	h.advance()
-	if h.model == nil { // it fell over just now
+	if h.model == nil { // the host has just failed under its load
 		a.answer(policy.Reset, 0)
 		return
 	}
@@ -106,7 +108,7 @@
 	h.scheduleAdvance()
 }
 
-// advance plays the model up to now.
+// advance runs the host's model up to the current time and answers the attempts that it has finished.
 func (h *cacheHost) advance() {
 	for _, done := range h.model.Advance(h.d.now) {
 		a, ok := done.Tag.(*attempt)
@@ -143,6 +145,7 @@
 	}
 }
 
+// remove removes an attempt from those in flight.
 func (h *cacheHost) remove(a *attempt) {
 	for i, x := range h.inFlight {
 		if x == a {
@@ -152,7 +155,8 @@
 	}
 }
 
-// fetchFromOrigin asks the gateway for a read's value or hands a write on. Fetches of one key are not joined here.
+// fetchFromOrigin gets the value of a read from the origin, or forwards a write to it. Concurrent fetches of the same key
+// are not merged.
 func (h *cacheHost) fetchFromOrigin(a *attempt, done model.Done) {
 	h.d.origin.submit(a.request, done.Write, func(r fetchResult) {
 		switch {
@@ -169,7 +173,7 @@
 	})
 }
 
-// scheduleAdvance sets when the node is looked at next.
+// scheduleAdvance schedules the next advance of the host's model.
 func (h *cacheHost) scheduleAdvance() {
 	if h.model == nil {
 		return
@@ -182,7 +186,7 @@
 	m := h.model
 	h.d.at(due, func() {
 		if h.model != m || h.scheduledAt != due {
-			return // another process, or looked at by then
+			return // another process runs now, or the model was advanced earlier
 		}
 		h.scheduledAt = never
 		h.advance()
@@ -190,7 +194,7 @@
 	})
 }
 
-// origin is the slow store.
+// origin is the simulated origin behind the caches.
 type origin struct {
 	d                                 *Day
 	model                             *model.Gateway
@@ -200,12 +204,13 @@
 	rng                               *rand.Rand
 }
 
+// fetchResult is the result of a job at the origin: lost with its process, rejected because of load, or done.
 type fetchResult struct {
 	lost, rejected bool
 	version        uint64
 }
 
-// submit sends a job; done hears what came of it.
+// submit gives the origin a job; done is called with its result.
 func (o *origin) submit(req *request, write bool, done func(fetchResult)) {
 	o.advance()
 	work := model.Work(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Gateway.Time.D(), 1)
@@ -215,7 +220,7 @@
 	o.scheduleAdvance()
 }
 
-// receive takes a balancer's attempt.
+// receive handles an attempt that a balancer has sent to the origin directly.
 func (o *origin) receive(a *attempt) {
 	a.receivedAt = o.d.now
 	if o.failProbability > 0 && o.rng.Float64() < o.failProbability {
@@ -244,6 +249,8 @@
 	})
 }
 
+// advance runs the origin's model up to the current time, reports finished jobs and records effects and stops. A finished
+// write invalidates the key in all cache hosts.
 func (o *origin) advance() {
 	for _, done := range o.model.Advance(o.d.now) {
 		if done.Write && !done.Lost {
@@ -265,6 +272,7 @@
 	}
 }
 
+// scheduleAdvance schedules the next advance of the origin's model.
 func (o *origin) scheduleAdvance() {
 	due := o.model.Due()
 	if due >= o.scheduledAt || due == never {
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -25,7 +25,7 @@
 	return d
 }
 
-// A seed gives the same day byte for byte, another one another day.
+// The same seed must give the same trace byte for byte, another seed a different one.
 func TestSeedIsReproducible(t *testing.T) {
 	sum := func(seed uint64) [32]byte {
 		var trace bytes.Buffer
@@ -35,37 +35,38 @@
 		return sha256.Sum256(trace.Bytes())
 	}
 	if first, again := sum(3), sum(3); first != again {
-		t.Error("the same seed gave two days")
+		t.Error("the same seed gave different traces")
 	}
 	if sum(3) == sum(4) {
-		t.Error("two seeds gave the same day")
+		t.Error("two seeds gave the same trace")
 	}
 }
 
-// The judge bites here as on sockets: modules that are lied to break just the rules that the lie is about.
+// The judge must report violations in virtual time as on sockets: a decider with false input breaks exactly the rules that
+// the input concerns.
 func TestJudgeReportsDeliberateFaults(t *testing.T) {
 	for name, row := range map[string]struct {
 		day    string
 		faults deliberateFaults
 		want   []judge.Rule
 	}{
-		"resets never ran": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
+		"resets reported as never run": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
 			if o == policy.Reset {
 				return policy.ConnectFailed
 			}
 			return o
 		}}, []judge.Rule{judge.NoRepeat, judge.OneEffect}},
-		"resets turned away": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
+		"resets reported as turned away": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
 			if o == policy.Reset {
 				return policy.TurnedAway
 			}
 			return o
 		}}, []judge.Rule{judge.Promise}},
-		"deaf to drains":      {"cold-deploy-surge", deliberateFaults{hideDrains: true}, []judge.Rule{judge.Drains}},
-		"takes cold for warm": {"payday-cold", deliberateFaults{hideColdStarts: true}, []judge.Rule{judge.ColdHosts}},
+		"drains hidden":      {"cold-deploy-surge", deliberateFaults{hideDrains: true}, []judge.Rule{judge.Drains}},
+		"cold starts hidden": {"payday-cold", deliberateFaults{hideColdStarts: true}, []judge.Rule{judge.ColdHosts}},
 	} {
 		var d *scenario.Day
-		if row.day == "payday-cold" { // all at once, cold, under a surge
+		if row.day == "payday-cold" { // all hosts restart at the same time, cold, during a surge
 			d = openScenario(t, "payday", 1, 8)
 			f := scenario.Fault{Do: "kill", At: d.Faults[0].At - scenario.Span(time.Second), For: scenario.Span(time.Second), Nodes: []string{"*"}}
 			d.Faults = append(d.Faults, f)
@@ -80,18 +81,19 @@
 			t.Fatal(err)
 		}
 		if got := res.Verdict.BrokenRules(); !slices.Equal(got, row.want) {
-			t.Errorf("%s: broken %q, expected %q", name, got, row.want)
+			t.Errorf("%s: broken rules %q, expected %q", name, got, row.want)
 		}
 	}
 }
 
-// On the built-in days no rule is broken by the module, also by many balancers that see little each.
+// The decision code must break no rule in the built-in scenarios, also with 40 balancers, each of which sees only a small part
+// of the traffic.
 func TestBuiltInScenariosBreakNoRule(t *testing.T) {
 	for _, name := range scenario.Names() {
 		for _, balancers := range []int{0, 40} {
 			d := openScenario(t, name, 1, balancers)
 			if balancers > 0 && d.Mates.On {
-				continue // these name their balancers, and views of many are what rehearse measure members is for
+				continue // these scenarios refer to single balancers; large fleets are covered by "rehearse measure members"
 			}
 			res, err := Play(d, nil)
 			if err != nil {
@@ -99,7 +101,7 @@
 			}
 			for _, f := range res.Verdict.Findings {
 				if f.Breaches > 0 {
-					t.Errorf("%s, %d balancers: %s %d times: %s", name, balancers, f.Rule, f.Breaches, f.Examples[0].Text)
+					t.Errorf("%s, %d balancers: rule %q broken %d times: %s", name, balancers, f.Rule, f.Breaches, f.Examples[0].Text)
 				}
 			}
 		}
