--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -33,21 +33,21 @@
 func (d *Day) scheduleFault(i int) {
 	f := &d.Faults[i]
 	from, to := f.At.D(), (f.At + f.For).D()
-	span := func(begin, end func(h *cacheHost)) {
+	duringFault := func(begin, end func(h *cacheHost)) {
 		for _, p := range d.Hit(i) {
 			d.at(from, func() { begin(d.currentHost[p]) })
 			d.at(to, func() { end(d.currentHost[p]) })
 		}
 	}
 	setProbability := func(field func(h *cacheHost) *float64) {
-		span(func(h *cacheHost) { *field(h) = f.Part }, func(h *cacheHost) { *field(h) = 0 })
+		duringFault(func(h *cacheHost) { *field(h) = f.Part }, func(h *cacheHost) { *field(h) = 0 })
 	}
 	restart := func(h *cacheHost) { h.start(true); d.setCondition(h, model.Active) }
 	switch f.Do {
 	case "slow":
-		span(func(h *cacheHost) { h.update(func() { h.model.Slow(f.By) }) }, func(h *cacheHost) { h.update(func() { h.model.Slow(1) }) })
+		duringFault(func(h *cacheHost) { h.update(func() { h.model.Slow(f.By) }) }, func(h *cacheHost) { h.update(func() { h.model.Slow(1) }) })
 	case "stall":
-		span(func(h *cacheHost) { h.update(func() { h.model.Stall(true) }) }, func(h *cacheHost) { h.update(func() { h.model.Stall(false) }) })
+		duringFault(func(h *cacheHost) { h.update(func() { h.model.Stall(true) }) }, func(h *cacheHost) { h.update(func() { h.model.Stall(false) }) })
 	case "spoil":
 		setProbability(func(h *cacheHost) *float64 { return &h.spoilProbability })
 	case "reset":
@@ -55,16 +55,16 @@
 	case "fail":
 		setProbability(func(h *cacheHost) *float64 { return &h.failProbability })
 	case "kill":
-		span(func(h *cacheHost) { h.stop(false); d.setCondition(h, model.Left) }, restart)
+		duringFault(func(h *cacheHost) { h.stop(false); d.setCondition(h, model.Left) }, restart)
 	case "vanish", "zone-dark":
-		span(func(h *cacheHost) { h.stop(true); d.setCondition(h, model.Left) }, restart)
+		duringFault(func(h *cacheHost) { h.stop(true); d.setCondition(h, model.Left) }, restart)
 	case "link-delay":
 		for _, b := range d.HitBalancers(i) {
-			span(func(h *cacheHost) { h.links[b].extraDelay = f.Delay.D() }, func(h *cacheHost) { h.links[b].extraDelay = 0 })
+			duringFault(func(h *cacheHost) { h.links[b].extraDelay = f.Delay.D() }, func(h *cacheHost) { h.links[b].extraDelay = 0 })
 		}
 	case "link-cut":
 		for _, b := range d.HitBalancers(i) {
-			span(func(h *cacheHost) { h.links[b].cut = true }, func(h *cacheHost) { h.links[b].cut = false })
+			duringFault(func(h *cacheHost) { h.links[b].cut = true }, func(h *cacheHost) { h.links[b].cut = false })
 		}
 	case "deploy":
 		d.scheduleDeploy(f, d.Hit(i))
@@ -120,17 +120,17 @@
 	case "reload", "rude", "by-hand", "upgrade", "crowd": // concern only real sockets and processes
 		return
 	}
-	about := f.Do
+	label := f.Do
 	if len(f.Nodes) > 0 || f.Part > 0 && strings.Contains(" slow stall kill vanish deploy ", " "+f.Do+" ") {
-		about += " " + strings.Join(d.Hit(i), " ")
+		label += " " + strings.Join(d.Hit(i), " ")
 	}
-	d.rec.Bands = append(d.rec.Bands, record.Band{Text: about, From: from, To: to})
+	d.rec.Bands = append(d.rec.Bands, record.Band{Text: label, From: from, To: to})
 }
 
 // scheduleDeploy schedules a deployment that drains and replaces hosts in waves, as on sockets.
-func (d *Day) scheduleDeploy(f *scenario.Fault, places []string) {
-	waves := (len(places) + f.AtOnce - 1) / f.AtOnce
-	for i, p := range places {
+func (d *Day) scheduleDeploy(f *scenario.Fault, names []string) {
+	waves := (len(names) + f.AtOnce - 1) / f.AtOnce
+	for i, p := range names {
 		at := f.At.D() + f.For.D()*time.Duration(i/f.AtOnce)/time.Duration(waves)
 		var old, replacement *cacheHost
 		startReplacement := func() {
