--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -1,5 +1,5 @@
-// Package search draws days with faults of all kinds, plays them in virtual time and keeps those that break a rule or
-// serve least; each is shrunk to the smallest day that still shows it.
+// Package search generates scenarios with random faults, simulates them in virtual time and keeps those that break a rule
+// or have the lowest service. A scenario that was kept can be shrunk to the smallest one that still shows the problem.
 package search
 
 import (
@@ -17,43 +17,44 @@
 	"streamrail/internal/rehearsal/virtual"
 )
 
-// Found is a day that was kept.
+// Found is a scenario that was kept, with its simulated service and the rules that it broke.
 type Found struct {
 	Day     *scenario.Day
 	Service float64
 	Broken  []judge.Rule
 }
 
-// Result is what a search came to.
+// Result is the result of a search.
 type Result struct {
 	Played  int
-	Kept    int // without a broken rule
+	Kept    int // number of scenarios that broke no rule
 	Broken  []Found
-	Worst   []Found // by service, the least first
+	Worst   []Found // sorted by service, the lowest first
 	Checked map[judge.Rule]int
 }
 
-// mostKept bounds what is kept of either sort.
-const mostKept = 10
+// maxKept is how many scenarios are kept in each of Result.Broken and Result.Worst.
+const maxKept = 10
 
-// Days plays so many drawn days, on the cores that there are, until the context ends.
-func Days(ctx context.Context, base *scenario.Day, from uint64, days, lanes int) (Result, error) {
+// Days simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
+// context ends, it starts no further ones.
+func Days(ctx context.Context, base *scenario.Day, firstSeed uint64, days, workers int) (Result, error) {
 	res := Result{Checked: map[judge.Rule]int{}}
 	var mu sync.Mutex
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	var failed error
 	next := make(chan uint64)
-	for range lanes {
-		group.Add(1)
+	for range workers {
+		wg.Add(1)
 		go func() {
-			defer group.Done()
+			defer wg.Done()
 			for seed := range next {
-				f, v, err := playOne(Draw(base, seed))
+				f, v, err := simulate(Draw(base, seed))
 				mu.Lock()
 				if err != nil {
 					failed = err
 				} else {
-					res.take(f, v)
+					res.add(f, v)
 				}
 				mu.Unlock()
 			}
@@ -63,22 +64,23 @@
 		if ctx.Err() != nil {
 			break
 		}
-		next <- from + uint64(i)
+		next <- firstSeed + uint64(i)
 	}
 	close(next)
-	group.Wait()
+	wg.Wait()
 	return res, failed
 }
 
-func (r *Result) take(f Found, v *judge.Verdict) {
+// add counts a simulated scenario and keeps it if it belongs to those to be kept.
+func (r *Result) add(f Found, verdict *judge.Verdict) {
 	r.Played++
-	for _, x := range v.Findings {
+	for _, x := range verdict.Findings {
 		r.Checked[x.Rule] += x.Checked
 	}
 	if len(f.Broken) > 0 {
 		r.Broken = append(r.Broken, f)
-		slices.SortFunc(r.Broken, bySeed) // the lanes' order must not decide which are kept
-		r.Broken = r.Broken[:min(len(r.Broken), mostKept)]
+		slices.SortFunc(r.Broken, bySeed) // which ones are kept must not depend on the order in which workers finish
+		r.Broken = r.Broken[:min(len(r.Broken), maxKept)]
 	} else {
 		r.Kept++
 	}
@@ -92,9 +94,10 @@
 		}
 		return bySeed(x, y)
 	})
-	r.Worst = r.Worst[:min(len(r.Worst), mostKept)]
+	r.Worst = r.Worst[:min(len(r.Worst), maxKept)]
 }
 
+// bySeed orders scenarios by their seed.
 func bySeed(x, y Found) int {
 	if x.Day.Seed < y.Day.Seed {
 		return -1
@@ -102,7 +105,8 @@
 	return 1
 }
 
-func playOne(d *scenario.Day) (Found, *judge.Verdict, error) {
+// simulate runs one scenario in virtual time.
+func simulate(d *scenario.Day) (Found, *judge.Verdict, error) {
 	res, err := virtual.Play(d, nil)
 	if err != nil {
 		return Found{}, nil, err
@@ -110,96 +114,100 @@
 	return Found{Day: d, Service: report.Of(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
 }
 
-// drawn are the kinds of faults that a search draws: those that virtual time plays.
-var drawn = []string{"slow", "stall", "kill", "vanish", "reset", "spoil", "fail", "link-delay", "link-cut", "zone-dark", "deploy",
+// faultKinds are the kinds of faults that a search draws: kinds that package virtual simulates.
+var faultKinds = []string{"slow", "stall", "kill", "vanish", "reset", "spoil", "fail", "link-delay", "link-cut", "zone-dark", "deploy",
 	"register-silent", "register-rewind", "gateway-slow", "gateway-reset", "gateway-fail", "balancer-kill", "balancer-restart", "surge",
 	"scan", "hot"}
 
-// faultsMost is how many faults a day gets: more overlap so much that nothing is told apart.
-const faultsMost = 4
+// maxFaults is the most faults that are added to a scenario. With more, faults overlap so much that their effects cannot be
+// told apart.
+const maxFaults = 4
 
-// Draw makes a day of a base and a seed: one to four faults of any kind, size and time, over those that the base has.
+// Draw returns a copy of the base scenario with the given seed and one to maxFaults random faults, of any kind, size and time,
+// in addition to those of the base.
 func Draw(base *scenario.Day, seed uint64) *scenario.Day {
 	d := *base
 	d.Seed = seed
 	d.Name = fmt.Sprintf("found-%d", seed)
-	r := model.Stream(seed, "search")
+	rng := model.Stream(seed, "search")
 	d.Faults = slices.Clone(base.Faults)
-	for range 1 + r.IntN(faultsMost) {
-		d.Faults = append(d.Faults, fault(r, &d))
+	for range 1 + rng.IntN(maxFaults) {
+		d.Faults = append(d.Faults, drawFault(rng, &d))
 	}
 	return &d
 }
 
-func fault(r *rand.Rand, d *scenario.Day) scenario.Fault {
+// drawFault returns a random fault within the length of the scenario.
+func drawFault(rng *rand.Rand, d *scenario.Day) scenario.Fault {
 	length := d.Length.D()
-	at := time.Duration(r.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
-	span := time.Duration(r.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
-	f := scenario.Fault{Do: drawn[r.IntN(len(drawn))], At: scenario.Span(at), For: scenario.Span(min(span, length-at))}
-	part := 0.05 + 0.6*r.Float64()
-	some := func() {
+	at := time.Duration(rng.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
+	duration := time.Duration(rng.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
+	f := scenario.Fault{Do: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), For: scenario.Span(min(duration, length-at))}
+	probability := 0.05 + 0.6*rng.Float64()
+	pickNodes := func() {
 		ids, _ := d.NodeIDs()
-		r.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-		f.Nodes = ids[:1+r.IntN(max(1, len(ids)*2/3))]
+		rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
+		f.Nodes = ids[:1+rng.IntN(max(1, len(ids)*2/3))]
 		slices.Sort(f.Nodes)
 	}
 	switch f.Do {
 	case "slow":
-		some()
-		f.By = 2 + 10*r.Float64()
+		pickNodes()
+		f.By = 2 + 10*rng.Float64()
 	case "stall", "kill", "vanish", "link-cut":
-		some()
+		pickNodes()
 	case "link-delay":
-		some()
-		f.Delay = scenario.Span(time.Duration(5+r.IntN(200)) * time.Millisecond)
+		pickNodes()
+		f.Delay = scenario.Span(time.Duration(5+rng.IntN(200)) * time.Millisecond)
 	case "reset", "spoil", "fail":
-		some()
-		f.Part = part
+		pickNodes()
+		f.Part = probability
 	case "zone-dark":
-		f.Zone = d.Fleet.Zones[r.IntN(len(d.Fleet.Zones))]
+		f.Zone = d.Fleet.Zones[rng.IntN(len(d.Fleet.Zones))]
 	case "deploy":
-		some()
-		f.AtOnce, f.Drain, f.Same = 1+r.IntN(len(f.Nodes)), scenario.Span(2*time.Second), r.IntN(2) == 0
+		pickNodes()
+		f.AtOnce, f.Drain, f.Same = 1+rng.IntN(len(f.Nodes)), scenario.Span(2*time.Second), rng.IntN(2) == 0
 	case "gateway-slow":
-		f.By = 1.5 + 6*r.Float64()
+		f.By = 1.5 + 6*rng.Float64()
 	case "gateway-reset", "gateway-fail":
-		f.Part = part / 2
+		f.Part = probability / 2
 	case "register-rewind", "balancer-restart":
 		f.For = 0
-		f.Balancers = []int{1 + r.IntN(d.Fleet.Balancers)}
+		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "register-silent", "balancer-kill":
-		f.Balancers = []int{1 + r.IntN(d.Fleet.Balancers)}
+		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "surge":
-		f.By = 1.5 + 2.5*r.Float64()
-		if r.IntN(2) == 0 {
-			f.Tenant = d.Tenants[r.IntN(len(d.Tenants))].Name
+		f.By = 1.5 + 2.5*rng.Float64()
+		if rng.IntN(2) == 0 {
+			f.Tenant = d.Tenants[rng.IntN(len(d.Tenants))].Name
 		}
 	case "scan":
-		f.Part = part / 2
+		f.Part = probability / 2
 	case "hot":
-		f.Part, f.Keys = part, 1+r.IntN(5)
+		f.Part, f.Keys = probability, 1+rng.IntN(5)
 	}
 	return f
 }
 
-// Shrink looks for the smallest day that still shows what was found: without a fault, with fewer balancers, with less of
-// the day. A rule that was broken has to be broken still; else the service may rise by a tenth of what was lost.
+// Shrink reduces a scenario as long as it still shows the problem, by removing faults, removing balancers or shortening it.
+// If the scenario broke rules, the first of them must still be broken. Otherwise the service may rise by at most a tenth of
+// what was missing to 1.
 func Shrink(f Found) (Found, error) {
-	shows := func(x Found) bool {
+	reproduces := func(x Found) bool {
 		if len(f.Broken) > 0 {
 			return slices.Contains(x.Broken, f.Broken[0])
 		}
 		return x.Service <= f.Service+(1-f.Service)/10
 	}
-	for again := true; again; {
-		again = false
-		for _, smaller := range steps(f.Day) {
-			x, _, err := playOne(smaller)
+	for shrunk := true; shrunk; {
+		shrunk = false
+		for _, smaller := range smallerScenarios(f.Day) {
+			x, _, err := simulate(smaller)
 			if err != nil {
 				return f, err
 			}
-			if shows(x) {
-				f.Day, again = x.Day, true
+			if reproduces(x) {
+				f.Day, shrunk = x.Day, true
 				f.Service, f.Broken = x.Service, x.Broken
 				break
 			}
@@ -208,8 +216,8 @@
 	return f, nil
 }
 
-// steps are the days that are one step smaller.
-func steps(d *scenario.Day) (list []*scenario.Day) {
+// smallerScenarios returns the scenarios that are one reduction step smaller.
+func smallerScenarios(d *scenario.Day) (list []*scenario.Day) {
 	for i := range d.Faults {
 		x := *d
 		x.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
