--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -19,7 +19,7 @@
 //go:embed library/*.toml
 var library embed.FS
 
-// Names are the built-in rehearsals.
+// Names returns the names of the built-in rehearsals.
 func Names() (names []string) {
 	files, _ := fs.Glob(library, "library/*.toml")
 	for _, f := range files {
@@ -28,7 +28,7 @@
 	return names
 }
 
-// Open reads a built-in rehearsal by its name, or a file.
+// Open reads a built-in rehearsal by its name, or a scenario file.
 func Open(nameOrFile string) (*Day, error) {
 	if slices.Contains(Names(), nameOrFile) {
 		text, err := library.ReadFile("library/" + nameOrFile + ".toml")
@@ -47,44 +47,44 @@
 	return Parse(nameOrFile, text)
 }
 
-// Parse reads and checks a file's text. Its error names every fault that was found, a line each.
+// Parse reads and checks the text of a scenario file. Its error lists every mistake found, one per line.
 func Parse(file string, text []byte) (*Day, error) {
-	d := defaults()
-	f := strict.Decode(file, text, &d)
+	sc := defaults()
+	f := strict.Decode(file, text, &sc)
 	if !f.Sound() {
 		return nil, f.Err(ErrFaulty)
 	}
-	c := &checker{File: f, day: &d}
-	has := func(list string, i int) given {
+	c := &checker{File: f, scenario: &sc}
+	presenceIn := func(list string, i int) given {
 		return func(key string) bool { return f.Given(fmt.Sprintf("%s[%d].%s", list, i+1, key)) }
 	}
-	if len(d.Nodes) == 0 {
-		d.Nodes = []Node{{Name: "node", Count: 4}}
+	if len(sc.Nodes) == 0 {
+		sc.Nodes = []Node{{Name: "node", Count: 4}}
 	}
-	for i := range d.Nodes {
-		d.Nodes[i].settle(has("node", i))
+	for i := range sc.Nodes {
+		sc.Nodes[i].applyDefaults(presenceIn("node", i))
 	}
-	if len(d.Products) == 0 {
-		d.Products = usualProducts()
+	if len(sc.Products) == 0 {
+		sc.Products = defaultProducts()
 	}
-	for i := range d.Products {
-		d.Products[i].settle(has("product", i))
+	for i := range sc.Products {
+		sc.Products[i].applyDefaults(presenceIn("product", i))
 	}
-	if len(d.Tenants) == 0 {
-		d.Tenants = []Tenant{{Name: "shops", Share: 1}}
+	if len(sc.Tenants) == 0 {
+		sc.Tenants = []Tenant{{Name: "shops", Share: 1}}
 	}
-	for i := range d.Tenants {
-		or(has("tenant", i), "usage", &d.Tenants[i].Usage, 1)
+	for i := range sc.Tenants {
+		setDefault(presenceIn("tenant", i), "usage", &sc.Tenants[i].Usage, 1)
 	}
-	for i := range d.Faults {
-		d.Faults[i].settle(has("fault", i))
+	for i := range sc.Faults {
+		sc.Faults[i].applyDefaults(presenceIn("fault", i))
 	}
 	c.check()
-	return &d, f.Err(ErrFaulty)
+	return &sc, f.Err(ErrFaulty)
 }
 
-// usualProducts are those of a file that names none: reads, and writes of both kinds.
-func usualProducts() []Product {
+// defaultProducts returns the products of a file that lists none: reads, and writes of both non-idempotent kinds.
+func defaultProducts() []Product {
 	ms := func(n int) Span { return Span(time.Duration(n) * time.Millisecond) }
 	return []Product{
 		{Name: "balance", Share: 0.56, Work: ms(12), LatencySLO: ms(500), ClientTimeout: ms(1200)},
@@ -95,67 +95,68 @@
 	}
 }
 
+// checker checks the values of a scenario and collects the mistakes.
 type checker struct {
 	*strict.File
-	day *Day
+	scenario *Day
 }
 
-// within holds a figure to a range.
-func within[T int | float64 | Span](c *checker, key string, v, least, most T) {
-	strict.Within(c.File, key, v, least, most)
+// checkRange reports a value outside a range.
+func checkRange[T int | float64 | Span](c *checker, key string, v, lowest, highest T) {
+	strict.Within(c.File, key, v, lowest, highest)
 }
 
 const (
-	mostNodes     = 1 << 16 // what a machine can hold is seen when a day is brought up; these stop slips
-	mostBalancers = 1 << 16
-	mostLength    = Span(time.Hour)
-	longest       = Span(time.Minute) // that any single thing takes
+	maxNodes     = 1 << 16 // only catches typing errors; whether the machine is large enough is checked at the start of a rehearsal
+	maxBalancers = 1 << 16 // as maxNodes
+	maxLength    = Span(time.Hour)
+	maxDuration  = Span(time.Minute) // of any single timeout, delay or processing time
 )
 
 func (c *checker) check() {
-	d := c.day
-	within(c, "length", d.Length, Span(time.Second), mostLength)
-	within(c, "fleet.balancers", d.Fleet.Balancers, 1, mostBalancers)
-	within(c, "fleet.same", d.Fleet.Same, 0, Span(time.Second))
-	within(c, "fleet.cross", d.Fleet.Cross, 0, Span(time.Second))
-	within(c, "fleet.memory_mb", d.Fleet.MemoryMB, 16, 1<<16)
-	within(c, "fleet.sockets", d.Fleet.Sockets, 64, 1<<16)
-	within(c, "fleet.shots", d.Fleet.Attempts, 1, 16)
-	if d.Fleet.Mode != Aside && d.Fleet.Mode != Through {
-		c.Bad("fleet.mode", "expected aside or through, got %q", d.Fleet.Mode)
-	}
-	if len(d.Fleet.Zones) == 0 {
+	sc := c.scenario
+	checkRange(c, "length", sc.Length, Span(time.Second), maxLength)
+	checkRange(c, "fleet.balancers", sc.Fleet.Balancers, 1, maxBalancers)
+	checkRange(c, "fleet.same", sc.Fleet.Same, 0, Span(time.Second))
+	checkRange(c, "fleet.cross", sc.Fleet.Cross, 0, Span(time.Second))
+	checkRange(c, "fleet.memory_mb", sc.Fleet.MemoryMB, 16, 1<<16)
+	checkRange(c, "fleet.sockets", sc.Fleet.Sockets, 64, 1<<16)
+	checkRange(c, "fleet.shots", sc.Fleet.Attempts, 1, 16)
+	if sc.Fleet.Mode != Aside && sc.Fleet.Mode != Through {
+		c.Bad("fleet.mode", "expected aside or through, got %q", sc.Fleet.Mode)
+	}
+	if len(sc.Fleet.Zones) == 0 {
 		c.Bad("fleet.zones", "expected at least one")
 	}
-	zones := unique(c, "fleet.zones", d.Fleet.Zones)
-	c.nodes(zones)
-	c.gateway()
-	c.load()
-	c.products()
-	tenants := c.tenants()
-	if m := d.Mates; m.On {
-		within(c, "mates.period", m.Period, Span(50*time.Millisecond), longest)
-		within(c, "mates.suspect", m.Suspect, 2*m.Period, longest)
-		within(c, "mates.budget", m.Budget, 500, 1<<20)
-		within(c, "mates.lease", m.Lease, Span(time.Second), longest)
-		within(c, "mates.loss", m.Loss, 0, 0.9)
-		within(c, "mates.delay", m.Delay, 0, Span(time.Second))
-		within(c, "mates.jitter", m.Jitter, 0, Span(time.Second))
-	}
-	within(c, "rules.drain_grace", d.Rules.DrainGrace, Span(100*time.Millisecond), longest)
-	within(c, "rules.fall_multiple", d.Rules.FallMultiple, 0, 100)
-	within(c, "rules.fall_for", d.Rules.FallFor, Span(100*time.Millisecond), longest)
-	within(c, "rules.slack", d.Rules.Slack, 0, Span(time.Second))
-	within(c, "rules.prompt", d.Rules.Prompt, Span(20*time.Millisecond), Span(10*time.Second))
-	within(c, "rules.cold_blame", d.Rules.ColdBlame, 0.01, 1)
-	ids, _ := d.NodeIDs()
-	for i := range d.Faults {
-		c.fault(i, ids, zones, tenants)
+	zones := checkUnique(c, "fleet.zones", sc.Fleet.Zones)
+	c.checkNodes(zones)
+	c.checkGateway()
+	c.checkLoad()
+	c.checkProducts()
+	tenants := c.checkTenants()
+	if m := sc.Mates; m.On {
+		checkRange(c, "mates.period", m.Period, Span(50*time.Millisecond), maxDuration)
+		checkRange(c, "mates.suspect", m.Suspect, 2*m.Period, maxDuration)
+		checkRange(c, "mates.budget", m.Budget, 500, 1<<20)
+		checkRange(c, "mates.lease", m.Lease, Span(time.Second), maxDuration)
+		checkRange(c, "mates.loss", m.Loss, 0, 0.9)
+		checkRange(c, "mates.delay", m.Delay, 0, Span(time.Second))
+		checkRange(c, "mates.jitter", m.Jitter, 0, Span(time.Second))
+	}
+	checkRange(c, "rules.drain_grace", sc.Rules.DrainGrace, Span(100*time.Millisecond), maxDuration)
+	checkRange(c, "rules.fall_multiple", sc.Rules.FallMultiple, 0, 100)
+	checkRange(c, "rules.fall_for", sc.Rules.FallFor, Span(100*time.Millisecond), maxDuration)
+	checkRange(c, "rules.slack", sc.Rules.Slack, 0, Span(time.Second))
+	checkRange(c, "rules.prompt", sc.Rules.Prompt, Span(20*time.Millisecond), Span(10*time.Second))
+	checkRange(c, "rules.cold_blame", sc.Rules.ColdBlame, 0.01, 1)
+	ids, _ := sc.NodeIDs()
+	for i := range sc.Faults {
+		c.checkFault(i, ids, zones, tenants)
 	}
 }
 
-// unique names what stands twice in a list.
-func unique(c *checker, key string, names []string) map[string]bool {
+// checkUnique reports invalid and repeated names in a list and returns the set of names.
+func checkUnique(c *checker, key string, names []string) map[string]bool {
 	seen := map[string]bool{}
 	for _, n := range names {
 		if n == "" || strings.ContainsAny(n, " ,=\r\n\t") {
@@ -169,308 +170,310 @@
 	return seen
 }
 
-func (c *checker) nodes(zones map[string]bool) {
-	d, n := c.day, 0
+func (c *checker) checkNodes(zones map[string]bool) {
+	sc, n := c.scenario, 0
 	names := map[string]bool{}
-	for i := range d.Nodes {
-		g, at := &d.Nodes[i], fmt.Sprintf("node[%d].", i+1)
+	for i := range sc.Nodes {
+		g, prefix := &sc.Nodes[i], fmt.Sprintf("node[%d].", i+1)
 		if g.Name == "" || strings.ContainsAny(g.Name, " ,=*") || names[g.Name] {
-			c.Bad(at+"name", "expected a name of its own without blanks, got %q", g.Name)
+			c.Bad(prefix+"name", "expected a name of its own without blanks, got %q", g.Name)
 		}
 		names[g.Name] = true
-		if g.Zone == "" && len(d.Fleet.Zones) > 0 {
-			g.Zone = d.Fleet.Zones[0]
+		if g.Zone == "" && len(sc.Fleet.Zones) > 0 {
+			g.Zone = sc.Fleet.Zones[0]
 		}
 		if !zones[g.Zone] {
-			c.Bad(at+"zone", "no zone is called %q", g.Zone)
+			c.Bad(prefix+"zone", "no zone is called %q", g.Zone)
 		}
-		within(c, at+"count", g.Count, 1, mostNodes)
-		within(c, at+"cores", g.Cores, 1, 1024)
-		within(c, at+"speed", g.Speed, 0.01, 100)
-		within(c, at+"queue", g.Queue, 0, 1<<20)
-		within(c, at+"keep_mb", g.KeepMB, 0.001, 4096)
-		within(c, at+"connections", g.Connections, 1, 1<<16)
-		within(c, at+"connect_work", g.ConnectWork, 0, Span(time.Second))
-		within(c, at+"probe_work", g.ProbeWork, 0, Span(time.Second))
-		within(c, at+"idle", g.Idle, Span(100*time.Millisecond), mostLength)
-		within(c, at+"idle_told", g.IdleTold, 0, mostLength)
-		within(c, at+"cold_from", g.ColdFrom, 0.01, 1)
-		within(c, at+"warm_for", g.WarmFor, 0, mostLength)
+		checkRange(c, prefix+"count", g.Count, 1, maxNodes)
+		checkRange(c, prefix+"cores", g.Cores, 1, 1024)
+		checkRange(c, prefix+"speed", g.Speed, 0.01, 100)
+		checkRange(c, prefix+"queue", g.Queue, 0, 1<<20)
+		checkRange(c, prefix+"keep_mb", g.KeepMB, 0.001, 4096)
+		checkRange(c, prefix+"connections", g.Connections, 1, 1<<16)
+		checkRange(c, prefix+"connect_work", g.ConnectWork, 0, Span(time.Second))
+		checkRange(c, prefix+"probe_work", g.ProbeWork, 0, Span(time.Second))
+		checkRange(c, prefix+"idle", g.Idle, Span(100*time.Millisecond), maxLength)
+		checkRange(c, prefix+"idle_told", g.IdleTold, 0, maxLength)
+		checkRange(c, prefix+"cold_from", g.ColdFrom, 0.01, 1)
+		checkRange(c, prefix+"warm_for", g.WarmFor, 0, maxLength)
 		if g.PauseEvery > 0 {
-			within(c, at+"pause_every", g.PauseEvery, Span(100*time.Millisecond), mostLength)
-			within(c, at+"pause_for", g.PauseFor, Span(time.Millisecond), g.PauseEvery)
+			checkRange(c, prefix+"pause_every", g.PauseEvery, Span(100*time.Millisecond), maxLength)
+			checkRange(c, prefix+"pause_for", g.PauseFor, Span(time.Millisecond), g.PauseEvery)
 		}
 		n += g.Count
 	}
-	if n > mostNodes {
-		c.Bad("node", "expected at most %d nodes, got %d", mostNodes, n)
+	if n > maxNodes {
+		c.Bad("node", "expected at most %d nodes, got %d", maxNodes, n)
 	}
 }
 
-func (c *checker) gateway() {
-	g := c.day.Gateway
-	within(c, "gateway.slots", g.Slots, 1, 1<<16)
-	within(c, "gateway.time", g.Time, Span(time.Millisecond), longest)
-	within(c, "gateway.queue", g.Queue, 0, 1<<16)
-	within(c, "gateway.fall_multiple", g.FallMultiple, 0, 100)
-	within(c, "gateway.fall_for", g.FallFor, Span(100*time.Millisecond), longest)
-	within(c, "gateway.stop_for", g.StopFor, Span(100*time.Millisecond), longest)
-	late := c.day.Register.Late
-	within(c, "register.late", late[0], 0, late[1])
-	within(c, "register.late", late[1], 0, longest)
+func (c *checker) checkGateway() {
+	g := c.scenario.Gateway
+	checkRange(c, "gateway.slots", g.Slots, 1, 1<<16)
+	checkRange(c, "gateway.time", g.Time, Span(time.Millisecond), maxDuration)
+	checkRange(c, "gateway.queue", g.Queue, 0, 1<<16)
+	checkRange(c, "gateway.fall_multiple", g.FallMultiple, 0, 100)
+	checkRange(c, "gateway.fall_for", g.FallFor, Span(100*time.Millisecond), maxDuration)
+	checkRange(c, "gateway.stop_for", g.StopFor, Span(100*time.Millisecond), maxDuration)
+	late := c.scenario.Register.Late
+	checkRange(c, "register.late", late[0], 0, late[1])
+	checkRange(c, "register.late", late[1], 0, maxDuration)
 }
 
-func (c *checker) load() {
-	d := c.day
-	within(c, "load.per_s", d.Load.PerS, 0.1, 1e6)
-	within(c, "load.swing", d.Load.Swing, 0, 0.95)
-	if d.Load.Swing > 0 {
-		within(c, "load.swing_for", d.Load.SwingFor, Span(time.Second), mostLength)
-	}
-	within(c, "load.keys", d.Load.Keys, 1, 1<<22)
-	within(c, "load.zipf", d.Load.Zipf, 0, 4)
-	within(c, "load.value_size", d.Load.ValueSize, 64, 4<<20) // the key, the version and the id go into a value
-	within(c, "load.quota", d.Load.Quota, 0.01, 10)
-	within(c, "load.warm", d.Load.Warm, 0, 1)
-	if n := d.Load.PerS * d.Length.D().Seconds(); n > model.MostArrivals/4 {
-		c.Bad("load.per_s", "%.0f requests in %v are more than the kit plans (%d)", n, d.Length, model.MostArrivals/4)
-	}
-	within(c, "client.tries", d.Clients.Tries, 0, 10)
-	within(c, "client.wait", d.Clients.Wait, Span(time.Millisecond), longest)
-	within(c, "client.honour", d.Clients.Honour, 0, 1)
-	within(c, "client.come_back", d.Clients.ComeBack, 0, longest)
-	within(c, "client.notice", d.Clients.Notice, 0, longest)
-	g := d.Clients.GiveUpAt
-	within(c, "client.give_up_at", g[0], 0.05, g[1])
-	within(c, "client.give_up_at", g[1], 0.05, 1)
-	if n := len(d.Clients.ZoneParts); n != 0 && n != len(d.Fleet.Zones) {
-		c.Bad("client.zone_parts", "expected a part for each of the %d zones, got %d", len(d.Fleet.Zones), n)
+func (c *checker) checkLoad() {
+	sc := c.scenario
+	checkRange(c, "load.per_s", sc.Load.PerS, 0.1, 1e6)
+	checkRange(c, "load.swing", sc.Load.Swing, 0, 0.95)
+	if sc.Load.Swing > 0 {
+		checkRange(c, "load.swing_for", sc.Load.SwingFor, Span(time.Second), maxLength)
+	}
+	checkRange(c, "load.keys", sc.Load.Keys, 1, 1<<22)
+	checkRange(c, "load.zipf", sc.Load.Zipf, 0, 4)
+	checkRange(c, "load.value_size", sc.Load.ValueSize, 64, 4<<20) // a value has to hold the key, the version and the id
+	checkRange(c, "load.quota", sc.Load.Quota, 0.01, 10)
+	checkRange(c, "load.warm", sc.Load.Warm, 0, 1)
+	if n := sc.Load.PerS * sc.Length.D().Seconds(); n > model.MostArrivals/4 {
+		c.Bad("load.per_s", "%.0f requests in %v exceed the maximum of %d", n, sc.Length, model.MostArrivals/4)
+	}
+	checkRange(c, "client.tries", sc.Clients.Tries, 0, 10)
+	checkRange(c, "client.wait", sc.Clients.Wait, Span(time.Millisecond), maxDuration)
+	checkRange(c, "client.honour", sc.Clients.Honour, 0, 1)
+	checkRange(c, "client.come_back", sc.Clients.ComeBack, 0, maxDuration)
+	checkRange(c, "client.notice", sc.Clients.Notice, 0, maxDuration)
+	g := sc.Clients.GiveUpAt
+	checkRange(c, "client.give_up_at", g[0], 0.05, g[1])
+	checkRange(c, "client.give_up_at", g[1], 0.05, 1)
+	if n := len(sc.Clients.ZoneParts); n != 0 && n != len(sc.Fleet.Zones) {
+		c.Bad("client.zone_parts", "expected a part for each of the %d zones, got %d", len(sc.Fleet.Zones), n)
 	}
 }
 
-func (c *checker) products() {
+func (c *checker) checkProducts() {
 	names := map[string]bool{}
-	for i, p := range c.day.Products {
-		at := fmt.Sprintf("product[%d].", i+1)
+	for i, p := range c.scenario.Products {
+		prefix := fmt.Sprintf("product[%d].", i+1)
 		if p.Name == "" || strings.ContainsAny(p.Name, " ,=") || names[p.Name] {
-			c.Bad(at+"name", "expected a name of its own without blanks, got %q", p.Name)
+			c.Bad(prefix+"name", "expected a name of its own without blanks, got %q", p.Name)
 		}
 		names[p.Name] = true
-		within(c, at+"share", p.Share, 0.0001, 1e6)
-		within(c, at+"work", p.Work, Span(time.Microsecond), longest)
-		within(c, at+"variation", p.Variation, 0.01, 10)
-		within(c, at+"latency_slo", p.LatencySLO, Span(time.Millisecond), longest)
-		if p.ClientTimeout < p.LatencySLO || p.ClientTimeout > longest {
-			c.Bad(at+"client_timeout", "expected the latency SLO (%v) to %v, got %v", p.LatencySLO, longest, p.ClientTimeout)
+		checkRange(c, prefix+"share", p.Share, 0.0001, 1e6)
+		checkRange(c, prefix+"work", p.Work, Span(time.Microsecond), maxDuration)
+		checkRange(c, prefix+"variation", p.Variation, 0.01, 10)
+		checkRange(c, prefix+"latency_slo", p.LatencySLO, Span(time.Millisecond), maxDuration)
+		if p.ClientTimeout < p.LatencySLO || p.ClientTimeout > maxDuration {
+			c.Bad(prefix+"client_timeout", "expected the latency SLO (%v) to %v, got %v", p.LatencySLO, maxDuration, p.ClientTimeout)
 		}
-		within(c, at+"billed_value", p.BilledValue, 0.0001, 1e9)
+		checkRange(c, prefix+"billed_value", p.BilledValue, 0.0001, 1e9)
 		if p.Law != model.Exponential && p.Law != model.LogNormal && p.Law != model.Constant {
-			c.Bad(at+"law", "expected exponential, lognormal or constant, got %q", p.Law)
+			c.Bad(prefix+"law", "expected exponential, lognormal or constant, got %q", p.Law)
 		}
 		switch p.Effect {
 		case Idempotent, NonIdempotent:
 			if p.Window != 0 {
-				c.Bad(at+"window", "only a deduplicated product has one")
+				c.Bad(prefix+"window", "only a deduplicated product has a window")
 			}
 		case Deduplicated:
-			within(c, at+"window", p.Window, Span(100*time.Millisecond), longest)
+			checkRange(c, prefix+"window", p.Window, Span(100*time.Millisecond), maxDuration)
 		default:
-			c.Bad(at+"effect", "expected idempotent, deduplicated or non-idempotent, got %q", p.Effect)
+			c.Bad(prefix+"effect", "expected idempotent, deduplicated or non-idempotent, got %q", p.Effect)
 		}
 		if p.Effect != Idempotent && !p.Write {
-			c.Bad(at+"write", "a product that may not run again is a write")
+			c.Bad(prefix+"write", "a product that is not idempotent must be a write")
 		}
 	}
 }
 
-func (c *checker) tenants() map[string]bool {
+func (c *checker) checkTenants() map[string]bool {
 	names := map[string]bool{}
-	for i, t := range c.day.Tenants {
-		at := fmt.Sprintf("tenant[%d].", i+1)
+	for i, t := range c.scenario.Tenants {
+		prefix := fmt.Sprintf("tenant[%d].", i+1)
 		if t.Name == "" || strings.ContainsAny(t.Name, " ,=") || names[t.Name] {
-			c.Bad(at+"name", "expected a name of its own without blanks, got %q", t.Name)
+			c.Bad(prefix+"name", "expected a name of its own without blanks, got %q", t.Name)
 		}
 		names[t.Name] = true
-		within(c, at+"share", t.Share, 0.0001, 1)
-		within(c, at+"usage", t.Usage, 0.0001, 100)
+		checkRange(c, prefix+"share", t.Share, 0.0001, 1)
+		checkRange(c, prefix+"usage", t.Usage, 0.0001, 100)
 		for _, b := range t.At {
-			within(c, at+"at", b, 1, c.day.Fleet.Balancers)
+			checkRange(c, prefix+"at", b, 1, c.scenario.Fleet.Balancers)
 		}
 	}
 	return names
 }
 
-func (c *checker) fault(i int, ids []string, zones, tenants map[string]bool) {
-	f, at := &c.day.Faults[i], fmt.Sprintf("fault[%d].", i+1)
-	k, ok := kinds[f.Do]
+func (c *checker) checkFault(i int, ids []string, zones, tenants map[string]bool) {
+	f, prefix := &c.scenario.Faults[i], fmt.Sprintf("fault[%d].", i+1)
+	k, ok := faultKinds[f.Do]
 	if !ok {
-		c.Bad(at+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Do)
+		c.Bad(prefix+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Do)
 		return
 	}
 	for _, key := range []string{"for", "nodes", "part", "by", "delay", "zone", "balancers", "tenant", "keys", "at_once", "drain",
 		"same_address", "count", "to", "one_way"} {
-		given := c.Given(at + key)
+		isSet := c.Given(prefix + key)
 		switch {
-		case slices.Contains(k.needs, key) && !given:
-			c.Bad(at+key, "%s needs it", f.Do)
-		case given && !slices.Contains(k.needs, key) && !slices.Contains(k.may, key):
-			c.Bad(at+key, "%s has no such key", f.Do)
+		case slices.Contains(k.required, key) && !isSet:
+			c.Bad(prefix+key, "%s needs it", f.Do)
+		case isSet && !slices.Contains(k.required, key) && !slices.Contains(k.optional, key):
+			c.Bad(prefix+key, "%s has no such key", f.Do)
 		}
 	}
-	within(c, at+"at", f.At, 0, c.day.Length)
-	if f.For < 0 || f.At+f.For > c.day.Length {
-		c.Bad(at+"for", "the fault would end at %v, after the day (%v)", f.At+f.For, c.day.Length)
+	checkRange(c, prefix+"at", f.At, 0, c.scenario.Length)
+	if f.For < 0 || f.At+f.For > c.scenario.Length {
+		c.Bad(prefix+"for", "the fault would end at %v, after the end of the rehearsal (%v)", f.At+f.For, c.scenario.Length)
 	}
-	if c.Given(at + "part") {
-		within(c, at+"part", f.Part, 0.001, 1)
+	if c.Given(prefix + "part") {
+		checkRange(c, prefix+"part", f.Part, 0.001, 1)
 	}
-	if slices.Contains(k.needs, "by") {
-		within(c, at+"by", f.By, 0.01, 1000)
+	if slices.Contains(k.required, "by") {
+		checkRange(c, prefix+"by", f.By, 0.01, 1000)
 	}
 	if f.Do == "hot" {
-		within(c, at+"keys", f.Keys, 1, 1000)
+		checkRange(c, prefix+"keys", f.Keys, 1, 1000)
 	}
 	if f.Do == "link-delay" {
-		within(c, at+"delay", f.Delay, Span(time.Millisecond), longest)
+		checkRange(c, prefix+"delay", f.Delay, Span(time.Millisecond), maxDuration)
 	}
 	if f.Do == "mate-flap" || f.Do == "mate-delay" || f.Do == "mate-reorder" {
-		within(c, at+"delay", f.Delay, Span(time.Millisecond), longest)
+		checkRange(c, prefix+"delay", f.Delay, Span(time.Millisecond), maxDuration)
 	}
-	if ofMates := strings.HasPrefix(f.Do, "mate-"); (ofMates || f.Do == "balancer-astray" || f.Do == "balancer-twin") && !c.day.Mates.On {
-		c.Bad(at+"do", "%s needs balancers that speak with each other (mates.on)", f.Do)
+	if betweenBalancers := strings.HasPrefix(f.Do, "mate-"); (betweenBalancers || f.Do == "balancer-astray" || f.Do == "balancer-twin") && !c.scenario.Mates.On {
+		c.Bad(prefix+"do", "%s needs balancers that communicate with each other (mates.on)", f.Do)
 	}
 	if f.Do == "balancer-twin" && (len(f.Balancers) != 1 || len(f.To) != 1 || f.Balancers[0] == f.To[0]) {
-		c.Bad(at+"to", "balancer-twin is of one balancer and another one")
+		c.Bad(prefix+"to", "balancer-twin needs exactly one balancer and a different one in to")
 	}
 	if f.Do == "rude" {
-		within(c, at+"count", f.Count, 1, 20000)
+		checkRange(c, prefix+"count", f.Count, 1, 20000)
 	}
 	if f.Do == "crowd" {
-		within(c, at+"count", f.Count, 1, 20000)
+		checkRange(c, prefix+"count", f.Count, 1, 20000)
 	}
 	if f.Do == "deploy" {
-		within(c, at+"at_once", f.AtOnce, 1, max(1, len(ids)))
-		within(c, at+"drain", f.Drain, Span(100*time.Millisecond), longest)
+		checkRange(c, prefix+"at_once", f.AtOnce, 1, max(1, len(ids)))
+		checkRange(c, prefix+"drain", f.Drain, Span(100*time.Millisecond), maxDuration)
 	}
 	if f.Zone != "" && !zones[f.Zone] {
-		c.Bad(at+"zone", "no zone is called %q", f.Zone)
+		c.Bad(prefix+"zone", "no zone is called %q", f.Zone)
 	}
 	if f.Tenant != "" && !tenants[f.Tenant] {
-		c.Bad(at+"tenant", "no tenant is called %q", f.Tenant)
+		c.Bad(prefix+"tenant", "no tenant is called %q", f.Tenant)
 	}
 	for _, n := range f.Nodes {
-		if !slices.ContainsFunc(ids, func(id string) bool { return matches(n, id) }) {
-			c.Bad(at+"nodes", "no node is called %q", n)
+		if !slices.ContainsFunc(ids, func(id string) bool { return matchesPattern(n, id) }) {
+			c.Bad(prefix+"nodes", "no node is called %q", n)
 		}
 	}
 	for _, b := range f.To {
-		if b < 1 || b > c.day.Fleet.Balancers {
-			c.Bad(at+"to", "expected 1 to %d, got %d", c.day.Fleet.Balancers, b)
+		if b < 1 || b > c.scenario.Fleet.Balancers {
+			c.Bad(prefix+"to", "expected 1 to %d, got %d", c.scenario.Fleet.Balancers, b)
 		}
 	}
 	for _, b := range f.Balancers {
-		if b < 1 || b > c.day.Fleet.Balancers {
-			c.Bad(at+"balancers", "expected 1 to %d, got %d", c.day.Fleet.Balancers, b)
+		if b < 1 || b > c.scenario.Fleet.Balancers {
+			c.Bad(prefix+"balancers", "expected 1 to %d, got %d", c.scenario.Fleet.Balancers, b)
 		}
 	}
 }
 
-// matches tells whether a word of a fault means a node: its name, or the begin of it before a star.
-func matches(word, id string) bool {
-	if begin, ok := strings.CutSuffix(word, "*"); ok {
-		return strings.HasPrefix(id, begin)
+// matchesPattern reports whether a pattern of a fault's nodes matches a node id. A pattern is an id, or a prefix and a star.
+func matchesPattern(pattern, id string) bool {
+	if prefix, ok := strings.CutSuffix(pattern, "*"); ok {
+		return strings.HasPrefix(id, prefix)
 	}
-	return word == id
+	return pattern == id
 }
 
-// Kinds are the kinds of faults, in order.
+// Kinds returns the kinds of faults in alphabetical order.
 func Kinds() (names []string) {
-	for k := range kinds {
+	for k := range faultKinds {
 		names = append(names, k)
 	}
 	slices.Sort(names)
 	return names
 }
 
-// KindAbout says what a kind of fault does.
-func KindAbout(name string) string { return kinds[name].about }
+// KindAbout describes what a kind of fault does.
+func KindAbout(name string) string { return faultKinds[name].description }
 
-// Hit are the nodes at the start of the day that a fault is about: those it names, or a drawn part of all.
-func (d *Day) Hit(i int) (hit []string) {
-	f := &d.Faults[i]
-	ids, groups := d.NodeIDs()
+// Hit returns those of the initial cache nodes that a fault affects: the ones that it lists, or a random share of all,
+// which depends only on the seed.
+func (sc *Day) Hit(i int) (affected []string) {
+	f := &sc.Faults[i]
+	ids, groups := sc.NodeIDs()
 	if f.Do == "zone-dark" {
 		for _, id := range ids {
 			if groups[id].Zone == f.Zone {
-				hit = append(hit, id)
+				affected = append(affected, id)
 			}
 		}
-		return hit
+		return affected
 	}
 	if len(f.Nodes) > 0 {
 		for _, id := range ids {
-			if slices.ContainsFunc(f.Nodes, func(w string) bool { return matches(w, id) }) {
-				hit = append(hit, id)
+			if slices.ContainsFunc(f.Nodes, func(pattern string) bool { return matchesPattern(pattern, id) }) {
+				affected = append(affected, id)
 			}
 		}
-		return hit
+		return affected
 	}
-	r := model.Stream(d.Seed, "fault "+strconv.Itoa(i))
+	r := model.Stream(sc.Seed, "fault "+strconv.Itoa(i))
 	r.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
-	hit = ids[:max(1, int(f.Part*float64(len(ids))+0.5))]
-	slices.Sort(hit)
-	return hit
+	affected = ids[:max(1, int(f.Part*float64(len(ids))+0.5))]
+	slices.Sort(affected)
+	return affected
 }
 
-// HitBalancers are the balancers that a fault is about, counted from 0; all where it names none.
-func (d *Day) HitBalancers(i int) (hit []int) {
-	for _, b := range d.Faults[i].Balancers {
-		hit = append(hit, b-1)
-	}
-	if len(hit) == 0 {
-		for b := range d.Fleet.Balancers {
-			hit = append(hit, b)
+// HitBalancers returns the balancers that a fault affects, counted from 0; all if it lists none.
+func (sc *Day) HitBalancers(i int) (affected []int) {
+	for _, b := range sc.Faults[i].Balancers {
+		affected = append(affected, b-1)
+	}
+	if len(affected) == 0 {
+		for b := range sc.Fleet.Balancers {
+			affected = append(affected, b)
 		}
 	}
-	return hit
+	return affected
 }
 
-// Ways are the ordered pairs of balancers, counted from 0, that a fault between them is about: from each of BALANCERS to each of
-// TO, where these are left out from or to all others, and back unless it is one way.
-func (d *Day) Ways(i int) (ways [][2]int) {
-	f := &d.Faults[i]
-	all := func(list []int) (of []int) {
+// Ways returns the directed links between balancers, counted from 0, that a fault affects: from each of BALANCERS to each
+// of TO, and back unless the fault is one-way. A list that is left out means all balancers.
+func (sc *Day) Ways(i int) (pairs [][2]int) {
+	f := &sc.Faults[i]
+	choose := func(list []int) (selected []int) {
 		for _, b := range list {
-			of = append(of, b-1)
+			selected = append(selected, b-1)
 		}
-		for b := range d.Fleet.Balancers {
+		for b := range sc.Fleet.Balancers {
 			if len(list) == 0 {
-				of = append(of, b)
+				selected = append(selected, b)
 			}
 		}
-		return of
+		return selected
 	}
-	has := map[[2]int]bool{}
+	seen := map[[2]int]bool{}
 	add := func(from, to int) {
-		if from != to && !has[[2]int{from, to}] {
-			has[[2]int{from, to}] = true
-			ways = append(ways, [2]int{from, to})
+		if from != to && !seen[[2]int{from, to}] {
+			seen[[2]int{from, to}] = true
+			pairs = append(pairs, [2]int{from, to})
 		}
 	}
-	for _, from := range all(f.Balancers) {
-		for _, to := range all(f.To) {
+	for _, from := range choose(f.Balancers) {
+		for _, to := range choose(f.To) {
 			add(from, to)
 			if !f.OneWay {
 				add(to, from)
 			}
 		}
 	}
-	return ways
+	return pairs
 }
 
-// Harm is what a fault does to a way between balancers while it lasts; end takes it back to what the day has.
-func (d *Day) Harm(i int, end bool) func(*model.WayTerms) {
-	f, usual := &d.Faults[i], d.Mates.Way()
+// Harm returns the change that a fault makes to the link between two balancers; with end set, the change restores the
+// scenario's usual link.
+func (sc *Day) Harm(i int, end bool) func(*model.WayTerms) {
+	f, normal := &sc.Faults[i], sc.Mates.Way()
 	if end {
 		f = &Fault{Do: f.Do}
 	}
@@ -479,9 +482,9 @@
 		case "mate-cut", "mate-flap":
 			w.Cut = !end
 		case "mate-loss":
-			w.Loss = max(usual.Loss, f.Part)
+			w.Loss = max(normal.Loss, f.Part)
 		case "mate-delay":
-			w.Jitter = usual.Jitter + f.Delay.D()
+			w.Jitter = normal.Jitter + f.Delay.D()
 		case "mate-repeat":
 			w.Repeat = f.Part
 		case "mate-reorder":
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -1,5 +1,6 @@
-// Package scenario reads the files that describe a rehearsal: the fleet, who calls, what goes wrong when, and by which
-// figures the rules are judged. A file is checked whole; each fault in it is named with file, line and key.
+// Package scenario reads the files that describe a rehearsal: the fleet, the clients and their traffic, the faults to
+// inject and when, and the limits that the judge applies. A file is checked as a whole; the error lists each mistake in
+// it with file, line and key.
 package scenario
 
 import (
@@ -17,13 +18,13 @@
 	"streamrail/internal/strict"
 )
 
-// Span is a length of time, written like 250ms.
+// Span is a duration, written like 250ms.
 type Span = strict.Span
 
-// Range is from a least to a most.
+// Range holds the lower and the upper bound of a duration.
 type Range [2]Span
 
-// Day is one rehearsal.
+// Day describes one rehearsal; it is the content of a scenario file.
 type Day struct {
 	Name   string `toml:"name"`
 	About  string `toml:"about"`
@@ -42,23 +43,23 @@
 	Mates    Mates     `toml:"mates"`
 	Faults   []Fault   `toml:"fault,omitempty"`
 
-	Operator string `toml:"operator"` // the text of the operator's own file for the balancers
+	Operator string `toml:"operator"` // text of the operator's file that each balancer is started with
 }
 
-// Fleet is where things stand and what a balancer is given.
+// Fleet describes the zones, the delays between them and the resources of each balancer.
 type Fleet struct {
 	Zones     []string `toml:"zones"`
-	Balancers int      `toml:"balancers"` // spread over the zones in turn
-	Same      Span     `toml:"same"`      // one way within a zone
-	Cross     Span     `toml:"cross"`     // one way between zones
+	Balancers int      `toml:"balancers"` // assigned to the zones round-robin
+	Same      Span     `toml:"same"`      // one-way delay within a zone
+	Cross     Span     `toml:"cross"`     // one-way delay between zones
 	MemoryMB  int      `toml:"memory_mb"` // of each balancer
 	Sockets   int      `toml:"sockets"`
-	Attempts  int      `toml:"shots"`   // of one request at most
-	Mode      string   `toml:"mode"`    // aside: nodes answer a miss and the balancer asks the gateway; through: nodes ask it
-	Reports   bool     `toml:"reports"` // nodes add their load to answers
+	Attempts  int      `toml:"shots"`   // maximum attempts per request
+	Mode      string   `toml:"mode"`    // aside: cache nodes report a miss and the balancer asks the gateway; through: cache nodes ask the gateway themselves
+	Reports   bool     `toml:"reports"` // cache nodes add their load to answers
 }
 
-// Node is a group of equal cache nodes; they are called NAME-1, NAME-2 and so on.
+// Node describes a group of identical cache nodes, named NAME-1, NAME-2 and so on.
 type Node struct {
 	Name         string  `toml:"name"`
 	Zone         string  `toml:"zone"`
@@ -70,8 +71,8 @@
 	Connections  int     `toml:"connections"`
 	ConnectWork  Span    `toml:"connect_work"`
 	ProbeWork    Span    `toml:"probe_work"`
-	Idle         Span    `toml:"idle"`      // it closes a connection that rests for so long
-	IdleTold     Span    `toml:"idle_told"` // what balancers are told of that; by default the truth
+	Idle         Span    `toml:"idle"`      // the node closes a connection that has been idle for this long
+	IdleTold     Span    `toml:"idle_told"` // the idle timeout that balancers are configured with; Idle by default
 	PauseEvery   Span    `toml:"pause_every"`
 	PauseFor     Span    `toml:"pause_for"`
 	ColdFrom     float64 `toml:"cold_from"`
@@ -79,7 +80,7 @@
 	DropsGivenUp bool    `toml:"drops_given_up"`
 }
 
-// Gateway is what the cache nodes lack is asked of.
+// Gateway describes the origin behind the caches, which answers cache misses.
 type Gateway struct {
 	Slots        int     `toml:"slots"`
 	Time         Span    `toml:"time"`
@@ -89,12 +90,12 @@
 	StopFor      Span    `toml:"stop_for"`
 }
 
-// Register is how late the list tells what happens.
+// Register describes the discovery stand-in: Late is the delay until the host list shows a change.
 type Register struct {
 	Late Range `toml:"late"`
 }
 
-// Load is the usual traffic.
+// Load describes the traffic apart from surges and other faults.
 type Load struct {
 	PerS      float64 `toml:"per_s"`
 	Swing     float64 `toml:"swing"`
@@ -102,22 +103,22 @@
 	Keys      int     `toml:"keys"`
 	Zipf      float64 `toml:"zipf"`
 	ValueSize int     `toml:"value_size"`
-	Quota     float64 `toml:"quota"` // share of the fleet's capacity that the tenants' allowances make up together
-	Warm      float64 `toml:"warm"`  // share of the keys that the nodes keep at the start, the most popular first
+	Quota     float64 `toml:"quota"` // sum of all tenants' quotas, as a share of the fleet's capacity
+	Warm      float64 `toml:"warm"`  // share of the keys that are cached at the start, the most popular first
 }
 
-// Clients is how callers behave.
+// Clients describes how clients behave.
 type Clients struct {
-	Tries     int        `toml:"tries"` // besides the first
+	Tries     int        `toml:"tries"` // client retries, not counting the first request
 	Wait      Span       `toml:"wait"`
-	Honour    float64    `toml:"honour"` // share of the come-back times that are kept to
+	Honour    float64    `toml:"honour"` // share of the requested waiting times that clients obey
 	ComeBack  Span       `toml:"come_back"`
 	GiveUpAt  [2]float64 `toml:"give_up_at"`
-	Notice    Span       `toml:"notice"` // until the front leaves a dead balancer alone
+	Notice    Span       `toml:"notice"` // time until clients stop using a balancer that has ended
 	ZoneParts []float64  `toml:"zone_parts"`
 }
 
-// Product is a kind of request.
+// Product describes a class of requests.
 type Product struct {
 	Name          string    `toml:"name"`
 	Share         float64   `toml:"share"`
@@ -128,49 +129,50 @@
 	ClientTimeout Span      `toml:"client_timeout"`
 	BilledValue   float64   `toml:"billed_value"`
 	Effect        string    `toml:"effect"` // idempotent, deduplicated or non-idempotent
-	Window        Span      `toml:"window"` // in which a deduplicated one's repeats are dropped
+	Window        Span      `toml:"window"` // the span in which repeats of a deduplicated request are dropped
 	Write         bool      `toml:"write"`
 }
 
-// Tenant is who calls.
+// Tenant describes a customer and its traffic.
 type Tenant struct {
 	Name  string  `toml:"name"`
-	Share float64 `toml:"share"` // of the fleet
-	Usage float64 `toml:"usage"` // of its share in the usual traffic
-	At    []int   `toml:"at"`    // balancers that its clients use; all where none is named
+	Share float64 `toml:"share"` // of the sum of all quotas
+	Usage float64 `toml:"usage"` // its share of the traffic, relative to Share
+	At    []int   `toml:"at"`    // numbers of the balancers that its clients use; all if empty
 }
 
-// Rules are the figures of the rules.
+// Rules holds the limits that the judge applies and the overload behaviour of cache nodes.
 type Rules struct {
 	DrainGrace   Span    `toml:"drain_grace"`
 	FallMultiple float64 `toml:"fall_multiple"`
 	FallFor      Span    `toml:"fall_for"`
-	Slack        Span    `toml:"slack"`      // that each time limit of the judge gets for the way
-	Prompt       Span    `toml:"prompt"`     // in which what is given up is answered
-	ColdBlame    float64 `toml:"cold_blame"` // share of misses at cold nodes from which a stopped gateway breaks rule four
+	Slack        Span    `toml:"slack"`      // tolerance added to each time limit of the judge for transit
+	Prompt       Span    `toml:"prompt"`     // time within which a request that was given up must be answered
+	ColdBlame    float64 `toml:"cold_blame"` // a stopped gateway is a breach if at least this share of its load was misses at cold nodes
 }
 
-// Mates is how the balancers speak with each other, and by what ways; they do not unless On.
+// Mates describes the membership protocol between balancers and the links that it uses. Without On, balancers do not
+// communicate with each other.
 type Mates struct {
 	On      bool    `toml:"on"`
 	Period  Span    `toml:"period"`
 	Suspect Span    `toml:"suspect"`
 	Budget  int     `toml:"budget"`
-	Loss    float64 `toml:"loss"` // everywhere, all day
+	Loss    float64 `toml:"loss"` // share of datagrams lost on every link for the whole rehearsal
 	Delay   Span    `toml:"delay"`
 	Jitter  Span    `toml:"jitter"`
-	Limits  bool    `toml:"limits"` // parts of what holds for the fleet move
+	Limits  bool    `toml:"limits"` // balancers lend each other shares of fleet-wide limits
 	Lease   Span    `toml:"lease"`
-	// Evidence has balancers tell each other how attempts at nodes ended.
+	// Evidence makes balancers exchange observations of how attempts at cache nodes ended.
 	Evidence bool `toml:"evidence"`
 }
 
-// Way is what the day has between any two balancers.
+// Way returns the usual properties of the link between any two balancers.
 func (m *Mates) Way() model.WayTerms {
 	return model.WayTerms{Loss: m.Loss, Delay: m.Delay.D(), Jitter: m.Jitter.D()}
 }
 
-// Fault is something that goes wrong.
+// Fault describes one injected fault.
 type Fault struct {
 	Do        string   `toml:"do"`
 	At        Span     `toml:"at"`
@@ -191,57 +193,57 @@
 	OneWay    bool     `toml:"one_way"`
 }
 
-// kind says what a fault needs and may have.
-type kind struct {
-	about string
-	needs []string
-	may   []string
-}
-
-var kinds = map[string]kind{
-	"slow":             {"nodes do their work BY times slower", []string{"for", "by"}, []string{"nodes", "part"}},
-	"stall":            {"nodes take calls and do none", []string{"for"}, []string{"nodes", "part"}},
-	"kill":             {"nodes die without a word and come back cold after FOR", []string{"for"}, []string{"nodes", "part"}},
-	"vanish":           {"nodes fall silent, connections too, and come back cold after FOR", []string{"for"}, []string{"nodes", "part"}},
-	"reset":            {"nodes break the connection in the middle of this part of their answers", []string{"for", "part"}, []string{"nodes"}},
-	"spoil":            {"nodes spoil this part of their answers", []string{"for", "part"}, []string{"nodes"}},
-	"fail":             {"nodes answer this part of their calls with an error", []string{"for", "part"}, []string{"nodes"}},
-	"link-delay":       {"the way to nodes takes DELAY more", []string{"for", "delay"}, []string{"nodes", "part", "balancers"}},
-	"link-cut":         {"the way to nodes loses everything", []string{"for"}, []string{"nodes", "part", "balancers"}},
-	"zone-dark":        {"all nodes of a zone vanish and come back cold", []string{"for", "zone"}, nil},
+// faultKind describes a kind of fault and the keys that it requires and permits besides do and at.
+type faultKind struct {
+	description string
+	required    []string
+	optional    []string
+}
+
+var faultKinds = map[string]faultKind{
+	"slow":             {"nodes work BY times slower", []string{"for", "by"}, []string{"nodes", "part"}},
+	"stall":            {"nodes accept requests and never answer them", []string{"for"}, []string{"nodes", "part"}},
+	"kill":             {"nodes are killed without notice and restart cold after FOR", []string{"for"}, []string{"nodes", "part"}},
+	"vanish":           {"nodes and their connections stop responding and restart cold after FOR", []string{"for"}, []string{"nodes", "part"}},
+	"reset":            {"nodes break the connection in the middle of a share PART of their answers", []string{"for", "part"}, []string{"nodes"}},
+	"spoil":            {"nodes corrupt a share PART of their answers", []string{"for", "part"}, []string{"nodes"}},
+	"fail":             {"nodes answer a share PART of their requests with an error", []string{"for", "part"}, []string{"nodes"}},
+	"link-delay":       {"the link to nodes takes DELAY longer", []string{"for", "delay"}, []string{"nodes", "part", "balancers"}},
+	"link-cut":         {"the link to nodes loses everything", []string{"for"}, []string{"nodes", "part", "balancers"}},
+	"zone-dark":        {"all nodes of a zone stop responding and restart cold", []string{"for", "zone"}, nil},
 	"deploy":           {"nodes are replaced by cold successors, AT_ONCE at a time", []string{"for"}, []string{"nodes", "part", "at_once", "drain", "same_address"}},
-	"register-silent":  {"the register says nothing", []string{"for"}, []string{"balancers"}},
-	"watch-silent":     {"all open watches of the list fall silent; new ones work", nil, []string{"balancers"}},
-	"register-rewind":  {"the register's versions start over", nil, []string{"balancers"}},
+	"register-silent":  {"discovery does not answer", []string{"for"}, []string{"balancers"}},
+	"watch-silent":     {"all open watches of the host list stop delivering; new ones work", nil, []string{"balancers"}},
+	"register-rewind":  {"the generations of the host list start over", nil, []string{"balancers"}},
 	"gateway-slow":     {"the gateway is BY times slower", []string{"for", "by"}, nil},
-	"gateway-reset":    {"the gateway breaks the connection in place of this part of its answers", []string{"for", "part"}, nil},
-	"gateway-fail":     {"the gateway answers this part of its calls with an error, before it does them", []string{"for", "part"}, nil},
+	"gateway-reset":    {"the gateway breaks the connection instead of sending a share PART of its answers", []string{"for", "part"}, nil},
+	"gateway-fail":     {"the gateway refuses a share PART of its requests with an error, without executing them", []string{"for", "part"}, nil},
 	"balancer-kill":    {"balancers are killed and start again after FOR", []string{"for"}, []string{"balancers"}},
-	"balancer-restart": {"balancers get SIGTERM and start again", nil, []string{"balancers"}},
-	"balancer-stall":   {"balancers stand still (SIGSTOP)", []string{"for"}, []string{"balancers"}},
-	"balancer-astray":  {"balancers are killed and start at once with addresses of others where nobody is", nil, []string{"balancers"}},
-	"balancer-twin":    {"a balancer starts again under the name of the one in TO by mistake", []string{"for", "balancers", "to"}, nil},
-	"upgrade-kill":     {"the newer process of an upgrade is killed FOR after it is ready; the older one goes on", []string{"for"}, []string{"balancers"}},
-	"mate-cut":         {"the ways between BALANCERS and TO lose everything", []string{"for"}, []string{"balancers", "to", "one_way"}},
-	"mate-flap":        {"the ways between BALANCERS and TO come and go, each time for DELAY", []string{"for", "delay"}, []string{"balancers", "to", "one_way"}},
-	"mate-loss":        {"the ways between BALANCERS and TO lose this part", []string{"for", "part"}, []string{"balancers", "to", "one_way"}},
-	"mate-delay":       {"the ways between BALANCERS and TO take up to DELAY more", []string{"for", "delay"}, []string{"balancers", "to", "one_way"}},
-	"mate-repeat":      {"this part of what goes between BALANCERS and TO comes twice", []string{"for", "part"}, []string{"balancers", "to", "one_way"}},
-	"mate-reorder":     {"this part of what goes between BALANCERS and TO comes DELAY later", []string{"for", "part", "delay"}, []string{"balancers", "to", "one_way"}},
-	"mate-spoil":       {"this part of what goes between BALANCERS and TO has a byte changed", []string{"for", "part"}, []string{"balancers", "to", "one_way"}},
-	"mate-narrow":      {"the ways between BALANCERS and TO take BY bytes a second", []string{"for", "by"}, []string{"balancers", "to", "one_way"}},
-	"reload":           {"the register moves to another address and balancers get SIGHUP", nil, []string{"balancers"}},
-	"by-hand":          {"operators take nodes out at every balancer, restart them, and put them back after FOR", []string{"for"}, []string{"nodes", "part"}},
+	"balancer-restart": {"balancers get SIGTERM and are started again", nil, []string{"balancers"}},
+	"balancer-stall":   {"balancers are paused (SIGSTOP)", []string{"for"}, []string{"balancers"}},
+	"balancer-astray":  {"balancers are killed and started again at once with peer addresses that nobody listens on", nil, []string{"balancers"}},
+	"balancer-twin":    {"a balancer is started again under the name of the one in TO, as after a configuration mistake", []string{"for", "balancers", "to"}, nil},
+	"upgrade-kill":     {"the newer process of an upgrade is killed FOR after it is ready; the older one continues", []string{"for"}, []string{"balancers"}},
+	"mate-cut":         {"the links between BALANCERS and TO lose everything", []string{"for"}, []string{"balancers", "to", "one_way"}},
+	"mate-flap":        {"the links between BALANCERS and TO alternate between up and down, each for DELAY", []string{"for", "delay"}, []string{"balancers", "to", "one_way"}},
+	"mate-loss":        {"the links between BALANCERS and TO lose a share PART of the datagrams", []string{"for", "part"}, []string{"balancers", "to", "one_way"}},
+	"mate-delay":       {"the links between BALANCERS and TO take up to DELAY longer", []string{"for", "delay"}, []string{"balancers", "to", "one_way"}},
+	"mate-repeat":      {"a share PART of the datagrams between BALANCERS and TO arrives twice", []string{"for", "part"}, []string{"balancers", "to", "one_way"}},
+	"mate-reorder":     {"a share PART of the datagrams between BALANCERS and TO arrives DELAY later", []string{"for", "part", "delay"}, []string{"balancers", "to", "one_way"}},
+	"mate-spoil":       {"a share PART of the datagrams between BALANCERS and TO has a byte changed", []string{"for", "part"}, []string{"balancers", "to", "one_way"}},
+	"mate-narrow":      {"the links between BALANCERS and TO carry at most BY bytes a second", []string{"for", "by"}, []string{"balancers", "to", "one_way"}},
+	"reload":           {"discovery moves to another address and balancers get SIGHUP", nil, []string{"balancers"}},
+	"by-hand":          {"operators exclude nodes at every balancer, restart them, and include them again after FOR", []string{"for"}, []string{"nodes", "part"}},
 	"tenant-move":      {"a tenant's clients use BALANCERS from now on", []string{"tenant", "balancers"}, nil},
 	"upgrade":          {"a new process takes over from each balancer under load", nil, []string{"balancers"}},
-	"crowd":            {"COUNT connections come in FOR, most of which never finish a request", []string{"for", "count"}, nil},
+	"crowd":            {"COUNT connections are opened during FOR, most of which never finish a request", []string{"for", "count"}, nil},
 	"surge":            {"traffic is BY times the usual", []string{"for", "by"}, []string{"tenant"}},
-	"scan":             {"this part of the reads ask for keys wanted exactly once", []string{"for", "part"}, nil},
-	"hot":              {"this part of the reads ask for a few keys", []string{"for", "part", "keys"}, nil},
-	"rude":             {"COUNT clients that send nonsense, or nothing, in turn", []string{"for", "count"}, nil},
+	"scan":             {"a share PART of the reads asks for keys that are requested only once", []string{"for", "part"}, nil},
+	"hot":              {"a share PART of the reads asks for KEYS keys", []string{"for", "part", "keys"}, nil},
+	"rude":             {"COUNT clients, spread over FOR, send different kinds of malformed input or nothing", []string{"for", "count"}, nil},
 }
 
-// defaults are what a file that says nothing has: a small fleet that a laptop carries.
+// defaults returns the scenario of an empty file: a small fleet that a laptop can run.
 func defaults() Day {
 	return Day{
 		Length: Span(30 * time.Second), Seed: 1,
@@ -259,92 +261,92 @@
 	}
 }
 
-// given tells whether a key of a table stands in the file: a zero that was written is no absent key.
+// keyPresence reports whether the file contains a key of a table. It distinguishes an explicit zero from an absent key.
 type given func(key string) bool
 
-// or sets what the file does not say.
-func or[T comparable](has given, key string, v *T, absent T) {
+// setDefault sets *v to value if the file does not contain the key.
+func setDefault[T comparable](present given, key string, v *T, value T) {
 	var zero T
-	if *v == zero && !has(key) {
-		*v = absent
+	if *v == zero && !present(key) {
+		*v = value
 	}
 }
 
-func (n *Node) settle(has given) {
-	or(has, "count", &n.Count, 1)
-	or(has, "cores", &n.Cores, 2)
-	or(has, "queue", &n.Queue, 200)
-	or(has, "connections", &n.Connections, 1500)
-	or(has, "speed", &n.Speed, 1)
-	or(has, "keep_mb", &n.KeepMB, 8)
-	or(has, "cold_from", &n.ColdFrom, 0.2)
-	or(has, "idle", &n.Idle, Span(60*time.Second))
-	or(has, "warm_for", &n.WarmFor, Span(15*time.Second))
+func (n *Node) applyDefaults(present given) {
+	setDefault(present, "count", &n.Count, 1)
+	setDefault(present, "cores", &n.Cores, 2)
+	setDefault(present, "queue", &n.Queue, 200)
+	setDefault(present, "connections", &n.Connections, 1500)
+	setDefault(present, "speed", &n.Speed, 1)
+	setDefault(present, "keep_mb", &n.KeepMB, 8)
+	setDefault(present, "cold_from", &n.ColdFrom, 0.2)
+	setDefault(present, "idle", &n.Idle, Span(60*time.Second))
+	setDefault(present, "warm_for", &n.WarmFor, Span(15*time.Second))
 	if n.PauseEvery > 0 {
-		or(has, "pause_for", &n.PauseFor, Span(200*time.Millisecond))
+		setDefault(present, "pause_for", &n.PauseFor, Span(200*time.Millisecond))
 	}
 }
 
-func (p *Product) settle(has given) {
-	or(has, "law", &p.Law, model.Exponential)
-	or(has, "variation", &p.Variation, 1)
-	or(has, "billed_value", &p.BilledValue, 1)
-	or(has, "effect", &p.Effect, Idempotent)
+func (p *Product) applyDefaults(present given) {
+	setDefault(present, "law", &p.Law, model.Exponential)
+	setDefault(present, "variation", &p.Variation, 1)
+	setDefault(present, "billed_value", &p.BilledValue, 1)
+	setDefault(present, "effect", &p.Effect, Idempotent)
 }
 
-func (f *Fault) settle(has given) {
+func (f *Fault) applyDefaults(present given) {
 	if f.Do == "deploy" {
-		or(has, "at_once", &f.AtOnce, 1)
-		or(has, "drain", &f.Drain, Span(2*time.Second))
+		setDefault(present, "at_once", &f.AtOnce, 1)
+		setDefault(present, "drain", &f.Drain, Span(2*time.Second))
 	}
-	ofMates := strings.HasPrefix(f.Do, "mate-")
-	if ofMates {
+	betweenBalancers := strings.HasPrefix(f.Do, "mate-")
+	if betweenBalancers {
 		return
 	}
-	ofNodes := f.Part == 0 || f.Do == "reset" || f.Do == "spoil" || f.Do == "fail" // there the part is of the answers
-	if ofNodes && len(f.Nodes) == 0 {
+	concernsNodes := f.Part == 0 || f.Do == "reset" || f.Do == "spoil" || f.Do == "fail" // for these, part is a share of the answers, not of the nodes
+	if concernsNodes && len(f.Nodes) == 0 {
 		f.Nodes = []string{"*"}
 	}
 }
 
-// Where the gateway is asked from.
+// Modes of the fleet: which process asks the gateway after a cache miss.
 const (
 	Aside   = "aside"
 	Through = "through"
 )
 
-// Effects by which products are known.
+// Effects of a product: whether a request may be executed again.
 const (
 	Idempotent    = "idempotent"
 	Deduplicated  = "deduplicated"
 	NonIdempotent = "non-idempotent"
 )
 
-// TenantAt are the balancers, counted from 0, that a tenant's clients use at a moment; none: all.
-func (d *Day) TenantAt(tenant int, at time.Duration) (use []int) {
-	t, since := &d.Tenants[tenant], Span(-1)
+// TenantAt returns the balancers, counted from 0, that a tenant's clients use at a given time; an empty result means all.
+func (sc *Day) TenantAt(tenant int, at time.Duration) (balancers []int) {
+	t, since := &sc.Tenants[tenant], Span(-1)
 	list := t.At
-	for i := range d.Faults {
-		if f := &d.Faults[i]; f.Do == "tenant-move" && f.Tenant == t.Name && f.At.D() <= at && f.At >= since {
+	for i := range sc.Faults {
+		if f := &sc.Faults[i]; f.Do == "tenant-move" && f.Tenant == t.Name && f.At.D() <= at && f.At >= since {
 			list, since = f.Balancers, f.At
 		}
 	}
 	for _, b := range list {
-		use = append(use, b-1)
+		balancers = append(balancers, b-1)
 	}
-	return use
+	return balancers
 }
 
-// Allowance is what a tenant may call in a second, over all balancers.
-func (d *Day) Allowance(tenant int) float64 {
-	return d.Tenants[tenant].Share * d.Load.Quota * d.Capacity()
+// Allowance returns a tenant's quota in requests per second over all balancers.
+func (sc *Day) Allowance(tenant int) float64 {
+	return sc.Tenants[tenant].Share * sc.Load.Quota * sc.Capacity()
 }
 
-// NodeIDs are all nodes at the start, with the group of each.
-func (d *Day) NodeIDs() (ids []string, groups map[string]*Node) {
+// NodeIDs returns the ids of all cache nodes at the start and the group of each.
+func (sc *Day) NodeIDs() (ids []string, groups map[string]*Node) {
 	groups = map[string]*Node{}
-	for i := range d.Nodes {
-		g := &d.Nodes[i]
+	for i := range sc.Nodes {
+		g := &sc.Nodes[i]
 		for n := range g.Count {
 			id := fmt.Sprintf("%s-%d", g.Name, n+1)
 			ids = append(ids, id)
@@ -354,13 +356,14 @@
 	return ids, groups
 }
 
-// missPart is what finding nothing costs of a read's work: a look-up without the value's making.
-const missPart = 0.2
+// missCostRatio is the work of a cache miss relative to a read that finds its value: the look-up is done, but no value is
+// produced.
+const missCostRatio = 0.2
 
-// NodeTerms is what a node of the group is to the model.
-func (d *Day) NodeTerms(n *Node) model.NodeTerms {
-	r, miss := d.Rules, missPart
-	if d.Fleet.Mode == Through {
+// NodeTerms returns the model's parameters of a node of the group.
+func (sc *Day) NodeTerms(n *Node) model.NodeTerms {
+	r, miss := sc.Rules, missCostRatio
+	if sc.Fleet.Mode == Through {
 		miss = 0
 	}
 	return model.NodeTerms{Cores: n.Cores, Speed: n.Speed, Queue: n.Queue, KeepBytes: int64(n.KeepMB * (1 << 20)),
@@ -368,7 +371,7 @@
 		PauseEvery: n.PauseEvery.D(), PauseFor: n.PauseFor.D(), DropsGivenUp: n.DropsGivenUp, MissPart: miss}
 }
 
-// Told is after what rest balancers are told that the node closes a connection.
+// Told returns the idle timeout of the node that balancers are configured with.
 func (n *Node) Told() time.Duration {
 	if n.IdleTold > 0 {
 		return n.IdleTold.D()
@@ -376,46 +379,46 @@
 	return n.Idle.D()
 }
 
-// Capacity is how many requests a second the nodes can do at the start.
-func (d *Day) Capacity() float64 {
-	work, shares, able := 0.0, 0.0, 0.0
-	for _, p := range d.Products {
+// Capacity returns how many requests per second the cache nodes can handle at the start.
+func (sc *Day) Capacity() float64 {
+	work, shares, effectiveCores := 0.0, 0.0, 0.0
+	for _, p := range sc.Products {
 		work += p.Share * p.Work.D().Seconds()
 		shares += p.Share
 	}
-	for _, n := range d.Nodes {
-		able += float64(n.Count) * float64(n.Cores) * n.Speed
+	for _, n := range sc.Nodes {
+		effectiveCores += float64(n.Count) * float64(n.Cores) * n.Speed
 	}
-	return able / (work / shares)
+	return effectiveCores / (work / shares)
 }
 
-// GatewayTerms is what the gateway is to the model.
-func (d *Day) GatewayTerms() model.GatewayTerms {
-	t := model.GatewayTerms{Slots: d.Gateway.Slots, Time: d.Gateway.Time.D(), Queue: d.Gateway.Queue,
-		FallMultiple: d.Gateway.FallMultiple, FallFor: d.Gateway.FallFor.D(), StopFor: d.Gateway.StopFor.D()}
-	for _, p := range d.Products {
+// GatewayTerms returns the model's parameters of the gateway.
+func (sc *Day) GatewayTerms() model.GatewayTerms {
+	t := model.GatewayTerms{Slots: sc.Gateway.Slots, Time: sc.Gateway.Time.D(), Queue: sc.Gateway.Queue,
+		FallMultiple: sc.Gateway.FallMultiple, FallFor: sc.Gateway.FallFor.D(), StopFor: sc.Gateway.StopFor.D()}
+	for _, p := range sc.Products {
 		t.Window = max(t.Window, p.Window.D())
 	}
 	return t
 }
 
-// LoadTerms is what the callers are to the model.
-func (d *Day) LoadTerms() model.LoadTerms {
-	t := model.LoadTerms{For: d.Length.D(), PerS: d.Load.PerS, Swing: d.Load.Swing, SwingFor: d.Load.SwingFor.D(),
-		Keys: d.Load.Keys, Zipf: d.Load.Zipf, GiveUpAt: d.Clients.GiveUpAt, Zones: d.Clients.ZoneParts}
+// LoadTerms returns the model's parameters of clients and traffic.
+func (sc *Day) LoadTerms() model.LoadTerms {
+	t := model.LoadTerms{For: sc.Length.D(), PerS: sc.Load.PerS, Swing: sc.Load.Swing, SwingFor: sc.Load.SwingFor.D(),
+		Keys: sc.Load.Keys, Zipf: sc.Load.Zipf, GiveUpAt: sc.Clients.GiveUpAt, Zones: sc.Clients.ZoneParts}
 	if len(t.Zones) == 0 {
-		for range d.Fleet.Zones {
+		for range sc.Fleet.Zones {
 			t.Zones = append(t.Zones, 1)
 		}
 	}
-	for _, p := range d.Products {
+	for _, p := range sc.Products {
 		t.Products = append(t.Products, model.Product{Name: p.Name, Share: p.Share, LatencySLO: p.LatencySLO.D(),
 			ClientTimeout: p.ClientTimeout.D(), BilledValue: p.BilledValue, Write: p.Write, Marked: p.Effect == Deduplicated})
 	}
-	for _, x := range d.Tenants {
+	for _, x := range sc.Tenants {
 		t.Tenants = append(t.Tenants, model.Tenant{Name: x.Name, Share: x.Share * x.Usage})
 	}
-	for _, f := range d.Faults {
+	for _, f := range sc.Faults {
 		from, to := f.At.D(), (f.At + f.For).D()
 		switch f.Do {
 		case "surge":
@@ -429,40 +432,40 @@
 	return t
 }
 
-// Shorten changes the day's length. Faults that would end after it are left out.
-func (d *Day) Shorten(to time.Duration) {
-	d.Length = Span(to)
-	d.Faults = slices.DeleteFunc(d.Faults, func(f Fault) bool { return f.At+f.For > d.Length })
+// Shorten changes the length of the rehearsal and removes the faults that would end after it.
+func (sc *Day) Shorten(length time.Duration) {
+	sc.Length = Span(length)
+	sc.Faults = slices.DeleteFunc(sc.Faults, func(f Fault) bool { return f.At+f.For > sc.Length })
 }
 
-// Door tells whether the day needs the balancers' doors for operators.
-func (d *Day) Door() bool {
-	return slices.ContainsFunc(d.Faults, func(f Fault) bool { return f.Do == "by-hand" || f.Do == "upgrade" }) || d.Mates.On
+// Door reports whether the rehearsal needs the admin API of the balancers.
+func (sc *Day) Door() bool {
+	return slices.ContainsFunc(sc.Faults, func(f Fault) bool { return f.Do == "by-hand" || f.Do == "upgrade" }) || sc.Mates.On
 }
 
-// Retry is what clients do after a try that was not fulfilled.
-func (d *Day) Retry() model.Retry {
-	c := d.Clients
+// Retry returns what clients do after a request that was not fulfilled.
+func (sc *Day) Retry() model.Retry {
+	c := sc.Clients
 	return model.Retry{Tries: c.Tries, Wait: c.Wait.D(), Honour: c.Honour, HonourTo: c.ComeBack.D()}
 }
 
-// ErrFaulty is in all errors about a file's content.
+// ErrFaulty is wrapped by all errors about a file's content.
 var ErrFaulty = errors.New("faulty scenario")
 
-// Text writes the day as a file that reads as the same day.
-func (d *Day) Text() ([]byte, error) {
-	plain := *d
-	plain.Faults = nil
+// Text returns the text of a scenario file that parses to the same scenario.
+func (sc *Day) Text() ([]byte, error) {
+	withoutFaults := *sc
+	withoutFaults.Faults = nil
 	var out bytes.Buffer
-	if err := toml.NewEncoder(&out).Encode(plain); err != nil {
+	if err := toml.NewEncoder(&out).Encode(withoutFaults); err != nil {
 		return nil, err
 	}
-	for i := range d.Faults {
-		f := &d.Faults[i]
+	for i := range sc.Faults {
+		f := &sc.Faults[i]
 		fmt.Fprintf(&out, "\n[[fault]]\ndo = %q\nat = %q\n", f.Do, f.At)
-		k := kinds[f.Do]
-		for _, key := range append(slices.Clone(k.needs), k.may...) {
-			if line := f.line(key); line != "" {
+		k := faultKinds[f.Do]
+		for _, key := range append(slices.Clone(k.required), k.optional...) {
+			if line := f.formatKey(key); line != "" {
 				out.WriteString(line + "\n")
 			}
 		}
@@ -470,8 +473,8 @@
 	return out.Bytes(), nil
 }
 
-// line writes one key of a fault; "" where it says nothing.
-func (f *Fault) line(key string) string {
+// formatKey returns the line of the file for one key of a fault, or "" if the key has its zero value.
+func (f *Fault) formatKey(key string) string {
 	quoted := func(v Span) string { return fmt.Sprintf("%s = %q", key, v) }
 	switch {
 	case key == "for":
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -6,20 +6,20 @@
 	"testing"
 )
 
-// Every built-in rehearsal passes its own checks, and each kind of fault is in use or known by name.
+// Every built-in rehearsal passes the checks, has the name of its file and a description.
 func TestLibrary(t *testing.T) {
 	for _, name := range Names() {
-		d, err := Open(name)
+		sc, err := Open(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if d.Name != name || d.About == "" {
-			t.Errorf("%s calls itself %q", name, d.Name)
+		if sc.Name != name || sc.About == "" {
+			t.Errorf("rehearsal %s has the name %q", name, sc.Name)
 		}
 	}
 }
 
-// A faulty file is refused as a whole: each fault in it is named with file, line and key.
+// A faulty file is refused, and the error lists each mistake with file, line and key.
 func TestFaultyFiles(t *testing.T) {
 	for _, row := range []struct{ text, want string }{
 		{"lenght = \"5s\"", "day.toml:1: lenght: unknown key"},
@@ -35,7 +35,7 @@
 		{"[[fault]]\ndo = \"explode\"", "day.toml:2: fault[1].do: expected one of "},
 		{"[[fault]]\ndo = \"slow\"\nat = \"1s\"\nfor = \"1s\"", "day.toml:1: fault[1].by: slow needs it"},
 		{"[[fault]]\ndo = \"rude\"\nat = \"1s\"\nfor = \"1s\"\ncount = 5\nzone = \"here\"", "day.toml:6: fault[1].zone: rude has no such key"},
-		{"[[fault]]\ndo = \"slow\"\nat = \"25s\"\nfor = \"9s\"\nby = 2.0", "day.toml:4: fault[1].for: the fault would end at 34s, after the day (30s)"},
+		{"[[fault]]\ndo = \"slow\"\nat = \"25s\"\nfor = \"9s\"\nby = 2.0", "day.toml:4: fault[1].for: the fault would end at 34s, after the end of the rehearsal (30s)"},
 		{"[[fault]]\ndo = \"surge\"\nat = \"1s\"\nfor = \"1s\"\nby = 2.0\ntenant = \"x\"", "day.toml:6: fault[1].tenant: no tenant is called \"x\""},
 		{"[[product]]\nname = \"p\"\nshare = 1.0\nwork = \"5ms\"\nlatency_slo = \"2s\"\nclient_timeout = \"1s\"", "day.toml:6: product[1].client_timeout: "},
 		{"[[product]]\nname = \"p\"\nshare = 1.0\nwork = \"5ms\"\nlatency_slo = \"1s\"\nclient_timeout = \"1s\"\neffect = \"non-idempotent\"", "product[1].write: "},
@@ -50,11 +50,11 @@
 	}
 	_, err := Parse("day.toml", []byte("length = \"0s\"\n[load]\nkeys = 0\nzipf = 9.0"))
 	if n := strings.Count(err.Error(), "day.toml:"); n != 3 {
-		t.Errorf("%d faults of three named: %v", n, err)
+		t.Errorf("error lists %d mistakes, expected 3: %v", n, err)
 	}
 }
 
-// A part of the nodes is the same in every run with a seed.
+// The random share of nodes that a fault affects is the same in every run with the same seed.
 func TestHit(t *testing.T) {
 	text := "seed = 5\n[[node]]\nname = \"n\"\ncount = 8\n[[fault]]\ndo = \"slow\"\nat = \"1s\"\nfor = \"1s\"\nby = 2.0\npart = 0.25"
 	a, err := Parse("a", []byte(text))
@@ -63,6 +63,6 @@
 	}
 	b, _ := Parse("b", []byte(text))
 	if x, y := strings.Join(a.Hit(0), " "), strings.Join(b.Hit(0), " "); x != y || len(a.Hit(0)) != 2 {
-		t.Errorf("%q and %q", x, y)
+		t.Errorf("affected nodes: %q and %q with the same seed", x, y)
 	}
 }
