--- a/internal/rehearsal/runner/config.go
+++ b/internal/rehearsal/runner/config.go
@@ -10,50 +10,51 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-var effects = map[string]string{scenario.Idempotent: "idempotent", scenario.Deduplicated: "deduplicated",
+// effectNames maps effects of the scenario to those of the balancer settings.
+var effectNames = map[string]string{scenario.Idempotent: "idempotent", scenario.Deduplicated: "deduplicated",
 	scenario.NonIdempotent: "at_most_once"}
 
-// tickNs is how exactly the platform's timers wake a balancer.
-const tickNs = 5_000_000
+// timerResolutionNs is the timer resolution that balancers are configured with, in nanoseconds.
+const timerResolutionNs = 5_000_000
 
-// writeConfig lays down what a balancer of the day is told.
-func writeConfig(path string, w *standin.World, balancer int, name, listen, door string, seed uint64) error {
-	d := w.Day
+// writeConfig writes the configuration file of a balancer.
+func writeConfig(path string, w *standin.World, balancer int, name, listen, adminAddr string, seed uint64) error {
+	sc := w.Day
 	zone := 0
-	for i, z := range d.Fleet.Zones {
+	for i, z := range sc.Fleet.Zones {
 		if z == w.ZoneOf(balancer) {
 			zone = i
 		}
 	}
 	type m = map[string]any
 	var products, customers []m
-	for _, p := range d.Products {
+	for _, p := range sc.Products {
 		products = append(products, m{"name": p.Name, "latencySloNs": int64(p.LatencySLO), "clientTimeoutNs": int64(p.ClientTimeout),
-			"billedValue": p.BilledValue, "effect": effects[p.Effect], "group": "all", "windowNs": int64(p.Window)})
+			"billedValue": p.BilledValue, "effect": effectNames[p.Effect], "group": "all", "windowNs": int64(p.Window)})
 	}
-	for i, t := range d.Tenants {
-		customers = append(customers, m{"name": t.Name, "allowancePerS": d.Allowance(i)})
+	for i, t := range sc.Tenants {
+		customers = append(customers, m{"name": t.Name, "allowancePerS": sc.Allowance(i)})
 	}
-	extra := m{"mode": d.Fleet.Mode, "originKind": -1}
-	if d.Fleet.Mode == scenario.Aside {
+	extra := m{"mode": sc.Fleet.Mode, "originKind": -1}
+	if sc.Fleet.Mode == scenario.Aside {
 		extra["originKind"] = 1
 	}
 	coldFrom, warmFor, idle := 1.0, time.Duration(0), time.Hour
-	for _, n := range d.Nodes {
+	for _, n := range sc.Nodes {
 		coldFrom, warmFor, idle = min(coldFrom, n.ColdFrom), max(warmFor, n.WarmFor.D()), min(idle, n.Told())
 	}
 	settings := m{
-		"balancers": d.Fleet.Balancers, "areas": d.Fleet.Zones, "locality": zone, "hostTypes": []string{"cache", "origin"},
-		"discovery": "automatic", "weights": "nominal", "tickNs": tickNs, "extra": extra,
-		"caps": m{"mayCancel": true, "mostShots": d.Fleet.Attempts, "secondCopies": false, "retryAfter": d.Clients.ComeBack > 0,
-			"maxRetryAfterNs": int64(d.Clients.ComeBack), "connectTimeoutNs": int64(connectTimeout), "keepaliveNs": int64(idle),
+		"balancers": sc.Fleet.Balancers, "areas": sc.Fleet.Zones, "locality": zone, "hostTypes": []string{"cache", "origin"},
+		"discovery": "automatic", "weights": "nominal", "tickNs": timerResolutionNs, "extra": extra,
+		"caps": m{"mayCancel": true, "mostShots": sc.Fleet.Attempts, "secondCopies": false, "retryAfter": sc.Clients.ComeBack > 0,
+			"maxRetryAfterNs": int64(sc.Clients.ComeBack), "connectTimeoutNs": int64(connectTimeout), "keepaliveNs": int64(idle),
 			"maxOpen": 20000},
-		"rules": m{"coldFrom": coldFrom, "rampTimeNs": int64(warmFor), "fallMultiple": d.Rules.FallMultiple,
-			"fallNs": int64(d.Rules.FallFor), "drainGraceNs": int64(d.Rules.DrainGrace), "askEveryNs": int64(10 * time.Second)},
+		"rules": m{"coldFrom": coldFrom, "rampTimeNs": int64(warmFor), "fallMultiple": sc.Rules.FallMultiple,
+			"fallNs": int64(sc.Rules.FallFor), "drainGraceNs": int64(sc.Rules.DrainGrace), "askEveryNs": int64(10 * time.Second)},
 		"products": products, "customers": customers,
 	}
-	text, err := json.Marshal(m{"name": name, "listen": listen, "admin_addr": door, "discovery": w.Register.Addr(balancer),
-		"seed": fmt.Sprintf("%016x", seed), "limits": m{"cores": 1.0, "memory_mb": d.Fleet.MemoryMB, "sockets": d.Fleet.Sockets},
+	text, err := json.Marshal(m{"name": name, "listen": listen, "admin_addr": adminAddr, "discovery": w.Register.Addr(balancer),
+		"seed": fmt.Sprintf("%016x", seed), "limits": m{"cores": 1.0, "memory_mb": sc.Fleet.MemoryMB, "sockets": sc.Fleet.Sockets},
 		"known": w.Register.Known(balancer), "settings": settings})
 	if err != nil {
 		return err
@@ -62,17 +63,17 @@
 	if err := os.WriteFile(next, text, 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, path) // whole or not at all: the balancer may read it at any moment
+	return os.Rename(next, path) // atomic, because the balancer may read the file at any time
 }
 
-// connectTimeout is longer than any way between zones that a day may have, and short against what clients wait.
+// connectTimeout is longer than the delays between zones of the scenarios and short compared with the timeouts of clients.
 const connectTimeout = 200 * time.Millisecond
 
-// operator lays down the operator's own file of a balancer, where the day has one.
-func (s *Stage) operator(config string, b int) error {
+// writeOperatorFile writes the operator file of a balancer if the scenario needs one.
+func (s *Stage) writeOperatorFile(config string, b int) error {
 	text := s.W.Day.Operator
-	if s.mates.ways != nil {
-		text += s.section(b)
+	if s.membership.links != nil {
+		text += s.fleetSection(b)
 	}
 	if text == "" {
 		return nil
--- a/internal/rehearsal/runner/door.go
+++ b/internal/rehearsal/runner/door.go
@@ -12,66 +12,67 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// door is how operators speak to a balancer: one call to a connection.
-var door = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+// adminClient calls the admin API of balancers, with a new connection for each call.
+var adminClient = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// ask makes one call at a door and tells whether the answer was yes; what it says goes into a value where one is given.
-func ask(ctx context.Context, method, addr, call, body string, into any) bool {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+addr+call, strings.NewReader(body))
+// callAdmin makes one call of an admin API and reports whether it succeeded. The JSON answer is decoded into result
+// unless that is nil.
+func callAdmin(ctx context.Context, method, addr, path, body string, result any) bool {
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, strings.NewReader(body))
 	if err != nil {
 		return false
 	}
-	resp, err := door.Do(r)
+	resp, err := adminClient.Do(req)
 	if err != nil {
 		return false
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode/100 == 2 && into != nil {
-		return json.NewDecoder(resp.Body).Decode(into) == nil
+	if resp.StatusCode/100 == 2 && result != nil {
+		return json.NewDecoder(resp.Body).Decode(result) == nil
 	}
 	io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode/100 == 2
 }
 
-// ByHand takes a node out, or puts it back, at the door of every balancer that runs.
-func (s *Stage) ByHand(node string, out bool) {
-	call := "/api/include"
-	if out {
-		call = "/api/exclude"
+// ByHand excludes a cache node, or includes it again, through the admin API of every balancer.
+func (s *Stage) ByHand(node string, exclude bool) {
+	path := "/api/include"
+	if exclude {
+		path = "/api/exclude"
 	}
-	for b := range s.running {
+	for b := range s.slots {
 		s.mu.Lock()
-		addr := s.running[b].door
+		addr := s.slots[b].adminAddr
 		s.mu.Unlock()
 		began := s.W.Now()
-		yes := ask(s.ctx, http.MethodPost, addr, call, fmt.Sprintf(`{"member":%q}`, node), nil)
+		ok := callAdmin(s.ctx, http.MethodPost, addr, path, fmt.Sprintf(`{"member":%q}`, node), nil)
 		now := s.W.Now()
 		s.Rec.Add(func() {
-			s.Rec.Doors = append(s.Rec.Doors, record.Door{What: fmt.Sprintf("%s %s at balancer %d", call, node, b+1), At: began, Took: now - began, Yes: yes})
-			s.Rec.Tolds = append(s.Rec.Tolds, record.Told{Balancer: b, Node: node, Up: !out, At: now, ByHand: true})
+			s.Rec.Doors = append(s.Rec.Doors, record.Door{What: fmt.Sprintf("%s %s at balancer %d", path, node, b+1), At: began, Took: now - began, Yes: ok})
+			s.Rec.Tolds = append(s.Rec.Tolds, record.Told{Balancer: b, Node: node, Up: !exclude, At: now, ByHand: true})
 		})
 	}
 }
 
-// upgradeWait bounds the wait for a newer process, longer than it may take.
-const upgradeWait = 8 * time.Second
+// upgradeTimeout limits the wait for the newer process of an upgrade; it is longer than an upgrade may take.
+const upgradeTimeout = 8 * time.Second
 
-// Upgrade starts a newer process beside a balancer and ends the older one once the newer one is ready.
+// Upgrade starts a newer process of a balancer and stops the older one once the newer one is ready.
 func (s *Stage) Upgrade(b int) error {
 	s.mu.Lock()
-	l := s.running[b]
-	old, was := l.instance, l.at
-	was.Ordered = true
+	l := s.slots[b]
+	old, oldRun := l.instance, l.run
+	oldRun.Ordered = true
 	err := s.launchAt(b)
-	addr := l.door
+	addr := l.adminAddr
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
 	began := s.W.Now()
 	u := record.Upgrade{Balancer: b, From: began}
-	for u.Ready == 0 && s.W.Now()-began < upgradeWait && s.ctx.Err() == nil {
-		if ask(s.ctx, http.MethodGet, addr, "/api/ready", "", nil) {
+	for u.Ready == 0 && s.W.Now()-began < upgradeTimeout && s.ctx.Err() == nil {
+		if callAdmin(s.ctx, http.MethodGet, addr, "/api/ready", "", nil) {
 			u.From = s.W.Now()
 			u.Ready = u.From - began
 		} else {
@@ -81,13 +82,13 @@
 	old.Term()
 	select {
 	case <-old.Done():
-	case <-time.After(upgradeWait):
+	case <-time.After(upgradeTimeout):
 		old.Kill()
 	}
 	u.To = s.W.Now()
 	s.Rec.Add(func() { s.Rec.Upgrades = append(s.Rec.Upgrades, u) })
 	s.mu.Lock()
-	l.at.Ready = u.From
+	l.run.Ready = u.From
 	s.mu.Unlock()
 	return nil
 }
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -16,76 +16,76 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// mates is what a stage has of the ways between its balancers; nil ways: they do not speak.
-type mates struct {
-	ways   *standin.Relays
-	addrs  []netip.AddrPort
-	names  map[int]int  // a balancer that has another's name by mistake
-	astray map[int]bool // one that was given addresses where nobody is
+// membership holds the links between the balancers; links is nil if balancers do not communicate with each other.
+type membership struct {
+	links      *standin.Relays
+	addrs      []netip.AddrPort
+	wrongNames map[int]int  // for balancers started under the name of another one: that one's number
+	wrongPeers map[int]bool // balancers started with peer addresses that nobody listens on
 }
 
-// join makes the ways between balancers.
-func (s *Stage) join() error {
-	d := s.W.Day
-	if !d.Mates.On {
+// openLinks chooses addresses for the balancers and starts the relays between them.
+func (s *Stage) openLinks() error {
+	sc := s.W.Day
+	if !sc.Mates.On {
 		return nil
 	}
-	m := &s.mates
-	m.names, m.astray = map[int]int{}, map[int]bool{}
-	for range d.Fleet.Balancers {
+	m := &s.membership
+	m.wrongNames, m.wrongPeers = map[int]int{}, map[int]bool{}
+	for range sc.Fleet.Balancers {
 		c, err := net.ListenPacket("udp4", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
 		m.addrs = append(m.addrs, c.LocalAddr().(*net.UDPAddr).AddrPort())
-		defer c.Close() // all are open until the last is chosen, so that none is chosen twice
+		defer c.Close() // all stay open until the last port is chosen, so that no port is chosen twice
 	}
 	var err error
-	m.ways, err = standin.NewRelays(m.addrs, d.Mates.Way(), model.Stream(d.Seed, "mates"))
+	m.links, err = standin.NewRelays(m.addrs, sc.Mates.Way(), model.Stream(sc.Seed, "mates"))
 	return err
 }
 
-// section is the operator's section [fleet] of a balancer.
-func (s *Stage) section(b int) string {
-	d, m := s.W.Day, &s.mates
+// fleetSection returns the section [fleet] of a balancer's operator file.
+func (s *Stage) fleetSection(b int) string {
+	sc, m := s.W.Day, &s.membership
 	var peers, via []string
 	for o := range m.addrs {
 		if o == b {
 			continue
 		}
-		to := m.ways.Addr(b, o)
+		to := m.links.Addr(b, o)
 		via = append(via, fmt.Sprintf("%s = %q", record.MateName(o), to))
 		if len(peers) < 3 {
-			if m.astray[b] {
-				to = netip.AddrPortFrom(to.Addr(), 9) // where nobody is
+			if m.wrongPeers[b] {
+				to = netip.AddrPortFrom(to.Addr(), 9) // nobody listens on this port
 			}
 			peers = append(peers, fmt.Sprintf("%q", to))
 		}
 	}
 	return fmt.Sprintf("\n[fleet]\nname = \"rehearsal\"\naddress = %q\nperiod = %q\nsuspect = %q\nbudget = %d\nlimits = %v\nevidence = %v\nlease = %q\npeers = [%s]\nvia = {%s}\n", m.addrs[b],
-		d.Mates.Period, d.Mates.Suspect, d.Mates.Budget, d.Mates.Limits, d.Mates.Evidence, d.Mates.Lease, strings.Join(peers, ", "), strings.Join(via, ", "))
+		sc.Mates.Period, sc.Mates.Suspect, sc.Mates.Budget, sc.Mates.Limits, sc.Mates.Evidence, sc.Mates.Lease, strings.Join(peers, ", "), strings.Join(via, ", "))
 }
 
-// name is a balancer's, or the one it has by mistake.
-func (s *Stage) name(b int) string {
-	if other, ok := s.mates.names[b]; ok {
+// nameOf returns the name of a balancer, or the wrong one under which a fault has started it.
+func (s *Stage) nameOf(b int) string {
+	if other, ok := s.membership.wrongNames[b]; ok {
 		return record.MateName(other)
 	}
 	return record.MateName(b)
 }
 
-// Ways are those between the balancers; nil where they do not speak.
-func (s *Stage) Ways() *standin.Relays { return s.mates.ways }
+// Ways returns the links between balancers, or nil if they do not communicate with each other.
+func (s *Stage) Ways() *standin.Relays { return s.membership.links }
 
-// viewsEvery is how often each door is asked for its view.
-const viewsEvery = 250 * time.Millisecond
+// pollInterval is how often each balancer is asked for its membership view.
+const pollInterval = 250 * time.Millisecond
 
-// watchMates asks all doors for their views until the stop.
-func (s *Stage) watchMates(stop <-chan struct{}) {
-	if s.mates.ways == nil {
+// pollMembers records the membership views, limit shares and traffic of all balancers until stop is closed.
+func (s *Stage) pollMembers(stop <-chan struct{}) {
+	if s.membership.links == nil {
 		return
 	}
-	t := time.NewTicker(viewsEvery)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -93,25 +93,25 @@
 		case <-stop:
 			return
 		}
-		for b := range s.mates.addrs {
-			s.looks.Go(func() {
+		for b := range s.membership.addrs {
+			s.background.Go(func() {
 				s.View(b)
 				if s.W.Day.Mates.Limits {
-					s.parts(b)
+					s.pollLimits(b)
 				}
 			})
 			if i%4 == 0 {
 				s.Rec.Add(func() {
-					s.Rec.Talks = append(s.Rec.Talks, record.Talk{Balancer: b, At: s.W.Now(), Bytes: s.mates.ways.Bytes(b)})
+					s.Rec.Talks = append(s.Rec.Talks, record.Talk{Balancer: b, At: s.W.Now(), Bytes: s.membership.links.Bytes(b)})
 				})
 			}
 		}
 	}
 }
 
-// View asks a balancer's door for its view and notes it.
+// View asks a balancer for its membership view and records it.
 func (s *Stage) View(b int) (v admin.Members, ok bool) {
-	if !s.tells(b, "/api/members", &v) {
+	if !s.fetchAdmin(b, "/api/members", &v) {
 		return v, false
 	}
 	to := record.View{Balancer: b, At: s.W.Now(), Life: v.Life, Situation: v.Situation, Digest: v.Digest, Rival: v.Rival != ""}
@@ -122,10 +122,10 @@
 	return v, true
 }
 
-// parts asks a balancer's door for its parts of limits and notes them.
-func (s *Stage) parts(b int) {
+// pollLimits asks a balancer for its shares of fleet-wide limits and records them.
+func (s *Stage) pollLimits(b int) {
 	var all admin.Limits
-	if !s.tells(b, "/api/limits", &all) {
+	if !s.fetchAdmin(b, "/api/limits", &all) {
 		return
 	}
 	now := s.W.Now()
@@ -136,18 +136,18 @@
 	})
 }
 
-// tells asks a balancer's door for something; one that stands still does not answer.
-func (s *Stage) tells(b int, what string, into any) bool {
+// fetchAdmin calls a balancer's admin API with a short timeout, because a paused balancer does not answer.
+func (s *Stage) fetchAdmin(b int, path string, result any) bool {
 	s.mu.Lock()
-	addr := s.running[b].door
+	addr := s.slots[b].adminAddr
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(s.ctx, 200*time.Millisecond)
 	defer cancel()
-	return ask(ctx, http.MethodGet, addr, what, "", into)
+	return callAdmin(ctx, http.MethodGet, addr, path, "", result)
 }
 
-// settleMates notes under which life each process spoke.
-func settleMates(rec *record.Record) {
+// recordMemberships records under which process id each run of a balancer took part in the fleet.
+func recordMemberships(rec *record.Record) {
 	slices.SortFunc(rec.Views, func(a, b record.View) int { return int(a.At - b.At) })
 	for _, l := range rec.Lives {
 		i := slices.IndexFunc(rec.Views, func(v record.View) bool {
@@ -158,7 +158,7 @@
 		}
 		life := rec.Views[i].Life
 		if k := slices.IndexFunc(rec.Mates, func(m record.MateLife) bool { return m.Balancer == l.Balancer && m.Life == life }); k >= 0 {
-			m := &rec.Mates[k] // two processes of an upgrade
+			m := &rec.Mates[k] // both processes of an upgrade have the same process id
 			m.From, m.To = min(m.From, l.Ready), max(m.To, l.End)
 			continue
 		}
@@ -166,15 +166,15 @@
 	}
 }
 
-// pauser is an instance that can be made to stand still.
+// pauser is an Instance that can be paused.
 type pauser interface{ Pause(on bool) }
 
-// Stall makes a balancer stand still, or go on.
+// Stall pauses a balancer for a time.
 func (s *Stage) Stall(b int, length time.Duration) {
 	s.mu.Lock()
-	in := s.running[b].instance
+	inst := s.slots[b].instance
 	s.mu.Unlock()
-	p, ok := in.(pauser)
+	p, ok := inst.(pauser)
 	if !ok {
 		return
 	}
@@ -183,7 +183,7 @@
 	s.Rec.Add(func() {
 		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length + s.W.Day.Rules.Slack.D()})
 	})
-	s.looks.Go(func() {
+	s.background.Go(func() {
 		select {
 		case <-time.After(length):
 		case <-s.ctx.Done():
@@ -192,51 +192,51 @@
 	})
 }
 
-// Astray kills a balancer and starts it with addresses of others where nobody is.
+// Astray kills a balancer and starts it again with peer addresses that nobody listens on.
 func (s *Stage) Astray(b int) {
 	s.mu.Lock()
-	s.mates.astray[b] = true
+	s.membership.wrongPeers[b] = true
 	s.mu.Unlock()
 	s.Kill(b, 0)
 }
 
-// Twin starts a balancer again under the name of another one, and later under its own.
+// Twin restarts a balancer under the name of another one, and later under its own.
 func (s *Stage) Twin(b, other int, length time.Duration) {
 	s.mu.Lock()
-	s.mates.names[b] = other
+	s.membership.wrongNames[b] = other
 	s.mu.Unlock()
 	from := s.W.Now()
 	s.Rec.Add(func() {
 		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length, Twin: other + 1})
 	})
 	s.Kill(b, 0)
-	s.looks.Go(func() {
+	s.background.Go(func() {
 		select {
 		case <-time.After(length):
 		case <-s.ctx.Done():
 			return
 		}
 		s.mu.Lock()
-		delete(s.mates.names, b)
+		delete(s.membership.wrongNames, b)
 		s.mu.Unlock()
 		s.Kill(b, 0)
-		s.Kill(other, 0) // it stands aside until it is started again
+		s.Kill(other, 0) // it takes no part in the fleet until it is started again
 	})
 }
 
-// UpgradeKill starts a newer process beside a balancer and kills it some time after it is ready; the older one goes on.
+// UpgradeKill starts the newer process of an upgrade and kills it some time after it is ready; the older one continues.
 func (s *Stage) UpgradeKill(b int, after time.Duration) error {
 	s.mu.Lock()
-	l := s.running[b]
-	old, oldAt, oldDoor := l.instance, l.at, l.door
+	l := s.slots[b]
+	old, oldRun, oldAdminAddr := l.instance, l.run, l.adminAddr
 	err := s.launchAt(b)
-	next, nextAt, addr := l.instance, l.at, l.door
-	nextAt.Ordered = true
+	next, nextRun, addr := l.instance, l.run, l.adminAddr
+	nextRun.Ordered = true
 	s.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	for began := s.W.Now(); s.W.Now()-began < upgradeWait && s.ctx.Err() == nil && !ask(s.ctx, http.MethodGet, addr, "/api/ready", "", nil); {
+	for began := s.W.Now(); s.W.Now()-began < upgradeTimeout && s.ctx.Err() == nil && !callAdmin(s.ctx, http.MethodGet, addr, "/api/ready", "", nil); {
 		time.Sleep(20 * time.Millisecond)
 	}
 	ready := s.W.Now()
@@ -246,8 +246,8 @@
 	}
 	s.Callers.Down(b)
 	s.mu.Lock()
-	nextAt.Ready = ready
-	l.instance, l.at, l.door = old, oldAt, oldDoor
+	nextRun.Ready = ready
+	l.instance, l.run, l.adminAddr = old, oldRun, oldAdminAddr
 	s.mu.Unlock()
 	next.Kill()
 	<-next.Done()
@@ -255,5 +255,5 @@
 	return nil
 }
 
-// Alive tells whether a balancer answers clients.
+// Alive reports whether a balancer answers clients.
 func (s *Stage) Alive(b int) bool { return alive(s.Addr(b)) }
--- a/internal/rehearsal/runner/process.go
+++ b/internal/rehearsal/runner/process.go
@@ -12,17 +12,17 @@
 	"time"
 )
 
-// Instance is one running balancer.
+// Instance is one process of a balancer.
 type Instance interface {
-	Kill()                 // at once
-	Term()                 // in order
-	Hup()                  // take the configuration again
-	Done() <-chan struct{} // closed when it has ended
-	Exit() int             // its code, once it has ended
-	Usage() Usage          // at present, or at its end
+	Kill()                 // ends it immediately
+	Term()                 // shuts it down gracefully
+	Hup()                  // makes it reload its configuration
+	Done() <-chan struct{} // is closed when it has ended
+	Exit() int             // returns its exit code once it has ended
+	Usage() Usage          // returns its current usage, or its CPU time once it has ended
 }
 
-// Usage is what a balancer takes of the machine; zero where that is not known.
+// Usage is what a balancer uses of the machine; unknown values are zero.
 type Usage struct {
 	MB      float64
 	Sockets int
@@ -30,16 +30,16 @@
 	CPU     time.Duration
 }
 
-// Place is where a balancer finds and leaves things.
+// Place names the files and the directory that a balancer uses.
 type Place struct {
 	Config, Log string // files
-	Temp        string // a folder that is private to it
+	Temp        string // private temporary directory
 }
 
-// Launch starts a balancer at its place.
+// Launch starts a balancer with the files of its Place.
 type Launch func(ctx context.Context, balancer int, at Place) (Instance, error)
 
-// Program starts balancers from a binary.
+// Program returns a Launch that starts a binary.
 func Program(path string) Launch {
 	return func(ctx context.Context, balancer int, at Place) (Instance, error) {
 		out, err := os.OpenFile(at.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
@@ -50,11 +50,11 @@
 		cmd := exec.CommandContext(ctx, path)
 		cmd.Env = append(os.Environ(), "GW_CONFIG="+at.Config, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", "GW_ADMIN_ADDR=",
 			"TMPDIR="+at.Temp, "STREAMRAIL_FILE=")
-		if own := operatorFile(at.Config); fileExists(own) {
-			cmd.Env[len(cmd.Env)-1] += own
+		if operatorPath := operatorFile(at.Config); fileExists(operatorPath) {
+			cmd.Env[len(cmd.Env)-1] += operatorPath
 		}
 		cmd.Stderr, cmd.Stdout = out, out
-		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // none outlives the kit
+		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no balancer outlives this process
 		if err := cmd.Start(); err != nil {
 			return nil, fmt.Errorf("balancer %d: %w", balancer+1, err)
 		}
@@ -67,7 +67,7 @@
 	}
 }
 
-// operatorFile is where the operator's own file of a balancer stands, beside its configuration.
+// operatorFile returns the path of a balancer's operator file, next to its configuration.
 func operatorFile(config string) string {
 	return strings.TrimSuffix(config, ".json") + ".operator.toml"
 }
@@ -77,6 +77,7 @@
 	return err == nil
 }
 
+// process is an Instance that runs as a process of the system.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
@@ -85,7 +86,7 @@
 func (p *process) Kill() { p.cmd.Process.Kill() }
 func (p *process) Term() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// Pause makes the process stand still, or go on.
+// Pause suspends or continues the process.
 func (p *process) Pause(on bool) {
 	if on {
 		p.cmd.Process.Signal(syscall.SIGSTOP)
@@ -97,7 +98,7 @@
 func (p *process) Done() <-chan struct{} { return p.done }
 func (p *process) Exit() int             { return p.cmd.ProcessState.ExitCode() }
 
-// Usage reads the system's figures of the process.
+// Usage reads /proc while the process runs, and the CPU time of its exit state afterwards.
 func (p *process) Usage() (u Usage) {
 	select {
 	case <-p.done:
@@ -116,17 +117,18 @@
 		u.Sockets = len(fds)
 	}
 	if text, err := os.ReadFile(filepath.Join(dir, "stat")); err == nil {
-		// The name, in brackets, may hold blanks; the 12th and 13th fields behind it are user and system ticks, the 18th counts threads.
+		// The process name, in parentheses, may contain blanks. Of the fields after it, the 12th and 13th are the user and
+		// system time in ticks and the 18th is the number of threads.
 		_, rest, _ := strings.Cut(string(text), ") ")
 		if f := strings.Fields(rest); len(f) > 17 {
 			user, _ := strconv.Atoi(f[11])
 			system, _ := strconv.Atoi(f[12])
-			u.CPU = time.Duration(user+system) * tick
+			u.CPU = time.Duration(user+system) * clockTick
 			u.Threads, _ = strconv.Atoi(f[17])
 		}
 	}
 	return u
 }
 
-// tick is the unit of /proc's processor times on Linux.
-const tick = 10 * time.Millisecond
+// clockTick is the unit of processor times in /proc on Linux.
+const clockTick = 10 * time.Millisecond
--- a/internal/rehearsal/runner/room.go
+++ b/internal/rehearsal/runner/room.go
@@ -9,57 +9,57 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Room is what a machine has for a rehearsal; zero: it is not known.
+// Room is the amount of resources that a rehearsal needs or a machine has; zero means unknown.
 type Room struct {
 	Descriptors uint64 // of this process
 	MemoryMB    uint64
 }
 
-// What a rehearsal takes, seen on days of 2 to 16 balancers and rounded up.
+// Resources that a rehearsal needs, as upper estimates from rehearsals with 2 to 16 balancers.
 const (
-	ownDescriptors = 256 // logs, clients' first connections, the runtime
-	perPair        = 3   // of a balancer and a node: the node's listener there and a connection or two that come in
-	perBalancer    = 40  // its agent, its ways to others, its clients' connections
-	balancerMB     = 16  // a process that carries some hundred calls a second
-	pairKB         = 24  // listener and connections with their buffers and goroutines
+	runnerDescriptors      = 256 // log files, first connections of clients, Go runtime
+	descriptorsPerPair     = 3   // for a balancer and a cache node: the node's listener for this balancer and one or two accepted connections
+	descriptorsPerBalancer = 40  // discovery stand-in, links to other balancers, client connections
+	memoryPerBalancerMB    = 16  // a process that handles some hundred requests per second
+	memoryPerPairKB        = 24  // listener and connections with their buffers and goroutines
 )
 
-// Needs is what a day takes of the machine it is played on with processes.
-func Needs(d *scenario.Day) Room {
+// Needs returns the resources that a rehearsal with balancer processes needs.
+func Needs(sc *scenario.Day) Room {
 	nodes := 0
-	for _, g := range d.Nodes {
+	for _, g := range sc.Nodes {
 		nodes += g.Count
 	}
-	pairs, n := uint64(nodes)*uint64(d.Fleet.Balancers), uint64(d.Fleet.Balancers)
-	return Room{Descriptors: ownDescriptors + perPair*pairs + perBalancer*n, MemoryMB: balancerMB*n + pairs*pairKB/1024}
+	pairs, n := uint64(nodes)*uint64(sc.Fleet.Balancers), uint64(sc.Fleet.Balancers)
+	return Room{Descriptors: runnerDescriptors + descriptorsPerPair*pairs + descriptorsPerBalancer*n, MemoryMB: memoryPerBalancerMB*n + pairs*memoryPerPairKB/1024}
 }
 
-// lacks says what there is too little of, in words; nil where all is there.
-func (has Room) lacks(needs Room, d *scenario.Day) error {
+// check returns an error that names the first insufficient resource, or nil.
+func (available Room) check(required Room, sc *scenario.Day) error {
 	for _, x := range []struct {
-		what       string
-		needs, has uint64
-	}{{"descriptors of this process (ulimit -n)", needs.Descriptors, has.Descriptors}, {"MB of free memory", needs.MemoryMB, has.MemoryMB}} {
-		if x.has > 0 && x.needs > x.has {
-			return fmt.Errorf("%s: %d balancers and its nodes need %d %s, there are %d; simulate plays it without processes",
-				d.Name, d.Fleet.Balancers, x.needs, x.what, x.has)
+		what                string
+		required, available uint64
+	}{{"descriptors of this process (ulimit -n)", required.Descriptors, available.Descriptors}, {"MB of free memory", required.MemoryMB, available.MemoryMB}} {
+		if x.available > 0 && x.required > x.available {
+			return fmt.Errorf("%s: its %d balancers and its cache nodes need %d %s, only %d available; simulate runs it without processes",
+				sc.Name, sc.Fleet.Balancers, x.required, x.what, x.available)
 		}
 	}
 	return nil
 }
 
-// room reads what this machine has.
-func room() (has Room) {
+// availableResources returns what this machine has available.
+func availableResources() (available Room) {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil {
-		has.Descriptors = limit.Cur
+		available.Descriptors = limit.Cur
 	}
 	text, _ := os.ReadFile("/proc/meminfo")
 	for line := range strings.Lines(string(text)) {
 		var kb uint64
 		if n, _ := fmt.Sscanf(line, "MemAvailable: %d kB", &kb); n == 1 {
-			has.MemoryMB = kb >> 10
+			available.MemoryMB = kb >> 10
 		}
 	}
-	return has
+	return available
 }
--- a/internal/rehearsal/runner/room_test.go
+++ b/internal/rehearsal/runner/room_test.go
@@ -7,13 +7,14 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// A day of any size can be written down; one that the machine has no room for is refused by what is missing.
+// A scenario may be larger than the machine can run. The rehearsal is then refused with an error that names the resource
+// that is insufficient.
 func TestRoom(t *testing.T) {
-	d, err := scenario.Parse("day", []byte("name = \"big\"\nlength = \"10s\"\n[fleet]\nzones = [\"a\"]\nbalancers = 1025\n[[node]]\nname = \"n\"\ncount = 1025\n"))
+	sc, err := scenario.Parse("day", []byte("name = \"big\"\nlength = \"10s\"\n[fleet]\nzones = [\"a\"]\nbalancers = 1025\n[[node]]\nname = \"n\"\ncount = 1025\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	needs := Needs(d)
+	needs := Needs(sc)
 	for _, row := range []struct {
 		has  Room
 		want string
@@ -23,11 +24,11 @@
 		{Room{needs.Descriptors - 1, needs.MemoryMB}, "descriptors"},
 		{Room{needs.Descriptors, needs.MemoryMB - 1}, "memory"},
 	} {
-		if err := row.has.lacks(needs, d); (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) {
+		if err := row.has.check(needs, sc); (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) {
 			t.Errorf("%+v: %v", row.has, err)
 		}
 	}
 	if needs.Descriptors < 1025*1025 || needs.MemoryMB < 1025 {
-		t.Errorf("needs %+v only", needs)
+		t.Errorf("needs only %+v", needs)
 	}
 }
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner plays a rehearsal: it brings up the stand-ins, starts balancer processes, plays load and faults, ends
-// everything and has the record judged.
+// Package runner runs a rehearsal: it starts the stand-ins and the balancer processes, generates load and injects faults,
+// stops everything and passes the record to the judge.
 package runner
 
 import (
@@ -23,47 +23,47 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Stage is a rehearsal that is up: the fleet, the register and the balancers.
+// Stage is a rehearsal that has been started: cache nodes, gateway, discovery stand-in, clients and balancers.
 type Stage struct {
-	W       *standin.World
-	Rec     *record.Record
-	Callers *load.Callers
-	launch  Launch
-	dir     string
-	ctx     context.Context
-	cancel  context.CancelFunc
-	looks   sync.WaitGroup
-	mates   mates
-
-	mu      sync.Mutex
-	running []*life
-	over    bool
-	err     error
+	W          *standin.World
+	Rec        *record.Record
+	Callers    *load.Callers
+	launch     Launch
+	dir        string
+	ctx        context.Context
+	cancel     context.CancelFunc
+	background sync.WaitGroup
+	membership membership
+
+	mu    sync.Mutex
+	slots []*balancerSlot
+	ended bool
+	err   error
 }
 
-// life is one balancer's place, with the process that fills it now.
-type life struct {
-	instance Instance
-	addr     string
-	door     string // for operators; empty: the day needs none
-	temp     string
-	config   string
-	starts   uint64
-	at       *record.Life // of the instance
+// balancerSlot holds what belongs to one balancer of the fleet across restarts, and its current process.
+type balancerSlot struct {
+	instance   Instance
+	addr       string
+	adminAddr  string // of the admin API; empty if the scenario does not need it
+	tempDir    string
+	configFile string
+	starts     uint64
+	run        *record.Life // record of the current process
 }
 
-// readyWait bounds how long a balancer may take until it serves.
-const readyWait = 10 * time.Second
+// readyTimeout limits how long a balancer may take to start serving.
+const readyTimeout = 10 * time.Second
 
-// Up brings a day's world up, until all balancers serve.
-func Up(ctx context.Context, day *scenario.Day, launch Launch, dir string) (*Stage, error) {
-	return up(ctx, day, launch, dir, (*Stage).fleet)
+// Up starts the stand-ins and the balancers of a scenario and waits until all balancers serve.
+func Up(ctx context.Context, sc *scenario.Day, launch Launch, dir string) (*Stage, error) {
+	return up(ctx, sc, launch, dir, (*Stage).addNodes)
 }
 
-// UpEcho brings a world up whose nodes answer all reads at once.
-func UpEcho(ctx context.Context, day *scenario.Day, launch Launch, dir string) (*Stage, error) {
-	return up(ctx, day, launch, dir, func(s *Stage) error {
-		ids, groups := day.NodeIDs()
+// UpEcho is Up with cache nodes that answer all reads immediately.
+func UpEcho(ctx context.Context, sc *scenario.Day, launch Launch, dir string) (*Stage, error) {
+	return up(ctx, sc, launch, dir, func(s *Stage) error {
+		ids, groups := sc.NodeIDs()
 		for _, id := range ids {
 			if _, err := s.W.AddEcho(id, groups[id]); err != nil {
 				return err
@@ -73,29 +73,29 @@
 	})
 }
 
-func up(ctx context.Context, day *scenario.Day, launch Launch, dir string, fleet func(*Stage) error) (*Stage, error) {
-	if err := room().lacks(Needs(day), day); err != nil {
+func up(ctx context.Context, sc *scenario.Day, launch Launch, dir string, addNodes func(*Stage) error) (*Stage, error) {
+	if err := availableResources().check(Needs(sc), sc); err != nil {
 		return nil, err
 	}
 	rec := record.New()
-	s := &Stage{W: standin.NewWorld(day, rec), Rec: rec, launch: launch, dir: dir}
+	s := &Stage{W: standin.NewWorld(sc, rec), Rec: rec, launch: launch, dir: dir}
 	s.ctx, s.cancel = context.WithCancel(ctx)
-	if err := s.world(fleet); err != nil {
+	if err := s.setUp(addNodes); err != nil {
 		s.cancel()
 		return nil, err
 	}
-	if err := s.join(); err != nil {
+	if err := s.openLinks(); err != nil {
 		s.cancel()
 		return nil, err
 	}
-	for b := range day.Fleet.Balancers {
-		s.running = append(s.running, &life{})
+	for b := range sc.Fleet.Balancers {
+		s.slots = append(s.slots, &balancerSlot{})
 		if err := s.start(b); err != nil {
 			s.End()
 			return nil, err
 		}
 	}
-	for b := range day.Fleet.Balancers {
+	for b := range sc.Fleet.Balancers {
 		if !s.ready(b) {
 			s.End()
 			return nil, fmt.Errorf("balancer %d does not serve; its log is %s", b+1, s.log(b))
@@ -104,36 +104,36 @@
 	return s, nil
 }
 
-func (s *Stage) world(fleet func(*Stage) error) error {
-	d := s.W.Day
+func (s *Stage) setUp(addNodes func(*Stage) error) error {
+	sc := s.W.Day
 	if err := s.W.AddRegister(); err != nil {
 		return err
 	}
 	if err := s.W.AddGateway(); err != nil {
 		return err
 	}
-	if err := fleet(s); err != nil {
+	if err := addNodes(s); err != nil {
 		return err
 	}
-	if d.Fleet.Mode == scenario.Aside {
-		s.W.Register.Set(model.Entry{Node: record.Gateway, Zone: d.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
+	if sc.Fleet.Mode == scenario.Aside {
+		s.W.Register.Set(model.Entry{Node: record.Gateway, Zone: sc.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
 	}
 	var err error
 	s.Callers, err = load.New(s.W)
 	return err
 }
 
-// fleet makes the day's nodes.
-func (s *Stage) fleet() error {
-	d := s.W.Day
-	ids, groups := d.NodeIDs()
+// addNodes starts the scenario's cache nodes.
+func (s *Stage) addNodes() error {
+	sc := s.W.Day
+	ids, groups := sc.NodeIDs()
 	for _, id := range ids {
 		n, err := s.W.AddNode(id, groups[id], false, nil)
 		if err != nil {
 			return err
 		}
-		// Warm nodes keep the popular keys wherever balancers look: who holds what is the balancers' affair.
-		for k := range int(d.Load.Warm * float64(d.Load.Keys)) {
+		// Every warm node holds all popular keys, because the balancers decide which node is asked for which key.
+		for k := range int(sc.Load.Warm * float64(sc.Load.Keys)) {
 			n.Keep(model.KeyName(k))
 		}
 		s.W.Register.Set(n.Entry(model.Active))
@@ -141,118 +141,118 @@
 	return nil
 }
 
-// Usage is what a balancer takes of the machine at present.
+// Usage returns what a balancer currently uses of the machine.
 func (s *Stage) Usage(b int) Usage {
 	s.mu.Lock()
-	in := s.running[b].instance
+	inst := s.slots[b].instance
 	s.mu.Unlock()
-	return in.Usage()
+	return inst.Usage()
 }
 
 func (s *Stage) log(b int) string { return filepath.Join(s.dir, fmt.Sprintf("balancer-%d.log", b+1)) }
 
-// Addr is where a balancer serves.
+// Addr returns the address on which a balancer serves clients.
 func (s *Stage) Addr(b int) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.running[b].addr
+	return s.slots[b].addr
 }
 
-// start launches a balancer at its place, under the same address as before.
+// start launches the process of a balancer; a restarted one has the same address as before.
 func (s *Stage) start(b int) (err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.over {
+	if s.ended {
 		return nil
 	}
-	l := s.running[b]
+	l := s.slots[b]
 	if l.addr == "" {
 		if l.addr, err = s.W.FreeAddr(); err != nil {
 			return err
 		}
-		l.config = filepath.Join(s.dir, fmt.Sprintf("balancer-%d.json", b+1))
+		l.configFile = filepath.Join(s.dir, fmt.Sprintf("balancer-%d.json", b+1))
 	}
-	os.RemoveAll(l.temp)
-	// Not in the day's own folder, whose path may be too long for a Unix socket's.
-	if l.temp, err = os.MkdirTemp("", "b"); err != nil {
+	os.RemoveAll(l.tempDir)
+	// The system's temporary directory is used because the path of s.dir may be too long for a Unix socket.
+	if l.tempDir, err = os.MkdirTemp("", "b"); err != nil {
 		return err
 	}
 	return s.launchAt(b)
 }
 
-// launchAt starts a process for a balancer, with its temporary folder as it is. Under s.mu.
+// launchAt starts a process for a balancer and keeps its temporary directory, which an upgrade needs. The caller holds s.mu.
 func (s *Stage) launchAt(b int) (err error) {
-	l := s.running[b]
+	l := s.slots[b]
 	if s.W.Day.Door() {
-		if l.door, err = s.W.FreeAddr(); err != nil {
+		if l.adminAddr, err = s.W.FreeAddr(); err != nil {
 			return err
 		}
 	}
 	s.W.Register.Restarted(b)
 	l.starts++
-	if err = s.operator(l.config, b); err != nil {
+	if err = s.writeOperatorFile(l.configFile, b); err != nil {
 		return err
 	}
-	if err = writeConfig(l.config, s.W, b, s.name(b), l.addr, l.door, model.Stream(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err = writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.Stream(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
-	if l.instance, err = s.launch(s.ctx, b, Place{l.config, s.log(b), l.temp}); err != nil {
+	if l.instance, err = s.launch(s.ctx, b, Place{l.configFile, s.log(b), l.tempDir}); err != nil {
 		return err
 	}
-	l.at = &record.Life{Balancer: b, Start: s.W.Now()}
-	s.looks.Add(1)
-	go s.look(b, l.at, l.instance)
+	l.run = &record.Life{Balancer: b, Start: s.W.Now()}
+	s.background.Add(1)
+	go s.monitor(b, l.run, l.instance)
 	return nil
 }
 
-// lookEvery is how often a balancer's use of the machine is looked at.
-const lookEvery = 250 * time.Millisecond
+// monitorInterval is how often the resource usage of a balancer is read.
+const monitorInterval = 250 * time.Millisecond
 
-// look follows one process to its end and notes its life.
-func (s *Stage) look(b int, of *record.Life, in Instance) {
-	defer s.looks.Done()
-	t := time.NewTicker(lookEvery)
+// monitor reads the resource usage of one process until it ends and then records its run.
+func (s *Stage) monitor(b int, run *record.Life, inst Instance) {
+	defer s.background.Done()
+	t := time.NewTicker(monitorInterval)
 	defer t.Stop()
 	var peak Usage
 	for {
-		u := in.Usage()
+		u := inst.Usage()
 		peak.MB, peak.Sockets, peak.CPU = max(peak.MB, u.MB), max(peak.Sockets, u.Sockets), max(peak.CPU, u.CPU)
 		select {
 		case <-t.C:
 			continue
-		case <-in.Done():
+		case <-inst.Done():
 		}
 		break
 	}
 	s.mu.Lock()
-	at := *of
+	ended := *run
 	s.mu.Unlock()
-	at.End, at.Exit = s.W.Now(), in.Exit()
-	at.PeakMB, at.Sockets, at.CPU = peak.MB, peak.Sockets, max(peak.CPU, in.Usage().CPU)
-	s.Rec.Add(func() { s.Rec.Lives = append(s.Rec.Lives, at) })
+	ended.End, ended.Exit = s.W.Now(), inst.Exit()
+	ended.PeakMB, ended.Sockets, ended.CPU = peak.MB, peak.Sockets, max(peak.CPU, inst.Usage().CPU)
+	s.Rec.Add(func() { s.Rec.Lives = append(s.Rec.Lives, ended) })
 	s.mu.Lock()
-	succeeded := s.running[b].instance != in // another process has its place already
+	replaced := s.slots[b].instance != inst // another process of this balancer has been started already
 	s.mu.Unlock()
-	if !succeeded {
+	if !replaced {
 		s.Callers.Down(b)
 	}
 }
 
-// ready waits until a balancer answers, and lets the front deal to it.
+// ready waits until a balancer answers and then directs clients to it.
 func (s *Stage) ready(b int) bool {
 	s.mu.Lock()
-	l := s.running[b]
-	in, addr := l.instance, l.addr
+	l := s.slots[b]
+	inst, addr := l.instance, l.addr
 	s.mu.Unlock()
-	for began := time.Now(); time.Since(began) < readyWait; time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < readyTimeout; time.Sleep(5 * time.Millisecond) {
 		select {
-		case <-in.Done():
+		case <-inst.Done():
 			return false
 		default:
 		}
 		if alive(addr) {
 			s.mu.Lock()
-			l.at.Ready = max(1, s.W.Now())
+			l.run.Ready = max(1, s.W.Now())
 			s.mu.Unlock()
 			s.Callers.Up(b, addr)
 			return true
@@ -261,6 +261,7 @@
 	return false
 }
 
+// alive reports whether the balancer at addr answers a memcache no-op.
 func alive(addr string) bool {
 	c, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
@@ -273,65 +274,66 @@
 	return line == "MN\r\n"
 }
 
-// order notes that a balancer's end is wanted, and returns it.
-func (s *Stage) order(b int) Instance {
+// expectExit records that the end of a balancer's process is intended, and returns the process.
+func (s *Stage) expectExit(b int) Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.running[b].at.Ordered = true
-	return s.running[b].instance
+	s.slots[b].run.Ordered = true
+	return s.slots[b].instance
 }
 
-// Kill ends a balancer at once and starts it again after a while.
-func (s *Stage) Kill(b int, back time.Duration) {
-	in := s.order(b)
+// Kill kills a balancer and starts it again after restartDelay.
+func (s *Stage) Kill(b int, restartDelay time.Duration) {
+	inst := s.expectExit(b)
 	s.Callers.Down(b)
-	in.Kill()
-	s.again(b, in, back)
+	inst.Kill()
+	s.startAgain(b, inst, restartDelay)
 }
 
-// Restart ends a balancer in order and starts it again.
+// Restart shuts a balancer down gracefully and starts it again.
 func (s *Stage) Restart(b int) {
-	in := s.order(b)
+	inst := s.expectExit(b)
 	s.Callers.Leaves(b)
-	in.Term()
-	s.again(b, in, 0)
+	inst.Term()
+	s.startAgain(b, inst, 0)
 }
 
-// Reload moves a balancer's register and tells it so.
+// Reload moves a balancer's discovery stand-in to another address and makes the balancer reload its configuration.
 func (s *Stage) Reload(b int) error {
 	if err := s.W.Register.Move(b); err != nil {
 		return err
 	}
 	s.mu.Lock()
-	l := s.running[b]
+	l := s.slots[b]
 	s.mu.Unlock()
-	if err := writeConfig(l.config, s.W, b, s.name(b), l.addr, l.door, model.Stream(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err := writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.Stream(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
 	l.instance.Hup()
 	return nil
 }
 
-// Stray plays one connection of a crowd.
+// Stray runs one connection of a crowd, most of which never finish a request.
 func (s *Stage) Stray(i int) { s.Callers.Stray(i) }
 
-// Rude plays a rude client.
+// Rude runs one client that sends malformed input or nothing.
 func (s *Stage) Rude(i int) { s.Callers.Rude(i) }
 
-func (s *Stage) again(b int, in Instance, wait time.Duration) {
-	s.looks.Add(1)
+// startAgain waits until a process has ended and starts the balancer again after a delay.
+func (s *Stage) startAgain(b int, inst Instance, delay time.Duration) {
+	s.background.Add(1)
 	go func() {
-		defer s.looks.Done()
-		<-in.Done()
+		defer s.background.Done()
+		<-inst.Done()
 		select {
-		case <-time.After(wait):
+		case <-time.After(delay):
 		case <-s.ctx.Done():
 			return
 		}
 		s.mu.Lock()
-		another := s.running[b].instance != in // that another fault has started by then
+		replaced := s.slots[b].instance != inst // another fault has started a new process meanwhile
 		s.mu.Unlock()
-		if another {
+		if replaced {
 			return
 		}
 		if err := s.start(b); err != nil {
@@ -344,25 +346,25 @@
 	}()
 }
 
-// settleWait is given to attempts that still run when the last call is over.
-const settleWait = 300 * time.Millisecond
+// settleDelay is the time given to attempts that are still running when the last request is over.
+const settleDelay = 300 * time.Millisecond
 
-// Play plays the day on the stage, from now on.
+// Play runs load and faults of the scenario, which starts now, to its end.
 func (s *Stage) Play(ctx context.Context) error {
 	s.W.Begin()
 	stop := ctx.Done()
-	beat := make(chan struct{})
-	var sides sync.WaitGroup
-	sides.Add(3)
-	go func() { defer sides.Done(); s.watchMates(beat) }()
+	finished := make(chan struct{})
+	var tasks sync.WaitGroup
+	tasks.Add(3)
+	go func() { defer tasks.Done(); s.pollMembers(finished) }()
 	var fault error
-	go func() { defer sides.Done(); fault = faults.New(s.W, s).Play(stop) }()
-	go func() { defer sides.Done(); s.pulse(beat) }()
+	go func() { defer tasks.Done(); fault = faults.New(s.W, s).Play(stop) }()
+	go func() { defer tasks.Done(); s.measureLateness(finished) }()
 	s.Callers.Play(stop)
 	s.Callers.Rest()
-	close(beat)
-	sides.Wait()
-	time.Sleep(settleWait)
+	close(finished)
+	tasks.Wait()
+	time.Sleep(settleDelay)
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -374,16 +376,17 @@
 	return fault
 }
 
-// pulseEvery is how often the kit looks whether it gets the processor in time.
-const pulseEvery = 5 * time.Millisecond
+// latenessInterval is how often measureLateness checks that this process gets the processor in time.
+const latenessInterval = 5 * time.Millisecond
 
-// pulse measures the kit's own lateness, also where nothing else is due.
-func (s *Stage) pulse(stop <-chan struct{}) {
+// measureLateness records how late this process's timers fire, also while no request or fault is scheduled. The judge
+// needs it to tell late balancers from a late rehearsal.
+func (s *Stage) measureLateness(stop <-chan struct{}) {
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
-		due := s.W.Now() + pulseEvery
-		t.Reset(pulseEvery)
+		due := s.W.Now() + latenessInterval
+		t.Reset(latenessInterval)
 		select {
 		case <-t.C:
 			s.W.Late(due, s.W.Now())
@@ -393,57 +396,57 @@
 	}
 }
 
-// End ends the balancers and the stand-ins; the record is whole then.
+// End stops the balancers and the stand-ins; afterwards the record is complete.
 func (s *Stage) End() {
 	s.mu.Lock()
-	s.over = true
-	for _, l := range s.running {
-		if l.at != nil {
-			l.at.Ordered = true
+	s.ended = true
+	for _, l := range s.slots {
+		if l.run != nil {
+			l.run.Ordered = true
 		}
 	}
 	s.mu.Unlock()
 	s.cancel()
-	s.looks.Wait()
-	for _, l := range s.running {
-		os.RemoveAll(l.temp)
+	s.background.Wait()
+	for _, l := range s.slots {
+		os.RemoveAll(l.tempDir)
 	}
 	for _, n := range s.W.Nodes() {
 		n.Stop()
 	}
-	if s.mates.ways != nil {
-		s.mates.ways.Close()
+	if s.membership.links != nil {
+		s.membership.links.Close()
 	}
 	if s.W.Gateway != nil {
 		s.W.Gateway.Strain()
 	}
-	time.Sleep(20 * time.Millisecond) // for the last attempts' ends to be noted
+	time.Sleep(20 * time.Millisecond) // until the ends of the last attempts are recorded
 }
 
-// Straight makes the callers speak to a node in place of the balancers.
+// Straight makes clients send requests directly to a cache node instead of the balancers.
 func (s *Stage) Straight(node string) { s.Callers.Up(0, s.W.Node(node).Addr(0)) }
 
-// Terms are what the judge holds the day to.
-func Terms(d *scenario.Day) judge.Terms {
-	var mates judge.Mates
-	if m := d.Mates; m.On {
-		mates = judge.Mates{Count: d.Fleet.Balancers, Period: m.Period.D(), Suspect: m.Suspect.D(), Budget: m.Budget, Loss: m.Loss, Lease: m.Lease.D()}
+// Terms returns the limits that the judge applies to a rehearsal of the scenario.
+func Terms(sc *scenario.Day) judge.Terms {
+	var membership judge.Mates
+	if m := sc.Mates; m.On {
+		membership = judge.Mates{Count: sc.Fleet.Balancers, Period: m.Period.D(), Suspect: m.Suspect.D(), Budget: m.Budget, Loss: m.Loss, Lease: m.Lease.D()}
 	}
-	own, err := operator.Parse("operator", []byte(d.Operator))
+	operatorSettings, err := operator.Parse("operator", []byte(sc.Operator))
 	if err != nil {
-		own = &operator.File{} // the balancers say what is wrong with it
+		operatorSettings = &operator.File{} // the balancers report the mistakes in the file
 	}
-	t := judge.Terms{Mates: mates, Openings: own.Connections.Openings, Attempts: d.Fleet.Attempts, DrainGrace: d.Rules.DrainGrace.D(), Slack: d.Rules.Slack.D(), Prompt: d.Rules.Prompt.D(),
-		ColdBlame: d.Rules.ColdBlame, FallFor: d.Rules.FallFor.D(), Connect: connectTimeout}
-	kinds := map[string]judge.Effect{scenario.Idempotent: judge.Idempotent, scenario.Deduplicated: judge.Deduplicated,
+	t := judge.Terms{Mates: membership, Openings: operatorSettings.Connections.Openings, Attempts: sc.Fleet.Attempts, DrainGrace: sc.Rules.DrainGrace.D(), Slack: sc.Rules.Slack.D(), Prompt: sc.Rules.Prompt.D(),
+		ColdBlame: sc.Rules.ColdBlame, FallFor: sc.Rules.FallFor.D(), Connect: connectTimeout}
+	effects := map[string]judge.Effect{scenario.Idempotent: judge.Idempotent, scenario.Deduplicated: judge.Deduplicated,
 		scenario.NonIdempotent: judge.NonIdempotent}
-	for _, p := range d.Products {
-		t.Products = append(t.Products, judge.Product{Name: p.Name, Effect: kinds[p.Effect], Window: p.Window.D(), Write: p.Write})
+	for _, p := range sc.Products {
+		t.Products = append(t.Products, judge.Product{Name: p.Name, Effect: effects[p.Effect], Window: p.Window.D(), Write: p.Write})
 	}
 	return t
 }
 
-// Result is a rehearsal that was played.
+// Result is the outcome of a rehearsal.
 type Result struct {
 	Day     *scenario.Day
 	Record  *record.Record
@@ -453,13 +456,13 @@
 	Took    time.Duration
 }
 
-// Run plays a day from its begin to the verdict.
-func Run(ctx context.Context, day *scenario.Day, launch Launch, dir string, watch func(*Stage)) (*Result, error) {
+// Run runs a rehearsal from its start to the verdict. If watch is not nil, it runs beside the rehearsal.
+func Run(ctx context.Context, sc *scenario.Day, launch Launch, dir string, watch func(*Stage)) (*Result, error) {
 	began := time.Now()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	s, err := Up(ctx, day, launch, dir)
+	s, err := Up(ctx, sc, launch, dir)
 	if err != nil {
 		return nil, err
 	}
@@ -471,8 +474,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Day: day, Record: s.Rec, Latency: s.Callers.Latency(), Late: s.Callers.Lateness(), Took: time.Since(began)}
-	settleMates(s.Rec)
-	r.Verdict = judge.Judge(s.Rec, Terms(day))
+	r := &Result{Day: sc, Record: s.Rec, Latency: s.Callers.Latency(), Late: s.Callers.Lateness(), Took: time.Since(began)}
+	recordMemberships(s.Rec)
+	r.Verdict = judge.Judge(s.Rec, Terms(sc))
 	return r, nil
 }
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -14,8 +14,9 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// day is a short rehearsal with a bit of all: the gateway breaks connections, a node drains, a cold one comes.
-const day = `
+// shortScenario exercises most rules in a few seconds: the gateway breaks connections, a cache node drains and a cold one
+// replaces it.
+const shortScenario = `
 name = "short"
 about = "a bit of all"
 length = "7s"
@@ -92,8 +93,8 @@
 drain = "3s"
 `
 
-// silent is a day on which all watches of the list fall silent before most nodes leave, and these go on for long.
-const silent = `
+// silentScenario stops all watches of the host list before most cache nodes leave; these nodes continue to serve for long.
+const silentScenario = `
 length = "10s"
 [fleet]
 zones = ["east", "west"]
@@ -128,31 +129,34 @@
 part = 0.3
 `
 
-// A balancer that never gives a silent watch up is named for its sends to hosts that leave, and it alone.
-func TestJudgeNamesThePatient(t *testing.T) {
+// A balancer that never abandons a silent watch keeps sending to hosts that leave. The judge must report this breach and
+// no other.
+func TestJudgeReportsUnabandonedWatch(t *testing.T) {
 	t.Parallel()
-	v := play(t, wrongly("patient"), silent).Verdict
+	v := playScenario(t, launchFaulty("patient"), silentScenario).Verdict
 	if got := v.BrokenRules(); !slices.Equal(got, []judge.Rule{judge.Drains}) {
-		t.Errorf("broken: %q\n%s", got, examples(v))
+		t.Errorf("broken: %q\n%s", got, describeBreaches(v))
 	}
 }
 
-func play(t *testing.T, launch Launch, text string) *Result {
+// playScenario runs a rehearsal from the text of a scenario file.
+func playScenario(t *testing.T, launch Launch, text string) *Result {
 	t.Helper()
-	d, err := scenario.Parse(t.Name(), []byte(text))
+	sc, err := scenario.Parse(t.Name(), []byte(text))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	res, err := Run(ctx, d, launch, t.TempDir(), nil)
+	res, err := Run(ctx, sc, launch, t.TempDir(), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return res
 }
 
-func examples(v *judge.Verdict) (text string) {
+// describeBreaches lists the rules that were or may have been broken, with up to three examples each.
+func describeBreaches(v *judge.Verdict) (text string) {
 	for _, f := range v.Findings {
 		if f.Breaches+f.Doubtful > 0 {
 			text += fmt.Sprintf("%s: %d, %d doubtful\n", f.Rule, f.Breaches, f.Doubtful)
@@ -164,12 +168,12 @@
 	return text
 }
 
-// A judge that cannot say no is worth nothing: each balancer that does one thing wrong is named for just that, and the
-// same balancer without it for nothing. Two together push a cold node over that neither alone would.
-func TestJudgeNamesTheWrong(t *testing.T) {
-	// These need rare chances, rude clients, or a door, which the plain balancer does not have.
-	hard := []judge.Rule{judge.NoRepeat, judge.Promise, judge.RudeEnds, judge.Used, judge.NoneBack, judge.Doors}
-	for what, want := range map[string][]judge.Rule{
+// The judge must report exactly the rules that a faulty balancer breaks, and none for the same balancer without a defect.
+// With the defect "flood", the two balancers overload a cold node only together.
+func TestJudgeReportsEachFault(t *testing.T) {
+	// Not exercised here: these need rare coincidences, malformed clients or an admin API, which faultyBalancer lacks.
+	notExercised := []judge.Rule{judge.NoRepeat, judge.Promise, judge.RudeEnds, judge.Used, judge.NoneBack, judge.Doors}
+	for defect, want := range map[string][]judge.Rule{
 		"nothing": nil,
 		"lose":    {judge.OneAnswer},
 		"twice":   {judge.OneAnswer},
@@ -182,15 +186,15 @@
 		"other":   {judge.RightAnswer},
 		"tell":    {judge.Deadlines},
 	} {
-		t.Run(what, func(t *testing.T) {
+		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
-			v := play(t, wrongly(what), day).Verdict
+			v := playScenario(t, launchFaulty(defect), shortScenario).Verdict
 			if got := v.BrokenRules(); !slices.Equal(got, want) {
-				t.Errorf("broken: %q, expected %q\n%s", got, want, examples(v))
+				t.Errorf("broken: %q, expected %q\n%s", got, want, describeBreaches(v))
 			}
 			for _, f := range v.Findings {
-				exercised := f.Checked > 0 || f.Group == "between balancers" || f.Group == "limits" // these do not speak with each other
-				if !slices.Contains(hard, f.Rule) && !exercised {
+				exercised := f.Checked > 0 || f.Group == "between balancers" || f.Group == "limits" // these balancers do not communicate with each other
+				if !slices.Contains(notExercised, f.Rule) && !exercised {
 					t.Errorf("%q was not exercised", f.Rule)
 				}
 			}
@@ -198,16 +202,17 @@
 	}
 }
 
-// One of the two that flood a cold node, with its half of the calls, pushes nothing over: only together they do.
-func TestOneAlonePushesNothingOver(t *testing.T) {
+// One balancer that sends all its requests to a cold node does not overload it with half of the traffic; two do, as
+// TestJudgeReportsEachFault shows.
+func TestOneBalancerAloneOverloadsNothing(t *testing.T) {
 	t.Parallel()
-	half := strings.NewReplacer("balancers = 2", "balancers = 1", "per_s = 150.0", "per_s = 75.0").Replace(day)
-	if got := play(t, wrongly("flood"), half).Verdict.BrokenRules(); got != nil {
+	half := strings.NewReplacer("balancers = 2", "balancers = 1", "per_s = 150.0", "per_s = 75.0").Replace(shortScenario)
+	if got := playScenario(t, launchFaulty("flood"), half).Verdict.BrokenRules(); got != nil {
 		t.Errorf("broken: %q", got)
 	}
 }
 
-// Streamrail itself, as it is built, breaks no rule on a day that exercises them.
+// The streamrail binary breaks no rule in rehearsals that exercise the rules.
 func TestStreamrail(t *testing.T) {
 	program := filepath.Join(t.TempDir(), "streamrail")
 	if out, err := exec.Command("go", "build", "-o", program, "streamrail/cmd/streamrail").CombinedOutput(); err != nil {
@@ -216,7 +221,7 @@
 	for _, name := range []string{"short", "through", "operators", "silent"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			text := day
+			text := shortScenario
 			if name == "through" {
 				text = "[fleet]\nmode = \"through\"\nbalancers = 2\n[[node]]\nname = \"n\"\ncount = 3\n" +
 					"[load]\nper_s = 150.0\n[[fault]]\ndo = \"reset\"\nat = \"1s\"\nfor = \"3s\"\npart = 0.1\n" +
@@ -226,14 +231,14 @@
 				text = "length = \"8s\"\n" + text
 			}
 			if name == "silent" {
-				text = silent
+				text = silentScenario
 			}
 			if name == "operators" {
 				text = "length = \"11s\"\n[fleet]\nbalancers = 2\n[[node]]\nname = \"n\"\ncount = 4\n[load]\nper_s = 120.0\n" +
 					"[[fault]]\ndo = \"by-hand\"\nat = \"1s\"\nfor = \"3s\"\nnodes = [\"n-2\"]\n" +
 					"[[fault]]\ndo = \"upgrade\"\nat = \"2s\"\n[[fault]]\ndo = \"crowd\"\nat = \"5s\"\nfor = \"3s\"\ncount = 100\n"
 			}
-			res := play(t, Program(program), text)
+			res := playScenario(t, Program(program), text)
 			for _, f := range res.Verdict.Findings {
 				if name == "operators" && slices.Contains([]judge.Rule{judge.Used, judge.NoneBack, judge.Doors, judge.Drains}, f.Rule) && f.Checked == 0 ||
 					name == "silent" && f.Rule == judge.Drains && f.Checked < 3*5 {
@@ -241,7 +246,7 @@
 				}
 			}
 			if v := res.Verdict; v.Broken() {
-				t.Errorf("%s", examples(v))
+				t.Errorf("%s", describeBreaches(v))
 			}
 			n := 0
 			for _, k := range res.Record.Calls {
@@ -250,7 +255,7 @@
 				}
 			}
 			if n < 900 {
-				t.Errorf("only %d calls were answered", n)
+				t.Errorf("only %d requests were answered, expected at least 900", n)
 			}
 		})
 	}
--- a/internal/rehearsal/runner/wrong_test.go
+++ b/internal/rehearsal/runner/wrong_test.go
@@ -19,23 +19,24 @@
 	"streamrail/internal/memcache"
 )
 
-// wrong is a plain balancer that keeps the rules but for one thing, which it does on purpose: the judge has to name
-// just that. It knows nothing of load or health.
-type wrong struct {
-	what   string
-	told   wrongTold
-	net    net.Listener
-	done   chan struct{}
-	client http.Client
+// faultyBalancer is a simple balancer with one deliberate defect, which the judge has to report. Apart from that it keeps
+// the rules. It does not track load or health of hosts.
+type faultyBalancer struct {
+	defect   string
+	config   faultyConfig
+	listener net.Listener
+	done     chan struct{}
+	client   http.Client
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	hosts []wrongHost
-	seen  atomic.Int64
-	last  atomic.Pointer[[]byte] // the value served last
+	mu        sync.Mutex
+	conns     map[net.Conn]struct{}
+	hosts     []listedHost
+	counter   atomic.Int64
+	lastValue atomic.Pointer[[]byte] // the value served most recently
 }
 
-type wrongTold struct {
+// faultyConfig holds the parts of a balancer configuration that faultyBalancer uses.
+type faultyConfig struct {
 	Listen, Discovery string
 	Known             json.RawMessage
 	Settings          struct {
@@ -46,50 +47,52 @@
 	}
 }
 
-type wrongHost struct {
+// listedHost is an entry of the host list, and when it was first listed as no longer active.
+type listedHost struct {
 	InstanceID, HostPort, MachineType, Lifecycle string
 	StartedAtMs                                  int64
-	left                                         time.Time
+	leftAt                                       time.Time
 }
 
-// wrongly launches wrong balancers in this process.
-func wrongly(what string) Launch {
+// launchFaulty returns a Launch that runs balancers with a defect as part of this process.
+func launchFaulty(defect string) Launch {
 	return func(ctx context.Context, _ int, at Place) (Instance, error) {
 		text, err := os.ReadFile(at.Config)
 		if err != nil {
 			return nil, err
 		}
-		b := &wrong{what: what, done: make(chan struct{}), conns: map[net.Conn]struct{}{}}
-		if err = json.Unmarshal(text, &b.told); err != nil {
+		b := &faultyBalancer{defect: defect, done: make(chan struct{}), conns: map[net.Conn]struct{}{}}
+		if err = json.Unmarshal(text, &b.config); err != nil {
 			return nil, err
 		}
-		b.learn(b.told.Known)
-		if b.net, err = net.Listen("tcp", b.told.Listen); err != nil {
+		b.applyList(b.config.Known)
+		if b.listener, err = net.Listen("tcp", b.config.Listen); err != nil {
 			return nil, err
 		}
 		go b.accept()
-		go b.follow(ctx)
+		go b.followDiscovery(ctx)
 		context.AfterFunc(ctx, b.Kill)
 		return b, nil
 	}
 }
 
-func (b *wrong) Kill() {
-	b.net.Close()
+func (b *faultyBalancer) Kill() {
+	b.listener.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for c := range b.conns {
 		c.Close()
 	}
 }
-func (b *wrong) Term()                 { b.Kill() }
-func (b *wrong) Hup()                  {}
-func (b *wrong) Done() <-chan struct{} { return b.done }
-func (b *wrong) Exit() int             { return 0 }
-func (b *wrong) Usage() Usage          { return Usage{} }
+func (b *faultyBalancer) Term()                 { b.Kill() }
+func (b *faultyBalancer) Hup()                  {}
+func (b *faultyBalancer) Done() <-chan struct{} { return b.done }
+func (b *faultyBalancer) Exit() int             { return 0 }
+func (b *faultyBalancer) Usage() Usage          { return Usage{} }
 
-func (b *wrong) learn(text []byte) {
-	var list struct{ Instances []wrongHost }
+// applyList replaces the hosts with those of a host list and keeps the times at which they left.
+func (b *faultyBalancer) applyList(text []byte) {
+	var list struct{ Instances []listedHost }
 	if json.Unmarshal(text, &list) != nil {
 		return
 	}
@@ -99,10 +102,10 @@
 	b.hosts = nil
 	for _, h := range list.Instances {
 		if h.Lifecycle != "active" {
-			h.left = time.Now()
+			h.leftAt = time.Now()
 			for _, o := range old {
-				if o.InstanceID == h.InstanceID && !o.left.IsZero() {
-					h.left = o.left
+				if o.InstanceID == h.InstanceID && !o.leftAt.IsZero() {
+					h.leftAt = o.leftAt
 				}
 			}
 		}
@@ -110,15 +113,16 @@
 	}
 }
 
-func (b *wrong) follow(ctx context.Context) {
+// followDiscovery polls the host list until ctx ends.
+func (b *faultyBalancer) followDiscovery(ctx context.Context) {
 	for ctx.Err() == nil {
-		if r, err := b.client.Get("http://" + b.told.Discovery + "/api/targets"); err == nil {
+		if r, err := b.client.Get("http://" + b.config.Discovery + "/api/targets"); err == nil {
 			text, _ := io.ReadAll(r.Body)
 			r.Body.Close()
-			b.learn(text)
+			b.applyList(text)
 			var list struct{ Generation int64 }
-			if json.Unmarshal(text, &list) == nil && b.what == "patient" { // it never gives a watch up
-				if r, err := b.client.Get(fmt.Sprintf("http://%s/api/targets?after=%d&wait_ms=1000", b.told.Discovery, list.Generation)); err == nil {
+			if json.Unmarshal(text, &list) == nil && b.defect == "patient" { // it never abandons a watch
+				if r, err := b.client.Get(fmt.Sprintf("http://%s/api/targets?after=%d&wait_ms=1000", b.config.Discovery, list.Generation)); err == nil {
 					r.Body.Close()
 				}
 			}
@@ -127,10 +131,10 @@
 	}
 }
 
-func (b *wrong) accept() {
+func (b *faultyBalancer) accept() {
 	defer close(b.done)
 	for {
-		c, err := b.net.Accept()
+		c, err := b.listener.Accept()
 		if err != nil {
 			return
 		}
@@ -141,35 +145,35 @@
 	}
 }
 
-// host picks the server for a key, or the gateway.
-func (b *wrong) host(key string, gateway bool) (addr string) {
+// pickHost returns the address of the cache host for a key, or of the gateway; "" if there is none.
+func (b *faultyBalancer) pickHost(key string, gateway bool) (addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var may []wrongHost
+	var usable []listedHost
 	for _, h := range b.hosts {
 		switch {
 		case (h.MachineType == "origin") != gateway:
 		case gateway:
 			return h.HostPort
-		case b.what == "drain" && !h.left.IsZero():
-			return h.HostPort // the one that leaves, and longer than it may
-		case !h.left.IsZero():
-		case h.StartedAtMs > 0 && b.what == "flood":
-			return h.HostPort // all to the newest
-		case h.StartedAtMs > 0: // cold, for as long as these days last
+		case b.defect == "drain" && !h.leftAt.IsZero():
+			return h.HostPort // a draining host, also after its grace time
+		case !h.leftAt.IsZero():
+		case h.StartedAtMs > 0 && b.defect == "flood":
+			return h.HostPort // all requests to a restarted host
+		case h.StartedAtMs > 0: // cold until the end of these short rehearsals
 		default:
-			may = append(may, h)
+			usable = append(usable, h)
 		}
 	}
-	if len(may) == 0 {
+	if len(usable) == 0 {
 		return ""
 	}
 	f := fnv.New32a()
 	io.WriteString(f, key)
-	return may[int(f.Sum32())%len(may)].HostPort
+	return usable[int(f.Sum32())%len(usable)].HostPort
 }
 
-func (b *wrong) serve(c net.Conn) {
+func (b *faultyBalancer) serve(c net.Conn) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for {
@@ -194,10 +198,11 @@
 			}
 			value = value[:cmd.Length]
 		}
-		answer := b.live(&cmd, value, time.Now().Add(cmd.Left-20*time.Millisecond))
-		// An answer that names no request would be taken for the next one's, whose rules it may break besides.
-		names := !strings.HasPrefix(answer, "SERVER_ERROR")
-		if b.what == "twice" && names && b.every(20) {
+		answer := b.handle(&cmd, value, time.Now().Add(cmd.Left-20*time.Millisecond))
+		// Only answers with a request id are repeated: a client takes one without an id for the answer to its next request,
+		// and this may break further rules.
+		namesRequest := !strings.HasPrefix(answer, "SERVER_ERROR")
+		if b.defect == "twice" && namesRequest && b.everyNth(20) {
 			answer += answer
 		}
 		if _, err = io.WriteString(c, answer); err != nil {
@@ -206,29 +211,30 @@
 	}
 }
 
-func (b *wrong) every(n int64) bool { return b.seen.Add(1)%n == 0 }
+// everyNth reports true on every nth call.
+func (b *faultyBalancer) everyNth(n int64) bool { return b.counter.Add(1)%n == 0 }
 
 const busy, failed = "SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n"
 
-// live is the life of a request here.
-func (b *wrong) live(cmd *memcache.Command, value []byte, until time.Time) string {
+// handle processes a request and returns its final answer.
+func (b *faultyBalancer) handle(cmd *memcache.Command, value []byte, until time.Time) string {
 	switch {
-	case b.what == "lose" && b.every(50):
+	case b.defect == "lose" && b.everyNth(50):
 		time.Sleep(10 * time.Second)
 		return ""
-	case b.what == "hold" && b.every(50):
-		time.Sleep(time.Until(until) - 200*time.Millisecond) // a busy machine would else make it a call without an answer
+	case b.defect == "hold" && b.everyNth(50):
+		time.Sleep(time.Until(until) - 200*time.Millisecond) // the margin keeps this a late answer, not a missing one, on a busy machine
 		return busy
 	}
 	if !cmd.Write {
-		text, outcome := b.read(cmd, until)
-		if outcome == "" && b.what == "other" {
-			if old := b.last.Swap(&text); old != nil && b.every(20) {
+		text, outcome := b.askHost(cmd, until)
+		if outcome == "" && b.defect == "other" {
+			if old := b.lastValue.Swap(&text); old != nil && b.everyNth(20) {
 				text = *old
 			}
 		}
 		if outcome == "miss" {
-			text, outcome = b.gateway(cmd, nil, until)
+			text, outcome = b.askGateway(cmd, nil, until)
 		}
 		if outcome != "" {
 			return busy
@@ -236,20 +242,20 @@
 		return string(memcache.AppendValue(nil, cmd.ID, len(text))) + string(text) + "\r\n"
 	}
 	effect, window := "", time.Duration(0)
-	for _, p := range b.told.Settings.Products {
+	for _, p := range b.config.Settings.Products {
 		if p.Name == string(cmd.Product) {
 			effect, window = p.Effect, time.Duration(p.WindowNs)
 		}
 	}
-	text, outcome := b.gateway(cmd, value, until)
+	text, outcome := b.askGateway(cmd, value, until)
 	if outcome == "may" {
 		switch {
-		case b.what == "resend" && effect == "at_most_once":
-			text, outcome = b.gateway(cmd, value, until)
-		case b.what == "window" && effect == "deduplicated":
+		case b.defect == "resend" && effect == "at_most_once":
+			text, outcome = b.askGateway(cmd, value, until)
+		case b.defect == "window" && effect == "deduplicated":
 			time.Sleep(window + 150*time.Millisecond)
-			text, outcome = b.gateway(cmd, value, until)
-		case b.what == "promise" && effect == "at_most_once":
+			text, outcome = b.askGateway(cmd, value, until)
+		case b.defect == "promise" && effect == "at_most_once":
 			return busy
 		}
 	}
@@ -262,23 +268,25 @@
 	return failed
 }
 
-// left is what a server is told.
-func (b *wrong) left(until time.Time) time.Duration {
-	left := max(time.Millisecond, time.Until(until))
-	if b.what == "tell" {
-		left += 400 * time.Millisecond
+// remaining returns the time left until the deadline as reported to hosts.
+func (b *faultyBalancer) remaining(until time.Time) time.Duration {
+	remaining := max(time.Millisecond, time.Until(until))
+	if b.defect == "tell" {
+		remaining += 400 * time.Millisecond
 	}
-	return left
+	return remaining
 }
 
-func (b *wrong) read(cmd *memcache.Command, until time.Time) (value []byte, outcome string) {
-	c, err := net.DialTimeout("tcp", b.host(string(cmd.Key), false), time.Until(until))
+// askHost reads a value from a cache host. The outcome is "" if it succeeded, "miss", "never" if the host did not get the
+// request, or "may" if it may have.
+func (b *faultyBalancer) askHost(cmd *memcache.Command, until time.Time) (value []byte, outcome string) {
+	c, err := net.DialTimeout("tcp", b.pickHost(string(cmd.Key), false), time.Until(until))
 	if err != nil {
 		return nil, "never"
 	}
 	defer c.Close()
 	c.SetDeadline(until)
-	c.Write(cmd.AppendOnward(nil, b.left(until)))
+	c.Write(cmd.AppendOnward(nil, b.remaining(until)))
 	in := bufio.NewReader(c)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
@@ -298,22 +306,24 @@
 	return value, ""
 }
 
-func (b *wrong) gateway(cmd *memcache.Command, value []byte, until time.Time) (text []byte, outcome string) {
+// askGateway reads or writes a value at the gateway, with an outcome as of askHost; "never" here also means that the
+// gateway promised not to have processed the request.
+func (b *faultyBalancer) askGateway(cmd *memcache.Command, value []byte, until time.Time) (text []byte, outcome string) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	method := http.MethodGet
 	if cmd.Write {
 		method = http.MethodPut
 	}
-	// A body of its own type keeps the library from sending a write again by itself.
+	// net/http repeats a request whose body it can rewind; with this body type it does not repeat a write.
 	body := io.NopCloser(strings.NewReader(string(value)))
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+b.host("", true)+"/"+string(cmd.Key), body)
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+b.pickHost("", true)+"/"+string(cmd.Key), body)
 	if err != nil {
 		return nil, "never"
 	}
 	r.ContentLength, r.Close = int64(len(value)), true
 	r.Header.Set("X-Request-ID", string(cmd.ID))
-	r.Header.Set("X-Attrs", string(cmd.AppendAttrs(nil, b.left(until))))
+	r.Header.Set("X-Attrs", string(cmd.AppendAttrs(nil, b.remaining(until))))
 	resp, err := b.client.Do(r)
 	if err != nil {
 		return nil, "may"
