--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -55,7 +55,7 @@
 		return nil, f.Err(ErrFaulty)
 	}
 	c := &checker{File: f, scenario: &sc}
-	presenceIn := func(list string, i int) given {
+	presenceIn := func(list string, i int) keyPresence {
 		return func(key string) bool { return f.Given(fmt.Sprintf("%s[%d].%s", list, i+1, key)) }
 	}
 	if len(sc.Nodes) == 0 {
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -202,7 +202,7 @@
 
 var faultKinds = map[string]faultKind{
 	"slow":             {"nodes work BY times slower", []string{"for", "by"}, []string{"nodes", "part"}},
-	"stall":            {"nodes accept requests and never answer them", []string{"for"}, []string{"nodes", "part"}},
+	"stall":            {"nodes accept requests and do not process them", []string{"for"}, []string{"nodes", "part"}},
 	"kill":             {"nodes are killed without notice and restart cold after FOR", []string{"for"}, []string{"nodes", "part"}},
 	"vanish":           {"nodes and their connections stop responding and restart cold after FOR", []string{"for"}, []string{"nodes", "part"}},
 	"reset":            {"nodes break the connection in the middle of a share PART of their answers", []string{"for", "part"}, []string{"nodes"}},
@@ -262,17 +262,17 @@
 }
 
 // keyPresence reports whether the file contains a key of a table. It distinguishes an explicit zero from an absent key.
-type given func(key string) bool
+type keyPresence func(key string) bool
 
 // setDefault sets *v to value if the file does not contain the key.
-func setDefault[T comparable](present given, key string, v *T, value T) {
+func setDefault[T comparable](present keyPresence, key string, v *T, value T) {
 	var zero T
 	if *v == zero && !present(key) {
 		*v = value
 	}
 }
 
-func (n *Node) applyDefaults(present given) {
+func (n *Node) applyDefaults(present keyPresence) {
 	setDefault(present, "count", &n.Count, 1)
 	setDefault(present, "cores", &n.Cores, 2)
 	setDefault(present, "queue", &n.Queue, 200)
@@ -287,14 +287,14 @@
 	}
 }
 
-func (p *Product) applyDefaults(present given) {
+func (p *Product) applyDefaults(present keyPresence) {
 	setDefault(present, "law", &p.Law, model.Exponential)
 	setDefault(present, "variation", &p.Variation, 1)
 	setDefault(present, "billed_value", &p.BilledValue, 1)
 	setDefault(present, "effect", &p.Effect, Idempotent)
 }
 
-func (f *Fault) applyDefaults(present given) {
+func (f *Fault) applyDefaults(present keyPresence) {
 	if f.Do == "deploy" {
 		setDefault(present, "at_once", &f.AtOnce, 1)
 		setDefault(present, "drain", &f.Drain, Span(2*time.Second))
