--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -18,20 +18,20 @@
 
 // conn is one connection of a client, over which one call goes at a time.
 type conn struct {
-	net  net.Conn
-	in   *bufio.Reader
-	used bool
-	last string // the id of the call that it carried last
+	net    net.Conn
+	in     *bufio.Reader
+	used   bool
+	lastID string // the id of the call that it carried last
 }
 
 func newConn(n net.Conn) *conn { return &conn{net: n, in: bufio.NewReaderSize(n, 2*memcache.MostLine)} }
 
 // reply is one answer of a balancer.
 type reply struct {
-	kind     record.Reply
-	id       string
-	body     []byte
-	comeBack time.Duration
+	kind       record.Reply
+	id         string
+	body       []byte
+	retryAfter time.Duration
 }
 
 // read takes one answer; an answer that no client can read is an errored one.
@@ -45,7 +45,7 @@
 	if busy, ok := bytes.CutPrefix(line, []byte("SERVER_ERROR busy")); ok {
 		r.kind = record.RateLimited
 		if ms, err := strconv.Atoi(string(bytes.TrimSpace(busy))); err == nil {
-			r.comeBack = time.Duration(ms) * time.Millisecond
+			r.retryAfter = time.Duration(ms) * time.Millisecond
 		}
 		return r, nil
 	}
@@ -67,106 +67,106 @@
 	return r, nil
 }
 
-// value is what clients write.
-const value = "12345"
+// writtenValue is what clients write.
+const writtenValue = "12345"
 
-// try makes one try of a call: it is sent, and its answer or the end of its client's patience is awaited.
-func (c *Callers) try(k *record.Call, zone int, write bool) {
-	k.Balancer = c.pick(zone, k.Tenant)
-	f := c.fronts[k.Balancer]
+// sendRequest makes one try of a call: it is sent, and its answer or the end of its client's patience is awaited.
+func (c *Callers) sendRequest(req *record.Call, zone int, write bool) {
+	req.Balancer = c.pickBalancer(zone, req.Tenant)
+	target := c.targets[req.Balancer]
 	for {
-		co, addr := f.take(k.Crossed < mostCrossed)
+		co, addr := target.checkout(req.Crossed < maxClosedConns)
 		if co == nil {
 			var err error
-			if co, err = dial(addr, max(time.Millisecond, k.Timeout-c.w.Now())); err != nil {
-				k.NotTaken = true
+			if co, err = dial(addr, max(time.Millisecond, req.Timeout-c.world.Now())); err != nil {
+				req.NotTaken = true
 				return
 			}
 		}
-		if !c.over(co, k, write, f) {
+		if !c.exchange(co, req, write, target) {
 			return
 		}
-		k.Crossed++
+		req.Crossed++
 	}
 }
 
-// mostCrossed is how many closed connections a client meets before it opens one of its own. A balancer that stood still
+// maxClosedConns is how many closed connections a client meets before it opens one of its own. A balancer that stood still
 // for seconds leaves hundreds that were opened meanwhile, and closes them all when they have rested long enough; taking
 // the hundredth for an answer blamed the balancer for what its clients kept.
-const mostCrossed = 100
+const maxClosedConns = 100
 
-// crossesIn is within what time of the call's last byte the close of a resting connection, on its way by then, is seen;
+// closeRaceWindow is within what time of the call's last byte the close of a resting connection, on its way by then, is seen;
 // one that comes later answers the call.
-const crossesIn = 50 * time.Millisecond
+const closeRaceWindow = 50 * time.Millisecond
 
-// over carries a try over a connection; true where the connection was closed while it rested, before the call.
-func (c *Callers) over(co *conn, k *record.Call, write bool, f *front) (crossed bool) {
+// exchange carries a try over a connection; true where the connection was closed while it rested, before the call.
+func (c *Callers) exchange(co *conn, req *record.Call, write bool, target *balancerTarget) (closedWhileIdle bool) {
 	fresh := !co.used
 	co.used = true
-	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.w.Day.Products[k.Product].Name, c.w.Day.Tenants[k.Tenant].Name,
-		max(1, (k.Timeout-c.w.Now()).Milliseconds()))
+	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.world.Day.Products[req.Product].Name, c.world.Day.Tenants[req.Tenant].Name,
+		max(1, (req.Timeout-c.world.Now()).Milliseconds()))
 	text := make([]byte, 0, 256)
 	if write {
-		if k.Mark != "" {
-			attrs += ",k=" + k.Mark
+		if req.Mark != "" {
+			attrs += ",k=" + req.Mark
 		}
-		text = fmt.Appendf(text, "ms %s %d O%s P%s\r\n%s\r\n", k.Key, len(value), k.ID, attrs, value)
+		text = fmt.Appendf(text, "ms %s %d O%s P%s\r\n%s\r\n", req.Key, len(writtenValue), req.ID, attrs, writtenValue)
 	} else {
-		text = fmt.Appendf(text, "mg %s v O%s P%s\r\n", k.Key, k.ID, attrs)
+		text = fmt.Appendf(text, "mg %s v O%s P%s\r\n", req.Key, req.ID, attrs)
 	}
-	if k.Sent == 0 {
-		c.late(k.Due, c.w.Now())
+	if req.Sent == 0 {
+		c.recordLateness(req.Due, c.world.Now())
 	}
-	co.net.SetDeadline(time.Now().Add(k.Timeout - c.w.Now()))
+	co.net.SetDeadline(time.Now().Add(req.Timeout - c.world.Now()))
 	_, err := co.net.Write(text)
-	k.Sent = c.w.Now()
+	req.Sent = c.world.Now()
 	if err != nil {
 		co.net.Close()
 		return !fresh
 	}
 	for {
 		r, err := co.read()
-		now := c.w.Now()
-		if err == nil && r.id != "" && r.id != k.ID && r.id == co.last {
-			c.again(r.id) // a further answer to the call before
+		now := c.world.Now()
+		if err == nil && r.id != "" && r.id != req.ID && r.id == co.lastID {
+			c.recordExtraAnswer(r.id) // a further answer to the call before
 			continue
 		}
 		if err != nil {
 			co.net.Close()
 			switch {
-			case r.id == k.ID && r.kind == record.Fulfilled && !errors.Is(err, os.ErrDeadlineExceeded):
-				k.Answered, k.Reply = now, record.CutShort
-				k.Excused = f.ends()
+			case r.id == req.ID && r.kind == record.Fulfilled && !errors.Is(err, os.ErrDeadlineExceeded):
+				req.Answered, req.Reply = now, record.CutShort
+				req.Excused = target.isStopping()
 			case errors.Is(err, os.ErrDeadlineExceeded):
-				k.Reply = record.None
-				k.Excused = f.ends()
-			case !fresh && now-k.Sent < crossesIn && co.in.Buffered() == 0 &&
+				req.Reply = record.None
+				req.Excused = target.isStopping()
+			case !fresh && now-req.Sent < closeRaceWindow && co.in.Buffered() == 0 &&
 				(errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)):
 				return true // closed with not a byte of an answer: that crossed the call
 			default:
-				k.Reply, k.Ended = record.Closed, now
-				k.Excused = f.ends()
+				req.Reply, req.Ended = record.Closed, now
+				req.Excused = target.isStopping()
 			}
 			return false
 		}
-		k.Answered, k.Reply, k.ComeBack = now, r.kind, r.comeBack
-		if r.kind == record.Fulfilled && !c.right(k, r, write) {
-			k.Reply = record.Wrong
+		req.Answered, req.Reply, req.ComeBack = now, r.kind, r.retryAfter
+		if r.kind == record.Fulfilled && !c.isCorrect(req, r, write) {
+			req.Reply = record.Wrong
 		}
-		co.last = k.ID
-		f.give(co)
+		co.lastID = req.ID
+		target.release(co)
 		return false
 	}
 }
 
-// right tells whether an answer was made for a call.
-func (c *Callers) right(k *record.Call, r reply, write bool) bool {
-	if r.id != k.ID {
+// isCorrect tells whether an answer was made for a call.
+func (c *Callers) isCorrect(req *record.Call, r reply, write bool) bool {
+	if r.id != req.ID {
 		return false
 	}
 	if write {
-		return string(r.body) == "r-"+k.ID
+		return string(r.body) == "r-"+req.ID
 	}
 	words := bytes.SplitN(r.body, []byte(" "), 4)
-	return len(words) == 4 && string(words[0]) == k.Key && string(words[2]) == k.ID && len(r.body) == c.w.Day.Load.ValueSize
+	return len(words) == 4 && string(words[0]) == req.Key && string(words[2]) == req.ID && len(r.body) == c.world.Day.Load.ValueSize
 }
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -21,19 +21,19 @@
 
 // Callers are all clients of a day.
 type Callers struct {
-	w        *standin.World
-	arrivals []model.Arrival
-	retry    model.Retry
-	fronts   []*front // by balancer
+	world       *standin.World
+	arrivals    []model.Arrival
+	retryPolicy model.Retry
+	targets     []*balancerTarget // by balancer
 
-	wait   sync.WaitGroup
-	turn   atomic.Uint32
-	inHand atomic.Int64
+	running    sync.WaitGroup
+	roundRobin atomic.Uint32
+	inFlight   atomic.Int64
 
 	mu        sync.Mutex
 	lateness  *hdrhistogram.Histogram // of sends, microseconds
 	latencies *hdrhistogram.Histogram // of fulfilled calls from when they were due, microseconds
-	tallies   Tally
+	tally     Tally
 }
 
 // Tally counts what became of calls so far.
@@ -43,13 +43,13 @@
 
 // The histograms hold 1 microsecond to a minute with three digits.
 const (
-	leastMicros = 1
-	mostMicros  = 60_000_000
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = 60_000_000
+	significantDigits = 3
 )
 
-// mostInHand bounds the calls that are out at a time: beyond it the machine cannot carry the day.
-const mostInHand = 50_000
+// maxInFlight bounds the calls that are out at a time: beyond it the machine cannot carry the day.
+const maxInFlight = 50_000
 
 // New plans a day's calls.
 func New(w *standin.World) (*Callers, error) {
@@ -57,11 +57,11 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Callers{w: w, arrivals: arrivals, retry: w.Day.Retry(),
-		lateness:  hdrhistogram.New(leastMicros, mostMicros, digits),
-		latencies: hdrhistogram.New(leastMicros, mostMicros, digits)}
+	c := &Callers{world: w, arrivals: arrivals, retryPolicy: w.Day.Retry(),
+		lateness:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		latencies: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 	for range w.Day.Fleet.Balancers {
-		c.fronts = append(c.fronts, &front{})
+		c.targets = append(c.targets, &balancerTarget{})
 	}
 	return c, nil
 }
@@ -71,60 +71,60 @@
 
 // Up tells where a balancer serves; the front deals calls to it from now on.
 func (c *Callers) Up(balancer int, addr string) {
-	f := c.fronts[balancer]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.round++
-	f.addr, f.up, f.ending = addr, true, false
+	target := c.targets[balancer]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.stateChanges++
+	target.addr, target.up, target.stopping = addr, true, false
 }
 
 // Down tells that a balancer has ended, or was told to end at once, which excuses what it holds. The front notices
 // later, and sends to it until then.
 func (c *Callers) Down(balancer int) {
-	f := c.fronts[balancer]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ending = true
-	f.round++
-	round := f.round
-	time.AfterFunc(c.w.Day.Clients.Notice.D(), func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.ending && f.round == round {
-			f.up = false
+	target := c.targets[balancer]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.stopping = true
+	target.stateChanges++
+	stateChanges := target.stateChanges
+	time.AfterFunc(c.world.Day.Clients.Notice.D(), func() {
+		target.mu.Lock()
+		defer target.mu.Unlock()
+		if target.stopping && target.stateChanges == stateChanges {
+			target.up = false
 		}
 	})
 }
 
 // Leaves tells that a balancer was told to end in order: the front deals it no more calls after a moment.
 func (c *Callers) Leaves(balancer int) {
-	f := c.fronts[balancer]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.round++
-	round := f.round
-	time.AfterFunc(leavesIn, func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.round == round {
-			f.up = false
+	target := c.targets[balancer]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.stateChanges++
+	stateChanges := target.stateChanges
+	time.AfterFunc(drainNoticeDelay, func() {
+		target.mu.Lock()
+		defer target.mu.Unlock()
+		if target.stateChanges == stateChanges {
+			target.up = false
 		}
 	})
 }
 
-// leavesIn is how long a front deals to a balancer that was told to end: it hears of that itself at the same time.
-const leavesIn = 300 * time.Millisecond
+// drainNoticeDelay is how long a front deals to a balancer that was told to end: it hears of that itself at the same time.
+const drainNoticeDelay = 300 * time.Millisecond
 
 // Play makes the day's calls and returns when the last has its answer or has been given up.
 func (c *Callers) Play(stop <-chan struct{}) {
-	defer c.wait.Wait()
+	defer c.running.Wait()
 	// On a thread of its own that the system wakes: the runtime's timers are up to a millisecond late.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i := range c.arrivals {
-		a := &c.arrivals[i]
-		for wait := a.At - c.w.Now(); wait > 0; wait = a.At - c.w.Now() {
-			ts := syscall.NsecToTimespec(int64(min(wait, sleepMost)))
+		arrival := &c.arrivals[i]
+		for wait := arrival.At - c.world.Now(); wait > 0; wait = arrival.At - c.world.Now() {
+			ts := syscall.NsecToTimespec(int64(min(wait, maxSleep)))
 			syscall.Nanosleep(&ts, nil)
 			select {
 			case <-stop:
@@ -132,82 +132,82 @@
 			default:
 			}
 		}
-		c.wait.Add(1)
+		c.running.Add(1)
 		go func() {
-			defer c.wait.Done()
-			c.live(a)
+			defer c.running.Done()
+			c.runRequest(arrival)
 		}()
 	}
 }
 
-// sleepMost bounds how long an order to stop goes unheard.
-const sleepMost = 100 * time.Millisecond
+// maxSleep bounds how long an order to stop goes unheard.
+const maxSleep = 100 * time.Millisecond
 
-// live is the life of one request of a client, with all its tries.
-func (c *Callers) live(a *model.Arrival) {
-	p := &c.w.Day.Products[a.Product]
-	chance := model.Stream(c.w.Day.Seed, "client "+a.ID)
-	due := a.At
+// runRequest is the life of one request of a client, with all its tries.
+func (c *Callers) runRequest(arrival *model.Arrival) {
+	p := &c.world.Day.Products[arrival.Product]
+	random := model.Stream(c.world.Day.Seed, "client "+arrival.ID)
+	due := arrival.At
 	for try := 1; ; try++ {
-		k := record.Call{ID: a.ID, Base: a.ID, Try: try, Tenant: a.Tenant, Product: a.Product, Key: a.Key, Mark: a.Mark, Once: a.Once,
-			Due: due, Timeout: due + a.Patience}
+		req := record.Call{ID: arrival.ID, Base: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, Mark: arrival.Mark, Once: arrival.Once,
+			Due: due, Timeout: due + arrival.Patience}
 		if try > 1 {
-			k.ID = fmt.Sprintf("%s.%d", a.ID, try)
+			req.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 		}
-		c.w.Sent(k.ID, standin.Want{Key: a.Key, Product: a.Product, Tenant: a.Tenant})
-		if c.inHand.Add(1) > mostInHand {
-			k.NotTaken = true
+		c.world.Sent(req.ID, standin.Want{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
+		if c.inFlight.Add(1) > maxInFlight {
+			req.NotTaken = true
 		} else {
-			c.try(&k, a.Zone, p.Write)
+			c.sendRequest(&req, arrival.Zone, p.Write)
 		}
-		c.inHand.Add(-1)
-		c.note(k, due)
-		if k.Reply == record.Fulfilled {
+		c.inFlight.Add(-1)
+		c.recordResult(req, due)
+		if req.Reply == record.Fulfilled {
 			return
 		}
 		// Of what a balancer never took, and of what it rate-limited, a further try is harmless; reads are always.
-		harmless := k.Reply == record.RateLimited || k.NotTaken || p.Effect == scenario.Idempotent
-		wait, again := c.retry.Next(chance, try, harmless, k.ComeBack)
-		if !again {
+		harmless := req.Reply == record.RateLimited || req.NotTaken || p.Effect == scenario.Idempotent
+		wait, retry := c.retryPolicy.Next(random, try, harmless, req.ComeBack)
+		if !retry {
 			return
 		}
-		due = c.w.Now() + wait
+		due = c.world.Now() + wait
 		time.Sleep(wait)
 	}
 }
 
-// note takes a try into the record.
-func (c *Callers) note(k record.Call, due time.Duration) {
-	c.w.Rec.Add(func() { c.w.Rec.Calls = append(c.w.Rec.Calls, k) })
+// recordResult takes a try into the record.
+func (c *Callers) recordResult(req record.Call, due time.Duration) {
+	c.world.Rec.Add(func() { c.world.Rec.Calls = append(c.world.Rec.Calls, req) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tallies.Due++
-	switch k.Reply {
+	c.tally.Due++
+	switch req.Reply {
 	case record.Fulfilled:
-		c.tallies.Fulfilled++
-		c.latencies.RecordValue(min(mostMicros, max(leastMicros, (k.Answered-due).Microseconds())))
+		c.tally.Fulfilled++
+		c.latencies.RecordValue(min(maxMicros, max(minMicros, (req.Answered-due).Microseconds())))
 	case record.RateLimited:
-		c.tallies.RateLimited++
+		c.tally.RateLimited++
 	case record.Errored:
-		c.tallies.Errored++
+		c.tally.Errored++
 	default:
-		c.tallies.Lost++
+		c.tally.Lost++
 	}
 }
 
-// late notes how late a call was sent.
-func (c *Callers) late(due, now time.Duration) {
-	c.w.Late(due, now)
+// recordLateness notes how late a call was sent.
+func (c *Callers) recordLateness(due, now time.Duration) {
+	c.world.Late(due, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lateness.RecordValue(min(mostMicros, max(leastMicros, (now-due).Microseconds())))
+	c.lateness.RecordValue(min(maxMicros, max(minMicros, (now-due).Microseconds())))
 }
 
 // Tally counts so far.
 func (c *Callers) Tally() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tallies
+	return c.tally
 }
 
 // Percentiles of a histogram, as times.
@@ -236,23 +236,23 @@
 	return PercentilesOf(c.lateness)
 }
 
-// pick finds the balancer for a call: those that its tenant uses, or else of its zone, in turn; else any that the front holds for
+// pickBalancer finds the balancer for a call: those that its tenant uses, or else of its zone, in turn; else any that the front holds for
 // alive.
-func (c *Callers) pick(zone, tenant int) int {
-	if use := c.w.Day.TenantAt(tenant, c.w.Now()); len(use) > 0 {
-		n := int(c.turn.Add(1))
-		for i := range use {
-			if b := use[(n+i)%len(use)]; c.fronts[b].alive() {
+func (c *Callers) pickBalancer(zone, tenant int) int {
+	if allowed := c.world.Day.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
+		n := int(c.roundRobin.Add(1))
+		for i := range allowed {
+			if b := allowed[(n+i)%len(allowed)]; c.targets[b].isUp() {
 				return b
 			}
 		}
 	}
-	zones := len(c.w.Day.Fleet.Zones)
-	for _, own := range []bool{true, false} {
-		n := int(c.turn.Add(1))
-		for i := range c.fronts {
-			b := (n + i) % len(c.fronts)
-			if (!own || b%zones == zone) && c.fronts[b].alive() {
+	zones := len(c.world.Day.Fleet.Zones)
+	for _, sameZone := range []bool{true, false} {
+		n := int(c.roundRobin.Add(1))
+		for i := range c.targets {
+			b := (n + i) % len(c.targets)
+			if (!sameZone || b%zones == zone) && c.targets[b].isUp() {
 				return b
 			}
 		}
@@ -260,76 +260,76 @@
 	return 0
 }
 
-// front holds the connections to one balancer.
-type front struct {
-	mu     sync.Mutex
-	addr   string
-	up     bool // as far as the front has noticed
-	ending bool // it was told to end: what it holds is lost with it
-	round  int
-	rest   []*conn // the last used one last
+// balancerTarget holds the connections to one balancer.
+type balancerTarget struct {
+	mu           sync.Mutex
+	addr         string
+	up           bool // as far as the front has noticed
+	stopping     bool // it was told to end: what it holds is lost with it
+	stateChanges int
+	idle         []*conn // the last used one last
 }
 
-func (f *front) alive() bool {
+func (f *balancerTarget) isUp() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.up
 }
 
-// take hands out a connection that rests, nil where there is none or none is wanted, and the address for a new one.
-func (f *front) take(rested bool) (c *conn, addr string) {
+// checkout hands out a connection that rests, nil where there is none or none is wanted, and the address for a new one.
+func (f *balancerTarget) checkout(reuse bool) (c *conn, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if n := len(f.rest); rested && n > 0 {
-		c, f.rest = f.rest[n-1], f.rest[:n-1]
+	if n := len(f.idle); reuse && n > 0 {
+		c, f.idle = f.idle[n-1], f.idle[:n-1]
 	}
 	return c, f.addr
 }
 
-func (f *front) give(c *conn) {
+func (f *balancerTarget) release(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.rest = append(f.rest, c)
+	f.idle = append(f.idle, c)
 }
 
-func (f *front) ends() bool {
+func (f *balancerTarget) isStopping() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.ending
+	return f.stopping
 }
 
 // Rest closes the connections that rest, and notes what came on them unasked.
 func (c *Callers) Rest() {
-	for _, f := range c.fronts {
-		f.mu.Lock()
-		rest := f.rest
-		f.rest = nil
-		f.mu.Unlock()
-		for _, k := range rest {
-			k.net.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-			c.extra(k)
-			k.net.Close()
+	for _, target := range c.targets {
+		target.mu.Lock()
+		idle := target.idle
+		target.idle = nil
+		target.mu.Unlock()
+		for _, conn := range idle {
+			conn.net.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
+			c.readExtraAnswers(conn)
+			conn.net.Close()
 		}
 	}
 }
 
-// extra notes answers on a connection that nobody waits for.
-func (c *Callers) extra(k *conn) {
+// readExtraAnswers notes answers on a connection that nobody waits for.
+func (c *Callers) readExtraAnswers(conn *conn) {
 	for {
-		a, err := k.read()
+		a, err := conn.read()
 		if err != nil {
 			return
 		}
-		c.again(a.id)
+		c.recordExtraAnswer(a.id)
 	}
 }
 
-// again notes one more answer to a call that has its own.
-func (c *Callers) again(id string) {
-	c.w.Rec.Add(func() {
-		for i := len(c.w.Rec.Calls) - 1; i >= 0; i-- {
-			if k := &c.w.Rec.Calls[i]; k.ID == id {
-				k.Extra++
+// recordExtraAnswer notes one more answer to a call that has its own.
+func (c *Callers) recordExtraAnswer(id string) {
+	c.world.Rec.Add(func() {
+		for i := len(c.world.Rec.Calls) - 1; i >= 0; i-- {
+			if req := &c.world.Rec.Calls[i]; req.ID == id {
+				req.Extra++
 				return
 			}
 		}
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -15,7 +15,7 @@
 )
 
 // A balancer that stood still leaves more resting connections than a client tries: their close is no answer of its.
-func TestManyClosedWhileTheyRested(t *testing.T) {
+func TestManyIdleConnectionsClosed(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,20 +24,20 @@
 	day := &scenario.Day{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
 	day.Fleet.Balancers, day.Fleet.Zones = 1, []string{"z"}
 	w := standin.NewWorld(day, record.New())
-	f := &front{up: true, addr: l.Addr().String()}
-	for range mostCrossed + 30 {
-		n, err := net.Dial("tcp4", f.addr)
+	target := &balancerTarget{up: true, addr: l.Addr().String()}
+	for range maxClosedConns + 30 {
+		n, err := net.Dial("tcp4", target.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		far, err := l.Accept()
+		serverSide, err := l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		far.Close()
+		serverSide.Close()
 		co := newConn(n)
 		co.used = true
-		f.give(co)
+		target.release(co)
 	}
 	go func() {
 		n, err := l.Accept()
@@ -52,10 +52,10 @@
 			}
 		}
 	}()
-	c := &Callers{w: w, fronts: []*front{f}, lateness: hdrhistogram.New(leastMicros, mostMicros, digits)}
-	k := record.Call{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
-	c.try(&k, 0, false)
-	if k.Reply != record.RateLimited || k.Crossed != mostCrossed {
-		t.Errorf("%v after %d closed connections, want rate-limited by the one that is open", k.Reply, k.Crossed)
+	c := &Callers{world: w, targets: []*balancerTarget{target}, lateness: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
+	req := record.Call{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
+	c.sendRequest(&req, 0, false)
+	if req.Reply != record.RateLimited || req.Crossed != maxClosedConns {
+		t.Errorf("%v after %d closed connections, want rate-limited by the one that is open", req.Reply, req.Crossed)
 	}
 }
--- a/internal/rehearsal/load/rude.go
+++ b/internal/rehearsal/load/rude.go
@@ -11,8 +11,8 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// rudeWays are what rude clients send; %s stands for a product that there is.
-var rudeWays = []struct{ what, text string }{
+// malformedInputs are what rude clients send; %s stands for a product that there is.
+var malformedInputs = []struct{ name, text string }{
 	{"noise", "\x00\x01\xfe\xff\r\n\r\n\x13\r\n"},
 	{"a line without an end", strings.Repeat("mg ", 4000)},
 	{"an unknown verb", "frobnicate k\r\n"},
@@ -27,39 +27,39 @@
 	{"nothing", ""},
 }
 
-// rudeWait is in what time a rude client is owed an error or a close, and sixty megabytes take longer.
+// answerTimeout is in what time a rude client is owed an error or a close, and sixty megabytes take longer.
 const (
-	rudeWait  = 3 * time.Second
-	rudeHuge  = 6 * time.Second
-	hugeValue = 60 << 20
+	answerTimeout    = 3 * time.Second
+	hugeValueTimeout = 6 * time.Second
+	hugeValueBytes   = 60 << 20
 )
 
 // Rude plays the i-th rude client against a balancer.
 func (c *Callers) Rude(i int) {
-	way := rudeWays[i%len(rudeWays)]
-	_, addr := c.fronts[i%len(c.fronts)].peek()
-	n, err := net.DialTimeout("tcp", addr, rudeWait)
+	input := malformedInputs[i%len(malformedInputs)]
+	_, addr := c.targets[i%len(c.targets)].state()
+	n, err := net.DialTimeout("tcp", addr, answerTimeout)
 	if err != nil {
 		return // not even a connection: nothing is owed
 	}
 	defer n.Close()
-	r := record.Rude{What: way.what}
-	defer func() { c.w.Rec.Add(func() { c.w.Rec.Rudes = append(c.w.Rec.Rudes, r) }) }()
-	wait := rudeWait
-	if way.what == "a value of 60 MB" {
-		wait = rudeHuge
+	r := record.Rude{What: input.name}
+	defer func() { c.world.Rec.Add(func() { c.world.Rec.Rudes = append(c.world.Rec.Rudes, r) }) }()
+	wait := answerTimeout
+	if input.name == "a value of 60 MB" {
+		wait = hugeValueTimeout
 	}
 	n.SetDeadline(time.Now().Add(wait))
 	go func() {
-		text := way.text
+		text := input.text
 		if strings.Contains(text, "%s") {
-			text = fmt.Sprintf(text, c.w.Day.Products[0].Name)
+			text = fmt.Sprintf(text, c.world.Day.Products[0].Name)
 		}
 		io.WriteString(n, text)
-		if wait == rudeHuge {
-			fmt.Fprintf(n, "ms k %d Orude Pc=%s,d=500\r\n", hugeValue, c.w.Day.Products[0].Name)
+		if wait == hugeValueTimeout {
+			fmt.Fprintf(n, "ms k %d Orude Pc=%s,d=500\r\n", hugeValueBytes, c.world.Day.Products[0].Name)
 			chunk := bytes.Repeat([]byte("x"), 1<<16)
-			for sent := 0; sent < hugeValue; sent += len(chunk) {
+			for sent := 0; sent < hugeValueBytes; sent += len(chunk) {
 				if _, err := n.Write(chunk); err != nil {
 					return
 				}
@@ -84,8 +84,8 @@
 	return ok && e.Timeout()
 }
 
-// peek tells whether the front holds a balancer for alive, and its address.
-func (f *front) peek() (up bool, addr string) {
+// state tells whether the front holds a balancer for alive, and its address.
+func (f *balancerTarget) state() (up bool, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.up, f.addr
--- a/internal/rehearsal/standin/echo.go
+++ b/internal/rehearsal/standin/echo.go
@@ -14,16 +14,16 @@
 // AddEcho makes a node that answers each read at once with a value, and neither models nor notes anything: it costs as
 // little as a node can, so that what is measured is the balancer.
 func (w *World) AddEcho(id string, g *scenario.Node) (*Node, error) {
-	n := &Node{w: w, ID: id, Zone: g.Zone, Group: g, player: newPlayer()}
+	n := &Node{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner()}
 	for b := range w.Day.Fleet.Balancers {
-		l := &link{balancer: b, node: id, serve: func(_ *link, c *net.TCPConn) { echo(c, w.Day.Load.ValueSize) }}
+		l := &link{balancer: b, hostID: id, serve: func(_ *link, c *net.TCPConn) { echo(c, w.Day.Load.ValueSize) }}
 		n.links = append(n.links, l)
 		if err := l.open(w); err != nil {
 			return nil, err
 		}
 	}
 	w.mu.Lock()
-	w.nodes[id] = n
+	w.hosts[id] = n
 	w.mu.Unlock()
 	w.Register.Set(n.Entry(model.Active))
 	return n, nil
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -18,29 +18,29 @@
 
 // Gateway is the slow store behind the cache nodes, over HTTP/1.1: GET reads, PUT writes.
 type Gateway struct {
-	w     *World
+	world *World
 	addrs []string // by balancer
-	player
-
-	mu     sync.Mutex
-	m      *model.Gateway
-	told   int // effects, and stops, that the record has
-	stops  int
-	reset  float64 // part of the answers in place of which the connection breaks
-	fail   float64 // part of the calls that end as errors, undone
-	chance *rand.Rand
+	modelRunner
+
+	mu              sync.Mutex
+	model           *model.Gateway
+	recordedEffects int // effects, and stops, that the record has
+	recordedStops   int
+	resetRatio      float64 // part of the answers in place of which the connection breaks
+	failRatio       float64 // part of the calls that end as errors, undone
+	random          *rand.Rand
 }
 
 // result is what came of a job at the gateway.
 type result struct {
-	lost, full bool
-	version    uint64
+	lost, refused bool
+	version       uint64
 }
 
 // AddGateway makes the gateway and a listener for each balancer.
 func (w *World) AddGateway() error {
-	g := &Gateway{w: w, player: newPlayer(), m: model.NewGateway(w.Day.GatewayTerms(), 0),
-		chance: model.Stream(w.Day.Seed, "faults gateway")}
+	g := &Gateway{world: w, modelRunner: newModelRunner(), model: model.NewGateway(w.Day.GatewayTerms(), 0),
+		random: model.Stream(w.Day.Seed, "faults gateway")}
 	for b := range w.Day.Fleet.Balancers {
 		l, err := w.Listen()
 		if err != nil {
@@ -59,7 +59,7 @@
 		go server.Serve(l)
 	}
 	w.Gateway = g
-	go g.play(g.step)
+	go g.run(g.step)
 	return nil
 }
 
@@ -67,46 +67,46 @@
 func (g *Gateway) Addr(balancer int) string { return g.addrs[balancer] }
 
 // Slow makes the gateway so many times slower; 1 ends that.
-func (g *Gateway) Slow(times float64) {
+func (g *Gateway) Slow(factor float64) {
 	g.mu.Lock()
-	g.advance(g.w.Now())
-	g.m.Slow(times)
+	g.advance(g.world.Now())
+	g.model.Slow(factor)
 	g.mu.Unlock()
 	g.wake()
 }
 
 // Reset makes the gateway break the connection in place of a part of its answers: what was asked is done.
-func (g *Gateway) Reset(part float64) {
+func (g *Gateway) Reset(ratio float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.reset = part
+	g.resetRatio = ratio
 }
 
 // Fail makes the gateway answer a part of its calls with an error and not do them, which nobody can tell from outside.
-func (g *Gateway) Fail(part float64) {
+func (g *Gateway) Fail(ratio float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.fail = part
+	g.failRatio = ratio
 }
 
-// troubled draws whether an answer is broken off, or a call fails.
-func (g *Gateway) troubled() (reset, fail bool) {
+// drawFaults draws whether an answer is broken off, or a call fails.
+func (g *Gateway) drawFaults() (reset, fail bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.reset > 0 && g.chance.Float64() < g.reset, g.fail > 0 && g.chance.Float64() < g.fail
+	return g.resetRatio > 0 && g.random.Float64() < g.resetRatio, g.failRatio > 0 && g.random.Float64() < g.failRatio
 }
 
-// take sends a job to the model; done hears what came of it, outside of the gateway's lock.
-func (g *Gateway) take(j model.Job, done func(result)) {
-	j.Work = model.Work(g.w.Day.Seed, "gateway "+j.ID, model.Exponential, g.w.Day.Gateway.Time.D(), 1)
-	j.Tag = done
+// submit sends a job to the model; done hears what came of it, outside of the gateway's lock.
+func (g *Gateway) submit(job model.Job, onDone func(result)) {
+	job.Work = model.Work(g.world.Day.Seed, "gateway "+job.ID, model.Exponential, g.world.Day.Gateway.Time.D(), 1)
+	job.Tag = onDone
 	g.mu.Lock()
-	now := g.w.Now()
+	now := g.world.Now()
 	g.advance(now)
-	ok := g.m.Offer(now, j)
+	ok := g.model.Offer(now, job)
 	g.mu.Unlock()
 	if !ok {
-		done(result{full: true})
+		onDone(result{refused: true})
 		return
 	}
 	g.wake()
@@ -116,32 +116,34 @@
 func (g *Gateway) step() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.advance(g.w.Now())
-	return min(time.Hour, max(0, g.m.Due()-g.w.Now()))
+	g.advance(g.world.Now())
+	return min(time.Hour, max(0, g.model.Due()-g.world.Now()))
 }
 
 // advance plays the model up to a moment. What is done is handed on outside of the lock, which the caller holds.
 func (g *Gateway) advance(now time.Duration) {
-	for _, d := range g.m.Advance(now) {
-		g.w.Late(d.At, now)
+	for _, d := range g.model.Advance(now) {
+		g.world.Late(d.At, now)
 		if !d.Lost {
 			if d.Write {
-				g.w.void(d.Key, d.Version)
+				g.world.invalidate(d.Key, d.Version)
 			} else {
-				g.w.fill(d.ID, d.Key, d.Version)
+				g.world.storeMissed(d.ID, d.Key, d.Version)
 			}
 		}
 		go d.Tag.(func(result))(result{lost: d.Lost, version: d.Version})
 	}
-	for _, e := range g.m.Effects()[g.told:] {
-		g.w.Rec.Add(func() { g.w.Rec.Effects = append(g.w.Rec.Effects, record.Effect{Call: e.ID, Mark: e.Mark, At: e.At}) })
-		g.told++
+	for _, e := range g.model.Effects()[g.recordedEffects:] {
+		g.world.Rec.Add(func() {
+			g.world.Rec.Effects = append(g.world.Rec.Effects, record.Effect{Call: e.ID, Mark: e.Mark, At: e.At})
+		})
+		g.recordedEffects++
 	}
-	for _, s := range g.m.Stops()[g.stops:] {
-		g.w.Rec.Add(func() {
-			g.w.Rec.Falls = append(g.w.Rec.Falls, record.Fall{Server: record.Gateway, At: s.At, Multiple: s.Multiple})
+	for _, s := range g.model.Stops()[g.recordedStops:] {
+		g.world.Rec.Add(func() {
+			g.world.Rec.Falls = append(g.world.Rec.Falls, record.Fall{Server: record.Gateway, At: s.At, Multiple: s.Multiple})
 		})
-		g.stops++
+		g.recordedStops++
 	}
 }
 
@@ -149,93 +151,93 @@
 func (g *Gateway) Strain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.w.Rec.Strain(record.Gateway, g.m.Strain())
+	g.world.Rec.Strain(record.Gateway, g.model.Strain())
 }
 
-// mostBody bounds a write's value.
-const mostBody = 2 << 20
+// maxBodyBytes bounds a write's value.
+const maxBodyBytes = 2 << 20
 
 // The header fields of the gateway's protocol.
 const (
-	headID           = "X-Request-ID"
-	headAttrs        = "X-Attrs"
-	headNotProcessed = "X-Not-Processed"
+	headerRequestID    = "X-Request-ID"
+	headerAttrs        = "X-Attrs"
+	headerNotProcessed = "X-Not-Processed"
 )
 
 // serve answers one attempt of a balancer.
 func (g *Gateway) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
-	s := record.Attempt{Call: r.Header.Get(headID), Balancer: balancer, Server: record.Gateway, Began: g.w.Now(), Write: r.Method == http.MethodPut}
-	way := g.w.Day.Fleet.Same.D()
+	observed := record.Attempt{Call: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Gateway, Began: g.world.Now(), Write: r.Method == http.MethodPut}
+	delay := g.world.Day.Fleet.Same.D()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
-	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, mostBody))
+	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if readErr != nil {
 		return // never whole: it was not sent
 	}
-	s.Came = g.w.Now()
-	if err != nil || !g.w.expected(s.Call, key) {
-		s.Unexpected = fmt.Sprintf("the id %q with the key %q", s.Call, key)
+	observed.Came = g.world.Now()
+	if err != nil || !g.world.expected(observed.Call, key) {
+		observed.Unexpected = fmt.Sprintf("the id %q with the key %q", observed.Call, key)
 	}
-	if way >= waitLeast {
-		time.Sleep(way)
+	if delay >= minDelay {
+		time.Sleep(delay)
 	}
 	mark := ""
-	for pair := range strings.SplitSeq(r.Header.Get(headAttrs), ",") {
-		if v, ok := strings.CutPrefix(pair, "k="); ok && s.Write {
+	for pair := range strings.SplitSeq(r.Header.Get(headerAttrs), ",") {
+		if v, ok := strings.CutPrefix(pair, "k="); ok && observed.Write {
 			mark = v
 		}
 		if v, ok := strings.CutPrefix(pair, "d="); ok {
 			ms, _ := strconv.Atoi(v)
-			s.Told = time.Duration(ms) * time.Millisecond
+			observed.Told = time.Duration(ms) * time.Millisecond
 		}
 	}
-	reset, fail := g.troubled()
-	note := func() { g.w.Rec.Add(func() { g.w.Rec.Attempts = append(g.w.Rec.Attempts, s) }) }
+	reset, fail := g.drawFaults()
+	addRecord := func() { g.world.Rec.Add(func() { g.world.Rec.Attempts = append(g.world.Rec.Attempts, observed) }) }
 	if fail {
-		s.Ended, s.Answered = g.w.Now(), true
-		note()
+		observed.Ended, observed.Answered = g.world.Now(), true
+		addRecord()
 		rw.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	ended := make(chan result, 1)
-	g.take(model.Job{ID: s.Call, Key: key, Mark: mark, Write: s.Write}, func(r result) { ended <- r })
+	outcome := make(chan result, 1)
+	g.submit(model.Job{ID: observed.Call, Key: key, Mark: mark, Write: observed.Write}, func(r result) { outcome <- r })
 	var res result
 	select {
-	case res = <-ended:
+	case res = <-outcome:
 	case <-r.Context().Done(): // given up; what waits is dropped, what runs goes on
-		s.Ended = g.w.Now()
+		observed.Ended = g.world.Now()
 		g.mu.Lock()
-		dropped := g.m.GiveUp(s.Call)
+		dropped := g.model.GiveUp(observed.Call)
 		g.mu.Unlock()
 		go func() {
 			if !dropped {
-				res := <-ended
-				s.Ran = !res.lost && !res.full
+				res := <-outcome
+				observed.Ran = !res.lost && !res.refused
 			}
-			note()
+			addRecord()
 		}()
 		return
 	}
-	if way >= waitLeast {
-		time.Sleep(way)
+	if delay >= minDelay {
+		time.Sleep(delay)
 	}
-	s.Ended, s.Answered = g.w.Now(), true
+	observed.Ended, observed.Answered = g.world.Now(), true
 	switch {
-	case res.lost || reset && !res.full:
-		s.Answered, s.Ran = false, !res.lost
-		note()
+	case res.lost || reset && !res.refused:
+		observed.Answered, observed.Ran = false, !res.lost
+		addRecord()
 		panic(http.ErrAbortHandler) // the connection breaks
-	case res.full:
-		s.Proof = record.NeverRan
-		note()
-		rw.Header().Set(headNotProcessed, "1")
+	case res.refused:
+		observed.Proof = record.NeverRan
+		addRecord()
+		rw.Header().Set(headerNotProcessed, "1")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	s.Ran, s.Proof = true, record.WasServed
-	note()
-	if s.Write {
-		io.WriteString(rw, "r-"+s.Call)
+	observed.Ran, observed.Proof = true, record.WasServed
+	addRecord()
+	if observed.Write {
+		io.WriteString(rw, "r-"+observed.Call)
 	} else {
-		rw.Write(g.w.Value(key, res.version, s.Call))
+		rw.Write(g.world.Value(key, res.version, observed.Call))
 	}
 }
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -16,18 +16,18 @@
 // link is the way from one balancer to one node, with the listener at its end.
 type link struct {
 	balancer int
-	node     string
+	hostID   string
 	addr     *net.TCPAddr
 	serve    func(*link, *net.TCPConn)
 
-	mu        sync.Mutex
-	listener  *net.TCPListener
-	conns     map[*net.TCPConn]struct{}
-	delay     time.Duration // one way
-	cut       bool          // nothing comes through, nor do connections come up
-	filler    net.Conn      // has the one place in the backlog of a cut link
-	darkSince time.Duration
-	resume    chan struct{} // closed when the cut ends
+	mu            sync.Mutex
+	listener      *net.TCPListener
+	conns         map[*net.TCPConn]struct{}
+	delay         time.Duration // one way
+	cut           bool          // nothing comes through, nor do connections come up
+	backlogFiller net.Conn      // has the one place in the backlog of a cut link
+	cutSince      time.Duration
+	restored      chan struct{} // closed when the cut ends
 }
 
 // open listens, at the same address as before if there was one.
@@ -56,13 +56,13 @@
 		c, err := listener.AcceptTCP()
 		if err != nil {
 			l.mu.Lock()
-			resume, over := l.resume, l.listener != listener
+			restored, closed := l.restored, l.listener != listener
 			l.mu.Unlock()
-			if over {
+			if closed {
 				return
 			}
-			if resume != nil { // cut: another listener follows
-				<-resume
+			if restored != nil { // cut: another listener follows
+				<-restored
 				return
 			}
 			time.Sleep(time.Millisecond) // a lack of descriptors passes
@@ -88,7 +88,7 @@
 
 // close ends the listener and resets all connections, as the end of a process does.
 func (l *link) close(w *World) {
-	l.mend(w, false)
+	l.restore(w, false)
 	l.mu.Lock()
 	listener := l.listener
 	l.listener = nil
@@ -96,11 +96,11 @@
 	if listener != nil {
 		listener.Close()
 	}
-	l.reset()
+	l.resetConnections()
 }
 
-// reset breaks all connections.
-func (l *link) reset() {
+// resetConnections breaks all connections.
+func (l *link) resetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
@@ -109,57 +109,57 @@
 	}
 }
 
-// sever makes the link a black hole: what is sent is lost without a word, and connections never come up. A backlog
+// blackhole makes the link a black hole: what is sent is lost without a word, and connections never come up. A backlog
 // of none that is filled makes the system drop what asks for a connection.
-func (l *link) sever(w *World) {
+func (l *link) blackhole(w *World) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut || l.listener == nil {
 		return
 	}
-	l.cut, l.resume = true, make(chan struct{})
+	l.cut, l.restored = true, make(chan struct{})
 	l.listener.SetDeadline(time.Unix(1, 0))
 	if raw, err := l.listener.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
 	}
-	l.darkSince = w.Now()
+	l.cutSince = w.Now()
 	// A backlog of none still has one place. It takes no time to fill unless a balancer was quicker, whose connection
 	// is found when the link is mended.
-	if c, err := net.DialTimeout("tcp", l.addr.String(), fillWait); err == nil {
-		l.filler = c
+	if c, err := net.DialTimeout("tcp", l.addr.String(), backlogTimeout); err == nil {
+		l.backlogFiller = c
 	}
 }
 
-// fillWait is long for a connection on the machine itself, and a lateness that the kit can bear.
-const fillWait = 3 * time.Millisecond
+// backlogTimeout is long for a connection on the machine itself, and a lateness that the kit can bear.
+const backlogTimeout = 3 * time.Millisecond
 
-// limbo notes what was written to connections that came up in the backlog of a cut link. Under l.mu.
-func (l *link) limbo(w *World, dark record.Dark) {
-	l.listener.SetDeadline(time.Now().Add(fillWait))
+// recordBacklog notes what was written to connections that came up in the backlog of a cut link. Under l.mu.
+func (l *link) recordBacklog(w *World, outage record.Dark) {
+	l.listener.SetDeadline(time.Now().Add(backlogTimeout))
 	for {
 		c, err := l.listener.AcceptTCP()
 		if err != nil {
 			return
 		}
-		c.SetReadDeadline(time.Now().Add(fillWait))
+		c.SetReadDeadline(time.Now().Add(backlogTimeout))
 		buf := make([]byte, 4*memcache.MostLine)
 		n, _ := io.ReadFull(c, buf)
 		c.SetLinger(0)
 		c.Close()
 		for line := range bytes.Lines(buf[:n]) {
 			if cmd, fault := memcache.Parse(bytes.TrimRight(line, "\r\n")); fault == nil && !cmd.Noop {
-				s := record.Attempt{Call: string(cmd.ID), Balancer: l.balancer, Server: l.node, Began: dark.From, Came: dark.From, Ended: dark.To,
+				lost := record.Attempt{Call: string(cmd.ID), Balancer: l.balancer, Server: l.hostID, Began: outage.From, Came: outage.From, Ended: outage.To,
 					Write: cmd.Write, Swallowed: true, Untimed: true}
-				w.Rec.Add(func() { w.Rec.Attempts = append(w.Rec.Attempts, s) })
+				w.Rec.Add(func() { w.Rec.Attempts = append(w.Rec.Attempts, lost) })
 			}
 		}
 	}
 }
 
-// mend ends the cut; reset tells that what was open breaks, as a machine that comes back makes it.
-func (l *link) mend(w *World, reset bool) error {
-	if reset {
-		l.reset()
+// restore ends the cut; reset tells that what was open breaks, as a machine that comes back makes it.
+func (l *link) restore(w *World, resetConns bool) error {
+	if resetConns {
+		l.resetConnections()
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,18 +167,18 @@
 		return nil
 	}
 	l.cut = false
-	dark := record.Dark{Balancer: l.balancer, From: l.darkSince, To: w.Now()}
-	w.Rec.Add(func() { w.Rec.Darks = append(w.Rec.Darks, dark) })
-	if l.filler != nil {
-		l.filler.Close()
-		l.filler = nil
+	outage := record.Dark{Balancer: l.balancer, From: l.cutSince, To: w.Now()}
+	w.Rec.Add(func() { w.Rec.Darks = append(w.Rec.Darks, outage) })
+	if l.backlogFiller != nil {
+		l.backlogFiller.Close()
+		l.backlogFiller = nil
 	}
-	l.limbo(w, dark)
+	l.recordBacklog(w, outage)
 	// What came up in the backlog meanwhile came up for nobody: a listener of its own resets it.
 	old := l.listener
 	old.Close()
-	close(l.resume)
-	l.resume = nil
+	close(l.restored)
+	l.restored = nil
 	var err error
 	if l.listener, err = listen(l.addr); err != nil {
 		return fmt.Errorf("link to %v: %w", l.addr, err)
@@ -187,32 +187,32 @@
 	return nil
 }
 
-// lost tells whether bytes are lost at present.
-func (l *link) lost() bool {
+// isCut tells whether bytes are lost at present.
+func (l *link) isCut() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut
 }
 
-// through waits while the link is cut; false where a connection over it has ended before that.
-func (l *link) through(gone <-chan struct{}) bool {
+// waitRestored waits while the link is cut; false where a connection over it has ended before that.
+func (l *link) waitRestored(closed <-chan struct{}) bool {
 	for {
 		l.mu.Lock()
-		resume := l.resume
+		restored := l.restored
 		l.mu.Unlock()
-		if resume == nil {
+		if restored == nil {
 			return true
 		}
 		select {
-		case <-resume:
-		case <-gone:
+		case <-restored:
+		case <-closed:
 			return false
 		}
 	}
 }
 
-// takes is how long bytes take one way at present.
-func (l *link) takes() time.Duration {
+// oneWayDelay is how long bytes take one way at present.
+func (l *link) oneWayDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.delay
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -15,30 +15,30 @@
 
 // Register is the list of nodes over HTTP/1.1: an agent for each balancer that answers with what it has heard.
 type Register struct {
-	w      *World
-	agents []*registerAgent
+	world  *World
+	agents []*discoveryAgent
 
-	mu sync.Mutex
-	m  *model.Register
+	mu    sync.Mutex
+	model *model.Register
 }
 
-type registerAgent struct {
-	r        *Register
-	balancer int
-	addr     string
-	server   *http.Server
-	news     chan struct{}   // closed at the next change; under Register.mu
-	broken   chan struct{}   // closed when all open watches fall silent; under Register.mu
-	behind   time.Duration   // when what a watch misses that has fallen silent counts as told; under Register.mu
-	up       map[string]bool // what its balancer was told wants work; under Register.mu
+type discoveryAgent struct {
+	register       *Register
+	balancer       int
+	addr           string
+	server         *http.Server
+	changed        chan struct{}   // closed at the next change; under Register.mu
+	watchesStalled chan struct{}   // closed when all open watches fall silent; under Register.mu
+	notifiedBy     time.Duration   // when what a watch misses that has fallen silent counts as told; under Register.mu
+	available      map[string]bool // what its balancer was told wants work; under Register.mu
 }
 
 // AddRegister makes the register.
 func (w *World) AddRegister() error {
-	late := [2]time.Duration{w.Day.Register.Late[0].D(), w.Day.Register.Late[1].D()}
-	r := &Register{w: w, m: model.NewRegister(w.Day.Fleet.Balancers, late, model.Stream(w.Day.Seed, "register"))}
+	delay := [2]time.Duration{w.Day.Register.Late[0].D(), w.Day.Register.Late[1].D()}
+	r := &Register{world: w, model: model.NewRegister(w.Day.Fleet.Balancers, delay, model.Stream(w.Day.Seed, "register"))}
 	for b := range w.Day.Fleet.Balancers {
-		a := &registerAgent{r: r, balancer: b, news: make(chan struct{}), broken: make(chan struct{}), up: map[string]bool{}}
+		a := &discoveryAgent{register: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
 		if err := a.listen(); err != nil {
 			return err
 		}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-func (a *registerAgent) listen() error {
-	l, err := a.r.w.Listen()
+func (a *discoveryAgent) listen() error {
+	l, err := a.register.world.Listen()
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
@@ -62,8 +62,8 @@
 // Addr is where a balancer finds the register.
 func (r *Register) Addr(balancer int) string { return r.agents[balancer].addr }
 
-// oldAddress is how long an address that was left still answers on open connections.
-const oldAddress = 1500 * time.Millisecond
+// oldAddressGrace is how long an address that was left still answers on open connections.
+const oldAddressGrace = 1500 * time.Millisecond
 
 // Move gives a balancer's agent another address. The old one takes no new connection.
 func (r *Register) Move(balancer int) error {
@@ -72,28 +72,28 @@
 	if err := a.listen(); err != nil {
 		return err
 	}
-	time.AfterFunc(oldAddress, func() { old.Close() })
+	time.AfterFunc(oldAddressGrace, func() { old.Close() })
 	return nil
 }
 
 // What an agent has counts as told to its balancer, whether or not it asked. But what a watch misses that has fallen silent
 // counts so long after that, and for a call that may wait so long after its wait, if that is later.
 const (
-	toldAfterSilence = 6 * time.Second
-	toldAfterWait    = 2 * time.Second
+	notifiedAfterStall = 6 * time.Second
+	notifiedAfterWait  = 2 * time.Second
 )
 
 // Set changes a node's line; each agent hears of it when the model says.
 func (r *Register) Set(e model.Entry) {
-	now := r.w.Now()
+	now := r.world.Now()
 	r.mu.Lock()
-	times := r.m.Set(now, e)
+	times := r.model.Set(now, e)
 	r.mu.Unlock()
 	r.advance()
 	for b, at := range times {
-		time.AfterFunc(max(0, at-r.w.Now()), r.advance)
+		time.AfterFunc(max(0, at-r.world.Now()), r.advance)
 		if e.Condition != model.Active {
-			time.AfterFunc(max(0, at-r.w.Now()), func() { r.force(b, e.Node) })
+			time.AfterFunc(max(0, at-r.world.Now()), func() { r.assumeNotified(b, e.Node) })
 		}
 	}
 }
@@ -101,48 +101,48 @@
 func (r *Register) advance() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.m.Advance(r.w.Now()) {
-		r.stir(b)
+	for _, b := range r.model.Advance(r.world.Now()) {
+		r.wakeWatches(b)
 	}
 }
 
-// stir wakes who waits at an agent. Under r.mu.
-func (r *Register) stir(balancer int) {
+// wakeWatches wakes who waits at an agent. Under r.mu.
+func (r *Register) wakeWatches(balancer int) {
 	a := r.agents[balancer]
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// force counts a change as told that the balancer never asked for.
-func (r *Register) force(balancer int, node string) {
+// assumeNotified counts a change as told that the balancer never asked for.
+func (r *Register) assumeNotified(balancer int, host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.m.Silent(balancer) { // told at its return
+	if r.model.Silent(balancer) { // told at its return
 		return
 	}
-	if wait := r.agents[balancer].behind - r.w.Now(); wait > 0 {
-		time.AfterFunc(wait, func() { r.force(balancer, node) })
+	if wait := r.agents[balancer].notifiedBy - r.world.Now(); wait > 0 {
+		time.AfterFunc(wait, func() { r.assumeNotified(balancer, host) })
 		return
 	}
-	_, _, entries := r.m.List(balancer, 0, true)
+	_, _, entries := r.model.List(balancer, 0, true)
 	for _, e := range entries {
-		if e.Node == node && e.Condition == model.Active {
+		if e.Node == host && e.Condition == model.Active {
 			return // it is back
 		}
 	}
-	r.told(balancer, node, false)
+	r.recordNotice(balancer, host, false)
 }
 
 // Silence makes the agent of a balancer say nothing, or ends that.
 func (r *Register) Silence(balancer int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.m.Silence(balancer, on)
-	r.stir(balancer)
+	r.model.Silence(balancer, on)
+	r.wakeWatches(balancer)
 	if a := r.agents[balancer]; !on {
-		for node, up := range a.up {
-			if up { // what is not up any more counts as told at the return
-				time.AfterFunc(0, func() { r.force(balancer, node) })
+		for host, available := range a.available {
+			if available { // what is not up any more counts as told at the return
+				time.AfterFunc(0, func() { r.assumeNotified(balancer, host) })
 			}
 		}
 	}
@@ -153,35 +153,35 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := r.agents[balancer]
-	close(a.broken)
-	a.broken = make(chan struct{})
+	close(a.watchesStalled)
+	a.watchesStalled = make(chan struct{})
 }
 
 // Rewind makes the versions of a balancer's agent start over.
 func (r *Register) Rewind(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.m.Rewind(balancer)
-	r.stir(balancer)
+	r.model.Rewind(balancer)
+	r.wakeWatches(balancer)
 }
 
 // Restarted hears that a balancer starts from nothing.
 func (r *Register) Restarted(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.agents[balancer].up)
+	clear(r.agents[balancer].available)
 }
 
-// told notes what a balancer hears of a node. Under r.mu.
-func (r *Register) told(balancer int, node string, up bool) {
+// recordNotice notes what a balancer hears of a node. Under r.mu.
+func (r *Register) recordNotice(balancer int, host string, available bool) {
 	a := r.agents[balancer]
-	if was, known := a.up[node]; known && was == up || !known && !up {
+	if was, known := a.available[host]; known && was == available || !known && !available {
 		return
 	}
-	a.up[node] = up
-	now := r.w.Now()
-	r.w.Rec.Add(func() {
-		r.w.Rec.Tolds = append(r.w.Rec.Tolds, record.Told{Balancer: balancer, Node: node, Up: up, At: now})
+	a.available[host] = available
+	now := r.world.Now()
+	r.world.Rec.Add(func() {
+		r.world.Rec.Tolds = append(r.world.Rec.Tolds, record.Told{Balancer: balancer, Node: host, Up: available, At: now})
 	})
 }
 
@@ -197,19 +197,19 @@
 }
 
 // List is what an agent answers, as JSON, and the nodes in it. Under r.mu.
-func (r *Register) list(balancer int, after int64, whole bool) (text []byte, reset bool, entries []model.Entry) {
-	generation, reset, entries := r.m.List(balancer, after, whole)
+func (r *Register) list(balancer int, after int64, full bool) (text []byte, reset bool, entries []model.Entry) {
+	generation, reset, entries := r.model.List(balancer, after, full)
 	rows := []instance{}
 	for _, e := range entries {
 		addr := ""
 		if e.Node == record.Gateway {
-			addr = r.w.Gateway.Addr(balancer)
-		} else if n := r.w.Node(e.Node); n != nil {
+			addr = r.world.Gateway.Addr(balancer)
+		} else if n := r.world.Node(e.Node); n != nil {
 			addr = n.Addr(balancer)
 		}
 		row := instance{InstanceID: e.Node, HostPort: addr, Zone: e.Zone, MachineType: e.Kind, Cell: e.Cell, Lifecycle: string(e.Condition), Weight: e.Weight}
 		if e.Born > 0 {
-			row.StartedAtMs = r.w.Unix(e.Born)
+			row.StartedAtMs = r.world.Unix(e.Born)
 		}
 		rows = append(rows, row)
 	}
@@ -225,18 +225,18 @@
 	return text
 }
 
-// longestWatch is the longest that a watch may wait.
-const longestWatch = time.Minute
+// maxWatch is the longest that a watch may wait.
+const maxWatch = time.Minute
 
 // ServeHTTP answers the list, or waits for a change.
-func (a *registerAgent) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
+func (a *discoveryAgent) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/api/targets" || req.Method != http.MethodGet {
 		http.Error(rw, "no such thing here", http.StatusNotFound)
 		return
 	}
-	after, whole := int64(0), true
-	var until <-chan time.Time
-	ends := a.r.w.Now()
+	after, full := int64(0), true
+	var timeout <-chan time.Time
+	waitEnds := a.register.world.Now()
 	if s := req.URL.Query().Get("after"); s != "" {
 		n, err := strconv.ParseInt(s, 10, 64)
 		ms, err2 := strconv.ParseInt(req.URL.Query().Get("wait_ms"), 10, 64)
@@ -244,28 +244,28 @@
 			http.Error(rw, "after and wait_ms are numbers", http.StatusBadRequest)
 			return
 		}
-		after, whole = n, false
-		may := min(time.Duration(ms)*time.Millisecond, longestWatch)
-		t := time.NewTimer(may)
-		ends += may
+		after, full = n, false
+		wait := min(time.Duration(ms)*time.Millisecond, maxWatch)
+		t := time.NewTimer(wait)
+		waitEnds += wait
 		defer t.Stop()
-		until = t.C
+		timeout = t.C
 	}
-	r, over := a.r, false
+	r, timedOut := a.register, false
 	for {
 		r.mu.Lock()
-		silent, news, broken := r.m.Silent(a.balancer), a.news, a.broken
-		if generation, reset, _ := r.m.List(a.balancer, after, whole); !silent && (whole || over || reset || generation > after) {
+		silent, changed, stalled := r.model.Silent(a.balancer), a.changed, a.watchesStalled
+		if generation, reset, _ := r.model.List(a.balancer, after, full); !silent && (full || timedOut || reset || generation > after) {
 			break // with the lock
 		}
 		r.mu.Unlock()
 		select {
-		case <-news:
-		case <-until:
-			over, until = true, nil
-		case <-broken:
+		case <-changed:
+		case <-timeout:
+			timedOut, timeout = true, nil
+		case <-stalled:
 			r.mu.Lock()
-			a.behind = max(r.w.Now()+toldAfterSilence, ends+toldAfterWait)
+			a.notifiedBy = max(r.world.Now()+notifiedAfterStall, waitEnds+notifiedAfterWait)
 			r.mu.Unlock()
 			<-req.Context().Done()
 			return
@@ -273,17 +273,17 @@
 			return
 		}
 	}
-	a.behind = 0 // from now on it is told as all are
-	text, reset, entries := r.list(a.balancer, after, whole)
-	named := map[string]bool{}
+	a.notifiedBy = 0 // from now on it is told as all are
+	text, reset, entries := r.list(a.balancer, after, full)
+	listed := map[string]bool{}
 	for _, e := range entries {
-		named[e.Node] = true
-		r.told(a.balancer, e.Node, e.Condition == model.Active)
+		listed[e.Node] = true
+		r.recordNotice(a.balancer, e.Node, e.Condition == model.Active)
 	}
 	if reset {
-		for node, up := range a.up {
-			if up && !named[node] {
-				r.told(a.balancer, node, false)
+		for host, available := range a.available {
+			if available && !listed[host] {
+				r.recordNotice(a.balancer, host, false)
 			}
 		}
 	}
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -14,29 +14,29 @@
 
 // Relays carry the datagrams between balancers, each ordered pair by a way of its own that can be harmed.
 type Relays struct {
-	began time.Time
-	ways  [][]*relay // from, to
-	wait  sync.WaitGroup
+	startedAt time.Time
+	relays    [][]*relay // from, to
+	readers   sync.WaitGroup
 }
 
 // relay is the way from one balancer to another: an address for datagrams to it.
 type relay struct {
-	all      *Relays
+	owner    *Relays
 	from, to int
 	conn     *net.UDPConn
 	target   netip.AddrPort
 
 	mu    sync.Mutex
-	way   *model.Way
+	link  *model.Way
 	bytes int64
 }
 
 // NewRelays opens a way for each ordered pair of balancers, which stand at the targets.
-func NewRelays(targets []netip.AddrPort, terms model.WayTerms, chance *rand.Rand) (*Relays, error) {
-	rs := &Relays{began: time.Now()}
+func NewRelays(targets []netip.AddrPort, terms model.WayTerms, random *rand.Rand) (*Relays, error) {
+	rs := &Relays{startedAt: time.Now()}
 	for from := range targets {
 		row := make([]*relay, len(targets))
-		rs.ways = append(rs.ways, row)
+		rs.relays = append(rs.relays, row)
 		for to := range targets {
 			if to == from {
 				continue
@@ -46,14 +46,14 @@
 				rs.Close()
 				return nil, fmt.Errorf("a way between balancers: %w", err)
 			}
-			row[to] = &relay{all: rs, from: from, to: to, conn: conn, target: targets[to],
-				way: model.NewWay(terms, rand.New(rand.NewPCG(chance.Uint64(), chance.Uint64())))}
+			row[to] = &relay{owner: rs, from: from, to: to, conn: conn, target: targets[to],
+				link: model.NewWay(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
 		}
 	}
-	for _, row := range rs.ways {
+	for _, row := range rs.relays {
 		for _, r := range row {
 			if r != nil {
-				rs.wait.Go(r.hear)
+				rs.readers.Go(r.receive)
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 
 // Addr is where a balancer reaches another.
 func (rs *Relays) Addr(from, to int) netip.AddrPort {
-	return rs.ways[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	return rs.relays[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
 // Change changes how a way treats datagrams from now on.
@@ -70,15 +70,15 @@
 	if from == to {
 		return
 	}
-	r := rs.ways[from][to]
+	r := rs.relays[from][to]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.way.WayTerms)
+	change(&r.link.WayTerms)
 }
 
 // Cut makes some ways lose everything, or ends that.
 func (rs *Relays) Cut(on bool, which func(from, to int) bool) {
-	for from, row := range rs.ways {
+	for from, row := range rs.relays {
 		for to := range row {
 			if from != to && which(from, to) {
 				rs.Change(from, to, func(t *model.WayTerms) { t.Cut = on })
@@ -89,7 +89,7 @@
 
 // Bytes is what a balancer has sent so far to the others.
 func (rs *Relays) Bytes(from int) (sum int64) {
-	for _, r := range rs.ways[from] {
+	for _, r := range rs.relays[from] {
 		if r != nil {
 			r.mu.Lock()
 			sum += r.bytes
@@ -101,17 +101,17 @@
 
 // Close ends all ways.
 func (rs *Relays) Close() {
-	for _, row := range rs.ways {
+	for _, row := range rs.relays {
 		for _, r := range row {
 			if r != nil {
 				r.conn.Close()
 			}
 		}
 	}
-	rs.wait.Wait()
+	rs.readers.Wait()
 }
 
-func (r *relay) hear() {
+func (r *relay) receive() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
@@ -121,24 +121,24 @@
 		if err != nil {
 			continue
 		}
-		by := r
+		via := r
 		if netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) == r.target {
-			by = r.all.ways[r.to][r.from] // an answer to who it does not know by name yet: it goes back its own way
+			via = r.owner.relays[r.to][r.from] // an answer to who it does not know by name yet: it goes back its own way
 		}
-		by.pass(append([]byte(nil), buf[:n]...))
+		via.forward(append([]byte(nil), buf[:n]...))
 	}
 }
 
-func (r *relay) pass(text []byte) {
+func (r *relay) forward(datagram []byte) {
 	r.mu.Lock()
-	r.bytes += int64(len(text))
-	now := time.Since(r.all.began)
-	copies := append([]model.Passed(nil), r.way.Pass(now, len(text))...)
+	r.bytes += int64(len(datagram))
+	now := time.Since(r.owner.startedAt)
+	copies := append([]model.Passed(nil), r.link.Pass(now, len(datagram))...)
 	r.mu.Unlock()
 	for _, c := range copies {
-		out := text
+		out := datagram
 		if c.Spoilt {
-			out = append([]byte(nil), text...)
+			out = append([]byte(nil), datagram...)
 			out[int(c.SpoilAt*float64(len(out)))] ^= 0x55
 		}
 		if wait := c.At - now; wait > 0 {
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -19,14 +19,14 @@
 
 // attempt is one command of a balancer at a node.
 type attempt struct {
-	id, key, mark string
-	write         bool
-	work          time.Duration
-	began, came   time.Duration
-	told          time.Duration
-	unexpected    string
-	ran, cold     bool // under Node.mu
-	swallowed     bool
+	id, key, mark         string
+	write                 bool
+	work                  time.Duration
+	startedAt, receivedAt time.Duration
+	timeLeft              time.Duration
+	unexpected            string
+	ran, cold             bool // under Node.mu
+	lostOnLink            bool
 
 	once sync.Once
 	done chan answer // holds one
@@ -40,215 +40,217 @@
 	text                              string // of a command that is no attempt
 }
 
-func (s *attempt) finish(a answer) { s.once.Do(func() { s.done <- a }) }
+func (att *attempt) finish(a answer) { att.once.Do(func() { att.done <- a }) }
 
-// mostBegun is how many commands of a connection are begun at a time; more are read when those before are answered.
-const mostBegun = 32
+// maxPending is how many commands of a connection are begun at a time; more are read when those before are answered.
+const maxPending = 32
 
 // serve takes the commands of one connection, begins each as it comes and answers them in order.
 func (n *Node) serve(l *link, conn *net.TCPConn) {
-	now := n.w.Now()
+	now := n.world.Now()
 	n.mu.Lock()
-	n.open++
-	tooMany := n.open > n.Group.Connections
-	up := n.m != nil
+	n.openConns++
+	tooMany := n.openConns > n.Group.Connections
+	up := n.model != nil
 	if up && n.Group.ConnectWork > 0 {
 		n.advance(now)
-		n.m.Offer(n.w.Now(), model.Job{Work: n.Group.ConnectWork.D()})
+		n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ConnectWork.D()})
 	}
 	n.mu.Unlock()
-	defer func() { n.mu.Lock(); n.open--; n.mu.Unlock() }()
-	n.w.Rec.Add(func() {
-		n.w.Rec.Openings = append(n.w.Rec.Openings, record.Opening{Server: n.ID, Balancer: l.balancer, At: now, Refused: tooMany})
+	defer func() { n.mu.Lock(); n.openConns--; n.mu.Unlock() }()
+	n.world.Rec.Add(func() {
+		n.world.Rec.Openings = append(n.world.Rec.Openings, record.Opening{Server: n.ID, Balancer: l.balancer, At: now, Refused: tooMany})
 	})
-	queue := make(chan *attempt, mostBegun)
-	var begun atomic.Int32
-	gone := make(chan struct{}) // the balancer's end of the connection is over
+	queue := make(chan *attempt, maxPending)
+	var pending atomic.Int32
+	closed := make(chan struct{}) // the balancer's end of the connection is over
 	var answered sync.WaitGroup
 	answered.Add(1)
 	go func() {
 		defer answered.Done()
-		n.answers(l, conn, queue, gone, &begun)
+		n.writeAnswers(l, conn, queue, closed, &pending)
 	}()
 	in := bufio.NewReaderSize(conn, memcache.MostLine)
 	for {
 		conn.SetReadDeadline(time.Now().Add(n.Group.Idle.D()))
-		if _, err := in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && begun.Load() > 0 {
+		if _, err := in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && pending.Load() > 0 {
 			continue
 		} else if err != nil {
 			break
 		}
-		s, err := n.read(l, conn, in)
+		att, err := n.read(l, conn, in)
 		if err != nil {
 			break
 		}
 		switch {
-		case l.lost():
-			s.swallowed = true
-		case s.unexpected != "" && s.id == "":
-			s.finish(answer{text: "ERROR\r\n"})
+		case l.isCut():
+			att.lostOnLink = true
+		case att.unexpected != "" && att.id == "":
+			att.finish(answer{text: "ERROR\r\n"})
 		case tooMany:
-			s.finish(answer{busy: true})
-		case s.id == "": // a probe
-			n.probe(s)
+			att.finish(answer{busy: true})
+		case att.id == "": // a probe
+			n.answerProbe(att)
 		default:
-			after(l.takes(), func() { n.offer(s) })
+			afterDelay(l.oneWayDelay(), func() { n.submit(att) })
 		}
-		begun.Add(1)
-		queue <- s
+		pending.Add(1)
+		queue <- att
 	}
-	close(gone)
+	close(closed)
 	close(queue)
 	answered.Wait()
 }
 
-// waitLeast is the shortest way that is waited for: a timer misses by more than that.
-const waitLeast = 20 * time.Microsecond
+// minDelay is the shortest way that is waited for: a timer misses by more than that.
+const minDelay = 20 * time.Microsecond
 
-// after does something when a time has passed.
-func after(d time.Duration, do func()) {
-	if d < waitLeast {
-		do()
+// afterDelay does something when a time has passed.
+func afterDelay(d time.Duration, f func()) {
+	if d < minDelay {
+		f()
 		return
 	}
-	time.AfterFunc(d, do)
+	time.AfterFunc(d, f)
 }
 
 // read takes the next command.
 func (n *Node) read(l *link, conn *net.TCPConn, in *bufio.Reader) (*attempt, error) {
-	s := &attempt{began: n.w.Now(), done: make(chan answer, 1)}
+	att := &attempt{startedAt: n.world.Now(), done: make(chan answer, 1)}
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // for a command that has begun
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return nil, err
 	}
 	line = bytes.TrimRight(line, "\r\n")
-	s.came = n.w.Now()
+	att.receivedAt = n.world.Now()
 	if string(line) == "stats load" {
-		s.key = "stats"
-		return s, nil
+		att.key = "stats"
+		return att, nil
 	}
 	cmd, fault := memcache.Parse(bytes.Clone(line))
 	if fault != nil {
-		s.unexpected = fmt.Sprintf("%.80q (%s)", line, fault.Text)
-		n.note(l, s, answer{invalid: true}, true)
-		return s, nil
+		att.unexpected = fmt.Sprintf("%.80q (%s)", line, fault.Text)
+		n.recordEnded(l, att, answer{invalid: true}, true)
+		return att, nil
 	}
 	if cmd.Noop {
-		return s, nil
+		return att, nil
 	}
-	s.id, s.key, s.mark, s.write, s.told = string(cmd.ID), string(cmd.Key), string(cmd.Mark), cmd.Write, cmd.Left
+	att.id, att.key, att.mark, att.write, att.timeLeft = string(cmd.ID), string(cmd.Key), string(cmd.Mark), cmd.Write, cmd.Left
 	if cmd.Write {
 		if _, err = in.Discard(cmd.Length + 2); err != nil {
 			return nil, err
 		}
-		s.came = n.w.Now()
+		att.receivedAt = n.world.Now()
 	}
-	if !n.w.expected(s.id, s.key) {
-		s.unexpected = fmt.Sprintf("the id %q with the key %q", s.id, s.key)
+	if !n.world.expected(att.id, att.key) {
+		att.unexpected = fmt.Sprintf("the id %q with the key %q", att.id, att.key)
 	}
-	s.work = n.w.work(s.id)
-	return s, nil
+	att.work = n.world.drawWork(att.id)
+	return att, nil
 }
 
-// probe answers what is asked of the node itself.
-func (n *Node) probe(s *attempt) {
+// answerProbe answers what is asked of the node itself.
+func (n *Node) answerProbe(att *attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.m == nil {
-		s.finish(answer{lost: true})
+	if n.model == nil {
+		att.finish(answer{lost: true})
 		return
 	}
-	n.advance(n.w.Now())
-	n.m.Offer(n.w.Now(), model.Job{Work: n.Group.ProbeWork.D()})
+	n.advance(n.world.Now())
+	n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ProbeWork.D()})
 	text := memcache.Alive
-	if s.key == "stats" {
-		l := n.m.Load()
+	if att.key == "stats" {
+		l := n.model.Load()
 		text = fmt.Sprintf("STAT inflight %d\r\nSTAT queue %d\r\nSTAT util %.2f\r\nEND\r\n", l.InFlight, l.Queue, l.Util)
 	}
-	s.finish(answer{text: text})
+	att.finish(answer{text: text})
 }
 
-// answers writes what comes of the attempts of a connection, in their order.
-func (n *Node) answers(l *link, conn *net.TCPConn, queue chan *attempt, gone chan struct{}, begun *atomic.Int32) {
+// writeAnswers writes what comes of the attempts of a connection, in their order.
+func (n *Node) writeAnswers(l *link, conn *net.TCPConn, queue chan *attempt, closed chan struct{}, pending *atomic.Int32) {
 	broken := false
-	for s := range queue {
-		broken = n.answer(l, conn, s, gone, broken)
-		begun.Add(-1)
+	for att := range queue {
+		broken = n.writeAnswer(l, conn, att, closed, broken)
+		pending.Add(-1)
 	}
 }
 
-// answer waits for what comes of an attempt and writes it; it tells whether the connection is broken then.
-func (n *Node) answer(l *link, conn *net.TCPConn, s *attempt, gone chan struct{}, broken bool) bool {
+// writeAnswer waits for what comes of an attempt and writes it; it tells whether the connection is broken then.
+func (n *Node) writeAnswer(l *link, conn *net.TCPConn, att *attempt, closed chan struct{}, broken bool) bool {
 	var a answer
 	select {
-	case a = <-s.done:
-	case <-gone:
+	case a = <-att.done:
+	case <-closed:
 		select {
-		case a = <-s.done: // it was ready when the connection ended
+		case a = <-att.done: // it was ready when the connection ended
 		default:
-			n.leave(l, s, nil)
+			n.abandon(l, att, nil)
 			return true
 		}
 	}
 	// Over a cut link nothing is heard, nor seen to end, until the balancer gives up or the link is whole again.
-	if broken || !l.through(gone) || s.swallowed {
-		n.leave(l, s, &a)
+	if broken || !l.waitRestored(closed) || att.lostOnLink {
+		n.abandon(l, att, &a)
 		return true
 	}
-	if d := l.takes(); d >= waitLeast {
+	if d := l.oneWayDelay(); d >= minDelay {
 		time.Sleep(d)
 	}
-	ended := n.w.Now()
+	ended := n.world.Now()
 	if a.text != "" {
 		_, err := io.WriteString(conn, a.text)
 		return err != nil
 	}
-	whole, keep := n.write(conn, s, a)
-	if !keep {
+	complete, keepOpen := n.sendAnswer(conn, att, a)
+	if !keepOpen {
 		conn.SetLinger(0)
 		conn.Close()
 	}
-	n.settle(l, s, a, whole, ended)
-	return !keep
+	n.finishAttempt(l, att, a, complete, ended)
+	return !keepOpen
 }
 
-// leave hears that the balancer gave an attempt up: it may still run, and is noted as what it became when that is known.
-func (n *Node) leave(l *link, s *attempt, a *answer) {
-	ended := n.w.Now()
+// abandon hears that the balancer gave an attempt up: it may still run, and is noted as what it became when that is known.
+func (n *Node) abandon(l *link, att *attempt, a *answer) {
+	ended := n.world.Now()
 	if a != nil {
-		n.settle(l, s, *a, false, ended)
+		n.finishAttempt(l, att, *a, false, ended)
 		return
 	}
 	n.mu.Lock()
-	dropped := n.m != nil && n.m.GiveUp(s.id)
+	dropped := n.model != nil && n.model.GiveUp(att.id)
 	n.mu.Unlock()
 	if dropped {
-		s.finish(answer{busy: true})
+		att.finish(answer{busy: true})
 	}
-	if s.swallowed {
-		s.finish(answer{lost: true})
+	if att.lostOnLink {
+		att.finish(answer{lost: true})
 	}
-	go func() { n.settle(l, s, <-s.done, false, ended) }() // the node does it, or ends
+	go func() { n.finishAttempt(l, att, <-att.done, false, ended) }() // the node does it, or ends
 }
 
-// settle notes an attempt that has ended.
-func (n *Node) settle(l *link, s *attempt, a answer, whole bool, ended time.Duration) {
+// finishAttempt notes an attempt that has ended.
+func (n *Node) finishAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
 	n.mu.Lock()
-	delete(n.attempts, s)
+	delete(n.attempts, att)
 	n.mu.Unlock()
-	n.noteAt(l, s, a, whole, ended)
+	n.recordAttempt(l, att, a, complete, ended)
 }
 
-func (n *Node) note(l *link, s *attempt, a answer, whole bool) { n.noteAt(l, s, a, whole, n.w.Now()) }
+func (n *Node) recordEnded(l *link, att *attempt, a answer, complete bool) {
+	n.recordAttempt(l, att, a, complete, n.world.Now())
+}
 
-func (n *Node) noteAt(l *link, s *attempt, a answer, whole bool, ended time.Duration) {
+func (n *Node) recordAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
 	n.mu.Lock()
-	r := record.Attempt{Call: s.id, Balancer: l.balancer, Server: n.ID, Began: s.began, Came: s.came, Told: s.told, Ended: ended, Answered: whole,
-		Ran: s.ran, Cold: s.cold, Work: s.work, Write: s.write, Unexpected: s.unexpected, Swallowed: s.swallowed}
+	r := record.Attempt{Call: att.id, Balancer: l.balancer, Server: n.ID, Began: att.startedAt, Came: att.receivedAt, Told: att.timeLeft, Ended: ended, Answered: complete,
+		Ran: att.ran, Cold: att.cold, Work: att.work, Write: att.write, Unexpected: att.unexpected, Swallowed: att.lostOnLink}
 	n.mu.Unlock()
 	switch {
-	case !whole || a.failed || a.lost || a.invalid:
+	case !complete || a.failed || a.lost || a.invalid:
 	case a.busy:
 		r.Proof = record.NeverRan
 	case a.miss:
@@ -256,18 +258,18 @@
 	default:
 		r.Proof = record.WasServed
 	}
-	n.w.Rec.Add(func() { n.w.Rec.Attempts = append(n.w.Rec.Attempts, r) })
+	n.world.Rec.Add(func() { n.world.Rec.Attempts = append(n.world.Rec.Attempts, r) })
 }
 
-// write sends an answer as the node's faults let it; whole tells that the balancer can read it as what it is, keep that
+// sendAnswer sends an answer as the node's faults let it; whole tells that the balancer can read it as what it is, keep that
 // the connection goes on.
-func (n *Node) write(conn *net.TCPConn, s *attempt, a answer) (whole, keep bool) {
+func (n *Node) sendAnswer(conn *net.TCPConn, att *attempt, a answer) (complete, keepOpen bool) {
 	n.mu.Lock()
-	spoilt, broken := n.spoil > 0 && n.chance.Float64() < n.spoil, n.reset > 0 && n.chance.Float64() < n.reset
-	way := n.chance.IntN(len(spoilings))
+	corrupt, reset := n.corruptRatio > 0 && n.random.Float64() < n.corruptRatio, n.resetRatio > 0 && n.random.Float64() < n.resetRatio
+	kind := n.random.IntN(len(corruptions))
 	report := ""
-	if n.w.Day.Fleet.Reports && n.m != nil {
-		load := n.m.Load()
+	if n.world.Day.Fleet.Reports && n.model != nil {
+		load := n.model.Load()
 		report = fmt.Sprintf(" Linflight=%d,queue=%d,util=%.2f", load.InFlight, load.Queue, load.Util)
 	}
 	n.mu.Unlock()
@@ -281,29 +283,29 @@
 	case a.failed || a.invalid:
 		text = []byte("SERVER_ERROR failed\r\n")
 	case a.miss:
-		text = fmt.Appendf(nil, "EN O%s\r\n", s.id)
+		text = fmt.Appendf(nil, "EN O%s\r\n", att.id)
 	case a.receipt:
-		text = fmt.Appendf(nil, "HD O%s cr-%s%s\r\n", s.id, s.id, report)
+		text = fmt.Appendf(nil, "HD O%s cr-%s%s\r\n", att.id, att.id, report)
 	default:
 		mark := "h0"
 		if a.hit {
 			mark = "h1"
 		}
-		text = fmt.Appendf(nil, "VA %d O%s %s%s\r\n%s\r\n", len(a.value), s.id, mark, report, a.value)
+		text = fmt.Appendf(nil, "VA %d O%s %s%s\r\n%s\r\n", len(a.value), att.id, mark, report, a.value)
 	}
-	if broken {
+	if reset {
 		conn.Write(text[:len(text)/2])
 		return false, false
 	}
-	if spoilt {
-		text = spoilings[way](text)
+	if corrupt {
+		text = corruptions[kind](text)
 	}
 	_, err := conn.Write(text)
-	return !spoilt && err == nil, err == nil
+	return !corrupt && err == nil, err == nil
 }
 
-// spoilings are ways to spoil an answer so that nothing it says holds.
-var spoilings = []func(text []byte) []byte{
+// corruptions are ways to spoil an answer so that nothing it says holds.
+var corruptions = []func(text []byte) []byte{
 	func([]byte) []byte { return []byte("\x00\xff\x13 noise\r\n") },
 	func(text []byte) []byte { return bytes.Replace(text, []byte(" O"), []byte(" Ox"), 1) },
 	func([]byte) []byte { return []byte("VA 3000000000 O1\r\n") },
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -15,13 +15,13 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// patience bounds every wait; none decides a verdict unless something never comes.
-const patience = 10 * time.Second
+// waitTimeout bounds every wait; none decides a verdict unless something never comes.
+const waitTimeout = 10 * time.Second
 
-// world brings up a node, the gateway and the register for one balancer.
-func world(t *testing.T, text string) (*World, *Node) {
+// newWorld brings up a node, the gateway and the register for one balancer.
+func newWorld(t *testing.T, settings string) (*World, *Node) {
 	t.Helper()
-	d, err := scenario.Parse("test", []byte("[fleet]\nbalancers = 1\nsame = \"0s\"\n"+text))
+	d, err := scenario.Parse("test", []byte("[fleet]\nbalancers = 1\nsame = \"0s\"\n"+settings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,9 +42,9 @@
 	return w, n
 }
 
-func ask(t *testing.T, c net.Conn, in *bufio.Reader, text string) string {
+func roundTrip(t *testing.T, c net.Conn, in *bufio.Reader, text string) string {
 	t.Helper()
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	io.WriteString(c, text)
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -66,19 +66,19 @@
 func (n *Node) inFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.m.Load().InFlight
+	return n.model.Load().InFlight
 }
 
-// until waits for something that the record shows sooner or later.
-func until(t *testing.T, w *World, what string, shown func(r *record.Record) bool) {
+// waitForRecord waits for something that the record shows sooner or later.
+func waitForRecord(t *testing.T, w *World, what string, found func(r *record.Record) bool) {
 	t.Helper()
-	for began := time.Now(); ; time.Sleep(time.Millisecond) {
+	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		ok := false
-		w.Rec.Add(func() { ok = shown(w.Rec) })
+		w.Rec.Add(func() { ok = found(w.Rec) })
 		if ok {
 			return
 		}
-		if time.Since(began) > patience {
+		if time.Since(start) > waitTimeout {
 			t.Fatal("never seen: " + what)
 		}
 	}
@@ -86,33 +86,33 @@
 
 // An attempt whose balancer has gone is done all the same: the record has to say that it ran, and its effect.
 func TestGivenUpStillRuns(t *testing.T) {
-	w, n := world(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
+	w, n := newWorld(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
 	w.Sent("w1", Want{Key: "k", Product: 2})
 	c, _ := dial(t, n.Addr(0))
 	n.Stall(true)
 	io.WriteString(c, "ms k 2 Ow1 Pc=credit,t=shops,d=900\r\nhi\r\n")
-	for began := time.Now(); n.inFlight() == 0; time.Sleep(time.Millisecond) {
-		if time.Since(began) > patience {
+	for start := time.Now(); n.inFlight() == 0; time.Sleep(time.Millisecond) {
+		if time.Since(start) > waitTimeout {
 			t.Fatal("the attempt never came")
 		}
 	}
 	c.Close()
 	n.Stall(false)
-	until(t, w, "the attempt that ran", func(r *record.Record) bool {
+	waitForRecord(t, w, "the attempt that ran", func(r *record.Record) bool {
 		return len(r.Effects) == 1 && r.Effects[0].Call == "w1" && len(r.Attempts) > 0 && r.Attempts[0].Ran && r.Attempts[0].Proof == record.Nothing
 	})
 }
 
 // Over a cut link nothing comes up and nothing is answered; a connection from before goes on once it is whole again.
 func TestCutLink(t *testing.T) {
-	w, n := world(t, "[[node]]\nname = \"node\"\n[load]\nwarm = 0.1")
+	w, n := newWorld(t, "[[node]]\nname = \"node\"\n[load]\nwarm = 0.1")
 	n.Keep("k")
 	for _, id := range []string{"a", "b", "c"} {
 		w.Sent(id, Want{Key: "k"})
 	}
 	c, in := dial(t, n.Addr(0))
 	get := func(id string) string { return "mg k v O" + id + " Pc=balance,t=shops,d=900\r\n" }
-	if got := ask(t, c, in, get("a")); got != "VA 300 Oa h1" {
+	if got := roundTrip(t, c, in, get("a")); got != "VA 300 Oa h1" {
 		t.Fatal(got)
 	}
 	io.ReadFull(in, make([]byte, 302))
@@ -127,32 +127,32 @@
 		t.Error("an answer came over a cut link")
 	}
 	c.Close()
-	until(t, w, "the swallowed attempt", func(r *record.Record) bool {
+	waitForRecord(t, w, "the swallowed attempt", func(r *record.Record) bool {
 		return len(r.Attempts) == 2 && r.Attempts[1].Call == "b" && r.Attempts[1].Swallowed && !r.Attempts[1].Ran
 	})
 	if err := n.Cut(0, false); err != nil {
 		t.Fatal(err)
 	}
 	c, in = dial(t, n.Addr(0))
-	if got := ask(t, c, in, get("c")); got != "VA 300 Oc h1" {
+	if got := roundTrip(t, c, in, get("c")); got != "VA 300 Oc h1" {
 		t.Error(got)
 	}
 }
 
 // A node takes so many connections and turns away what comes on more; a successor at its address is another process.
 func TestConnections(t *testing.T) {
-	w, n := world(t, "[[node]]\nname = \"node\"\nconnections = 1\nwarm_for = \"10s\"")
+	w, n := newWorld(t, "[[node]]\nname = \"node\"\nconnections = 1\nwarm_for = \"10s\"")
 	w.Sent("a", Want{Key: "k"})
 	c, in := dial(t, n.Addr(0))
-	if got := ask(t, c, in, "mn\r\n"); got != "MN" {
+	if got := roundTrip(t, c, in, "mn\r\n"); got != "MN" {
 		t.Fatal(got)
 	}
 	c2, in2 := dial(t, n.Addr(0))
-	if got := ask(t, c2, in2, "mg k v Oa Pc=balance,t=shops,d=900\r\n"); got != "SERVER_ERROR busy" {
+	if got := roundTrip(t, c2, in2, "mg k v Oa Pc=balance,t=shops,d=900\r\n"); got != "SERVER_ERROR busy" {
 		t.Error(got)
 	}
 	n.Stop()
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := in.ReadByte(); err == nil {
 		t.Error("the connection outlived its node")
 	}
@@ -168,14 +168,14 @@
 		t.Errorf("the successor is at %s, born at %v", next.Addr(0), next.Entry(model.Active).Born)
 	}
 	c3, in3 := dial(t, next.Addr(0))
-	if got := ask(t, c3, in3, "stats load\r\n"); !strings.HasPrefix(got, "STAT inflight") {
+	if got := roundTrip(t, c3, in3, "stats load\r\n"); !strings.HasPrefix(got, "STAT inflight") {
 		t.Error(got)
 	}
 }
 
 // The register is silent on order, and after its versions start over it sends the whole list to who asks for later ones.
-func TestRegisterShell(t *testing.T) {
-	w, _ := world(t, "")
+func TestDiscoveryAgent(t *testing.T) {
+	w, _ := newWorld(t, "")
 	get := func(query string, wait time.Duration) string {
 		c := http.Client{Timeout: wait}
 		r, err := c.Get("http://" + w.Register.Addr(0) + "/api/targets" + query)
@@ -186,7 +186,7 @@
 		text, _ := io.ReadAll(r.Body)
 		return string(text)
 	}
-	if got := get("", patience); !strings.Contains(got, `"reset":true`) || !strings.Contains(got, `"instanceId":"node-1"`) {
+	if got := get("", waitTimeout); !strings.Contains(got, `"reset":true`) || !strings.Contains(got, `"instanceId":"node-1"`) {
 		t.Error(got)
 	}
 	w.Register.Silence(0, true)
@@ -195,7 +195,7 @@
 	}
 	w.Register.Silence(0, false)
 	w.Register.Rewind(0)
-	if got := get(fmt.Sprintf("?after=%d&wait_ms=5000", 7), patience); !strings.Contains(got, `"reset":true`) {
+	if got := get(fmt.Sprintf("?after=%d&wait_ms=5000", 7), waitTimeout); !strings.Contains(got, `"reset":true`) {
 		t.Error(got)
 	}
 	if _, err := listen(&net.TCPAddr{IP: net.IPv4(10, 0, 0, 1)}); err == nil {
