--- a/internal/rehearsal/standin/echo.go
+++ b/internal/rehearsal/standin/echo.go
@@ -11,8 +11,8 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// AddEcho makes a node that answers each read at once with a value, and neither models nor notes anything: it costs as
-// little as a node can, so that what is measured is the balancer.
+// AddEcho adds a cache host that answers each read at once with a value and neither simulates nor records anything. It
+// uses as little CPU time as possible, so that measurements show the cost of the balancer.
 func (w *World) AddEcho(id string, g *scenario.Node) (*Node, error) {
 	n := &Node{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner()}
 	for b := range w.Day.Fleet.Balancers {
@@ -29,6 +29,7 @@
 	return n, nil
 }
 
+// echo answers each read with a value of the given size and every other command as a health probe.
 func echo(c net.Conn, size int) {
 	in := bufio.NewReaderSize(c, memcache.MostLine)
 	value := bytes.Repeat([]byte("."), size)
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -16,7 +16,7 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Gateway is the slow store behind the cache nodes, over HTTP/1.1: GET reads, PUT writes.
+// Gateway is the stand-in for the origin behind the cache hosts. It speaks HTTP/1.1: GET reads, PUT writes.
 type Gateway struct {
 	world *World
 	addrs []string // by balancer
@@ -24,20 +24,20 @@
 
 	mu              sync.Mutex
 	model           *model.Gateway
-	recordedEffects int // effects, and stops, that the record has
+	recordedEffects int // number of effects already copied to the record; recordedStops likewise
 	recordedStops   int
-	resetRatio      float64 // part of the answers in place of which the connection breaks
-	failRatio       float64 // part of the calls that end as errors, undone
+	resetRatio      float64 // fraction of answers replaced by a connection reset
+	failRatio       float64 // fraction of requests answered with an error and not executed
 	random          *rand.Rand
 }
 
-// result is what came of a job at the gateway.
+// result is the outcome of a job at the origin.
 type result struct {
 	lost, refused bool
 	version       uint64
 }
 
-// AddGateway makes the gateway and a listener for each balancer.
+// AddGateway adds the origin, with one listener for each balancer.
 func (w *World) AddGateway() error {
 	g := &Gateway{world: w, modelRunner: newModelRunner(), model: model.NewGateway(w.Day.GatewayTerms(), 0),
 		random: model.Stream(w.Day.Seed, "faults gateway")}
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// Addr is where a balancer reaches the gateway.
+// Addr returns the address at which a balancer reaches the origin.
 func (g *Gateway) Addr(balancer int) string { return g.addrs[balancer] }
 
-// Slow makes the gateway so many times slower; 1 ends that.
+// Slow slows the origin down by a factor; 1 ends the slowdown.
 func (g *Gateway) Slow(factor float64) {
 	g.mu.Lock()
 	g.advance(g.world.Now())
@@ -75,28 +75,29 @@
 	g.wake()
 }
 
-// Reset makes the gateway break the connection in place of a part of its answers: what was asked is done.
+// Reset makes the origin reset the connection instead of sending a fraction of its answers. The requests are executed.
 func (g *Gateway) Reset(ratio float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.resetRatio = ratio
 }
 
-// Fail makes the gateway answer a part of its calls with an error and not do them, which nobody can tell from outside.
+// Fail makes the origin answer a fraction of its requests with an error without executing them. A balancer cannot tell
+// that they were not executed.
 func (g *Gateway) Fail(ratio float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failRatio = ratio
 }
 
-// drawFaults draws whether an answer is broken off, or a call fails.
+// drawFaults draws at random whether the connection is reset instead of an answer and whether the request fails.
 func (g *Gateway) drawFaults() (reset, fail bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.resetRatio > 0 && g.random.Float64() < g.resetRatio, g.failRatio > 0 && g.random.Float64() < g.failRatio
 }
 
-// submit sends a job to the model; done hears what came of it, outside of the gateway's lock.
+// submit passes a job to the model. onDone is called with its result, without the origin's lock held.
 func (g *Gateway) submit(job model.Job, onDone func(result)) {
 	job.Work = model.Work(g.world.Day.Seed, "gateway "+job.ID, model.Exponential, g.world.Day.Gateway.Time.D(), 1)
 	job.Tag = onDone
@@ -112,7 +113,7 @@
 	g.wake()
 }
 
-// step plays the model up to now and tells how long nothing is due.
+// step advances the model to the present and returns the time until its next event.
 func (g *Gateway) step() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -120,7 +121,8 @@
 	return min(time.Hour, max(0, g.model.Due()-g.world.Now()))
 }
 
-// advance plays the model up to a moment. What is done is handed on outside of the lock, which the caller holds.
+// advance runs the model up to the given time. The caller holds g.mu; results are delivered in goroutines of their own,
+// without that lock.
 func (g *Gateway) advance(now time.Duration) {
 	for _, d := range g.model.Advance(now) {
 		g.world.Late(d.At, now)
@@ -147,31 +149,31 @@
 	}
 }
 
-// Strain notes what the gateway was sent at the most.
+// Strain records the highest load that the origin was sent, as a multiple of its capacity.
 func (g *Gateway) Strain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.world.Rec.Strain(record.Gateway, g.model.Strain())
 }
 
-// maxBodyBytes bounds a write's value.
+// maxBodyBytes limits the value of a write.
 const maxBodyBytes = 2 << 20
 
-// The header fields of the gateway's protocol.
+// The header fields of the origin's protocol.
 const (
 	headerRequestID    = "X-Request-ID"
 	headerAttrs        = "X-Attrs"
 	headerNotProcessed = "X-Not-Processed"
 )
 
-// serve answers one attempt of a balancer.
+// serve handles one attempt of a balancer.
 func (g *Gateway) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
 	observed := record.Attempt{Call: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Gateway, Began: g.world.Now(), Write: r.Method == http.MethodPut}
 	delay := g.world.Day.Fleet.Same.D()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if readErr != nil {
-		return // never whole: it was not sent
+		return // an incomplete request does not count as sent
 	}
 	observed.Came = g.world.Now()
 	if err != nil || !g.world.expected(observed.Call, key) {
@@ -203,7 +205,7 @@
 	var res result
 	select {
 	case res = <-outcome:
-	case <-r.Context().Done(): // given up; what waits is dropped, what runs goes on
+	case <-r.Context().Done(): // the balancer gave up: a queued job is dropped, a running one continues
 		observed.Ended = g.world.Now()
 		g.mu.Lock()
 		dropped := g.model.GiveUp(observed.Call)
@@ -225,7 +227,7 @@
 	case res.lost || reset && !res.refused:
 		observed.Answered, observed.Ran = false, !res.lost
 		addRecord()
-		panic(http.ErrAbortHandler) // the connection breaks
+		panic(http.ErrAbortHandler) // resets the connection
 	case res.refused:
 		observed.Proof = record.NeverRan
 		addRecord()
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -13,7 +13,7 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// link is the way from one balancer to one node, with the listener at its end.
+// link is the network path from one balancer to one cache host, including the host's listener for that balancer.
 type link struct {
 	balancer int
 	hostID   string
@@ -24,13 +24,13 @@
 	listener      *net.TCPListener
 	conns         map[*net.TCPConn]struct{}
 	delay         time.Duration // one way
-	cut           bool          // nothing comes through, nor do connections come up
-	backlogFiller net.Conn      // has the one place in the backlog of a cut link
+	cut           bool          // no data arrives and no connection can be established
+	backlogFiller net.Conn      // occupies the single backlog slot of a cut link
 	cutSince      time.Duration
 	restored      chan struct{} // closed when the cut ends
 }
 
-// open listens, at the same address as before if there was one.
+// open starts listening, at the previous address if there was one.
 func (l *link) open(w *World) (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -51,6 +51,7 @@
 	return nil
 }
 
+// accept takes connections and serves each in its own goroutine until the listener is replaced or closed.
 func (l *link) accept(listener *net.TCPListener) {
 	for {
 		c, err := listener.AcceptTCP()
@@ -61,11 +62,11 @@
 			if closed {
 				return
 			}
-			if restored != nil { // cut: another listener follows
+			if restored != nil { // the link is cut; restore opens another listener
 				<-restored
 				return
 			}
-			time.Sleep(time.Millisecond) // a lack of descriptors passes
+			time.Sleep(time.Millisecond) // running out of file descriptors is temporary
 			continue
 		}
 		l.mu.Lock()
@@ -86,7 +87,7 @@
 	}
 }
 
-// close ends the listener and resets all connections, as the end of a process does.
+// close closes the listener and resets all connections, as happens when a process ends.
 func (l *link) close(w *World) {
 	l.restore(w, false)
 	l.mu.Lock()
@@ -99,7 +100,7 @@
 	l.resetConnections()
 }
 
-// resetConnections breaks all connections.
+// resetConnections resets all open connections.
 func (l *link) resetConnections() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,8 +110,8 @@
 	}
 }
 
-// blackhole makes the link a black hole: what is sent is lost without a word, and connections never come up. A backlog
-// of none that is filled makes the system drop what asks for a connection.
+// blackhole cuts the link: data sent over it is lost silently and no connection can be established. With a backlog of
+// zero whose single slot is occupied, the kernel drops connection requests.
 func (l *link) blackhole(w *World) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -123,17 +124,18 @@
 		raw.Control(func(fd uintptr) { syscall.Listen(int(fd), 0) })
 	}
 	l.cutSince = w.Now()
-	// A backlog of none still has one place. It takes no time to fill unless a balancer was quicker, whose connection
-	// is found when the link is mended.
+	// A backlog of zero still has one slot. Filling it takes no time unless a balancer's connection took it first;
+	// restore finds and records such a connection.
 	if c, err := net.DialTimeout("tcp", l.addr.String(), backlogTimeout); err == nil {
 		l.backlogFiller = c
 	}
 }
 
-// backlogTimeout is long for a connection on the machine itself, and a lateness that the kit can bear.
+// backlogTimeout is ample for a connection within one machine and short enough not to distort the rehearsal's timing.
 const backlogTimeout = 3 * time.Millisecond
 
-// recordBacklog notes what was written to connections that came up in the backlog of a cut link. Under l.mu.
+// recordBacklog records the commands written to connections that were established in the backlog of a cut link. The
+// caller holds l.mu.
 func (l *link) recordBacklog(w *World, outage record.Dark) {
 	l.listener.SetDeadline(time.Now().Add(backlogTimeout))
 	for {
@@ -156,7 +158,7 @@
 	}
 }
 
-// restore ends the cut; reset tells that what was open breaks, as a machine that comes back makes it.
+// restore ends the cut. With resetConns, open connections are reset, as by a machine that has restarted.
 func (l *link) restore(w *World, resetConns bool) error {
 	if resetConns {
 		l.resetConnections()
@@ -174,7 +176,7 @@
 		l.backlogFiller = nil
 	}
 	l.recordBacklog(w, outage)
-	// What came up in the backlog meanwhile came up for nobody: a listener of its own resets it.
+	// Closing the old listener resets connections that were established in its backlog and that nobody accepted.
 	old := l.listener
 	old.Close()
 	close(l.restored)
@@ -187,14 +189,14 @@
 	return nil
 }
 
-// isCut tells whether bytes are lost at present.
+// isCut reports whether data sent over the link is currently lost.
 func (l *link) isCut() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cut
 }
 
-// waitRestored waits while the link is cut; false where a connection over it has ended before that.
+// waitRestored waits while the link is cut. It returns false if the connection whose closed channel is passed ends first.
 func (l *link) waitRestored(closed <-chan struct{}) bool {
 	for {
 		l.mu.Lock()
@@ -211,7 +213,7 @@
 	}
 }
 
-// oneWayDelay is how long bytes take one way at present.
+// oneWayDelay returns the current one-way delay of the link.
 func (l *link) oneWayDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -11,7 +11,7 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Node is a cache node on sockets: a link for each balancer, one model.
+// Node is the stand-in for a cache host: one model of the host, reached over one link per balancer.
 type Node struct {
 	world *World
 	ID    string
@@ -21,20 +21,20 @@
 	modelRunner
 
 	mu           sync.Mutex
-	model        *model.Node // nil while it is down
+	model        *model.Node // nil while the host is down
 	startedAt    time.Duration
 	cold         bool
-	openConns    int // connections
+	openConns    int
 	corruptRatio float64
 	resetRatio   float64
 	failRatio    float64
 	random       *rand.Rand
-	fetching     map[string][]*attempt // through: attempts that wait for a key that is being fetched
-	attempts     map[*attempt]struct{} // in hand
+	fetching     map[string][]*attempt // read-through mode: attempts that wait for a key being fetched
+	attempts     map[*attempt]struct{} // not yet finished
 }
 
-// AddNode makes a node and opens its links, at the addresses of one that has ended if that is given. A node that is not
-// cold has been up for long.
+// AddNode adds a cache host and opens its links, at the addresses of the previous host if one is given. A host that is
+// not cold counts as having been up for a long time.
 func (w *World) AddNode(id string, g *scenario.Node, cold bool, previous *Node) (*Node, error) {
 	n := &Node{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.Stream(w.Day.Seed, "faults "+id)}
 	for b := range w.Day.Fleet.Balancers {
@@ -51,7 +51,7 @@
 	return n, n.Start(cold)
 }
 
-// Start brings the node up as a new process.
+// Start brings the host up as a new process.
 func (n *Node) Start(cold bool) error {
 	n.mu.Lock()
 	now := n.world.Now()
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// Stop ends the node as the end of its process does: connections break, new ones are refused.
+// Stop ends the host like the end of its process: connections are reset and new ones are refused.
 func (n *Node) Stop() {
 	n.stopModel()
 	for _, l := range n.links {
@@ -78,7 +78,7 @@
 	}
 }
 
-// Vanish makes the node and its machine silent.
+// Vanish makes the host and its machine unreachable: nothing is answered and nothing is refused.
 func (n *Node) Vanish() {
 	for _, l := range n.links {
 		l.blackhole(n.world)
@@ -86,7 +86,7 @@
 	n.stopModel()
 }
 
-// Return brings a vanished node back as a new process.
+// Return brings a vanished host back as a new process.
 func (n *Node) Return() error {
 	for _, l := range n.links {
 		if err := l.restore(n.world, true); err != nil {
@@ -96,7 +96,7 @@
 	return n.Start(true)
 }
 
-// stopModel ends the model; what it had in hand has run for nothing or never.
+// stopModel discards the model and finishes all open attempts as lost.
 func (n *Node) stopModel() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,37 +110,37 @@
 	}
 }
 
-// Addr is where a balancer reaches the node.
+// Addr returns the address at which a balancer reaches the host.
 func (n *Node) Addr(balancer int) string { return n.links[balancer].addr.String() }
 
-// Entry is the node's line in the register.
+// Entry returns the host's entry in the host list, with the given condition.
 func (n *Node) Entry(condition model.Condition) model.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return model.Entry{Node: n.ID, Zone: n.Zone, Kind: "cache", Condition: condition, Weight: n.Group.Speed * float64(n.Group.Cores), Born: n.startedAt}
 }
 
-// Slow makes the node work so many times slower. It and the methods that follow disturb the node; their zero values end that.
+// Slow slows the host's work down by a factor. It and the following methods inject faults; a zero argument ends them.
 func (n *Node) Slow(factor float64) { n.update(func() { n.model.Slow(max(factor, 1)) }) }
 
-// Stall makes the node take calls and do none.
+// Stall makes the host accept commands without executing any.
 func (n *Node) Stall(on bool) { n.update(func() { n.model.Stall(on) }) }
 
-// Spoil makes the node spoil a part of its answers.
+// Spoil makes the host corrupt a fraction of its answers.
 func (n *Node) Spoil(ratio float64) { n.update(func() { n.corruptRatio = ratio }) }
 
-// Reset makes the node break the connection in the middle of a part of its answers.
+// Reset makes the host reset the connection in the middle of a fraction of its answers.
 func (n *Node) Reset(ratio float64) { n.update(func() { n.resetRatio = ratio }) }
 
-// Fail makes the node answer a part of its calls with an error.
+// Fail makes the host answer a fraction of its commands with an error.
 func (n *Node) Fail(ratio float64) { n.update(func() { n.failRatio = ratio }) }
 
-// Delay makes the way from a balancer so much longer than usual.
+// Delay adds to the usual one-way delay of the link from a balancer.
 func (n *Node) Delay(balancer int, extra time.Duration) {
 	n.links[balancer].setDelay(n.world.linkDelay(balancer, n.Zone) + extra)
 }
 
-// Cut makes the way from a balancer lose everything, or ends that.
+// Cut makes the link from a balancer lose everything, or ends that.
 func (n *Node) Cut(balancer int, on bool) error {
 	if on {
 		n.links[balancer].blackhole(n.world)
@@ -149,6 +149,7 @@
 	return n.links[balancer].restore(n.world, false)
 }
 
+// update advances the model to the present and then applies a change, unless the host is down.
 func (n *Node) update(apply func()) {
 	n.mu.Lock()
 	if n.model != nil {
@@ -159,6 +160,7 @@
 	n.wake()
 }
 
+// store caches a value, unless the host is down.
 func (n *Node) store(key string, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -167,6 +169,7 @@
 	}
 }
 
+// invalidate drops the cached value of a key if it is older than the given version.
 func (n *Node) invalidate(key string, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -175,10 +178,10 @@
 	}
 }
 
-// Keep stores a value before the day begins.
+// Keep caches a value before the rehearsal begins.
 func (n *Node) Keep(key string) { n.store(key, 0) }
 
-// step plays the model up to now and tells how long nothing is due.
+// step advances the model to the present and returns the time until its next event.
 func (n *Node) step() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -189,7 +192,7 @@
 	return min(time.Hour, max(0, n.model.Due()-n.world.Now()))
 }
 
-// advance plays the model up to a moment and ends what is done. Under n.mu.
+// advance runs the model up to the given time and finishes the attempts that are done. The caller holds n.mu.
 func (n *Node) advance(now time.Duration) {
 	for _, d := range n.model.Advance(now) {
 		att, ok := d.Tag.(*attempt)
@@ -205,7 +208,7 @@
 			att.finish(answer{failed: true})
 		case n.world.Day.Fleet.Mode == scenario.Through && (d.Write || !d.Hit):
 			n.forwardToOrigin(att, d)
-		case d.Write: // caches take no writes where balancers ask the gateway
+		case d.Write: // the caches take no writes if balancers contact the origin themselves
 			att.finish(answer{failed: true})
 		case d.Hit:
 			att.finish(answer{value: n.world.Value(d.Key, d.Version, d.ID), hit: true})
@@ -215,7 +218,7 @@
 		}
 	}
 	if at, multiple, fell := n.model.Fallen(); fell && n.cold {
-		n.cold = false // told once
+		n.cold = false // recorded only once
 		n.world.Rec.Add(func() {
 			n.world.Rec.Falls = append(n.world.Rec.Falls, record.Fall{Server: n.ID, At: at, Multiple: multiple})
 		})
@@ -226,11 +229,12 @@
 	}
 }
 
-// forwardToOrigin asks the gateway for a read's value, once for all that wait for the key, or hands a write on. Under n.mu.
+// forwardToOrigin passes a write to the origin, or fetches a read's value once for all attempts that wait for its key. The
+// caller holds n.mu.
 func (n *Node) forwardToOrigin(att *attempt, d model.Done) {
 	job := model.Job{ID: d.ID, Key: d.Key, Mark: d.Mark, Write: d.Write}
 	if d.Write {
-		go n.world.Gateway.submit(job, func(r result) { // on its own: the gateway's lock is taken before a node's
+		go n.world.Gateway.submit(job, func(r result) { // in its own goroutine, as the origin's lock must be taken before a host's
 			att.finish(answer{failed: r.lost, busy: r.refused, receipt: !r.lost && !r.refused})
 		})
 		return
@@ -261,7 +265,7 @@
 	})
 }
 
-// submit sends an attempt to the model.
+// submit passes an attempt to the model.
 func (n *Node) submit(att *attempt) {
 	n.mu.Lock()
 	if n.model == nil {
@@ -277,7 +281,7 @@
 	if !n.model.Offer(now, job) {
 		att.finish(answer{busy: true})
 	} else {
-		n.advance(n.world.Now()) // the smallest pieces of work are done by now, without a timer
+		n.advance(n.world.Now()) // very short jobs are done by now and need no timer
 	}
 	n.mu.Unlock()
 	n.wake()
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -13,7 +13,8 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Register is the list of nodes over HTTP/1.1: an agent for each balancer that answers with what it has heard.
+// Register is the stand-in for discovery. It serves the host list over HTTP/1.1 through one agent per balancer; each agent
+// answers with the changes that have reached it so far.
 type Register struct {
 	world  *World
 	agents []*discoveryAgent
@@ -22,18 +23,19 @@
 	model *model.Register
 }
 
+// discoveryAgent serves the host list to one balancer. The lock of its Register guards the fields marked below.
 type discoveryAgent struct {
 	register       *Register
 	balancer       int
 	addr           string
 	server         *http.Server
-	changed        chan struct{}   // closed at the next change; under Register.mu
-	watchesStalled chan struct{}   // closed when all open watches fall silent; under Register.mu
-	notifiedBy     time.Duration   // when what a watch misses that has fallen silent counts as told; under Register.mu
-	available      map[string]bool // what its balancer was told wants work; under Register.mu
+	changed        chan struct{}   // closed at the next change; guarded by Register.mu
+	watchesStalled chan struct{}   // closed to make all open watches stop answering; guarded by Register.mu
+	notifiedBy     time.Duration   // when changes missed by a stalled watch count as known to the balancer; guarded by Register.mu
+	available      map[string]bool // hosts last reported to the balancer as active; guarded by Register.mu
 }
 
-// AddRegister makes the register.
+// AddRegister adds discovery.
 func (w *World) AddRegister() error {
 	delay := [2]time.Duration{w.Day.Register.Late[0].D(), w.Day.Register.Late[1].D()}
 	r := &Register{world: w, model: model.NewRegister(w.Day.Fleet.Balancers, delay, model.Stream(w.Day.Seed, "register"))}
@@ -48,6 +50,7 @@
 	return nil
 }
 
+// listen starts an HTTP server for the agent at a new address.
 func (a *discoveryAgent) listen() error {
 	l, err := a.register.world.Listen()
 	if err != nil {
@@ -59,13 +62,13 @@
 	return nil
 }
 
-// Addr is where a balancer finds the register.
+// Addr returns the address at which a balancer reaches discovery.
 func (r *Register) Addr(balancer int) string { return r.agents[balancer].addr }
 
-// oldAddressGrace is how long an address that was left still answers on open connections.
+// oldAddressGrace is how long a former address is still served.
 const oldAddressGrace = 1500 * time.Millisecond
 
-// Move gives a balancer's agent another address. The old one takes no new connection.
+// Move gives a balancer's agent a new address. The old one is closed with its connections after oldAddressGrace.
 func (r *Register) Move(balancer int) error {
 	a := r.agents[balancer]
 	old := a.server
@@ -76,14 +79,15 @@
 	return nil
 }
 
-// What an agent has counts as told to its balancer, whether or not it asked. But what a watch misses that has fallen silent
-// counts so long after that, and for a call that may wait so long after its wait, if that is later.
+// A change that has reached an agent counts as known to its balancer, whether or not the balancer asked for it. A change
+// missed by a stalled watch counts as known notifiedAfterStall after the watch stalled, or notifiedAfterWait after the end
+// of the wait that the watch had requested, whichever is later.
 const (
 	notifiedAfterStall = 6 * time.Second
 	notifiedAfterWait  = 2 * time.Second
 )
 
-// Set changes a node's line; each agent hears of it when the model says.
+// Set changes a host's entry. The model decides when the change reaches each agent.
 func (r *Register) Set(e model.Entry) {
 	now := r.world.Now()
 	r.mu.Lock()
@@ -98,6 +102,7 @@
 	}
 }
 
+// advance runs the model up to the present and wakes the watches of agents that a change has reached.
 func (r *Register) advance() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,18 +111,18 @@
 	}
 }
 
-// wakeWatches wakes who waits at an agent. Under r.mu.
+// wakeWatches wakes all requests waiting at an agent. The caller holds r.mu.
 func (r *Register) wakeWatches(balancer int) {
 	a := r.agents[balancer]
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// assumeNotified counts a change as told that the balancer never asked for.
+// assumeNotified records that a balancer knows of a host's removal even if it never asked for the change.
 func (r *Register) assumeNotified(balancer int, host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.model.Silent(balancer) { // told at its return
+	if r.model.Silent(balancer) { // counts as known once the agent answers again
 		return
 	}
 	if wait := r.agents[balancer].notifiedBy - r.world.Now(); wait > 0 {
@@ -127,13 +132,13 @@
 	_, _, entries := r.model.List(balancer, 0, true)
 	for _, e := range entries {
 		if e.Node == host && e.Condition == model.Active {
-			return // it is back
+			return // the host is active again
 		}
 	}
 	r.recordNotice(balancer, host, false)
 }
 
-// Silence makes the agent of a balancer say nothing, or ends that.
+// Silence makes a balancer's agent stop answering, or ends that.
 func (r *Register) Silence(balancer int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,14 +146,14 @@
 	r.wakeWatches(balancer)
 	if a := r.agents[balancer]; !on {
 		for host, available := range a.available {
-			if available { // what is not up any more counts as told at the return
+			if available { // hosts that are no longer active count as known to be gone now
 				time.AfterFunc(0, func() { r.assumeNotified(balancer, host) })
 			}
 		}
 	}
 }
 
-// BreakWatches has all watches that are open at a balancer's agent fall silent. One that is opened anew works.
+// BreakWatches makes all open watches at a balancer's agent stop answering. Watches opened later work.
 func (r *Register) BreakWatches(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -157,7 +162,7 @@
 	a.watchesStalled = make(chan struct{})
 }
 
-// Rewind makes the versions of a balancer's agent start over.
+// Rewind makes the generations of a balancer's agent start over.
 func (r *Register) Rewind(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,14 +170,14 @@
 	r.wakeWatches(balancer)
 }
 
-// Restarted hears that a balancer starts from nothing.
+// Restarted is called when a balancer restarts and knows no hosts.
 func (r *Register) Restarted(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.agents[balancer].available)
 }
 
-// recordNotice notes what a balancer hears of a node. Under r.mu.
+// recordNotice records that a balancer was informed of a host's state, if that is a change. The caller holds r.mu.
 func (r *Register) recordNotice(balancer int, host string, available bool) {
 	a := r.agents[balancer]
 	if was, known := a.available[host]; known && was == available || !known && !available {
@@ -185,6 +190,7 @@
 	})
 }
 
+// instance is one host in the JSON form of the host list.
 type instance struct {
 	InstanceID  string  `json:"instanceId"`
 	HostPort    string  `json:"hostPort"`
@@ -196,7 +202,7 @@
 	StartedAtMs int64   `json:"startedAtMs"`
 }
 
-// List is what an agent answers, as JSON, and the nodes in it. Under r.mu.
+// list returns an agent's answer as JSON and the entries in it. The caller holds r.mu.
 func (r *Register) list(balancer int, after int64, full bool) (text []byte, reset bool, entries []model.Entry) {
 	generation, reset, entries := r.model.List(balancer, after, full)
 	rows := []instance{}
@@ -217,7 +223,7 @@
 	return text, reset, entries
 }
 
-// Known is the whole list as a balancer's agent has it.
+// Known returns the full host list as a balancer's agent has it.
 func (r *Register) Known(balancer int) json.RawMessage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -225,10 +231,10 @@
 	return text
 }
 
-// maxWatch is the longest that a watch may wait.
+// maxWatch is the longest time that a watch may wait.
 const maxWatch = time.Minute
 
-// ServeHTTP answers the list, or waits for a change.
+// ServeHTTP answers with the full host list, or waits for a change if the request is a watch.
 func (a *discoveryAgent) ServeHTTP(rw http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/api/targets" || req.Method != http.MethodGet {
 		http.Error(rw, "no such thing here", http.StatusNotFound)
@@ -256,7 +262,7 @@
 		r.mu.Lock()
 		silent, changed, stalled := r.model.Silent(a.balancer), a.changed, a.watchesStalled
 		if generation, reset, _ := r.model.List(a.balancer, after, full); !silent && (full || timedOut || reset || generation > after) {
-			break // with the lock
+			break // with r.mu held
 		}
 		r.mu.Unlock()
 		select {
@@ -273,7 +279,7 @@
 			return
 		}
 	}
-	a.notifiedBy = 0 // from now on it is told as all are
+	a.notifiedBy = 0 // the agent answers again, so changes count as known without the extra time
 	text, reset, entries := r.list(a.balancer, after, full)
 	listed := map[string]bool{}
 	for _, e := range entries {
@@ -291,7 +297,7 @@
 	rw.Write(text)
 }
 
-// FreeAddr is an address for a balancer to listen on.
+// FreeAddr returns an unused loopback address for a balancer to listen on.
 func (w *World) FreeAddr() (string, error) {
 	l, err := w.Listen()
 	if err != nil {
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -12,14 +12,15 @@
 	"streamrail/internal/rehearsal/model"
 )
 
-// Relays carry the datagrams between balancers, each ordered pair by a way of its own that can be harmed.
+// Relays forwards the datagrams between balancers. Each ordered pair has a link of its own that can lose, delay or corrupt
+// datagrams.
 type Relays struct {
 	startedAt time.Time
-	relays    [][]*relay // from, to
+	relays    [][]*relay // indexed by sender, then receiver
 	readers   sync.WaitGroup
 }
 
-// relay is the way from one balancer to another: an address for datagrams to it.
+// relay is the link from one balancer to another: a socket whose address the sender uses as the receiver's.
 type relay struct {
 	owner    *Relays
 	from, to int
@@ -31,7 +32,7 @@
 	bytes int64
 }
 
-// NewRelays opens a way for each ordered pair of balancers, which stand at the targets.
+// NewRelays opens a link for each ordered pair of balancers; targets are their addresses.
 func NewRelays(targets []netip.AddrPort, terms model.WayTerms, random *rand.Rand) (*Relays, error) {
 	rs := &Relays{startedAt: time.Now()}
 	for from := range targets {
@@ -44,7 +45,7 @@
 			conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 			if err != nil {
 				rs.Close()
-				return nil, fmt.Errorf("a way between balancers: %w", err)
+				return nil, fmt.Errorf("link between balancers: %w", err)
 			}
 			row[to] = &relay{owner: rs, from: from, to: to, conn: conn, target: targets[to],
 				link: model.NewWay(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
@@ -60,12 +61,12 @@
 	return rs, nil
 }
 
-// Addr is where a balancer reaches another.
+// Addr returns the address at which one balancer reaches another.
 func (rs *Relays) Addr(from, to int) netip.AddrPort {
 	return rs.relays[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Change changes how a way treats datagrams from now on.
+// Change alters how a link treats datagrams from now on.
 func (rs *Relays) Change(from, to int, change func(*model.WayTerms)) {
 	if from == to {
 		return
@@ -76,7 +77,7 @@
 	change(&r.link.WayTerms)
 }
 
-// Cut makes some ways lose everything, or ends that.
+// Cut makes the selected links lose everything, or ends that.
 func (rs *Relays) Cut(on bool, which func(from, to int) bool) {
 	for from, row := range rs.relays {
 		for to := range row {
@@ -87,7 +88,7 @@
 	}
 }
 
-// Bytes is what a balancer has sent so far to the others.
+// Bytes returns how many bytes a balancer has sent to the others so far.
 func (rs *Relays) Bytes(from int) (sum int64) {
 	for _, r := range rs.relays[from] {
 		if r != nil {
@@ -99,7 +100,7 @@
 	return sum
 }
 
-// Close ends all ways.
+// Close closes all links and waits for their readers.
 func (rs *Relays) Close() {
 	for _, row := range rs.relays {
 		for _, r := range row {
@@ -111,6 +112,7 @@
 	rs.readers.Wait()
 }
 
+// receive reads datagrams and forwards each over the link in its direction.
 func (r *relay) receive() {
 	buf := make([]byte, 64<<10)
 	for {
@@ -123,12 +125,13 @@
 		}
 		via := r
 		if netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) == r.target {
-			via = r.owner.relays[r.to][r.from] // an answer to who it does not know by name yet: it goes back its own way
+			via = r.owner.relays[r.to][r.from] // the receiver answered to the datagram's source address: this goes over the link back
 		}
 		via.forward(append([]byte(nil), buf[:n]...))
 	}
 }
 
+// forward sends the copies of a datagram that the model of the link lets through.
 func (r *relay) forward(datagram []byte) {
 	r.mu.Lock()
 	r.bytes += int64(len(datagram))
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -17,7 +17,7 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// attempt is one command of a balancer at a node.
+// attempt is one command of a balancer as a cache host handles it; probes are attempts without an id.
 type attempt struct {
 	id, key, mark         string
 	write                 bool
@@ -25,27 +25,28 @@
 	startedAt, receivedAt time.Duration
 	timeLeft              time.Duration
 	unexpected            string
-	ran, cold             bool // under Node.mu
+	ran, cold             bool // guarded by Node.mu
 	lostOnLink            bool
 
 	once sync.Once
-	done chan answer // holds one
+	done chan answer // has a buffer of one
 }
 
-// answer is what a node has to say to an attempt.
+// answer is the result of an attempt at a cache host.
 type answer struct {
 	value                             []byte
 	receipt, hit                      bool
 	miss, busy, failed, lost, invalid bool
-	text                              string // of a command that is no attempt
+	text                              string // the whole answer to a probe or an invalid command
 }
 
+// finish sets the attempt's answer. Only the first call has an effect.
 func (att *attempt) finish(a answer) { att.once.Do(func() { att.done <- a }) }
 
-// maxPending is how many commands of a connection are begun at a time; more are read when those before are answered.
+// maxPending is how many unanswered commands of a connection are queued; more are read once earlier ones are answered.
 const maxPending = 32
 
-// serve takes the commands of one connection, begins each as it comes and answers them in order.
+// serve reads the commands of one connection, starts each as it arrives and answers them in order.
 func (n *Node) serve(l *link, conn *net.TCPConn) {
 	now := n.world.Now()
 	n.mu.Lock()
@@ -63,7 +64,7 @@
 	})
 	queue := make(chan *attempt, maxPending)
 	var pending atomic.Int32
-	closed := make(chan struct{}) // the balancer's end of the connection is over
+	closed := make(chan struct{}) // closed once reading from the balancer has ended
 	var answered sync.WaitGroup
 	answered.Add(1)
 	go func() {
@@ -102,10 +103,10 @@
 	answered.Wait()
 }
 
-// minDelay is the shortest way that is waited for: a timer misses by more than that.
+// minDelay is the shortest delay that is simulated; timers are less accurate than that.
 const minDelay = 20 * time.Microsecond
 
-// afterDelay does something when a time has passed.
+// afterDelay calls f after a delay.
 func afterDelay(d time.Duration, f func()) {
 	if d < minDelay {
 		f()
@@ -114,10 +115,10 @@
 	time.AfterFunc(d, f)
 }
 
-// read takes the next command.
+// read reads the next command.
 func (n *Node) read(l *link, conn *net.TCPConn, in *bufio.Reader) (*attempt, error) {
 	att := &attempt{startedAt: n.world.Now(), done: make(chan answer, 1)}
-	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // for a command that has begun
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // for the rest of a command whose first byte has arrived
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return nil, err
@@ -151,7 +152,7 @@
 	return att, nil
 }
 
-// answerProbe answers what is asked of the node itself.
+// answerProbe answers a health probe or a request for load figures.
 func (n *Node) answerProbe(att *attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -169,7 +170,7 @@
 	att.finish(answer{text: text})
 }
 
-// writeAnswers writes what comes of the attempts of a connection, in their order.
+// writeAnswers writes the answers to a connection's attempts in order.
 func (n *Node) writeAnswers(l *link, conn *net.TCPConn, queue chan *attempt, closed chan struct{}, pending *atomic.Int32) {
 	broken := false
 	for att := range queue {
@@ -178,20 +179,20 @@
 	}
 }
 
-// writeAnswer waits for what comes of an attempt and writes it; it tells whether the connection is broken then.
+// writeAnswer waits for the answer to an attempt and writes it. It reports whether the connection is unusable afterwards.
 func (n *Node) writeAnswer(l *link, conn *net.TCPConn, att *attempt, closed chan struct{}, broken bool) bool {
 	var a answer
 	select {
 	case a = <-att.done:
 	case <-closed:
 		select {
-		case a = <-att.done: // it was ready when the connection ended
+		case a = <-att.done: // the answer was ready when the connection ended
 		default:
 			n.abandon(l, att, nil)
 			return true
 		}
 	}
-	// Over a cut link nothing is heard, nor seen to end, until the balancer gives up or the link is whole again.
+	// Over a cut link neither an answer nor a close gets through until the balancer gives up or the link is restored.
 	if broken || !l.waitRestored(closed) || att.lostOnLink {
 		n.abandon(l, att, &a)
 		return true
@@ -213,7 +214,7 @@
 	return !keepOpen
 }
 
-// abandon hears that the balancer gave an attempt up: it may still run, and is noted as what it became when that is known.
+// abandon handles an attempt that the balancer gave up. The attempt may still run; it is recorded once its result is known.
 func (n *Node) abandon(l *link, att *attempt, a *answer) {
 	ended := n.world.Now()
 	if a != nil {
@@ -229,10 +230,10 @@
 	if att.lostOnLink {
 		att.finish(answer{lost: true})
 	}
-	go func() { n.finishAttempt(l, att, <-att.done, false, ended) }() // the node does it, or ends
+	go func() { n.finishAttempt(l, att, <-att.done, false, ended) }() // the host executes the attempt or stops
 }
 
-// finishAttempt notes an attempt that has ended.
+// finishAttempt removes an ended attempt from the open ones and records it.
 func (n *Node) finishAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
 	n.mu.Lock()
 	delete(n.attempts, att)
@@ -240,10 +241,12 @@
 	n.recordAttempt(l, att, a, complete, ended)
 }
 
+// recordEnded records an attempt that ends now.
 func (n *Node) recordEnded(l *link, att *attempt, a answer, complete bool) {
 	n.recordAttempt(l, att, a, complete, n.world.Now())
 }
 
+// recordAttempt records an attempt that ended at the given time, with what its answer proves to the balancer.
 func (n *Node) recordAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
 	n.mu.Lock()
 	r := record.Attempt{Call: att.id, Balancer: l.balancer, Server: n.ID, Began: att.startedAt, Came: att.receivedAt, Told: att.timeLeft, Ended: ended, Answered: complete,
@@ -261,8 +264,8 @@
 	n.world.Rec.Add(func() { n.world.Rec.Attempts = append(n.world.Rec.Attempts, r) })
 }
 
-// sendAnswer sends an answer as the node's faults let it; whole tells that the balancer can read it as what it is, keep that
-// the connection goes on.
+// sendAnswer writes an answer, subject to the host's injected faults. complete reports that the balancer can read the
+// answer as intended, keepOpen that the connection remains usable.
 func (n *Node) sendAnswer(conn *net.TCPConn, att *attempt, a answer) (complete, keepOpen bool) {
 	n.mu.Lock()
 	corrupt, reset := n.corruptRatio > 0 && n.random.Float64() < n.corruptRatio, n.resetRatio > 0 && n.random.Float64() < n.resetRatio
@@ -304,7 +307,7 @@
 	return !corrupt && err == nil, err == nil
 }
 
-// corruptions are ways to spoil an answer so that nothing it says holds.
+// corruptions are ways to corrupt an answer so that nothing in it can be trusted.
 var corruptions = []func(text []byte) []byte{
 	func([]byte) []byte { return []byte("\x00\xff\x13 noise\r\n") },
 	func(text []byte) []byte { return bytes.Replace(text, []byte(" O"), []byte(" Ox"), 1) },
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -15,10 +15,10 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// waitTimeout bounds every wait; none decides a verdict unless something never comes.
+// waitTimeout limits every wait. It only matters if an expected event never happens.
 const waitTimeout = 10 * time.Second
 
-// newWorld brings up a node, the gateway and the register for one balancer.
+// newWorld starts a cache host, the origin and discovery for one balancer.
 func newWorld(t *testing.T, settings string) (*World, *Node) {
 	t.Helper()
 	d, err := scenario.Parse("test", []byte("[fleet]\nbalancers = 1\nsame = \"0s\"\n"+settings))
@@ -42,6 +42,7 @@
 	return w, n
 }
 
+// roundTrip sends a command and returns the first line of its answer.
 func roundTrip(t *testing.T, c net.Conn, in *bufio.Reader, text string) string {
 	t.Helper()
 	c.SetDeadline(time.Now().Add(waitTimeout))
@@ -69,7 +70,7 @@
 	return n.model.Load().InFlight
 }
 
-// waitForRecord waits for something that the record shows sooner or later.
+// waitForRecord waits until the record meets a condition.
 func waitForRecord(t *testing.T, w *World, what string, found func(r *record.Record) bool) {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(time.Millisecond) {
@@ -79,12 +80,13 @@
 			return
 		}
 		if time.Since(start) > waitTimeout {
-			t.Fatal("never seen: " + what)
+			t.Fatal("not recorded in time: " + what)
 		}
 	}
 }
 
-// An attempt whose balancer has gone is done all the same: the record has to say that it ran, and its effect.
+// A balancer that closes its connection does not stop an attempt that is already running: the record must show that it ran,
+// and its effect.
 func TestGivenUpStillRuns(t *testing.T) {
 	w, n := newWorld(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
 	w.Sent("w1", Want{Key: "k", Product: 2})
@@ -93,7 +95,7 @@
 	io.WriteString(c, "ms k 2 Ow1 Pc=credit,t=shops,d=900\r\nhi\r\n")
 	for start := time.Now(); n.inFlight() == 0; time.Sleep(time.Millisecond) {
 		if time.Since(start) > waitTimeout {
-			t.Fatal("the attempt never came")
+			t.Fatal("the attempt never reached the cache host")
 		}
 	}
 	c.Close()
@@ -103,7 +105,7 @@
 	})
 }
 
-// Over a cut link nothing comes up and nothing is answered; a connection from before goes on once it is whole again.
+// Over a cut link no connection is established and nothing is answered; after the cut, new connections work again.
 func TestCutLink(t *testing.T) {
 	w, n := newWorld(t, "[[node]]\nname = \"node\"\n[load]\nwarm = 0.1")
 	n.Keep("k")
@@ -119,15 +121,15 @@
 	n.Cut(0, true)
 	if c, err := net.DialTimeout("tcp", n.Addr(0), 100*time.Millisecond); err == nil {
 		c.Close()
-		t.Error("a connection came up over a cut link")
+		t.Error("a connection was established over a cut link")
 	}
 	io.WriteString(c, get("b"))
 	c.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
 	if _, err := in.ReadByte(); err == nil {
-		t.Error("an answer came over a cut link")
+		t.Error("an answer arrived over a cut link")
 	}
 	c.Close()
-	waitForRecord(t, w, "the swallowed attempt", func(r *record.Record) bool {
+	waitForRecord(t, w, "the attempt lost on the link", func(r *record.Record) bool {
 		return len(r.Attempts) == 2 && r.Attempts[1].Call == "b" && r.Attempts[1].Swallowed && !r.Attempts[1].Ran
 	})
 	if err := n.Cut(0, false); err != nil {
@@ -139,7 +141,7 @@
 	}
 }
 
-// A node takes so many connections and turns away what comes on more; a successor at its address is another process.
+// A cache host rejects commands on connections above its limit. A successor at the same address counts as a new process.
 func TestConnections(t *testing.T) {
 	w, n := newWorld(t, "[[node]]\nname = \"node\"\nconnections = 1\nwarm_for = \"10s\"")
 	w.Sent("a", Want{Key: "k"})
@@ -154,10 +156,10 @@
 	n.Stop()
 	c.SetReadDeadline(time.Now().Add(waitTimeout))
 	if _, err := in.ReadByte(); err == nil {
-		t.Error("the connection outlived its node")
+		t.Error("the connection stayed open after its cache host stopped")
 	}
 	if _, err := net.Dial("tcp", n.Addr(0)); err == nil {
-		t.Error("a stopped node takes connections")
+		t.Error("a stopped cache host accepts connections")
 	}
 	next, err := w.AddNode("node-1.2", n.Group, true, n)
 	if err != nil {
@@ -165,7 +167,7 @@
 	}
 	t.Cleanup(next.Stop)
 	if next.Addr(0) != n.Addr(0) || next.Entry(model.Active).Born == 0 {
-		t.Errorf("the successor is at %s, born at %v", next.Addr(0), next.Entry(model.Active).Born)
+		t.Errorf("the successor is at %s, started at %v", next.Addr(0), next.Entry(model.Active).Born)
 	}
 	c3, in3 := dial(t, next.Addr(0))
 	if got := roundTrip(t, c3, in3, "stats load\r\n"); !strings.HasPrefix(got, "STAT inflight") {
@@ -173,7 +175,8 @@
 	}
 }
 
-// The register is silent on order, and after its versions start over it sends the whole list to who asks for later ones.
+// Discovery stops answering when silenced. After its generations start over, it sends the full list to a watch that asks
+// for a later generation.
 func TestDiscoveryAgent(t *testing.T) {
 	w, _ := newWorld(t, "")
 	get := func(query string, wait time.Duration) string {
@@ -199,6 +202,6 @@
 		t.Error(got)
 	}
 	if _, err := listen(&net.TCPAddr{IP: net.IPv4(10, 0, 0, 1)}); err == nil {
-		t.Error("an address beside loopback was opened")
+		t.Error("a non-loopback address was opened")
 	}
 }
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -1,5 +1,6 @@
-// Package standin plays the world round a balancer on loopback sockets: cache nodes, the gateway and the register. It
-// wraps the models of package model, which decide; here bytes are read and written, times noted and links disturbed.
+// Package standin provides stand-ins on loopback sockets for the systems around a balancer: cache hosts, the origin,
+// discovery and the network between balancers. Package model decides how they behave; this package reads and writes the
+// bytes, records times and injects faults into links.
 package standin
 
 import (
@@ -15,12 +16,12 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// World is what all stand-ins of one rehearsal share.
+// World holds what all stand-ins of one rehearsal share.
 type World struct {
 	Day       *scenario.Day
 	Rec       *record.Record
-	begin     atomic.Pointer[time.Time] // the day's begin, with its monotonic reading; nil before it
-	subnet    byte                      // second octet of the loopback addresses, so that days side by side keep apart
+	begin     atomic.Pointer[time.Time] // start of the rehearsal, with its monotonic clock reading; nil before
+	subnet    byte                      // second octet of the loopback addresses, to separate concurrent rehearsals
 	listeners atomic.Uint32
 
 	Gateway  *Gateway
@@ -28,28 +29,29 @@
 
 	mu        sync.Mutex
 	hosts     map[string]*Node
-	requests  map[string]Want    // by id
-	acceptAll bool               // anybody may ask for anything
-	misses    map[string][]*Node // by id of the call: nodes that lacked its key
+	requests  map[string]Want    // by request id
+	acceptAll bool               // accept requests that no simulated client sent
+	misses    map[string][]*Node // by request id: cache hosts that lacked its key
 }
 
-// Want is what a client asked for, as far as servers check it.
+// Want is what a client requested, as far as the servers check it.
 type Want struct {
 	Key     string
 	Product int
 	Tenant  int
 }
 
-// maxMisses bounds the calls whose misses are remembered; the balancer may give a call up after its miss.
+// maxMisses limits the requests whose misses are remembered, as a balancer may give up after a miss and never fetch the
+// value.
 const maxMisses = 1 << 16
 
-// NewWorld makes the world of a day without anything in it. The day begins with Begin.
+// NewWorld returns a World without any stand-ins. The rehearsal's clock starts with Begin.
 func NewWorld(day *scenario.Day, rec *record.Record) *World {
 	return &World{Day: day, Rec: rec, subnet: byte(100 + os.Getpid()%100), hosts: map[string]*Node{},
 		requests: map[string]Want{}, misses: map[string][]*Node{}}
 }
 
-// Begin makes this moment the day's begin. Until then no time passes for what is up.
+// Begin starts the rehearsal's clock. Until then no time passes for the stand-ins.
 func (w *World) Begin() {
 	now := time.Now()
 	w.begin.Store(&now)
@@ -59,7 +61,7 @@
 	w.Gateway.wake()
 }
 
-// Now is the time since the day's begin. It is monotonic: a clock that is stepped moves nothing.
+// Now returns the time since Begin. It is monotonic, so changes of the system clock have no effect.
 func (w *World) Now() time.Duration {
 	if begin := w.begin.Load(); begin != nil {
 		return time.Since(*begin)
@@ -67,14 +69,15 @@
 	return 0
 }
 
-// Unix is a moment of the day as the machines' clocks tell it, in milliseconds.
+// Unix converts a time since Begin to Unix time in milliseconds.
 func (w *World) Unix(at time.Duration) int64 { return w.begin.Load().Add(at).UnixMilli() }
 
-// modelRunner wakes a stand-in's model when something in it is due, or when it is told that this has changed.
+// modelRunner advances a stand-in's model when its next event is due, and earlier when wake is called.
 type modelRunner chan struct{}
 
 func newModelRunner() modelRunner { return make(modelRunner, 1) }
 
+// wake makes run call its step function now, as the time of the model's next event may have changed.
 func (p modelRunner) wake() {
 	select {
 	case p <- struct{}{}:
@@ -82,8 +85,8 @@
 	}
 }
 
-// run steps the model, which tells how long to wait for the next step. It goes on for as long as the program: there
-// are few stand-ins.
+// run calls step again and again, each time after the wait that the previous call returned. It never returns, which is
+// acceptable as there are few stand-ins.
 func (p modelRunner) run(step func() (wait time.Duration)) {
 	t := time.NewTimer(time.Hour)
 	for {
@@ -95,31 +98,31 @@
 	}
 }
 
-// Late notes that the kit did something later than was due.
+// Late records that a stand-in or client acted later than planned.
 func (w *World) Late(due, now time.Duration) {
 	if by := now - due; by > minLateness && now > 0 {
 		w.Rec.Add(func() { w.Rec.Lates = append(w.Rec.Lates, record.Late{At: now, By: by}) })
 	}
 }
 
-// minLateness is what a timer of a busy machine misses by without moving any figure.
+// minLateness is the smallest delay that is recorded; shorter timer delays of a busy machine do not affect the results.
 const minLateness = 2 * time.Millisecond
 
-// Sent tells the servers what a client asks for under an id.
+// Sent registers what a client requests under an id, for the servers to check.
 func (w *World) Sent(id string, want Want) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests[id] = want
 }
 
-// Open lets anybody ask for anything, for trying by hand.
+// Open makes the servers accept any request, for manual use.
 func (w *World) Open() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.acceptAll = true
 }
 
-// expected tells whether a client asked for a key under an id.
+// expected reports whether a client requested the key under the id.
 func (w *World) expected(id, key string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -127,7 +130,7 @@
 	return w.acceptAll || ok && want.Key == key
 }
 
-// drawWork draws what a call is at a cache node.
+// drawWork draws the work that a request causes at a cache host.
 func (w *World) drawWork(id string) time.Duration {
 	w.mu.Lock()
 	p := w.Day.Products[w.requests[id].Product]
@@ -135,17 +138,17 @@
 	return model.Work(w.Day.Seed, id, p.Law, p.Work.D(), p.Variation)
 }
 
-// recordMiss remembers a node that lacked a call's key.
+// recordMiss remembers that a cache host lacked a request's key.
 func (w *World) recordMiss(id string, n *Node) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.misses) >= maxMisses {
-		clear(w.misses) // those calls were given up long ago, or their values are not kept this once
+		clear(w.misses) // most of these requests were given up long ago; values of the others are merely not cached
 	}
 	w.misses[id] = append(w.misses[id], n)
 }
 
-// storeMissed stores a value at the nodes that missed it for a call.
+// storeMissed stores a value at the cache hosts that lacked it for a request.
 func (w *World) storeMissed(id, key string, version uint64) {
 	w.mu.Lock()
 	hosts := w.misses[id]
@@ -156,14 +159,14 @@
 	}
 }
 
-// invalidate drops the kept copies of a key that are older than a version.
+// invalidate drops the cached copies of a key that are older than the given version.
 func (w *World) invalidate(key string, version uint64) {
 	for _, n := range w.Nodes() {
 		n.invalidate(key, version)
 	}
 }
 
-// Nodes are all nodes that there are or were.
+// Nodes returns all cache hosts, including those that have ended.
 func (w *World) Nodes() []*Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -174,19 +177,19 @@
 	return list
 }
 
-// Node finds a node by its id; nil where there is none.
+// Node returns the cache host with the given id, or nil.
 func (w *World) Node(id string) *Node {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hosts[id]
 }
 
-// ZoneOf is the place of a balancer's zone.
+// ZoneOf returns the zone of a balancer.
 func (w *World) ZoneOf(balancer int) string {
 	return w.Day.Fleet.Zones[balancer%len(w.Day.Fleet.Zones)]
 }
 
-// linkDelay is how long bytes take from a balancer to a zone.
+// linkDelay returns the usual one-way delay from a balancer to a zone.
 func (w *World) linkDelay(balancer int, zone string) time.Duration {
 	if w.ZoneOf(balancer) == zone {
 		return w.Day.Fleet.Same.D()
@@ -194,14 +197,14 @@
 	return w.Day.Fleet.Cross.D()
 }
 
-// Listen opens a listener on a loopback address of its own.
+// Listen opens a listener on an otherwise unused loopback address.
 func (w *World) Listen() (*net.TCPListener, error) {
 	n := w.listeners.Add(1)
 	ip := net.IPv4(127, w.subnet, byte(n/250), byte(1+n%250))
 	return listen(&net.TCPAddr{IP: ip})
 }
 
-// listen opens an address, which must be a loopback one.
+// listen opens a listener on an address, which must be a loopback address.
 func listen(addr *net.TCPAddr) (*net.TCPListener, error) {
 	if !addr.IP.IsLoopback() {
 		return nil, fmt.Errorf("%v is no loopback address", addr)
@@ -209,7 +212,7 @@
 	return net.ListenTCP("tcp", addr)
 }
 
-// Value is what the servers make for a read: its key, version and id, padded to the day's size.
+// Value returns the answer to a read: its key, version and id, padded to the scenario's value size.
 func (w *World) Value(key string, version uint64, id string) []byte {
 	v := fmt.Appendf(make([]byte, 0, w.Day.Load.ValueSize), "%s v%d %s ", key, version, id)
 	for len(v) < w.Day.Load.ValueSize {
