--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -16,14 +16,15 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// conn is one connection of a client, over which one call goes at a time.
+// conn is one connection of a client. It carries one request at a time.
 type conn struct {
 	net    net.Conn
 	in     *bufio.Reader
 	used   bool
-	lastID string // the id of the call that it carried last
+	lastID string // id of the last request answered on this connection
 }
 
+// newConn wraps an open network connection.
 func newConn(n net.Conn) *conn { return &conn{net: n, in: bufio.NewReaderSize(n, 2*memcache.MostLine)} }
 
 // reply is one answer of a balancer.
@@ -34,7 +35,7 @@
 	retryAfter time.Duration
 }
 
-// read takes one answer; an answer that no client can read is an errored one.
+// read reads one answer. An answer that cannot be parsed counts as errored.
 func (c *conn) read() (r reply, err error) {
 	line, err := c.in.ReadSlice('\n')
 	if err != nil {
@@ -67,10 +68,10 @@
 	return r, nil
 }
 
-// writtenValue is what clients write.
+// writtenValue is the value that clients write.
 const writtenValue = "12345"
 
-// sendRequest makes one try of a call: it is sent, and its answer or the end of its client's patience is awaited.
+// sendRequest sends a request once and waits for its answer or for the client's deadline.
 func (c *Callers) sendRequest(req *record.Call, zone int, write bool) {
 	req.Balancer = c.pickBalancer(zone, req.Tenant)
 	target := c.targets[req.Balancer]
@@ -90,16 +91,17 @@
 	}
 }
 
-// maxClosedConns is how many closed connections a client meets before it opens one of its own. A balancer that stood still
-// for seconds leaves hundreds that were opened meanwhile, and closes them all when they have rested long enough; taking
-// the hundredth for an answer blamed the balancer for what its clients kept.
+// maxClosedConns is how many closed idle connections a request may meet before the client opens a new one. While a balancer
+// is paused for seconds, clients open hundreds of connections, which the balancer later closes all at once after its idle
+// timeout. Without a new connection, the close of the last one tried would be counted as the balancer's answer.
 const maxClosedConns = 100
 
-// closeRaceWindow is within what time of the call's last byte the close of a resting connection, on its way by then, is seen;
-// one that comes later answers the call.
+// closeRaceWindow is how soon after a request's last byte was sent the close of an idle connection counts as having crossed
+// the request on the way. A later close counts as the answer to the request.
 const closeRaceWindow = 50 * time.Millisecond
 
-// exchange carries a try over a connection; true where the connection was closed while it rested, before the call.
+// exchange sends a request over a connection and reads its answer. It returns true if the balancer had closed the
+// connection while it was idle, before the request arrived.
 func (c *Callers) exchange(co *conn, req *record.Call, write bool, target *balancerTarget) (closedWhileIdle bool) {
 	fresh := !co.used
 	co.used = true
@@ -128,7 +130,7 @@
 		r, err := co.read()
 		now := c.world.Now()
 		if err == nil && r.id != "" && r.id != req.ID && r.id == co.lastID {
-			c.recordExtraAnswer(r.id) // a further answer to the call before
+			c.recordExtraAnswer(r.id) // an extra answer to the previous request
 			continue
 		}
 		if err != nil {
@@ -142,7 +144,7 @@
 				req.Excused = target.isStopping()
 			case !fresh && now-req.Sent < closeRaceWindow && co.in.Buffered() == 0 &&
 				(errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)):
-				return true // closed with not a byte of an answer: that crossed the call
+				return true // closed without a byte of an answer: the close crossed the request
 			default:
 				req.Reply, req.Ended = record.Closed, now
 				req.Excused = target.isStopping()
@@ -159,7 +161,7 @@
 	}
 }
 
-// isCorrect tells whether an answer was made for a call.
+// isCorrect reports whether an answer belongs to the request and has the expected contents.
 func (c *Callers) isCorrect(req *record.Call, r reply, write bool) bool {
 	if r.id != req.ID {
 		return false
--- a/internal/rehearsal/load/crowd.go
+++ b/internal/rehearsal/load/crowd.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// crowdConnTimeout is how long a connection of a crowd stays, unless the balancer ends it.
+// crowdConnTimeout is how long a connection of a simulated crowd stays open unless the balancer closes it.
 const crowdConnTimeout = 10 * time.Second
 
-// Stray plays the i-th connection of a crowd: one in three asks once and stays, the others say nothing, or stop within a
-// command. What they ask does not count.
+// Stray simulates the i-th connection of a crowd. One in three sends one request and stays open, one sends part of a command
+// and one sends nothing. Their requests are not recorded.
 func (c *Callers) Stray(i int) {
 	_, addr := c.targets[i%len(c.targets)].state()
 	n, err := net.DialTimeout("tcp", addr, time.Second)
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -1,5 +1,6 @@
-// Package load plays the callers of a rehearsal: an open loop of requests that does not wait for answers, over
-// connections that are kept, with clients that give up, try again and come back when they are told to.
+// Package load simulates the clients of a rehearsal. Requests arrive in an open loop, that is, independently of earlier
+// answers, over connections that are reused. Clients give up at their deadline and retry, after the time that a
+// rate-limited answer names.
 package load
 
 import (
@@ -19,39 +20,39 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Callers are all clients of a day.
+// Callers simulates all clients of a rehearsal.
 type Callers struct {
 	world       *standin.World
 	arrivals    []model.Arrival
 	retryPolicy model.Retry
-	targets     []*balancerTarget // by balancer
+	targets     []*balancerTarget // indexed by balancer
 
 	running    sync.WaitGroup
 	roundRobin atomic.Uint32
 	inFlight   atomic.Int64
 
 	mu        sync.Mutex
-	lateness  *hdrhistogram.Histogram // of sends, microseconds
-	latencies *hdrhistogram.Histogram // of fulfilled calls from when they were due, microseconds
+	lateness  *hdrhistogram.Histogram // of sending, in microseconds
+	latencies *hdrhistogram.Histogram // of fulfilled requests since their scheduled time, in microseconds
 	tally     Tally
 }
 
-// Tally counts what became of calls so far.
+// Tally counts the outcomes of requests so far; each client retry counts as one more.
 type Tally struct {
 	Due, Fulfilled, RateLimited, Errored, Lost int
 }
 
-// The histograms hold 1 microsecond to a minute with three digits.
+// The histograms cover 1 microsecond to a minute with three significant digits.
 const (
 	minMicros         = 1
 	maxMicros         = 60_000_000
 	significantDigits = 3
 )
 
-// maxInFlight bounds the calls that are out at a time: beyond it the machine cannot carry the day.
+// maxInFlight limits the requests in flight; with more than that the machine cannot sustain the load of the scenario.
 const maxInFlight = 50_000
 
-// New plans a day's calls.
+// New plans the requests of a rehearsal.
 func New(w *standin.World) (*Callers, error) {
 	arrivals, err := model.Arrivals(w.Day.Seed, w.Day.LoadTerms())
 	if err != nil {
@@ -66,10 +67,10 @@
 	return c, nil
 }
 
-// Planned is the number of calls without further tries.
+// Planned returns the number of planned requests, without client retries.
 func (c *Callers) Planned() int { return len(c.arrivals) }
 
-// Up tells where a balancer serves; the front deals calls to it from now on.
+// Up sets the address at which a balancer serves. Clients send requests to it from now on.
 func (c *Callers) Up(balancer int, addr string) {
 	target := c.targets[balancer]
 	target.mu.Lock()
@@ -78,8 +79,8 @@
 	target.addr, target.up, target.stopping = addr, true, false
 }
 
-// Down tells that a balancer has ended, or was told to end at once, which excuses what it holds. The front notices
-// later, and sends to it until then.
+// Down marks a balancer that has ended or was ordered to end at once; it is not blamed for the requests it loses. Clients
+// notice after a delay and send to it until then.
 func (c *Callers) Down(balancer int) {
 	target := c.targets[balancer]
 	target.mu.Lock()
@@ -96,7 +97,7 @@
 	})
 }
 
-// Leaves tells that a balancer was told to end in order: the front deals it no more calls after a moment.
+// Leaves marks a balancer that was ordered to end gracefully. Clients stop sending to it after drainNoticeDelay.
 func (c *Callers) Leaves(balancer int) {
 	target := c.targets[balancer]
 	target.mu.Lock()
@@ -112,13 +113,14 @@
 	})
 }
 
-// drainNoticeDelay is how long a front deals to a balancer that was told to end: it hears of that itself at the same time.
+// drainNoticeDelay is how long clients still send to a balancer that was ordered to end gracefully; clients and balancer are
+// notified at the same time.
 const drainNoticeDelay = 300 * time.Millisecond
 
-// Play makes the day's calls and returns when the last has its answer or has been given up.
+// Play sends the planned requests and returns when the last one has been answered or given up, or earlier when stopped.
 func (c *Callers) Play(stop <-chan struct{}) {
 	defer c.running.Wait()
-	// On a thread of its own that the system wakes: the runtime's timers are up to a millisecond late.
+	// Sleeps by system call on a thread of its own, as the Go runtime's timers are up to a millisecond late.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i := range c.arrivals {
@@ -140,10 +142,10 @@
 	}
 }
 
-// maxSleep bounds how long an order to stop goes unheard.
+// maxSleep limits how long Play takes to notice a stop.
 const maxSleep = 100 * time.Millisecond
 
-// runRequest is the life of one request of a client, with all its tries.
+// runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
 func (c *Callers) runRequest(arrival *model.Arrival) {
 	p := &c.world.Day.Products[arrival.Product]
 	random := model.Stream(c.world.Day.Seed, "client "+arrival.ID)
@@ -165,7 +167,7 @@
 		if req.Reply == record.Fulfilled {
 			return
 		}
-		// Of what a balancer never took, and of what it rate-limited, a further try is harmless; reads are always.
+		// A retry is harmless if no balancer took the request, if it was rate-limited, or if the product is idempotent.
 		harmless := req.Reply == record.RateLimited || req.NotTaken || p.Effect == scenario.Idempotent
 		wait, retry := c.retryPolicy.Next(random, try, harmless, req.ComeBack)
 		if !retry {
@@ -176,7 +178,7 @@
 	}
 }
 
-// recordResult takes a try into the record.
+// recordResult adds the outcome of one sending to the record and to the tally.
 func (c *Callers) recordResult(req record.Call, due time.Duration) {
 	c.world.Rec.Add(func() { c.world.Rec.Calls = append(c.world.Rec.Calls, req) })
 	c.mu.Lock()
@@ -195,7 +197,7 @@
 	}
 }
 
-// recordLateness notes how late a call was sent.
+// recordLateness records how late a request was sent.
 func (c *Callers) recordLateness(due, now time.Duration) {
 	c.world.Late(due, now)
 	c.mu.Lock()
@@ -203,41 +205,41 @@
 	c.lateness.RecordValue(min(maxMicros, max(minMicros, (now-due).Microseconds())))
 }
 
-// Tally counts so far.
+// Tally returns the counts so far.
 func (c *Callers) Tally() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally
 }
 
-// Percentiles of a histogram, as times.
+// Percentiles holds percentiles of a histogram as durations.
 type Percentiles struct {
 	P50, P90, P99, P999, Max time.Duration
 	Count                    int64
 }
 
-// PercentilesOf reads them off a histogram of microseconds.
+// PercentilesOf returns the percentiles of a histogram of microseconds.
 func PercentilesOf(h *hdrhistogram.Histogram) Percentiles {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	return Percentiles{at(50), at(90), at(99), at(99.9), time.Duration(h.Max()) * time.Microsecond, h.TotalCount()}
 }
 
-// Latency is that of fulfilled calls, from when they were due.
+// Latency returns the latencies of fulfilled requests, counted from their scheduled time.
 func (c *Callers) Latency() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.latencies)
 }
 
-// Lateness is by how much calls were sent late.
+// Lateness returns how late requests were sent.
 func (c *Callers) Lateness() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.lateness)
 }
 
-// pickBalancer finds the balancer for a call: those that its tenant uses, or else of its zone, in turn; else any that the front holds for
-// alive.
+// pickBalancer chooses the balancer for a request, in rotation among those believed to be up: first those that its tenant
+// uses, then those of the client's zone, then any. If none is up it returns balancer 0.
 func (c *Callers) pickBalancer(zone, tenant int) int {
 	if allowed := c.world.Day.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
 		n := int(c.roundRobin.Add(1))
@@ -260,45 +262,48 @@
 	return 0
 }
 
-// balancerTarget holds the connections to one balancer.
+// balancerTarget is one balancer as the clients see it, with their idle connections to it.
 type balancerTarget struct {
 	mu           sync.Mutex
 	addr         string
-	up           bool // as far as the front has noticed
-	stopping     bool // it was told to end: what it holds is lost with it
+	up           bool // as far as clients have noticed
+	stopping     bool // it ended or was ordered to end at once; its open requests are lost
 	stateChanges int
-	idle         []*conn // the last used one last
+	idle         []*conn // most recently used last
 }
 
-func (f *balancerTarget) isUp() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.up
+// isUp reports whether clients believe that the balancer is up.
+func (t *balancerTarget) isUp() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.up
 }
 
-// checkout hands out a connection that rests, nil where there is none or none is wanted, and the address for a new one.
-func (f *balancerTarget) checkout(reuse bool) (c *conn, addr string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n := len(f.idle); reuse && n > 0 {
-		c, f.idle = f.idle[n-1], f.idle[:n-1]
+// checkout returns an idle connection, or nil if there is none or reuse is false, and the address for a new connection.
+func (t *balancerTarget) checkout(reuse bool) (c *conn, addr string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if n := len(t.idle); reuse && n > 0 {
+		c, t.idle = t.idle[n-1], t.idle[:n-1]
 	}
-	return c, f.addr
+	return c, t.addr
 }
 
-func (f *balancerTarget) release(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.idle = append(f.idle, c)
+// release returns a connection to the idle ones.
+func (t *balancerTarget) release(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.idle = append(t.idle, c)
 }
 
-func (f *balancerTarget) isStopping() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.stopping
+// isStopping reports whether the balancer ended or was ordered to end at once.
+func (t *balancerTarget) isStopping() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.stopping
 }
 
-// Rest closes the connections that rest, and notes what came on them unasked.
+// Rest closes the idle connections and records answers that arrived on them unrequested.
 func (c *Callers) Rest() {
 	for _, target := range c.targets {
 		target.mu.Lock()
@@ -313,7 +318,7 @@
 	}
 }
 
-// readExtraAnswers notes answers on a connection that nobody waits for.
+// readExtraAnswers records answers on a connection that no request waits for.
 func (c *Callers) readExtraAnswers(conn *conn) {
 	for {
 		a, err := conn.read()
@@ -324,7 +329,7 @@
 	}
 }
 
-// recordExtraAnswer notes one more answer to a call that has its own.
+// recordExtraAnswer counts an additional answer to a request that was already answered.
 func (c *Callers) recordExtraAnswer(id string) {
 	c.world.Rec.Add(func() {
 		for i := len(c.world.Rec.Calls) - 1; i >= 0; i-- {
@@ -336,6 +341,7 @@
 	})
 }
 
+// dial opens a connection to a balancer.
 func dial(addr string, timeout time.Duration) (*conn, error) {
 	n, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -14,7 +14,8 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// A balancer that stood still leaves more resting connections than a client tries: their close is no answer of its.
+// After a pause a balancer may close more idle connections than a client is willing to try. Their close must not be counted as
+// the answer to a request: the client opens a new connection instead.
 func TestManyIdleConnectionsClosed(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -56,6 +57,6 @@
 	req := record.Call{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
 	c.sendRequest(&req, 0, false)
 	if req.Reply != record.RateLimited || req.Crossed != maxClosedConns {
-		t.Errorf("%v after %d closed connections, want rate-limited by the one that is open", req.Reply, req.Crossed)
+		t.Errorf("%v after %d closed connections, want rate-limited on the newly opened one", req.Reply, req.Crossed)
 	}
 }
--- a/internal/rehearsal/load/rude.go
+++ b/internal/rehearsal/load/rude.go
@@ -11,7 +11,7 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// malformedInputs are what rude clients send; %s stands for a product that there is.
+// malformedInputs is what clients with malformed input send; %s stands for an existing product.
 var malformedInputs = []struct{ name, text string }{
 	{"noise", "\x00\x01\xfe\xff\r\n\r\n\x13\r\n"},
 	{"a line without an end", strings.Repeat("mg ", 4000)},
@@ -27,20 +27,21 @@
 	{"nothing", ""},
 }
 
-// answerTimeout is in what time a rude client is owed an error or a close, and sixty megabytes take longer.
+// A client with malformed input must get an error or a close within answerTimeout. A value of 60 MB takes longer to send
+// and has hugeValueTimeout.
 const (
 	answerTimeout    = 3 * time.Second
 	hugeValueTimeout = 6 * time.Second
 	hugeValueBytes   = 60 << 20
 )
 
-// Rude plays the i-th rude client against a balancer.
+// Rude simulates the i-th client with malformed input and records how the balancer reacted.
 func (c *Callers) Rude(i int) {
 	input := malformedInputs[i%len(malformedInputs)]
 	_, addr := c.targets[i%len(c.targets)].state()
 	n, err := net.DialTimeout("tcp", addr, answerTimeout)
 	if err != nil {
-		return // not even a connection: nothing is owed
+		return // without a connection no reaction is expected
 	}
 	defer n.Close()
 	r := record.Rude{What: input.name}
@@ -71,7 +72,7 @@
 	switch text := string(first[:got]); {
 	case got == 0 && err != nil && isTimeout(err):
 	case got == 0:
-		r.Answered = true // closed
+		r.Answered = true // the balancer closed the connection
 	case strings.HasPrefix(text, "CLIENT_ERROR"), strings.HasPrefix(text, "SERVER_ERROR"), strings.HasPrefix(text, "ERROR"):
 		r.Answered = true
 	case strings.HasPrefix(text, "VA"), strings.HasPrefix(text, "HD"):
@@ -79,14 +80,15 @@
 	}
 }
 
+// isTimeout reports whether a network operation timed out.
 func isTimeout(err error) bool {
 	e, ok := err.(net.Error)
 	return ok && e.Timeout()
 }
 
-// state tells whether the front holds a balancer for alive, and its address.
-func (f *balancerTarget) state() (up bool, addr string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.up, f.addr
+// state returns whether clients believe that the balancer is up, and its address.
+func (t *balancerTarget) state() (up bool, addr string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.up, t.addr
 }
