--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -32,7 +32,7 @@
 	changed        chan struct{}   // closed at the next change; guarded by Register.mu
 	watchesStalled chan struct{}   // closed to make all open watches stop answering; guarded by Register.mu
 	notifiedBy     time.Duration   // when changes missed by a stalled watch count as known to the balancer; guarded by Register.mu
-	available      map[string]bool // hosts last reported to the balancer as active; guarded by Register.mu
+	available      map[string]bool // by host: whether last reported to the balancer as active; guarded by Register.mu
 }
 
 // AddRegister adds discovery.
@@ -118,7 +118,7 @@
 	a.changed = make(chan struct{})
 }
 
-// assumeNotified records that a balancer knows of a host's removal even if it never asked for the change.
+// assumeNotified records that a balancer knows that a host is no longer active, even if it never asked for the change.
 func (r *Register) assumeNotified(balancer int, host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +146,7 @@
 	r.wakeWatches(balancer)
 	if a := r.agents[balancer]; !on {
 		for host, available := range a.available {
-			if available { // hosts that are no longer active count as known to be gone now
+			if available { // hosts that are no longer active count as known to be so now
 				time.AfterFunc(0, func() { r.assumeNotified(balancer, host) })
 			}
 		}
