--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -1,5 +1,6 @@
-// Package load plays the callers of a rehearsal: an open loop of requests that does not wait for answers, over
-// connections that are kept, with clients that give up, try again and come back when they are told to.
+// Package load simulates the clients of a rehearsal. Requests arrive in an open loop, that is, independently of earlier
+// answers, over connections that are reused. Clients give up at their deadline and retry, after the time that a
+// rate-limited answer names.
 package load
 
 import (
@@ -19,112 +20,113 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Callers are all clients of a day.
+// Callers simulates all clients of a rehearsal.
 type Callers struct {
-	w        *standin.World
-	arrivals []model.Arrival
-	retry    model.Retry
-	fronts   []*front // by balancer
+	world       *standin.World
+	arrivals    []model.Arrival
+	retryPolicy model.Retry
+	targets     []*balancerTarget // indexed by balancer
 
-	wait   sync.WaitGroup
-	turn   atomic.Uint32
-	inHand atomic.Int64
+	running    sync.WaitGroup
+	roundRobin atomic.Uint32
+	inFlight   atomic.Int64
 
 	mu        sync.Mutex
-	lateness  *hdrhistogram.Histogram // of sends, microseconds
-	latencies *hdrhistogram.Histogram // of fulfilled calls from when they were due, microseconds
-	tallies   Tally
+	lateness  *hdrhistogram.Histogram // of sending, in microseconds
+	latencies *hdrhistogram.Histogram // of fulfilled requests since their scheduled time, in microseconds
+	tally     Tally
 }
 
-// Tally counts what became of calls so far.
+// Tally counts the outcomes of requests so far; each client retry counts as one more.
 type Tally struct {
 	Due, Fulfilled, RateLimited, Errored, Lost int
 }
 
-// The histograms hold 1 microsecond to a minute with three digits.
+// The histograms cover 1 microsecond to a minute with three significant digits.
 const (
-	leastMicros = 1
-	mostMicros  = 60_000_000
-	digits      = 3
+	minMicros         = 1
+	maxMicros         = 60_000_000
+	significantDigits = 3
 )
 
-// mostInHand bounds the calls that are out at a time: beyond it the machine cannot carry the day.
-const mostInHand = 50_000
+// maxInFlight limits the requests in flight; with more than that the machine cannot sustain the load of the scenario.
+const maxInFlight = 50_000
 
-// New plans a day's calls.
+// New plans the requests of a rehearsal.
 func New(w *standin.World) (*Callers, error) {
 	arrivals, err := model.Arrivals(w.Day.Seed, w.Day.LoadTerms())
 	if err != nil {
 		return nil, err
 	}
-	c := &Callers{w: w, arrivals: arrivals, retry: w.Day.Retry(),
-		lateness:  hdrhistogram.New(leastMicros, mostMicros, digits),
-		latencies: hdrhistogram.New(leastMicros, mostMicros, digits)}
+	c := &Callers{world: w, arrivals: arrivals, retryPolicy: w.Day.Retry(),
+		lateness:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
+		latencies: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 	for range w.Day.Fleet.Balancers {
-		c.fronts = append(c.fronts, &front{})
+		c.targets = append(c.targets, &balancerTarget{})
 	}
 	return c, nil
 }
 
-// Planned is the number of calls without further tries.
+// Planned returns the number of planned requests, without client retries.
 func (c *Callers) Planned() int { return len(c.arrivals) }
 
-// Up tells where a balancer serves; the front deals calls to it from now on.
+// Up sets the address at which a balancer serves. Clients send requests to it from now on.
 func (c *Callers) Up(balancer int, addr string) {
-	f := c.fronts[balancer]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.round++
-	f.addr, f.up, f.ending = addr, true, false
+	target := c.targets[balancer]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.stateChanges++
+	target.addr, target.up, target.stopping = addr, true, false
 }
 
-// Down tells that a balancer has ended, or was told to end at once, which excuses what it holds. The front notices
-// later, and sends to it until then.
+// Down marks a balancer that has ended or was ordered to end at once; it is not blamed for the requests it loses. Clients
+// notice after a delay and send to it until then.
 func (c *Callers) Down(balancer int) {
-	f := c.fronts[balancer]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.ending = true
-	f.round++
-	round := f.round
-	time.AfterFunc(c.w.Day.Clients.Notice.D(), func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.ending && f.round == round {
-			f.up = false
+	target := c.targets[balancer]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.stopping = true
+	target.stateChanges++
+	stateChanges := target.stateChanges
+	time.AfterFunc(c.world.Day.Clients.Notice.D(), func() {
+		target.mu.Lock()
+		defer target.mu.Unlock()
+		if target.stopping && target.stateChanges == stateChanges {
+			target.up = false
 		}
 	})
 }
 
-// Leaves tells that a balancer was told to end in order: the front deals it no more calls after a moment.
+// Leaves marks a balancer that was ordered to end gracefully. Clients stop sending to it after drainNoticeDelay.
 func (c *Callers) Leaves(balancer int) {
-	f := c.fronts[balancer]
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.round++
-	round := f.round
-	time.AfterFunc(leavesIn, func() {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		if f.round == round {
-			f.up = false
+	target := c.targets[balancer]
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	target.stateChanges++
+	stateChanges := target.stateChanges
+	time.AfterFunc(drainNoticeDelay, func() {
+		target.mu.Lock()
+		defer target.mu.Unlock()
+		if target.stateChanges == stateChanges {
+			target.up = false
 		}
 	})
 }
 
-// leavesIn is how long a front deals to a balancer that was told to end: it hears of that itself at the same time.
-const leavesIn = 300 * time.Millisecond
+// drainNoticeDelay is how long clients still send to a balancer that was ordered to end gracefully; clients and balancer are
+// notified at the same time.
+const drainNoticeDelay = 300 * time.Millisecond
 
-// Play makes the day's calls and returns when the last has its answer or has been given up.
+// Play sends the planned requests and returns when the last one has been answered or given up, or earlier when stopped.
 func (c *Callers) Play(stop <-chan struct{}) {
-	defer c.wait.Wait()
-	// On a thread of its own that the system wakes: the runtime's timers are up to a millisecond late.
+	defer c.running.Wait()
+	// Sleeps by system call on a thread of its own, as the Go runtime's timers are up to a millisecond late.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i := range c.arrivals {
-		a := &c.arrivals[i]
-		for wait := a.At - c.w.Now(); wait > 0; wait = a.At - c.w.Now() {
-			ts := syscall.NsecToTimespec(int64(min(wait, sleepMost)))
+		arrival := &c.arrivals[i]
+		for wait := arrival.At - c.world.Now(); wait > 0; wait = arrival.At - c.world.Now() {
+			ts := syscall.NsecToTimespec(int64(min(wait, maxSleep)))
 			syscall.Nanosleep(&ts, nil)
 			select {
 			case <-stop:
@@ -132,127 +134,127 @@
 			default:
 			}
 		}
-		c.wait.Add(1)
+		c.running.Add(1)
 		go func() {
-			defer c.wait.Done()
-			c.live(a)
+			defer c.running.Done()
+			c.runRequest(arrival)
 		}()
 	}
 }
 
-// sleepMost bounds how long an order to stop goes unheard.
-const sleepMost = 100 * time.Millisecond
+// maxSleep limits how long Play takes to notice a stop.
+const maxSleep = 100 * time.Millisecond
 
-// live is the life of one request of a client, with all its tries.
-func (c *Callers) live(a *model.Arrival) {
-	p := &c.w.Day.Products[a.Product]
-	chance := model.Stream(c.w.Day.Seed, "client "+a.ID)
-	due := a.At
+// runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
+func (c *Callers) runRequest(arrival *model.Arrival) {
+	p := &c.world.Day.Products[arrival.Product]
+	random := model.Stream(c.world.Day.Seed, "client "+arrival.ID)
+	due := arrival.At
 	for try := 1; ; try++ {
-		k := record.Call{ID: a.ID, Base: a.ID, Try: try, Tenant: a.Tenant, Product: a.Product, Key: a.Key, Mark: a.Mark, Once: a.Once,
-			Due: due, Timeout: due + a.Patience}
+		req := record.Call{ID: arrival.ID, Base: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, Mark: arrival.Mark, Once: arrival.Once,
+			Due: due, Timeout: due + arrival.Patience}
 		if try > 1 {
-			k.ID = fmt.Sprintf("%s.%d", a.ID, try)
+			req.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 		}
-		c.w.Sent(k.ID, standin.Want{Key: a.Key, Product: a.Product, Tenant: a.Tenant})
-		if c.inHand.Add(1) > mostInHand {
-			k.NotTaken = true
+		c.world.Sent(req.ID, standin.Want{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
+		if c.inFlight.Add(1) > maxInFlight {
+			req.NotTaken = true
 		} else {
-			c.try(&k, a.Zone, p.Write)
+			c.sendRequest(&req, arrival.Zone, p.Write)
 		}
-		c.inHand.Add(-1)
-		c.note(k, due)
-		if k.Reply == record.Fulfilled {
+		c.inFlight.Add(-1)
+		c.recordResult(req, due)
+		if req.Reply == record.Fulfilled {
 			return
 		}
-		// Of what a balancer never took, and of what it rate-limited, a further try is harmless; reads are always.
-		harmless := k.Reply == record.RateLimited || k.NotTaken || p.Effect == scenario.Idempotent
-		wait, again := c.retry.Next(chance, try, harmless, k.ComeBack)
-		if !again {
+		// A retry is harmless if no balancer took the request, if it was rate-limited, or if the product is idempotent.
+		harmless := req.Reply == record.RateLimited || req.NotTaken || p.Effect == scenario.Idempotent
+		wait, retry := c.retryPolicy.Next(random, try, harmless, req.ComeBack)
+		if !retry {
 			return
 		}
-		due = c.w.Now() + wait
+		due = c.world.Now() + wait
 		time.Sleep(wait)
 	}
 }
 
-// note takes a try into the record.
-func (c *Callers) note(k record.Call, due time.Duration) {
-	c.w.Rec.Add(func() { c.w.Rec.Calls = append(c.w.Rec.Calls, k) })
+// recordResult adds the outcome of one sending to the record and to the tally.
+func (c *Callers) recordResult(req record.Call, due time.Duration) {
+	c.world.Rec.Add(func() { c.world.Rec.Calls = append(c.world.Rec.Calls, req) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tallies.Due++
-	switch k.Reply {
+	c.tally.Due++
+	switch req.Reply {
 	case record.Fulfilled:
-		c.tallies.Fulfilled++
-		c.latencies.RecordValue(min(mostMicros, max(leastMicros, (k.Answered-due).Microseconds())))
+		c.tally.Fulfilled++
+		c.latencies.RecordValue(min(maxMicros, max(minMicros, (req.Answered-due).Microseconds())))
 	case record.RateLimited:
-		c.tallies.RateLimited++
+		c.tally.RateLimited++
 	case record.Errored:
-		c.tallies.Errored++
+		c.tally.Errored++
 	default:
-		c.tallies.Lost++
+		c.tally.Lost++
 	}
 }
 
-// late notes how late a call was sent.
-func (c *Callers) late(due, now time.Duration) {
-	c.w.Late(due, now)
+// recordLateness records how late a request was sent.
+func (c *Callers) recordLateness(due, now time.Duration) {
+	c.world.Late(due, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lateness.RecordValue(min(mostMicros, max(leastMicros, (now-due).Microseconds())))
+	c.lateness.RecordValue(min(maxMicros, max(minMicros, (now-due).Microseconds())))
 }
 
-// Tally counts so far.
+// Tally returns the counts so far.
 func (c *Callers) Tally() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.tallies
+	return c.tally
 }
 
-// Percentiles of a histogram, as times.
+// Percentiles holds percentiles of a histogram as durations.
 type Percentiles struct {
 	P50, P90, P99, P999, Max time.Duration
 	Count                    int64
 }
 
-// PercentilesOf reads them off a histogram of microseconds.
+// PercentilesOf returns the percentiles of a histogram of microseconds.
 func PercentilesOf(h *hdrhistogram.Histogram) Percentiles {
 	at := func(q float64) time.Duration { return time.Duration(h.ValueAtQuantile(q)) * time.Microsecond }
 	return Percentiles{at(50), at(90), at(99), at(99.9), time.Duration(h.Max()) * time.Microsecond, h.TotalCount()}
 }
 
-// Latency is that of fulfilled calls, from when they were due.
+// Latency returns the latencies of fulfilled requests, counted from their scheduled time.
 func (c *Callers) Latency() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.latencies)
 }
 
-// Lateness is by how much calls were sent late.
+// Lateness returns how late requests were sent.
 func (c *Callers) Lateness() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.lateness)
 }
 
-// pick finds the balancer for a call: those that its tenant uses, or else of its zone, in turn; else any that the front holds for
-// alive.
-func (c *Callers) pick(zone, tenant int) int {
-	if use := c.w.Day.TenantAt(tenant, c.w.Now()); len(use) > 0 {
-		n := int(c.turn.Add(1))
-		for i := range use {
-			if b := use[(n+i)%len(use)]; c.fronts[b].alive() {
+// pickBalancer chooses the balancer for a request, in rotation among those believed to be up: first those that its tenant
+// uses, then those of the client's zone, then any. If none is up it returns balancer 0.
+func (c *Callers) pickBalancer(zone, tenant int) int {
+	if allowed := c.world.Day.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
+		n := int(c.roundRobin.Add(1))
+		for i := range allowed {
+			if b := allowed[(n+i)%len(allowed)]; c.targets[b].isUp() {
 				return b
 			}
 		}
 	}
-	zones := len(c.w.Day.Fleet.Zones)
-	for _, own := range []bool{true, false} {
-		n := int(c.turn.Add(1))
-		for i := range c.fronts {
-			b := (n + i) % len(c.fronts)
-			if (!own || b%zones == zone) && c.fronts[b].alive() {
+	zones := len(c.world.Day.Fleet.Zones)
+	for _, sameZone := range []bool{true, false} {
+		n := int(c.roundRobin.Add(1))
+		for i := range c.targets {
+			b := (n + i) % len(c.targets)
+			if (!sameZone || b%zones == zone) && c.targets[b].isUp() {
 				return b
 			}
 		}
@@ -260,82 +262,86 @@
 	return 0
 }
 
-// front holds the connections to one balancer.
-type front struct {
-	mu     sync.Mutex
-	addr   string
-	up     bool // as far as the front has noticed
-	ending bool // it was told to end: what it holds is lost with it
-	round  int
-	rest   []*conn // the last used one last
+// balancerTarget is one balancer as the clients see it, with their idle connections to it.
+type balancerTarget struct {
+	mu           sync.Mutex
+	addr         string
+	up           bool // as far as clients have noticed
+	stopping     bool // it ended or was ordered to end at once; its open requests are lost
+	stateChanges int
+	idle         []*conn // most recently used last
 }
 
-func (f *front) alive() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.up
+// isUp reports whether clients believe that the balancer is up.
+func (t *balancerTarget) isUp() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.up
 }
 
-// take hands out a connection that rests, nil where there is none or none is wanted, and the address for a new one.
-func (f *front) take(rested bool) (c *conn, addr string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if n := len(f.rest); rested && n > 0 {
-		c, f.rest = f.rest[n-1], f.rest[:n-1]
+// checkout returns an idle connection, or nil if there is none or reuse is false, and the address for a new connection.
+func (t *balancerTarget) checkout(reuse bool) (c *conn, addr string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if n := len(t.idle); reuse && n > 0 {
+		c, t.idle = t.idle[n-1], t.idle[:n-1]
 	}
-	return c, f.addr
+	return c, t.addr
 }
 
-func (f *front) give(c *conn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.rest = append(f.rest, c)
+// release returns a connection to the idle ones.
+func (t *balancerTarget) release(c *conn) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.idle = append(t.idle, c)
 }
 
-func (f *front) ends() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.ending
+// isStopping reports whether the balancer ended or was ordered to end at once.
+func (t *balancerTarget) isStopping() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.stopping
 }
 
-// Rest closes the connections that rest, and notes what came on them unasked.
+// Rest closes the idle connections and records answers that arrived on them unrequested.
 func (c *Callers) Rest() {
-	for _, f := range c.fronts {
-		f.mu.Lock()
-		rest := f.rest
-		f.rest = nil
-		f.mu.Unlock()
-		for _, k := range rest {
-			k.net.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
-			c.extra(k)
-			k.net.Close()
+	for _, target := range c.targets {
+		target.mu.Lock()
+		idle := target.idle
+		target.idle = nil
+		target.mu.Unlock()
+		for _, conn := range idle {
+			conn.net.SetReadDeadline(time.Now().Add(5 * time.Millisecond))
+			c.readExtraAnswers(conn)
+			conn.net.Close()
 		}
 	}
 }
 
-// extra notes answers on a connection that nobody waits for.
-func (c *Callers) extra(k *conn) {
+// readExtraAnswers records answers on a connection that no request waits for.
+func (c *Callers) readExtraAnswers(conn *conn) {
 	for {
-		a, err := k.read()
+		a, err := conn.read()
 		if err != nil {
 			return
 		}
-		c.again(a.id)
+		c.recordExtraAnswer(a.id)
 	}
 }
 
-// again notes one more answer to a call that has its own.
-func (c *Callers) again(id string) {
-	c.w.Rec.Add(func() {
-		for i := len(c.w.Rec.Calls) - 1; i >= 0; i-- {
-			if k := &c.w.Rec.Calls[i]; k.ID == id {
-				k.Extra++
+// recordExtraAnswer counts an additional answer to a request that was already answered.
+func (c *Callers) recordExtraAnswer(id string) {
+	c.world.Rec.Add(func() {
+		for i := len(c.world.Rec.Calls) - 1; i >= 0; i-- {
+			if req := &c.world.Rec.Calls[i]; req.ID == id {
+				req.Extra++
 				return
 			}
 		}
 	})
 }
 
+// dial opens a connection to a balancer.
 func dial(addr string, timeout time.Duration) (*conn, error) {
 	n, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -12,31 +12,32 @@
 	"streamrail/internal/rehearsal/model"
 )
 
-// Relays carry the datagrams between balancers, each ordered pair by a way of its own that can be harmed.
+// Relays forwards the datagrams between balancers. Each ordered pair has a link of its own that can lose, delay or corrupt
+// datagrams.
 type Relays struct {
-	began time.Time
-	ways  [][]*relay // from, to
-	wait  sync.WaitGroup
+	startedAt time.Time
+	relays    [][]*relay // indexed by sender, then receiver
+	readers   sync.WaitGroup
 }
 
-// relay is the way from one balancer to another: an address for datagrams to it.
+// relay is the link from one balancer to another: a socket whose address the sender uses as the receiver's.
 type relay struct {
-	all      *Relays
+	owner    *Relays
 	from, to int
 	conn     *net.UDPConn
 	target   netip.AddrPort
 
 	mu    sync.Mutex
-	way   *model.Way
+	link  *model.Way
 	bytes int64
 }
 
-// NewRelays opens a way for each ordered pair of balancers, which stand at the targets.
-func NewRelays(targets []netip.AddrPort, terms model.WayTerms, chance *rand.Rand) (*Relays, error) {
-	rs := &Relays{began: time.Now()}
+// NewRelays opens a link for each ordered pair of balancers; targets are their addresses.
+func NewRelays(targets []netip.AddrPort, terms model.WayTerms, random *rand.Rand) (*Relays, error) {
+	rs := &Relays{startedAt: time.Now()}
 	for from := range targets {
 		row := make([]*relay, len(targets))
-		rs.ways = append(rs.ways, row)
+		rs.relays = append(rs.relays, row)
 		for to := range targets {
 			if to == from {
 				continue
@@ -44,41 +45,41 @@
 			conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 			if err != nil {
 				rs.Close()
-				return nil, fmt.Errorf("a way between balancers: %w", err)
+				return nil, fmt.Errorf("link between balancers: %w", err)
 			}
-			row[to] = &relay{all: rs, from: from, to: to, conn: conn, target: targets[to],
-				way: model.NewWay(terms, rand.New(rand.NewPCG(chance.Uint64(), chance.Uint64())))}
+			row[to] = &relay{owner: rs, from: from, to: to, conn: conn, target: targets[to],
+				link: model.NewWay(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
 		}
 	}
-	for _, row := range rs.ways {
+	for _, row := range rs.relays {
 		for _, r := range row {
 			if r != nil {
-				rs.wait.Go(r.hear)
+				rs.readers.Go(r.receive)
 			}
 		}
 	}
 	return rs, nil
 }
 
-// Addr is where a balancer reaches another.
+// Addr returns the address at which one balancer reaches another.
 func (rs *Relays) Addr(from, to int) netip.AddrPort {
-	return rs.ways[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	return rs.relays[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Change changes how a way treats datagrams from now on.
+// Change alters how a link treats datagrams from now on.
 func (rs *Relays) Change(from, to int, change func(*model.WayTerms)) {
 	if from == to {
 		return
 	}
-	r := rs.ways[from][to]
+	r := rs.relays[from][to]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.way.WayTerms)
+	change(&r.link.WayTerms)
 }
 
-// Cut makes some ways lose everything, or ends that.
+// Cut makes the selected links lose everything, or ends that.
 func (rs *Relays) Cut(on bool, which func(from, to int) bool) {
-	for from, row := range rs.ways {
+	for from, row := range rs.relays {
 		for to := range row {
 			if from != to && which(from, to) {
 				rs.Change(from, to, func(t *model.WayTerms) { t.Cut = on })
@@ -87,9 +88,9 @@
 	}
 }
 
-// Bytes is what a balancer has sent so far to the others.
+// Bytes returns how many bytes a balancer has sent to the others so far.
 func (rs *Relays) Bytes(from int) (sum int64) {
-	for _, r := range rs.ways[from] {
+	for _, r := range rs.relays[from] {
 		if r != nil {
 			r.mu.Lock()
 			sum += r.bytes
@@ -99,19 +100,20 @@
 	return sum
 }
 
-// Close ends all ways.
+// Close closes all links and waits for their readers.
 func (rs *Relays) Close() {
-	for _, row := range rs.ways {
+	for _, row := range rs.relays {
 		for _, r := range row {
 			if r != nil {
 				r.conn.Close()
 			}
 		}
 	}
-	rs.wait.Wait()
+	rs.readers.Wait()
 }
 
-func (r *relay) hear() {
+// receive reads datagrams and forwards each over the link in its direction.
+func (r *relay) receive() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, from, err := r.conn.ReadFromUDPAddrPort(buf)
@@ -121,24 +123,25 @@
 		if err != nil {
 			continue
 		}
-		by := r
+		via := r
 		if netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) == r.target {
-			by = r.all.ways[r.to][r.from] // an answer to who it does not know by name yet: it goes back its own way
+			via = r.owner.relays[r.to][r.from] // the receiver answered to the datagram's source address: this goes over the link back
 		}
-		by.pass(append([]byte(nil), buf[:n]...))
+		via.forward(append([]byte(nil), buf[:n]...))
 	}
 }
 
-func (r *relay) pass(text []byte) {
+// forward sends the copies of a datagram that the model of the link lets through.
+func (r *relay) forward(datagram []byte) {
 	r.mu.Lock()
-	r.bytes += int64(len(text))
-	now := time.Since(r.all.began)
-	copies := append([]model.Passed(nil), r.way.Pass(now, len(text))...)
+	r.bytes += int64(len(datagram))
+	now := time.Since(r.owner.startedAt)
+	copies := append([]model.Passed(nil), r.link.Pass(now, len(datagram))...)
 	r.mu.Unlock()
 	for _, c := range copies {
-		out := text
+		out := datagram
 		if c.Spoilt {
-			out = append([]byte(nil), text...)
+			out = append([]byte(nil), datagram...)
 			out[int(c.SpoilAt*float64(len(out)))] ^= 0x55
 		}
 		if wait := c.At - now; wait > 0 {
