--- a/internal/rehearsal/measure/closed.go
+++ b/internal/rehearsal/measure/closed.go
@@ -36,25 +36,25 @@
 		return c, err
 	}
 	defer os.RemoveAll(dir)
-	d := day(1, time.Hour, 1)
-	d.Nodes = []scenario.Node{{Name: "n", Zone: "here", Count: hosts, Cores: 64, Speed: 1, Connections: 1 << 15, Idle: scenario.Span(time.Minute), ColdFrom: 1}}
-	s, err := runner.UpEcho(ctx, d, launch, dir)
+	sc := baseScenario(1, time.Hour, 1)
+	sc.Nodes = []scenario.Node{{Name: "n", Zone: "here", Count: hosts, Cores: 64, Speed: 1, Connections: 1 << 15, Idle: scenario.Span(time.Minute), ColdFrom: 1}}
+	session, err := runner.UpEcho(ctx, sc, launch, dir)
 	if err != nil {
 		return c, err
 	}
-	defer s.End()
-	s.W.Begin()
+	defer session.End()
+	session.W.Begin()
 	end := time.Now().Add(length)
 	var mu sync.Mutex
-	all := hdrhistogram.New(1, 60_000_000, 3)
+	merged := hdrhistogram.New(1, 60_000_000, 3)
 	var group sync.WaitGroup
-	before := s.Usage(0)
+	before := session.Usage(0)
 	began := time.Now()
 	for i := range clients {
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			h, calls, good, e := drive(s.Addr(0), i, d.Products[0].Name, d.Tenants[0].Name, end)
+			h, calls, good, e := runClient(session.Addr(0), i, sc.Products[0].Name, sc.Tenants[0].Name, end)
 			mu.Lock()
 			defer mu.Unlock()
 			if e != nil && err == nil {
@@ -62,22 +62,22 @@
 			}
 			c.Calls, c.Fulfilled = c.Calls+calls, c.Fulfilled+good
 			if h != nil {
-				all.Merge(h)
+				merged.Merge(h)
 			}
 		}()
 	}
 	group.Wait()
-	took, after := time.Since(began), s.Usage(0)
+	took, after := time.Since(began), session.Usage(0)
 	c.Clients, c.Hosts, c.Sockets, c.MB = clients, hosts, after.Sockets, after.MB
 	c.PerS = float64(c.Calls) / took.Seconds()
 	c.CPU = (after.CPU - before.CPU) / time.Duration(max(1, c.Calls))
-	at := func(q float64) time.Duration { return time.Duration(all.ValueAtQuantile(q)) * time.Microsecond }
-	c.P50, c.P99, c.P999 = at(50), at(99), at(99.9)
+	quantile := func(q float64) time.Duration { return time.Duration(merged.ValueAtQuantile(q)) * time.Microsecond }
+	c.P50, c.P99, c.P999 = quantile(50), quantile(99), quantile(99.9)
 	return c, err
 }
 
-// drive is one client.
-func drive(addr string, client int, product, tenant string, end time.Time) (h *hdrhistogram.Histogram, calls, good int64, err error) {
+// runClient is one client.
+func runClient(addr string, client int, product, tenant string, end time.Time) (h *hdrhistogram.Histogram, calls, good int64, err error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, 0, 0, err
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -22,18 +22,18 @@
 
 // EvidenceSide are means over the seeds.
 type EvidenceSide struct {
-	AtBad    float64 // attempts a day that came to bad nodes while they were bad
-	Vain     float64 // attempts a day that brought nothing, at any node
-	Service  float64
-	Worst10  float64 // the worst ten seconds of all days
-	WorstDay float64 // service of the worst day
-	Broken   int     // rules, on all days
-	Took     time.Duration
-	by       []float64 // service by seed
+	AtBad         float64 // attempts a day that came to bad nodes while they were bad
+	Vain          float64 // attempts a day that brought nothing, at any node
+	Service       float64
+	Worst10       float64 // the worst ten seconds of all days
+	WorstDay      float64 // service of the worst day
+	Broken        int     // rules, on all days
+	Took          time.Duration
+	serviceBySeed []float64 // service by seed
 }
 
-// scarceDay is a fleet whose balancers meet a node once in seconds.
-const scarceDay = `
+// evidenceScenario is a fleet whose balancers meet a node once in seconds.
+const evidenceScenario = `
 name = "evidence"
 length = "40s"
 [fleet]
@@ -58,40 +58,40 @@
 tries = 1
 `
 
-// evidenceDays are the kinds: a fifth of the nodes fail, hang, or both by turns; or all are well and some balancers lie.
-var evidenceDays = []struct {
+// evidenceCases are the kinds: a fifth of the nodes fail, hang, or both by turns; or all are well and some balancers lie.
+var evidenceCases = []struct {
 	name   string
 	faults []scenario.Fault
-	lie    virtual.Liars
+	alter  virtual.Liars
 }{
-	{name: "a fifth of the nodes fail, two groups by turns", faults: byTurns("fail", 1)},
-	{name: "a fifth hang, two groups by turns", faults: byTurns("stall", 0)},
+	{name: "a fifth of the nodes fail, two groups by turns", faults: alternatingFaults("fail", 1)},
+	{name: "a fifth hang, two groups by turns", faults: alternatingFaults("stall", 0)},
 	{name: "all nodes are well"},
-	{name: "all are well, three in eight balancers call a quarter of the nodes bad", lie: lying(func(i int, r *evidence.Row) {
+	{name: "all are well, three in eight balancers call a quarter of the nodes bad", alter: alteredByThreeInEight(func(i int, r *evidence.Row) {
 		if i%4 == 0 {
 			r.Good, r.Bad = 0, 9
 		}
 	})},
-	{name: "all are well, three in eight call all nodes bad", lie: lying(func(_ int, r *evidence.Row) { r.Good, r.Bad = 0, 9 })},
-	{name: "a fifth fail by turns, three in eight call all nodes well", faults: byTurns("fail", 1), lie: lying(func(_ int, r *evidence.Row) { r.Good, r.Bad = 9, 0 })},
+	{name: "all are well, three in eight call all nodes bad", alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 0, 9 })},
+	{name: "a fifth fail by turns, three in eight call all nodes well", faults: alternatingFaults("fail", 1), alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 9, 0 })},
 }
 
-// byTurns has a tenth of the nodes, then another tenth, be bad for a while.
-func byTurns(do string, part float64) []scenario.Fault {
-	group := func(k int) (nodes []string) {
-		for i := range scarceNodes / 10 {
+// alternatingFaults has a tenth of the nodes, then another tenth, be bad for a while.
+func alternatingFaults(do string, part float64) []scenario.Fault {
+	group := func(k int) (hosts []string) {
+		for i := range hostsPerZone / 10 {
 			for _, zone := range []string{"e", "w"} {
-				nodes = append(nodes, fmt.Sprintf("%s-%d", zone, 1+i+k*scarceNodes/10))
+				hosts = append(hosts, fmt.Sprintf("%s-%d", zone, 1+i+k*hostsPerZone/10))
 			}
 		}
-		return nodes
+		return hosts
 	}
 	s := func(n int) scenario.Span { return scenario.Span(time.Duration(n) * time.Second) }
 	return []scenario.Fault{{Do: do, At: s(5), For: s(9), Part: part, Nodes: group(0)}, {Do: do, At: s(20), For: s(12), Part: part, Nodes: group(1)}}
 }
 
-// lying has three balancers in eight change what they tell.
-func lying(change func(i int, r *evidence.Row)) virtual.Liars {
+// alteredByThreeInEight has three balancers in eight change what they tell.
+func alteredByThreeInEight(change func(i int, r *evidence.Row)) virtual.Liars {
 	return func(b int, rows []evidence.Row) []evidence.Row {
 		if b%8 >= 3 {
 			return rows
@@ -104,27 +104,27 @@
 	}
 }
 
-// scarcePerS is what a balancer is called a second, and scarceNodes how many nodes a zone has.
+// requestsPerBalancer is what a balancer is called a second, and hostsPerZone how many nodes a zone has.
 const (
-	scarcePerS  = 8
-	scarceNodes = 30
+	requestsPerBalancer = 8
+	hostsPerZone        = 30
 )
 
 // EvidenceOf measures all kinds of days with so many balancers, on so many seeds.
-func EvidenceOf(mates, seeds, lanes int) (all []Evidence, err error) {
-	for _, kind := range evidenceDays {
-		plays := make([]EvidenceSide, 2*seeds)
-		err := SideBySide(len(plays), lanes, func(i int) error {
-			day, err := scenario.Parse("measure", fmt.Appendf(nil, scarceDay, mates, i%2 == 1, scarceNodes, float64(scarcePerS*mates)))
+func EvidenceOf(balancers, seeds, workers int) (all []Evidence, err error) {
+	for _, kind := range evidenceCases {
+		results := make([]EvidenceSide, 2*seeds)
+		err := SideBySide(len(results), workers, func(i int) error {
+			sc, err := scenario.Parse("measure", fmt.Appendf(nil, evidenceScenario, balancers, i%2 == 1, hostsPerZone, float64(requestsPerBalancer*balancers)))
 			if err != nil {
 				return err
 			}
-			day.Seed, day.Faults = uint64(i/2+1), kind.faults
-			res, err := virtual.PlayLying(day, kind.lie)
+			sc.Seed, sc.Faults = uint64(i/2+1), kind.faults
+			res, err := virtual.PlayLying(sc, kind.alter)
 			if err != nil {
 				return err
 			}
-			p, rep := &plays[i], report.Of(res)
+			p, rep := &results[i], report.Of(res)
 			p.Service, p.Worst10, p.Broken, p.Took = rep.Service.Whole, rep.Service.Worst10s, len(rep.Verdict.BrokenRules()), rep.Took
 			for _, s := range res.Record.Attempts {
 				if s.Server != record.Gateway && s.Proof != record.WasServed && s.Proof != record.Missed {
@@ -141,8 +141,8 @@
 		if err != nil {
 			return nil, err
 		}
-		e := Evidence{Name: kind.name, Mates: mates, Seeds: seeds}
-		for i, p := range plays {
+		e := Evidence{Name: kind.name, Mates: balancers, Seeds: seeds}
+		for i, p := range results {
 			if i%2 == 0 {
 				e.Alone.add(p, seeds)
 			} else {
@@ -154,16 +154,16 @@
 	return all, nil
 }
 
-func (s *EvidenceSide) add(p EvidenceSide, seeds int) {
+func (s *EvidenceSide) add(result EvidenceSide, seeds int) {
 	n := float64(seeds)
-	s.AtBad, s.Vain, s.Service = s.AtBad+p.AtBad/n, s.Vain+p.Vain/n, s.Service+p.Service/n
-	if len(s.by) == 0 {
+	s.AtBad, s.Vain, s.Service = s.AtBad+result.AtBad/n, s.Vain+result.Vain/n, s.Service+result.Service/n
+	if len(s.serviceBySeed) == 0 {
 		s.Worst10, s.WorstDay = 1, 1
 	}
-	s.Worst10, s.WorstDay = min(s.Worst10, p.Worst10), min(s.WorstDay, p.Service)
-	s.Broken += p.Broken
-	s.Took += p.Took / time.Duration(seeds)
-	s.by = append(s.by, p.Service)
+	s.Worst10, s.WorstDay = min(s.Worst10, result.Worst10), min(s.WorstDay, result.Service)
+	s.Broken += result.Broken
+	s.Took += result.Took / time.Duration(seeds)
+	s.serviceBySeed = append(s.serviceBySeed, result.Service)
 }
 
 // Text prints the figures.
@@ -177,8 +177,8 @@
 			x.name, x.s.AtBad, x.s.Vain, x.s.Service, x.s.WorstDay, x.s.Worst10, x.s.Broken, x.s.Took.Round(time.Millisecond))
 	}
 	worst := 0.0
-	for i, v := range e.Told.by {
-		worst = min(worst, v-e.Alone.by[i])
+	for i, v := range e.Told.serviceBySeed {
+		worst = min(worst, v-e.Alone.serviceBySeed[i])
 	}
 	fmt.Fprintf(to, "  worst difference of a day %+.4f\n", worst)
 }
--- a/internal/rehearsal/measure/lanes.go
+++ b/internal/rehearsal/measure/lanes.go
@@ -6,7 +6,7 @@
 )
 
 // SideBySide does n things on so many lanes and joins their errors.
-func SideBySide(n, lanes int, do func(i int) error) error {
+func SideBySide(n, workers int, do func(i int) error) error {
 	errs := make([]error, n)
 	next := make(chan int, n)
 	for i := range n {
@@ -14,7 +14,7 @@
 	}
 	close(next)
 	var group sync.WaitGroup
-	for range min(n, lanes) {
+	for range min(n, workers) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -33,8 +33,8 @@
 	Took    time.Duration
 }
 
-// pressed is a fleet that is asked for more than it can do. One tenant keeps to its allowance, four others do not.
-const pressed = `
+// limitsScenario is a fleet that is asked for more than it can do. One tenant keeps to its allowance, four others do not.
+const limitsScenario = `
 name = "limits"
 length = "40s"
 [fleet]
@@ -54,21 +54,21 @@
 %s
 `
 
-const others = `
+const otherTenant = `
 [[tenant]]
 name = "shop-%d"
 share = 0.175
 usage = 1.257
 `
 
-// presses are what the fleet is asked for, of what it can do; all allowances together are allowed of that, so that the tenants
+// demandFactors are what the fleet is asked for, of what it can do; all allowances together are allowed of that, so that the tenants
 // ask for a quarter more than theirs, but the one.
-var presses = []float64{0.5, 1}
+var demandFactors = []float64{0.5, 1}
 
-const allowed = 0.78
+const allowanceFactor = 0.78
 
-// limitDays are the kinds of days: at which balancers the tenant's calls come in, and what happens.
-var limitDays = []struct {
+// limitsCases are the kinds of days: at which balancers the tenant's calls come in, and what happens.
+var limitsCases = []struct {
 	name   string
 	at     string
 	faults string
@@ -81,89 +81,89 @@
 	{name: "one, all ways cut", at: "at = [1]", faults: "[[fault]]\ndo = \"mate-cut\"\nat = \"5s\"\nfor = \"35s\"\nbalancers = [%s]\nto = [%[1]s]\n", cut: true},
 }
 
-// limitDay is one kind of day in a scenario's words, for so many balancers.
-func limitDay(balancers int, at, faults string) string {
-	text := fmt.Sprintf(pressed, balancers, at)
+// limitsScenarioText is one kind of day in a scenario's words, for so many balancers.
+func limitsScenarioText(balancers int, at, faults string) string {
+	text := fmt.Sprintf(limitsScenario, balancers, at)
 	for i := range 4 {
-		text += fmt.Sprintf(others, i+1)
+		text += fmt.Sprintf(otherTenant, i+1)
 	}
 	return text + faults
 }
 
-// limitPlay is what is looked at of one day.
-type limitPlay struct {
-	rep     *report.Report
-	follows time.Duration
-	sum     float64 // the most that the parts of the one tenant's allowance added up to
-	bytes   float64 // a second of the first balancer
+// limitsResult is what is looked at of one day.
+type limitsResult struct {
+	rep         *report.Report
+	followDelay time.Duration
+	maxSum      float64 // the most that the parts of the one tenant's allowance added up to
+	bytesPerS   float64 // a second of the first balancer
 }
 
-// playLimits plays a day; move is when the tenant's calls move to the fourth balancer, if they do.
-func playLimits(text string, seed uint64, moved bool, press float64, move time.Duration) (p limitPlay, err error) {
-	day, err := scenario.Parse("measure", []byte(text))
+// simulateLimits plays a day; move is when the tenant's calls move to the fourth balancer, if they do.
+func simulateLimits(text string, seed uint64, moved bool, demand float64, move time.Duration) (p limitsResult, err error) {
+	sc, err := scenario.Parse("measure", []byte(text))
 	if err != nil {
 		return p, err
 	}
-	day.Seed, day.Mates.Limits = seed, moved
-	day.Load.PerS, day.Load.Quota = press*day.Capacity(), allowed*press
-	res, err := virtual.Play(day, nil)
+	sc.Seed, sc.Mates.Limits = seed, moved
+	sc.Load.PerS, sc.Load.Quota = demand*sc.Capacity(), allowanceFactor*demand
+	res, err := virtual.Play(sc, nil)
 	if err != nil {
 		return p, err
 	}
-	p.rep, p.follows = report.Of(res), gather.Never
+	p.rep, p.followDelay = report.Of(res), gather.Never
 	sums := map[time.Duration]float64{}
 	for _, x := range res.Record.Parts {
 		if x.Limit != "allowance of kiosks" {
 			continue
 		}
 		sums[x.At] += x.Part
-		p.sum = max(p.sum, sums[x.At])
+		p.maxSum = max(p.maxSum, sums[x.At])
 		if move > 0 && x.At > move && x.Balancer == 3 && x.Part >= 0.9 {
-			p.follows = min(p.follows, x.At-move)
+			p.followDelay = min(p.followDelay, x.At-move)
 		}
 	}
 	for _, t := range res.Record.Talks {
 		if t.Balancer == 0 {
-			p.bytes = max(p.bytes, float64(t.Bytes)/day.Length.D().Seconds())
+			p.bytesPerS = max(p.bytesPerS, float64(t.Bytes)/sc.Length.D().Seconds())
 		}
 	}
 	return p, nil
 }
 
 // LimitsOf measures all kinds of days with so many balancers, on so many seeds.
-func LimitsOf(mates, seeds, lanes int) (all []Limits, err error) {
-	for k := range len(limitDays) * len(presses) {
-		kind, press := limitDays[k%len(limitDays)], presses[k/len(limitDays)]
+func LimitsOf(balancers, seeds, workers int) (all []Limits, err error) {
+	for k := range len(limitsCases) * len(demandFactors) {
+		kind, demand := limitsCases[k%len(limitsCases)], demandFactors[k/len(limitsCases)]
 		faults := kind.faults
 		if kind.cut {
 			names := "1"
-			for i := 2; i <= mates; i++ {
+			for i := 2; i <= balancers; i++ {
 				names += fmt.Sprintf(", %d", i)
 			}
 			faults = fmt.Sprintf(faults, names)
 		}
-		text := limitDay(mates, kind.at, faults)
-		plays := make([]limitPlay, 2*seeds) // of each seed the equal parts, then those that move
-		err := SideBySide(len(plays), lanes, func(i int) (err error) {
-			plays[i], err = playLimits(text, uint64(i/2+1), i%2 == 1, press, kind.move)
+		text := limitsScenarioText(balancers, kind.at, faults)
+		results := make([]limitsResult, 2*seeds) // of each seed the equal parts, then those that move
+		err := SideBySide(len(results), workers, func(i int) (err error) {
+			results[i], err = simulateLimits(text, uint64(i/2+1), i%2 == 1, demand, kind.move)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		l := Limits{Name: kind.name, Asked: press, Mates: mates, Seeds: seeds, Equal: Side{Worst10: 1}, Moved: Side{Worst10: 1}}
-		var follows []time.Duration
-		for i, p := range plays {
+		l := Limits{Name: kind.name, Asked: demand, Mates: balancers, Seeds: seeds, Equal: Side{Worst10: 1}, Moved: Side{Worst10: 1}}
+		var followDelays []time.Duration
+		for i, p := range results {
 			if i%2 == 0 {
 				l.Equal.add(p.rep, float64(seeds))
 				continue
 			}
 			l.Moved.add(p.rep, float64(seeds))
-			follows = append(follows, p.follows)
-			l.Sum, l.Bytes = max(l.Sum, p.sum), l.Bytes+p.bytes/float64(seeds)
+			followDelays = append(followDelays, p.followDelay)
+			l.Sum, l.Bytes = max(l.Sum, p.maxSum), l.Bytes+p.bytesPerS/float64(seeds)
 		}
 		if kind.move > 0 {
-			l.Follows = gather.Of(follows)
+			l.Follows = gather.Of(followDelays)
 		}
 		all = append(all, l)
 	}
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -35,21 +35,21 @@
 // LateMost is the lateness at p99.9 up to which a rate counts as driven.
 const LateMost = 2 * time.Millisecond
 
-// nodes answer at once, so that nothing but the way is measured.
+// hostCount answer at once, so that nothing but the way is measured.
 const (
-	nodes  = 8
-	atOnce = scenario.Span(time.Nanosecond) // done before a timer could be set
+	hostCount   = 8
+	instantWork = scenario.Span(time.Nanosecond) // done before a timer could be set
 )
 
-func day(perS float64, length time.Duration, seed uint64) *scenario.Day {
+func baseScenario(perS float64, length time.Duration, seed uint64) *scenario.Day {
 	d := &scenario.Day{Name: fmt.Sprintf("%.0f-per-s", perS), Length: scenario.Span(length), Seed: seed,
 		Fleet: scenario.Fleet{Zones: []string{"here"}, Balancers: 1, MemoryMB: 1024, Sockets: 8192, Attempts: 4, Mode: scenario.Aside},
-		Nodes: []scenario.Node{{Name: "n", Zone: "here", Count: nodes, Cores: 64, Speed: 1, Queue: 1 << 16, KeepMB: 64, Connections: 1 << 15,
+		Nodes: []scenario.Node{{Name: "n", Zone: "here", Count: hostCount, Cores: 64, Speed: 1, Queue: 1 << 16, KeepMB: 64, Connections: 1 << 15,
 			Idle: scenario.Span(time.Minute), ColdFrom: 1}},
 		Gateway:  scenario.Gateway{Slots: 64, Time: scenario.Span(time.Millisecond), Queue: 1 << 12},
 		Load:     scenario.Load{PerS: perS, Keys: 1000, ValueSize: 300, Warm: 1, Quota: 1000},
 		Clients:  scenario.Clients{GiveUpAt: [2]float64{1, 1}, Notice: scenario.Span(time.Second)},
-		Products: []scenario.Product{{Name: "read", Share: 1, Law: model.Constant, Work: atOnce, LatencySLO: scenario.Span(time.Second), ClientTimeout: scenario.Span(2 * time.Second), BilledValue: 1, Effect: scenario.Idempotent}},
+		Products: []scenario.Product{{Name: "read", Share: 1, Law: model.Constant, Work: instantWork, LatencySLO: scenario.Span(time.Second), ClientTimeout: scenario.Span(2 * time.Second), BilledValue: 1, Effect: scenario.Idempotent}},
 		Tenants:  []scenario.Tenant{{Name: "all", Share: 1, Usage: 1}},
 		Rules:    scenario.Rules{DrainGrace: scenario.Span(time.Second), FallMultiple: 3, FallFor: scenario.Span(2 * time.Second)},
 	}
@@ -58,72 +58,72 @@
 
 // Rates measures rates one after the other, each straight and through a balancer, so often; figures are the medians of
 // the repeats.
-func Rates(ctx context.Context, launch runner.Launch, rates []float64, length time.Duration, repeats int, tell func(Row)) ([]Row, error) {
+func Rates(ctx context.Context, launch runner.Launch, rates []float64, length time.Duration, repeats int, report func(Row)) ([]Row, error) {
 	var rows []Row
 	for _, perS := range rates {
 		var straight, through []load.Percentiles
-		var lateS, lateT []time.Duration
+		var lateStraight, lateThrough []time.Duration
 		row := Row{PerS: perS}
 		for i := range repeats {
 			for _, isStraight := range []bool{true, false} {
-				latency, late, cpu, good, err := one(ctx, launch, day(perS, length, uint64(i+1)), isStraight)
+				latency, late, cpu, good, err := measureOnce(ctx, launch, baseScenario(perS, length, uint64(i+1)), isStraight)
 				switch {
 				case err != nil:
 					return rows, err
 				case isStraight:
-					straight, lateS = append(straight, latency), append(lateS, late.P999)
+					straight, lateStraight = append(straight, latency), append(lateStraight, late.P999)
 				default:
-					through, lateT = append(through, latency), append(lateT, late.P999)
+					through, lateThrough = append(through, latency), append(lateThrough, late.P999)
 					row.CPU, row.Fulfilled = cpu, good
 				}
 			}
 		}
-		at := func(of func(load.Percentiles) time.Duration) Pair {
-			return Pair{median(straight, of), median(through, of)}
+		medians := func(value func(load.Percentiles) time.Duration) Pair {
+			return Pair{median(straight, value), median(through, value)}
 		}
-		row.P50 = at(func(p load.Percentiles) time.Duration { return p.P50 })
-		row.P99 = at(func(p load.Percentiles) time.Duration { return p.P99 })
-		row.P999 = at(func(p load.Percentiles) time.Duration { return p.P999 })
-		same := func(d time.Duration) time.Duration { return d }
-		row.Late = Pair{median(lateS, same), median(lateT, same)}
+		row.P50 = medians(func(p load.Percentiles) time.Duration { return p.P50 })
+		row.P99 = medians(func(p load.Percentiles) time.Duration { return p.P99 })
+		row.P999 = medians(func(p load.Percentiles) time.Duration { return p.P999 })
+		identity := func(d time.Duration) time.Duration { return d }
+		row.Late = Pair{median(lateStraight, identity), median(lateThrough, identity)}
 		rows = append(rows, row)
-		if tell != nil {
-			tell(row)
+		if report != nil {
+			report(row)
 		}
 	}
 	return rows, nil
 }
 
-func median[T any](list []T, of func(T) time.Duration) time.Duration {
+func median[T any](list []T, value func(T) time.Duration) time.Duration {
 	var v []time.Duration
 	for _, x := range list {
-		v = append(v, of(x))
+		v = append(v, value(x))
 	}
 	slices.Sort(v)
 	return v[len(v)/2]
 }
 
-func one(ctx context.Context, launch runner.Launch, d *scenario.Day, straight bool) (latency, late load.Percentiles, cpu time.Duration, good Share, err error) {
+func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Day, straight bool) (latency, late load.Percentiles, cpu time.Duration, good Share, err error) {
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
 		return latency, late, 0, good, err
 	}
 	defer os.RemoveAll(dir)
-	s, err := runner.Up(ctx, d, launch, filepath.Clean(dir))
+	session, err := runner.Up(ctx, sc, launch, filepath.Clean(dir))
 	if err != nil {
 		return latency, late, 0, good, err
 	}
 	if straight {
-		s.Straight("n-1")
+		session.Straight("n-1")
 	}
-	err = s.Play(ctx)
-	s.End()
-	t := s.Callers.Tally()
-	good = Share{Of: t.Due, Good: t.Fulfilled}
-	for _, l := range s.Rec.Lives {
+	err = session.Play(ctx)
+	session.End()
+	tally := session.Callers.Tally()
+	good = Share{Of: tally.Due, Good: tally.Fulfilled}
+	for _, l := range session.Rec.Lives {
 		cpu += l.CPU
 	}
-	return s.Callers.Latency(), s.Callers.Lateness(), cpu / time.Duration(max(1, t.Due)), good, err
+	return session.Callers.Latency(), session.Callers.Lateness(), cpu / time.Duration(max(1, tally.Due)), good, err
 }
 
 // Head and Line write rows as a table.
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -34,27 +34,27 @@
 	gather.Calm
 }
 
-// usual is what the operator's file has where it says nothing.
-func usual(mates int, seed uint64, loss float64) gather.Terms {
-	return gather.Terms{Mates: mates, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
+// defaultTerms is what the operator's file has where it says nothing.
+func defaultTerms(members int, seed uint64, loss float64) gather.Terms {
+	return gather.Terms{Mates: members, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
 		Ways: model.WayTerms{Loss: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
-// mostPlay is how long one quiet play goes on before the next seed: many starts say more than one long play.
-const mostPlay = 25 * time.Minute
+// maxQuietRun is how long one quiet play goes on before the next seed: many starts say more than one long play.
+const maxQuietRun = 25 * time.Minute
 
 // Virtual measures fleets of one size in virtual time: so many seeds on so many lanes, quiet plays of a length, and plays
 // with loss and stalls of another. Each play that ends is told to note.
-func Virtual(mates, seeds, lanes int, quiet, stalled time.Duration, note io.Writer) Members {
-	m := Members{Mates: mates, Seeds: seeds}
+func Virtual(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
+	m := Members{Mates: members, Seeds: seeds}
 	var mu sync.Mutex
 	var first, last, birth, heal []time.Duration
-	each := func(n int, do func(seed uint64)) {
-		SideBySide(n, lanes, func(i int) error { do(uint64(i + 1)); return nil })
+	forEachSeed := func(n int, do func(seed uint64)) {
+		SideBySide(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
 	}
-	each(seeds, func(seed uint64) {
-		f, l := gather.Death(usual(mates, seed, 0))
-		b, h := gather.Birth(usual(mates, seed, 0)), gather.Heal(usual(mates, seed, 0), 3)
+	forEachSeed(seeds, func(seed uint64) {
+		f, l := gather.Death(defaultTerms(members, seed, 0))
+		b, h := gather.Birth(defaultTerms(members, seed, 0)), gather.Heal(defaultTerms(members, seed, 0), 3)
 		mu.Lock()
 		defer mu.Unlock()
 		first, last, birth, heal = append(first, f), append(last, l), append(birth, b), append(heal, h)
@@ -63,18 +63,18 @@
 	m.Calm = append(m.Calm, Calm{}, Calm{Loss: 0.05}, Calm{Loss: 0.3}, Calm{Loss: 0.05, Stall: time.Second})
 	for i := range m.Calm {
 		c := &m.Calm[i]
-		every, length := time.Duration(0), quiet
+		stallInterval, length := time.Duration(0), quiet
 		if c.Stall > 0 {
-			every, length = 100*time.Millisecond, stalled
+			stallInterval, length = 100*time.Millisecond, stalled
 		}
-		plays := max(lanes, int((length+mostPlay-1)/mostPlay))
-		each(plays, func(seed uint64) {
-			got := gather.Quiet(usual(mates, seed, c.Loss), length/time.Duration(plays), every, c.Stall)
+		runs := max(workers, int((length+maxQuietRun-1)/maxQuietRun))
+		forEachSeed(runs, func(seed uint64) {
+			result := gather.Quiet(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
 			mu.Lock()
 			defer mu.Unlock()
-			c.Suspicions, c.Deaths, c.Played = c.Suspicions+got.Suspicions, c.Deaths+got.Deaths, c.Played+got.Played
-			c.BytesPerS, c.PerS = c.BytesPerS+got.BytesPerS/float64(plays), c.PerS+got.PerS/float64(plays)
-			fmt.Fprintf(note, "%d members, loss %.2f, stalls to %v, seed %d: %v played, %d wrong deaths\n", mates, c.Loss, c.Stall, seed, got.Played, got.Deaths)
+			c.Suspicions, c.Deaths, c.Played = c.Suspicions+result.Suspicions, c.Deaths+result.Deaths, c.Played+result.Played
+			c.BytesPerS, c.PerS = c.BytesPerS+result.BytesPerS/float64(runs), c.PerS+result.PerS/float64(runs)
+			fmt.Fprintf(note, "%d members, loss %.2f, stalls to %v, seed %d: %v played, %d wrong deaths\n", members, c.Loss, c.Stall, seed, result.Played, result.Deaths)
 		})
 	}
 	return m
@@ -108,53 +108,53 @@
 }
 
 // OnSockets measures real processes: so many deaths, starts and cuts one after the other.
-func OnSockets(ctx context.Context, launch runner.Launch, mates, times int) (m Members, err error) {
-	m = Members{Mates: mates, Sockets: true, Seeds: times}
+func OnSockets(ctx context.Context, launch runner.Launch, balancers, times int) (m Members, err error) {
+	m = Members{Mates: balancers, Sockets: true, Seeds: times}
 	dir, err := os.MkdirTemp("", "members-")
 	if err != nil {
 		return m, err
 	}
 	defer os.RemoveAll(dir)
-	d := day(1, time.Hour, 1)
-	d.Nodes[0].Count, d.Fleet.Balancers = 1, mates
-	d.Mates = scenario.Mates{On: true, Period: scenario.Span(400 * time.Millisecond), Suspect: scenario.Span(2 * time.Second), Budget: 3000}
-	s, err := runner.Up(ctx, d, launch, dir)
+	sc := baseScenario(1, time.Hour, 1)
+	sc.Nodes[0].Count, sc.Fleet.Balancers = 1, balancers
+	sc.Mates = scenario.Mates{On: true, Period: scenario.Span(400 * time.Millisecond), Suspect: scenario.Span(2 * time.Second), Budget: 3000}
+	session, err := runner.Up(ctx, sc, launch, dir)
 	if err != nil {
 		return m, err
 	}
-	defer s.End()
-	s.W.Begin()
-	life := make([]string, mates)
+	defer session.End()
+	session.W.Begin()
+	life := make([]string, balancers)
 	// present counts the views, of all others than one, that have it in this life, and tells whether all views are equal.
-	present := func(but int) (n int, equal bool) {
+	countViews := func(except int) (n int, equal bool) {
 		var mu sync.Mutex
 		var group sync.WaitGroup
-		digests, full := map[string]bool{}, true
-		for b := range mates {
-			if b == but {
+		digests, complete := map[string]bool{}, true
+		for b := range balancers {
+			if b == except {
 				continue
 			}
 			group.Go(func() {
-				v, ok := s.View(b)
+				v, ok := session.View(b)
 				mu.Lock()
 				defer mu.Unlock()
 				digests[v.Digest] = true
-				full = full && ok && v.Seen == mates
+				complete = complete && ok && v.Seen == balancers
 				life[b] = v.Life
 				for _, x := range v.Members {
-					if but >= 0 && x.Life == life[but] && (x.State == "alive" || x.State == "suspected") {
+					if except >= 0 && x.Life == life[except] && (x.State == "alive" || x.State == "suspected") {
 						n++
 					}
 				}
 			})
 		}
 		group.Wait()
-		return n, full && len(digests) == 1
+		return n, complete && len(digests) == 1
 	}
-	whole := func() time.Duration {
+	awaitEqualViews := func() time.Duration {
 		began := time.Now()
 		for time.Since(began) < time.Minute && ctx.Err() == nil {
-			if _, equal := present(-1); equal {
+			if _, equal := countViews(-1); equal {
 				return time.Since(began)
 			}
 			time.Sleep(10 * time.Millisecond)
@@ -162,48 +162,48 @@
 		return gather.Never
 	}
 	var first, last, birth, heal []time.Duration
-	whole()
+	awaitEqualViews()
 	bytes := func() (n int64) {
-		for b := range mates {
-			n += s.Ways().Bytes(b)
+		for b := range balancers {
+			n += session.Ways().Bytes(b)
 		}
 		return n
 	}
 	cpu := func() (sum time.Duration) {
-		for b := range mates {
-			sum += s.Usage(b).CPU
+		for b := range balancers {
+			sum += session.Usage(b).CPU
 		}
 		return sum
 	}
-	const calm = 10 * time.Second
-	was, used := bytes(), cpu()
-	time.Sleep(calm)
-	m.Bytes = float64(bytes()-was) / calm.Seconds() / float64(mates)
-	m.CPU = (cpu() - used) / time.Duration(mates) / time.Duration(calm/time.Second)
+	const calmTime = 10 * time.Second
+	bytesBefore, cpuBefore := bytes(), cpu()
+	time.Sleep(calmTime)
+	m.Bytes = float64(bytes()-bytesBefore) / calmTime.Seconds() / float64(balancers)
+	m.CPU = (cpu() - cpuBefore) / time.Duration(balancers) / time.Duration(calmTime/time.Second)
 	for i := range times {
-		b := (7*i + 3) % mates
-		s.Kill(b, 9*time.Second)
-		at, f, l := time.Now(), gather.Never, gather.Never
-		for n := mates; n > 0 && time.Since(at) < 9*time.Second && ctx.Err() == nil; {
-			if n, _ = present(b); n < mates-1 && f == gather.Never {
-				f = time.Since(at)
+		b := (7*i + 3) % balancers
+		session.Kill(b, 9*time.Second)
+		killedAt, firstDelay, lastDelay := time.Now(), gather.Never, gather.Never
+		for n := balancers; n > 0 && time.Since(killedAt) < 9*time.Second && ctx.Err() == nil; {
+			if n, _ = countViews(b); n < balancers-1 && firstDelay == gather.Never {
+				firstDelay = time.Since(killedAt)
 			}
 			if n == 0 {
-				l = time.Since(at)
+				lastDelay = time.Since(killedAt)
 			}
 		}
-		first, last = append(first, f), append(last, l)
-		time.Sleep(max(0, 9*time.Second-time.Since(at)))
-		for !s.Alive(b) && ctx.Err() == nil {
+		first, last = append(first, firstDelay), append(last, lastDelay)
+		time.Sleep(max(0, 9*time.Second-time.Since(killedAt)))
+		for !session.Alive(b) && ctx.Err() == nil {
 			time.Sleep(5 * time.Millisecond)
 		}
-		birth = append(birth, whole())
+		birth = append(birth, awaitEqualViews())
 		if i%3 == 0 {
-			side := func(x int) int { return x * 3 / mates }
-			s.Ways().Cut(true, func(from, to int) bool { return side(from) != side(to) })
+			side := func(x int) int { return x * 3 / balancers }
+			session.Ways().Cut(true, func(from, to int) bool { return side(from) != side(to) })
 			time.Sleep(15 * time.Second)
-			s.Ways().Cut(false, func(int, int) bool { return true })
-			heal = append(heal, whole())
+			session.Ways().Cut(false, func(int, int) bool { return true })
+			heal = append(heal, awaitEqualViews())
 		}
 	}
 	m.First, m.Last, m.Birth, m.Heal = gather.Of(first), gather.Of(last), gather.Of(birth), gather.Of(heal)
--- a/internal/rehearsal/measure/sizes.go
+++ b/internal/rehearsal/measure/sizes.go
@@ -38,7 +38,7 @@
 func SizesOf(ctx context.Context, launch runner.Launch, hosts, balancers []int, row func(Size)) (all []Size, err error) {
 	for _, h := range hosts {
 		for _, b := range balancers {
-			s, err := sizeOf(ctx, launch, h, b)
+			s, err := measureSize(ctx, launch, h, b)
 			if err != nil {
 				return nil, err
 			}
@@ -49,13 +49,13 @@
 	return all, nil
 }
 
-// turns is how often half of the list changes, and turnsIn how far apart: as fast as the full fleet's days replace hosts.
+// listChanges is how often half of the list changes, and listChangeInterval how far apart: as fast as the full fleet's days replace hosts.
 const (
-	turns   = 4
-	turnsIn = 500 * time.Millisecond
+	listChanges        = 4
+	listChangeInterval = 500 * time.Millisecond
 )
 
-func sizeOf(ctx context.Context, launch runner.Launch, hosts, balancers int) (s Size, err error) {
+func measureSize(ctx context.Context, launch runner.Launch, hosts, balancers int) (s Size, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "sizes")
@@ -63,67 +63,69 @@
 		return s, err
 	}
 	defer os.RemoveAll(dir)
-	register, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return s, err
 	}
-	began := time.Now()
-	server := &http.Server{Handler: changing{hosts, began}}
-	go server.Serve(register)
+	listStart := time.Now()
+	server := &http.Server{Handler: changingDiscovery{hosts, listStart}}
+	go server.Serve(listener)
 	defer server.Close()
-	own, err := net.Listen("tcp", "127.0.0.1:0")
+	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return s, err
 	}
-	addr := own.Addr().String()
-	own.Close()
+	addr := reserved.Addr().String()
+	reserved.Close()
 	type m = map[string]any
-	text, _ := json.Marshal(m{"name": "n", "listen": addr, "discovery": register.Addr().String(), "seed": "1", "limits": m{"memory_mb": 192, "sockets": 1024},
+	text, _ := json.Marshal(m{"name": "n", "listen": addr, "discovery": listener.Addr().String(), "seed": "1", "limits": m{"memory_mb": 192, "sockets": 1024},
 		"settings": m{"balancers": balancers, "areas": []string{"here"}, "hostTypes": []string{"cache"}, "discovery": "automatic", "extra": m{"mode": "through", "originKind": -1},
 			"rules": m{"drainGraceNs": int64(time.Second)}, "products": []m{{"name": "read", "effect": "idempotent", "latencySloNs": int64(time.Second)}}}})
-	at := runner.Place{Config: filepath.Join(dir, "config.json"), Log: filepath.Join(dir, "log"), Temp: dir}
-	if err = os.WriteFile(at.Config, text, 0o600); err != nil {
+	place := runner.Place{Config: filepath.Join(dir, "config.json"), Log: filepath.Join(dir, "log"), Temp: dir}
+	if err = os.WriteFile(place.Config, text, 0o600); err != nil {
 		return s, err
 	}
 	start := time.Now()
-	in, err := launch(ctx, 0, at)
+	process, err := launch(ctx, 0, place)
 	if err != nil {
 		return s, err
 	}
-	defer in.Kill()
+	defer process.Kill()
 	for s = (Size{Hosts: hosts, Balancers: balancers}); s.Ready == 0; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
 			s.Ready = time.Since(start)
-		} else if time.Since(start) > readyWithin {
-			return s, fmt.Errorf("%d hosts, %d balancers: not ready within %v", hosts, balancers, readyWithin)
+		} else if time.Since(start) > readyTimeout {
+			return s, fmt.Errorf("%d hosts, %d balancers: not ready within %v", hosts, balancers, readyTimeout)
 		}
 	}
-	time.Sleep(time.Until(began.Add((turns + 2) * turnsIn)))
-	u := in.Usage()
-	s.MB, s.Descriptors, s.Threads = u.MB, u.Sockets, u.Threads
+	time.Sleep(time.Until(listStart.Add((listChanges + 2) * listChangeInterval)))
+	usage := process.Usage()
+	s.MB, s.Descriptors, s.Threads = usage.MB, usage.Sockets, usage.Threads
 	return s, nil
 }
 
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
-// changing is a register of which half is replaced by other hosts every so often, so many times.
-type changing struct {
+// changingDiscovery is a register of which half is replaced by other hosts every so often, so many times.
+type changingDiscovery struct {
 	hosts int
 	began time.Time
 }
 
-func (c changing) version() int { return min(turns, int(time.Since(c.began)/turnsIn)) + 1 }
+func (c changingDiscovery) generation() int {
+	return min(listChanges, int(time.Since(c.began)/listChangeInterval)) + 1
+}
 
-func (c changing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c changingDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if after, err := strconv.Atoi(r.URL.Query().Get("after")); err == nil {
 		ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-		for until := time.Now().Add(time.Duration(ms) * time.Millisecond); c.version() <= after && time.Now().Before(until); {
+		for until := time.Now().Add(time.Duration(ms) * time.Millisecond); c.generation() <= after && time.Now().Before(until); {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	v := c.version()
+	v := c.generation()
 	type entry struct {
 		InstanceID  string `json:"instanceId"`
 		HostPort    string `json:"hostPort"`
--- a/internal/rehearsal/model/callers.go
+++ b/internal/rehearsal/model/callers.go
@@ -10,54 +10,54 @@
 	"time"
 )
 
-// Product is a kind of request.
+// Product is a class of requests.
 type Product struct {
 	Name          string
-	Share         float64 // of all requests
+	Share         float64 // of all requests, as a weight
 	LatencySLO    time.Duration
 	ClientTimeout time.Duration
 	BilledValue   float64
 	Write         bool
-	Marked        bool // its writes carry a mark against repeats
+	Marked        bool // its requests carry a deduplication token
 }
 
-// Tenant is who calls.
+// Tenant is a customer whose clients send requests.
 type Tenant struct {
 	Name  string
-	Share float64 // of the usual traffic
+	Share float64 // of the usual traffic, as a weight
 }
 
-// Surge multiplies the traffic of a tenant, or of all, for some time.
+// Surge multiplies the traffic of one tenant or of all tenants for some time.
 type Surge struct {
 	From, To time.Duration
-	Tenant   string // "": all
+	Tenant   string // "": all tenants
 	Times    float64
 }
 
-// Focus turns a part of the reads to keys of its own for some time.
+// Focus directs a fraction of the reads to a separate set of keys for some time.
 type Focus struct {
 	From, To time.Duration
 	Part     float64
-	Keys     int // that share them evenly; 0: each is wanted exactly once
+	Keys     int // number of these keys, read equally often; 0: each read has a key of its own
 }
 
-// LoadTerms is what the callers do.
+// LoadTerms configures the traffic of the clients.
 type LoadTerms struct {
 	For      time.Duration
-	PerS     float64 // all requests, without surges
-	Swing    float64 // the rate goes up and down by this part, once in SwingFor
+	PerS     float64 // requests per second of all tenants, without surges
+	Swing    float64 // the rate varies by this fraction as a sine wave of period SwingFor
 	SwingFor time.Duration
 	Keys     int
-	Zipf     float64 // exponent of the popularity of keys, over 0; 0: all alike
+	Zipf     float64 // exponent of the Zipf distribution of keys; 0: all keys equally popular
 	Zones    []float64
 	Products []Product
 	Tenants  []Tenant
 	Surges   []Surge
 	Focuses  []Focus
-	GiveUpAt [2]float64 // a try is given up after this part of the client timeout
+	GiveUpAt [2]float64 // range from which the fraction of the client timeout is drawn after which a client gives up
 }
 
-// Arrival is a request that a client wants to make at a moment.
+// Arrival is a request that a client sends at a given time.
 type Arrival struct {
 	ID              string
 	At              time.Duration
@@ -66,58 +66,59 @@
 	Mark            string
 	Zone            int
 	Patience        time.Duration // how long its client waits for the answer
-	Once            bool          // its key is wanted by no other
+	Once            bool          // no other request has its key
 }
 
-// MostArrivals bounds a day: about 400 MB of plan.
+// MostArrivals limits the number of requests of a run; that many arrivals take about 400 MB of memory.
 const MostArrivals = 2 << 20
 
-// Arrivals draws a day's requests, in order. Each tenant draws from a stream of its own, so that a surge of one leaves
-// the others' calls as they were.
+// Arrivals draws the requests of a run, in order. Each tenant has its own random number generator, so that a surge of one tenant
+// does not change the requests of the others.
 func Arrivals(seed uint64, t LoadTerms) ([]Arrival, error) {
 	var all []Arrival
-	pick := chooser(t.Keys, t.Zipf)
+	pickKey := popularityPicker(t.Keys, t.Zipf)
 	shares := make([]float64, len(t.Products))
 	for i, p := range t.Products {
 		shares[i] = p.Share
 	}
-	product, zone := weighted(shares), weighted(t.Zones)
+	pickProduct, pickZone := weightedPicker(shares), weightedPicker(t.Zones)
 	total := 0.0
 	for _, x := range t.Tenants {
 		total += x.Share
 	}
 	for i, tenant := range t.Tenants {
 		r := Stream(seed, "arrivals "+tenant.Name)
-		base := t.PerS * tenant.Share / total
-		most := base * (1 + t.Swing) * highest(t.Surges, tenant.Name)
-		if most <= 0 {
+		usualRate := t.PerS * tenant.Share / total
+		maxRate := usualRate * (1 + t.Swing) * maxSurge(t.Surges, tenant.Name)
+		if maxRate <= 0 {
 			continue
 		}
-		// Thinning: arrivals at the highest rate of the day, of which each is kept with the part of it that holds then.
+		// Thinning: draws arrivals at the highest rate of the run and keeps each with the probability of the current rate divided
+		// by the highest.
 		for at, n := time.Duration(0), 0; ; {
-			at += time.Duration(r.ExpFloat64() / most * float64(time.Second))
+			at += time.Duration(r.ExpFloat64() / maxRate * float64(time.Second))
 			if at >= t.For {
 				break
 			}
-			keep := r.Float64() < base*t.at(at, tenant.Name)/most
-			a := Arrival{At: at, Tenant: i, Product: product(r), Zone: zone(r)}
-			key, part, spread := pick(r), r.Float64(), r.Uint64()
-			give := t.GiveUpAt[0] + (t.GiveUpAt[1]-t.GiveUpAt[0])*r.Float64()
+			keep := r.Float64() < usualRate*t.rateMultiple(at, tenant.Name)/maxRate
+			a := Arrival{At: at, Tenant: i, Product: pickProduct(r), Zone: pickZone(r)}
+			key, focusDraw, focusKeyDraw := pickKey(r), r.Float64(), r.Uint64()
+			giveUpPart := t.GiveUpAt[0] + (t.GiveUpAt[1]-t.GiveUpAt[0])*r.Float64()
 			if !keep {
 				continue
 			}
 			n++
 			p := t.Products[a.Product]
 			a.ID = fmt.Sprintf("%x-%x", i, n)
-			a.Key, a.Patience = KeyName(key), time.Duration(give*float64(p.ClientTimeout))
+			a.Key, a.Patience = KeyName(key), time.Duration(giveUpPart*float64(p.ClientTimeout))
 			if p.Marked {
 				a.Mark = "m" + a.ID
 			}
 			if !p.Write {
-				t.focus(&a, part, spread)
+				t.applyFocus(&a, focusDraw, focusKeyDraw)
 			}
 			if all = append(all, a); len(all) > MostArrivals {
-				return nil, fmt.Errorf("more than %d requests in the day", MostArrivals)
+				return nil, fmt.Errorf("more than %d requests in the run", MostArrivals)
 			}
 		}
 	}
@@ -125,47 +126,48 @@
 	return all, nil
 }
 
-// at is the rate of a tenant at a moment, as a multiple of its usual one.
-func (t *LoadTerms) at(now time.Duration, tenant string) float64 {
-	times := 1.0
+// rateMultiple returns the rate of a tenant at a given time as a multiple of its usual rate.
+func (t *LoadTerms) rateMultiple(now time.Duration, tenant string) float64 {
+	multiple := 1.0
 	if t.SwingFor > 0 {
-		times += t.Swing * math.Sin(2*math.Pi*float64(now)/float64(t.SwingFor))
+		multiple += t.Swing * math.Sin(2*math.Pi*float64(now)/float64(t.SwingFor))
 	}
 	for _, s := range t.Surges {
 		if now >= s.From && now < s.To && (s.Tenant == "" || s.Tenant == tenant) {
-			times *= s.Times
+			multiple *= s.Times
 		}
 	}
-	return times
+	return multiple
 }
 
-// highest bounds the surges of a tenant: all that fall together at most.
-func highest(surges []Surge, tenant string) float64 {
-	times := 1.0
+// maxSurge returns an upper bound of the rate multiple that a tenant's surges can reach: the product of all factors above 1.
+func maxSurge(surges []Surge, tenant string) float64 {
+	multiple := 1.0
 	for _, s := range surges {
 		if s.Times > 1 && (s.Tenant == "" || s.Tenant == tenant) {
-			times *= s.Times
+			multiple *= s.Times
 		}
 	}
-	return times
+	return multiple
 }
 
-func (t *LoadTerms) focus(a *Arrival, part float64, spread uint64) {
+// applyFocus replaces the key of a read if a focus applies to it.
+func (t *LoadTerms) applyFocus(a *Arrival, draw float64, keyDraw uint64) {
 	for i, f := range t.Focuses {
-		if a.At < f.From || a.At >= f.To || part >= f.Part {
+		if a.At < f.From || a.At >= f.To || draw >= f.Part {
 			continue
 		}
 		if a.Once = f.Keys == 0; a.Once {
 			a.Key = "once-" + a.ID
 		} else {
-			a.Key = fmt.Sprintf("hot-%d-%d", i, spread%uint64(f.Keys))
+			a.Key = fmt.Sprintf("hot-%d-%d", i, keyDraw%uint64(f.Keys))
 		}
 		return
 	}
 }
 
-// weighted draws an index by its weight.
-func weighted(weights []float64) func(*rand.Rand) int {
+// weightedPicker returns a function that draws an index with a probability proportional to its weight.
+func weightedPicker(weights []float64) func(*rand.Rand) int {
 	sums, sum := make([]float64, len(weights)), 0.0
 	for i, w := range weights {
 		sum += w
@@ -176,8 +178,8 @@
 	}
 }
 
-// chooser draws keys by their popularity: the n-th has 1/n^zipf.
-func chooser(keys int, zipf float64) func(*rand.Rand) int {
+// popularityPicker returns a function that draws keys by popularity: the weight of the n-th key is 1/n^zipf.
+func popularityPicker(keys int, zipf float64) func(*rand.Rand) int {
 	if zipf <= 0 {
 		return func(r *rand.Rand) int { return r.IntN(max(1, keys)) }
 	}
@@ -185,29 +187,29 @@
 	for i := range weights {
 		weights[i] = math.Pow(float64(i+1), -zipf)
 	}
-	return weighted(weights)
+	return weightedPicker(weights)
 }
 
-// KeyName is how the n-th key is called; the first is the most popular.
+// KeyName returns the name of the n-th key; the first is the most popular.
 func KeyName(n int) string { return "line-" + strconv.Itoa(n) }
 
-// Retry is what a client does after a try that was not fulfilled.
+// Retry configures the retries of a client whose request was not fulfilled.
 type Retry struct {
-	Tries    int           // besides the first
-	Wait     time.Duration // before the first of them, doubled each time
-	Honour   float64       // chance that it waits as long as it was told
-	HonourTo time.Duration // the longest it does so
+	Tries    int           // maximum number of retries
+	Wait     time.Duration // mean delay before the first retry, doubled for each further one
+	Honour   float64       // probability that the client waits as long as the answer asks it to
+	HonourTo time.Duration // upper limit of that wait
 }
 
-// Next tells how long a client waits before it tries again, if it does. Only what is harmless is tried again.
-func (t Retry) Next(r *rand.Rand, tries int, harmless bool, told time.Duration) (wait time.Duration, again bool) {
+// Next returns how long a client waits before its next retry, and whether it retries. It retries only if that is harmless.
+func (t Retry) Next(r *rand.Rand, tries int, harmless bool, retryAfter time.Duration) (wait time.Duration, retry bool) {
 	if tries > t.Tries || !harmless {
 		return 0, false
 	}
 	wait = t.Wait << (tries - 1)
 	wait = wait/2 + time.Duration(r.Float64()*float64(wait))
-	if told > 0 && r.Float64() < t.Honour {
-		wait = max(wait, min(told, t.HonourTo))
+	if retryAfter > 0 && r.Float64() < t.Honour {
+		wait = max(wait, min(retryAfter, t.HonourTo))
 	}
 	return wait, true
 }
--- a/internal/rehearsal/model/chance.go
+++ b/internal/rehearsal/model/chance.go
@@ -7,14 +7,15 @@
 	"time"
 )
 
-// Stream is a source of chance of its own for a name: what one part of the world draws moves no other part.
+// Stream returns a random number generator for a seed and a name. Each part of a model has its own, so that the draws of one
+// part do not affect the others.
 func Stream(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// Law is how the work of a product is spread.
+// Law is the distribution of the work of a product's requests.
 type Law string
 
 const (
@@ -23,8 +24,8 @@
 	Constant    Law = "constant"
 )
 
-// Work draws how much work a call is: the same for each of its attempts and in each run with the seed, wherever and
-// whenever it is done. Variation is the standard deviation over the mean; the exponential law has 1.
+// Work draws the work of a request. It depends only on the seed and the request, so each attempt takes the same work on any host
+// and in every run with the seed. Variation is the standard deviation divided by the mean; it is 1 for Exponential.
 func Work(seed uint64, id string, law Law, mean time.Duration, variation float64) time.Duration {
 	if law == Constant || mean <= 0 {
 		return mean
@@ -37,8 +38,8 @@
 	return time.Duration(float64(mean) * math.Exp(s*r.NormFloat64()-s*s/2))
 }
 
-// between draws evenly from a range.
-func between(r *rand.Rand, low, high time.Duration) time.Duration {
+// uniform draws a duration uniformly from a range.
+func uniform(r *rand.Rand, low, high time.Duration) time.Duration {
 	if high <= low {
 		return low
 	}
--- a/internal/rehearsal/model/engine.go
+++ b/internal/rehearsal/model/engine.go
@@ -1,6 +1,7 @@
-// Package model holds the rehearsal kit's world without sockets: cache nodes, the gateway behind them, the register
-// and the callers. Nothing here keeps a clock, starts a goroutine or draws chance of its own: moments, counted from
-// the start of the day, and seeds come in. The socket stand-ins and a simulation in virtual time play the same models.
+// Package model holds the models that the rehearsals run against: cache hosts, the origin behind them, the discovery service,
+// the clients and the network links between balancers. The models use no sockets, clocks or goroutines and no global random
+// numbers: callers pass in times, counted from the start of the run, and seeded generators. The stand-ins on sockets and the
+// simulation in virtual time share these models.
 package model
 
 import (
@@ -9,160 +10,162 @@
 	"time"
 )
 
-// never is a moment that does not come.
+// never stands for a time that is not reached.
 const never = time.Duration(math.MaxInt64)
 
-// Job is one piece of work at a server.
+// Job is one unit of work at a cache host or the origin.
 type Job struct {
-	ID    string        // of the request whose attempt it is; "" for work that nobody waits for
-	Key   string        // that it reads or writes
-	Mark  string        // against repeats, of a deduplicated write
-	Write bool          // it has an effect
-	Work  time.Duration // on a core of speed 1
-	Tag   any           // the caller's own, handed back
+	ID    string        // of the request that it belongs to; "" for work that nobody waits for
+	Key   string        // the key that it reads or writes
+	Mark  string        // deduplication token of a deduplicated write
+	Write bool          // whether it has an effect
+	Work  time.Duration // time that it takes on a core of speed 1
+	Tag   any           // data of the caller, returned in Done
 }
 
-// Done is a job that has left a server.
+// Done is a job that a cache host or the origin has ended or lost.
 type Done struct {
 	Job
 	At   time.Duration
-	Lost bool // the server fell over or stopped with it
-	Hit  bool // a read found its key
-	// Version of the key that a read found or a write left.
+	Lost bool // the server failed or stopped before the job ended
+	Hit  bool // the key was cached; of reads at a cache host
+	// Version of the key that a read found or that is current after a write.
 	Version uint64
-	Size    int // bytes of the value that a read found
+	Size    int // length in bytes of the value that a read found
 }
 
-// engine is a set of equal cores behind one queue. Its rate, the work that a core does in a unit of time, is constant
-// between changes, so that what is left of a job is known exactly at each of them.
-type engine struct {
-	cores   int
-	most    int // jobs that may wait
-	rate    float64
-	now     time.Duration
-	running []running
-	waiting []Job
-	busy    time.Duration // core time spent at work
+// processor models a set of equal cores behind one queue. Its rate, the work that a core does per unit of time, is constant
+// between changes, so the remaining work of each job is known exactly at each change.
+type processor struct {
+	cores      int
+	maxWaiting int // maximum number of waiting jobs
+	rate       float64
+	now        time.Duration
+	running    []runningJob
+	waiting    []Job
+	busyTime   time.Duration // total core time spent on jobs
 }
 
-type running struct {
+type runningJob struct {
 	Job
-	left float64 // nanoseconds of work
+	remaining float64 // nanoseconds of work
 }
 
-// room tells whether one more job can be taken.
-func (e *engine) room() bool { return len(e.running) < e.cores || len(e.waiting) < e.most }
+// hasRoom reports whether one more job can be accepted.
+func (p *processor) hasRoom() bool { return len(p.running) < p.cores || len(p.waiting) < p.maxWaiting }
 
-// take adds a job at the engine's present moment.
-func (e *engine) take(j Job) {
-	if len(e.running) < e.cores {
-		e.running = append(e.running, running{j, float64(j.Work)})
+// add adds a job at the processor's current time.
+func (p *processor) add(j Job) {
+	if len(p.running) < p.cores {
+		p.running = append(p.running, runningJob{j, float64(j.Work)})
 		return
 	}
-	e.waiting = append(e.waiting, j)
+	p.waiting = append(p.waiting, j)
 }
 
-// next is when the first of the running jobs ends at the present rate.
-func (e *engine) next() time.Duration {
-	if len(e.running) == 0 || e.rate <= 0 {
+// nextEnd returns when the first of the running jobs ends at the current rate.
+func (p *processor) nextEnd() time.Duration {
+	if len(p.running) == 0 || p.rate <= 0 {
 		return never
 	}
-	least := e.running[0].left
-	for _, r := range e.running[1:] {
-		least = min(least, r.left)
+	shortest := p.running[0].remaining
+	for _, r := range p.running[1:] {
+		shortest = min(shortest, r.remaining)
 	}
-	// Rounded up: a moment too early would leave a rest that never becomes zero.
-	return e.now + time.Duration(math.Ceil(least/e.rate))
+	// Rounded up: a time slightly too early would leave a remainder of work that never becomes zero.
+	return p.now + time.Duration(math.Ceil(shortest/p.rate))
 }
 
-// step goes on to a moment that is not behind the next end, and returns what ends there.
-func (e *engine) step(to time.Duration) (ended []Job) {
-	if to <= e.now && e.next() > to {
+// advance moves on to a given time, at most that of nextEnd, and returns the jobs that end there.
+func (p *processor) advance(until time.Duration) (ended []Job) {
+	if until <= p.now && p.nextEnd() > until {
 		return nil
 	}
-	past := to - e.now
-	e.now = to
-	done := float64(past) * e.rate
-	e.busy += past * time.Duration(len(e.running))
-	for i := 0; i < len(e.running); {
-		r := &e.running[i]
-		if r.left -= done; r.left >= 1 {
+	elapsed := until - p.now
+	p.now = until
+	workDone := float64(elapsed) * p.rate
+	p.busyTime += elapsed * time.Duration(len(p.running))
+	for i := 0; i < len(p.running); {
+		r := &p.running[i]
+		if r.remaining -= workDone; r.remaining >= 1 {
 			i++
 			continue
 		}
 		ended = append(ended, r.Job)
-		e.running = slices.Delete(e.running, i, i+1)
+		p.running = slices.Delete(p.running, i, i+1)
 	}
-	for len(e.running) < e.cores && len(e.waiting) > 0 {
-		j := e.waiting[0]
-		e.waiting = slices.Delete(e.waiting, 0, 1)
-		e.running = append(e.running, running{j, float64(j.Work)})
+	for len(p.running) < p.cores && len(p.waiting) > 0 {
+		j := p.waiting[0]
+		p.waiting = slices.Delete(p.waiting, 0, 1)
+		p.running = append(p.running, runningJob{j, float64(j.Work)})
 	}
 	return ended
 }
 
-// drop takes a waiting job away; false where it runs already or is not here.
-func (e *engine) drop(id string) bool {
-	i := slices.IndexFunc(e.waiting, func(j Job) bool { return j.ID == id })
+// removeWaiting removes a waiting job. It returns false if the job runs already or is unknown.
+func (p *processor) removeWaiting(id string) bool {
+	i := slices.IndexFunc(p.waiting, func(j Job) bool { return j.ID == id })
 	if i < 0 {
 		return false
 	}
-	e.waiting = slices.Delete(e.waiting, i, i+1)
+	p.waiting = slices.Delete(p.waiting, i, i+1)
 	return true
 }
 
-// empty takes all jobs away and returns them.
-func (e *engine) empty() (jobs []Job) {
-	for _, r := range e.running {
+// removeAll removes all jobs and returns them.
+func (p *processor) removeAll() (jobs []Job) {
+	for _, r := range p.running {
 		jobs = append(jobs, r.Job)
 	}
-	jobs = append(jobs, e.waiting...)
-	e.running, e.waiting = nil, nil
+	jobs = append(jobs, p.waiting...)
+	p.running, p.waiting = nil, nil
 	return jobs
 }
 
-// strain weighs the work that a server is sent against what it can do, over a span that slides in steps.
-type strain struct {
-	span    time.Duration
-	slots   [strainSlots]struct{ sent, can float64 }
-	turn    int64
-	since   time.Duration // the first moment that is covered whole
-	highest float64
+// loadMeter compares the work offered to a server with its capacity, over a sliding window that moves in steps.
+type loadMeter struct {
+	window    time.Duration
+	slots     [loadMeterSlots]struct{ offered, capacity float64 }
+	slot      int64
+	startedAt time.Duration // start of the measurement
+	highest   float64
 }
 
-// strainSlots makes the span exact to an eighth, finer than a person reading a graph of seconds can tell.
-const strainSlots = 8
+// loadMeterSlots is the number of steps per window. An eighth of the window is precise enough for reports with a resolution of
+// seconds.
+const loadMeterSlots = 8
 
-func (s *strain) add(now time.Duration, sent, can float64) {
-	if s.span <= 0 {
+// add records offered work and the capacity since the last call.
+func (m *loadMeter) add(now time.Duration, offered, capacity float64) {
+	if m.window <= 0 {
 		return
 	}
-	turn := int64(now) / max(1, int64(s.span)/strainSlots)
-	if turn-s.turn >= strainSlots {
-		clear(s.slots[:])
+	slot := int64(now) / max(1, int64(m.window)/loadMeterSlots)
+	if slot-m.slot >= loadMeterSlots {
+		clear(m.slots[:])
 	} else {
-		for t := s.turn + 1; t <= turn; t++ {
-			s.slots[t%strainSlots] = struct{ sent, can float64 }{}
+		for k := m.slot + 1; k <= slot; k++ {
+			m.slots[k%loadMeterSlots] = struct{ offered, capacity float64 }{}
 		}
 	}
-	s.turn = max(s.turn, turn)
-	s.slots[turn%strainSlots].sent += sent
-	s.slots[turn%strainSlots].can += can
+	m.slot = max(m.slot, slot)
+	m.slots[slot%loadMeterSlots].offered += offered
+	m.slots[slot%loadMeterSlots].capacity += capacity
 }
 
-// multiple is what was sent over what could be done in the span; 0 until the span has passed once.
-func (s *strain) multiple(now time.Duration) float64 {
-	if s.span <= 0 || now-s.since < s.span {
+// multiple returns the offered work divided by the capacity, over the window; 0 until one full window has passed.
+func (m *loadMeter) multiple(now time.Duration) float64 {
+	if m.window <= 0 || now-m.startedAt < m.window {
 		return 0
 	}
-	var sent, can float64
-	for _, x := range s.slots {
-		sent += x.sent
-		can += x.can
+	var offered, capacity float64
+	for _, x := range m.slots {
+		offered += x.offered
+		capacity += x.capacity
 	}
-	if can <= 0 {
+	if capacity <= 0 {
 		return 0
 	}
-	s.highest = max(s.highest, sent/can)
-	return sent / can
+	m.highest = max(m.highest, offered/capacity)
+	return offered / capacity
 }
--- a/internal/rehearsal/model/gateway.go
+++ b/internal/rehearsal/model/gateway.go
@@ -2,180 +2,182 @@
 
 import "time"
 
-// GatewayTerms is what the gateway behind the cache nodes is.
+// GatewayTerms configures the origin behind the cache hosts.
 type GatewayTerms struct {
-	Slots        int           // calls that it works on at a time
-	Time         time.Duration // mean of one
-	Queue        int           // that wait; more are turned away
-	FallMultiple float64       // times what it can do, sent for FallFor, stop it; 0: never
+	Slots        int           // number of requests that it works on at a time
+	Time         time.Duration // mean service time of a request
+	Queue        int           // maximum number of waiting requests; further ones are rejected
+	FallMultiple float64       // it stops when it is offered more than this multiple of its capacity over FallFor; 0: never
 	FallFor      time.Duration
-	StopFor      time.Duration // how long it then does nothing
-	Window       time.Duration // repeats of a mark are known for so long
-	SeenMost     int           // marks and writes that it remembers; 0: 1<<20
+	StopFor      time.Duration // how long it stays stopped
+	Window       time.Duration // how long it deduplicates writes with the same token
+	SeenMost     int           // number of deduplication tokens above which it removes expired ones; 0: 1<<20
 }
 
-// Effect is one write that was applied.
+// Effect is one applied write.
 type Effect struct {
 	ID, Key, Mark string
 	At            time.Duration
 	Version       uint64
 }
 
-// Gateway is the slow store behind all cache nodes. It is not safe for concurrent use.
+// Gateway models the origin, the slow store behind all cache hosts. It is not safe for concurrent use.
 type Gateway struct {
-	terms   GatewayTerms
-	engine  engine
-	slow    float64
-	strain  strain
-	counted time.Duration
-	until   time.Duration // it does nothing before
-	stops   []Stop
-	marks   map[string]Effect
-	version map[string]uint64
-	effects []Effect
-	stopped bool
+	terms             GatewayTerms
+	processor         processor
+	slowdown          float64
+	loadMeter         loadMeter
+	loadRecordedUntil time.Duration
+	stoppedUntil      time.Duration // end of the current stop
+	stops             []Stop
+	appliedTokens     map[string]Effect
+	versions          map[string]uint64
+	effects           []Effect
+	stopped           bool
 }
 
-// Stop is a time in which the gateway did nothing, because it was sent too much.
+// Stop is an outage of the origin caused by overload.
 type Stop struct {
 	At       time.Duration
-	Multiple float64 // of what it could do
+	Multiple float64 // offered work as a multiple of its capacity
 }
 
-const versionsMost = 1 << 20
+const maxVersionedKeys = 1 << 20
 
-// NewGateway starts a gateway.
+// NewGateway starts an origin.
 func NewGateway(terms GatewayTerms, now time.Duration) *Gateway {
-	return &Gateway{terms: terms, slow: 1, engine: engine{cores: terms.Slots, most: terms.Queue, rate: 1, now: now}, counted: now,
-		strain: strain{span: terms.FallFor, since: now}, marks: map[string]Effect{}, version: map[string]uint64{}}
+	return &Gateway{terms: terms, slowdown: 1, processor: processor{cores: terms.Slots, maxWaiting: terms.Queue, rate: 1, now: now}, loadRecordedUntil: now,
+		loadMeter: loadMeter{window: terms.FallFor, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
 }
 
-// Slow makes the gateway so many times slower; 1 ends that.
-func (g *Gateway) Slow(times float64) {
-	g.slow = max(times, 1e-3)
+// Slow divides the speed of the origin by a factor; a factor of 1 restores it.
+func (g *Gateway) Slow(factor float64) {
+	g.slowdown = max(factor, 1e-3)
 	g.setRate()
 }
 
 func (g *Gateway) setRate() {
-	g.engine.rate = 1 / g.slow
+	g.processor.rate = 1 / g.slowdown
 	if g.stopped {
-		g.engine.rate = 0
+		g.processor.rate = 0
 	}
 }
 
-// Offer sends a job at a moment to which Advance has been called. False: it never ran.
+// Offer sends a job to the origin at a time up to which Advance has been called. It returns false if the job is rejected, so
+// that it never runs.
 func (g *Gateway) Offer(now time.Duration, j Job) bool {
-	g.weigh(now, j.Work)
-	if g.stopped || !g.engine.room() {
+	g.recordLoad(now, j.Work)
+	if g.stopped || !g.processor.hasRoom() {
 		return false
 	}
-	g.engine.take(j)
+	g.processor.add(j)
 	return true
 }
 
-func (g *Gateway) weigh(now, work time.Duration) {
+func (g *Gateway) recordLoad(now, work time.Duration) {
 	if g.terms.FallMultiple <= 0 || g.stopped {
 		return
 	}
-	g.strain.add(now, float64(work), float64(now-g.counted)*float64(g.terms.Slots)/g.slow)
-	g.counted = now
-	if m := g.strain.multiple(now); m > g.terms.FallMultiple {
+	g.loadMeter.add(now, float64(work), float64(now-g.loadRecordedUntil)*float64(g.terms.Slots)/g.slowdown)
+	g.loadRecordedUntil = now
+	if m := g.loadMeter.multiple(now); m > g.terms.FallMultiple {
 		g.stops = append(g.stops, Stop{now, m})
-		g.stopped, g.until = true, now+g.terms.StopFor
+		g.stopped, g.stoppedUntil = true, now+g.terms.StopFor
 		g.setRate()
 	}
 }
 
-// Advance plays the gateway up to a moment and returns what has left it, in order. What it held when it stopped is lost.
+// Advance simulates the origin up to a given time and returns the jobs that ended or were lost, in order. The jobs that it has
+// when it stops are lost.
 func (g *Gateway) Advance(now time.Duration) (done []Done) {
 	for {
 		if g.stopped {
-			for _, j := range g.engine.empty() {
+			for _, j := range g.processor.removeAll() {
 				done = append(done, Done{Job: j, At: g.stops[len(g.stops)-1].At, Lost: true})
 			}
-			if now < g.until {
-				g.engine.now = max(g.engine.now, now)
+			if now < g.stoppedUntil {
+				g.processor.now = max(g.processor.now, now)
 				return done
 			}
-			g.engine.now = max(g.engine.now, g.until)
+			g.processor.now = max(g.processor.now, g.stoppedUntil)
 			g.stopped = false
-			g.counted, g.strain = g.until, strain{span: g.terms.FallFor, since: g.until, highest: g.strain.highest,
-				turn: int64(g.until) / max(1, int64(g.terms.FallFor)/strainSlots)}
+			g.loadRecordedUntil, g.loadMeter = g.stoppedUntil, loadMeter{window: g.terms.FallFor, startedAt: g.stoppedUntil, highest: g.loadMeter.highest,
+				slot: int64(g.stoppedUntil) / max(1, int64(g.terms.FallFor)/loadMeterSlots)}
 			g.setRate()
 		}
-		to := min(now, g.engine.next())
-		for _, j := range g.engine.step(max(to, g.engine.now)) {
+		until := min(now, g.processor.nextEnd())
+		for _, j := range g.processor.advance(max(until, g.processor.now)) {
 			done = append(done, g.finish(j))
 		}
-		if to == now && g.engine.next() > now {
-			g.weigh(now, 0)
+		if until == now && g.processor.nextEnd() > now {
+			g.recordLoad(now, 0)
 			return done
 		}
 	}
 }
 
-// finish applies a write once for each mark that is remembered.
+// finish completes a job. A write whose deduplication token was applied within the window is not applied again.
 func (g *Gateway) finish(j Job) Done {
-	d := Done{Job: j, At: g.engine.now, Version: g.version[j.Key]}
+	d := Done{Job: j, At: g.processor.now, Version: g.versions[j.Key]}
 	if !j.Write {
 		return d
 	}
 	if j.Mark != "" {
-		if old, ok := g.marks[j.Mark]; ok && d.At-old.At < g.terms.Window {
+		if old, ok := g.appliedTokens[j.Mark]; ok && d.At-old.At < g.terms.Window {
 			d.Version = old.Version
 			return d
 		}
 	}
-	if len(g.version) < versionsMost { // past that, versions stand still: a day of the kit has far fewer keys
-		g.version[j.Key]++
+	if len(g.versions) < maxVersionedKeys { // above the limit versions stay as they are; a run uses far fewer keys
+		g.versions[j.Key]++
 	}
-	d.Version = g.version[j.Key]
+	d.Version = g.versions[j.Key]
 	e := Effect{ID: j.ID, Key: j.Key, Mark: j.Mark, At: d.At, Version: d.Version}
 	g.effects = append(g.effects, e)
 	if j.Mark != "" {
-		if len(g.marks) >= g.most() {
-			g.forget(d.At)
+		if len(g.appliedTokens) >= g.maxTokens() {
+			g.removeExpiredTokens(d.At)
 		}
-		g.marks[j.Mark] = e
+		g.appliedTokens[j.Mark] = e
 	}
 	return d
 }
 
-func (g *Gateway) most() int {
+func (g *Gateway) maxTokens() int {
 	if g.terms.SeenMost > 0 {
 		return g.terms.SeenMost
 	}
 	return 1 << 20
 }
 
-// forget drops marks that are past their window.
-func (g *Gateway) forget(now time.Duration) {
-	for m, e := range g.marks {
+// removeExpiredTokens removes the deduplication tokens whose window has passed.
+func (g *Gateway) removeExpiredTokens(now time.Duration) {
+	for m, e := range g.appliedTokens {
 		if now-e.At >= g.terms.Window {
-			delete(g.marks, m)
+			delete(g.appliedTokens, m)
 		}
 	}
 }
 
-// Due is the next moment at which something happens by itself.
+// Due returns the time of the next change that needs no call from outside.
 func (g *Gateway) Due() time.Duration {
 	if g.stopped {
-		return g.until
+		return g.stoppedUntil
 	}
-	return g.engine.next()
+	return g.processor.nextEnd()
 }
 
-// GiveUp hears that the caller of a job has left; a waiting one is dropped.
-func (g *Gateway) GiveUp(id string) bool { return g.engine.drop(id) }
+// GiveUp notifies the origin that the caller no longer waits for a job. It removes a waiting job and returns true if it did.
+func (g *Gateway) GiveUp(id string) bool { return g.processor.removeWaiting(id) }
 
-// Effects are all writes that were applied, in order.
+// Effects returns all applied writes, in order.
 func (g *Gateway) Effects() []Effect { return g.effects }
 
-// Stops are the times at which it was sent too much.
+// Stops returns the outages caused by overload.
 func (g *Gateway) Stops() []Stop { return g.stops }
 
-// Strain is the highest multiple of what it could do that it was sent over its span.
-func (g *Gateway) Strain() float64 { return g.strain.highest }
+// Strain returns the highest multiple of its capacity that it was offered over FallFor.
+func (g *Gateway) Strain() float64 { return g.loadMeter.highest }
 
-// InFlight is the number of jobs in hand.
-func (g *Gateway) InFlight() int { return len(g.engine.running) + len(g.engine.waiting) }
+// InFlight returns the number of running and waiting jobs.
+func (g *Gateway) InFlight() int { return len(g.processor.running) + len(g.processor.waiting) }
--- a/internal/rehearsal/model/node.go
+++ b/internal/rehearsal/model/node.go
@@ -7,144 +7,149 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// NodeTerms is what a cache node is.
+// NodeTerms configures a cache host.
 type NodeTerms struct {
 	Cores        int
-	Speed        float64       // of a core; 1 does the work of a second in a second
-	Queue        int           // jobs that wait at most; more are turned away
-	KeepBytes    int64         // of kept values
-	ColdFrom     float64       // share of its capacity that a fresh node has
-	WarmFor      time.Duration // until it has all of it; 0: it starts warm
-	FallMultiple float64       // times what it can do, sent for FallFor while it is cold, push it over; 0: never
+	Speed        float64       // of each core; a core of speed 1 does one second of work in a second
+	Queue        int           // maximum number of waiting jobs; further ones are rejected
+	KeepBytes    int64         // limit of the cached values' total size
+	ColdFrom     float64       // fraction of its full capacity that a freshly started host has
+	WarmFor      time.Duration // time until it has its full capacity; 0: it starts warm
+	FallMultiple float64       // a cold host fails when it is offered more than this multiple of its capacity over FallFor; 0: never
 	FallFor      time.Duration
-	PauseEvery   time.Duration // it stands still about this often; 0: never
+	PauseEvery   time.Duration // average time between pauses, in which it does no work; 0: no pauses
 	PauseFor     time.Duration
-	DropsGivenUp bool    // a job whose caller has left is dropped while it still waits
-	MissPart     float64 // of a read's work that it takes to find that its key is not kept; 0: all
+	DropsGivenUp bool    // a job that the caller has given up is removed while it still waits
+	MissPart     float64 // fraction of a read's work that a cache miss takes; 0: all of it
 }
 
-// Node is a cache node. It is not safe for concurrent use. Moments must not go back.
+// Node models a cache host. It is not safe for concurrent use. The times passed to its methods must not decrease.
 type Node struct {
-	terms    NodeTerms
-	engine   engine
-	kept     *simplelru.LRU[string, kept]
-	bytes    int64
-	chance   *rand.Rand
-	born     time.Duration
-	cold     bool // it was started during the day
-	slow     float64
-	stalled  bool
-	paused   bool
-	turnAt   time.Duration // the next pause begins or the present one ends
-	warmAt   time.Duration // the next step of warming
-	strain   strain
-	fallen   bool
-	fellAt   time.Duration
-	counted  time.Duration // up to here the strain knows what could be done
-	fellFrom float64
-}
-
-type kept struct {
+	terms             NodeTerms
+	processor         processor
+	cache             *simplelru.LRU[string, cachedValue]
+	bytes             int64
+	rng               *rand.Rand
+	startedAt         time.Duration
+	startedCold       bool // it started cold during the run
+	slowdown          float64
+	stalled           bool
+	paused            bool
+	pauseChangeAt     time.Duration // when the next pause begins or the current one ends
+	warmStepAt        time.Duration // when the warm-up takes its next step
+	loadMeter         loadMeter
+	failed            bool
+	failedAt          time.Duration
+	loadRecordedUntil time.Duration // the load meter has the capacity up to this time
+	failedMultiple    float64
+}
+
+type cachedValue struct {
 	version uint64
 	size    int
 }
 
-// mostKept bounds the number of values besides their bytes: small ones would else cost more than they hold.
-const mostKept = 1 << 20
+// maxCachedValues limits the number of cached values in addition to their total size: for small values the bookkeeping takes
+// more memory than the values themselves.
+const maxCachedValues = 1 << 20
 
-// warmSteps is how many steps a node warms in: each is 2% of the way, less than any work varies.
-const warmSteps = 50
+// warmUpSteps is the number of steps in which a host warms up. Each step is 2% of the way, less than the variation of the work.
+const warmUpSteps = 50
 
-// NewNode starts a node. A cold one has nothing and warms from now on; another one has been up for long.
-func NewNode(terms NodeTerms, now time.Duration, cold bool, chance *rand.Rand) *Node {
-	n := &Node{terms: terms, chance: chance, born: now, cold: cold && terms.WarmFor > 0, slow: 1, turnAt: never, warmAt: never,
-		engine: engine{cores: terms.Cores, most: terms.Queue, now: now}, counted: now,
-		strain: strain{span: terms.FallFor, since: now}}
-	n.strain.turn = int64(now) / max(1, int64(terms.FallFor)/strainSlots)
-	n.kept, _ = simplelru.NewLRU[string, kept](mostKept, func(_ string, k kept) { n.bytes -= int64(k.size) })
+// NewNode starts a host. A cold host has an empty cache and warms up from now on; any other has its full capacity at once.
+func NewNode(terms NodeTerms, now time.Duration, cold bool, rng *rand.Rand) *Node {
+	n := &Node{terms: terms, rng: rng, startedAt: now, startedCold: cold && terms.WarmFor > 0, slowdown: 1, pauseChangeAt: never, warmStepAt: never,
+		processor: processor{cores: terms.Cores, maxWaiting: terms.Queue, now: now}, loadRecordedUntil: now,
+		loadMeter: loadMeter{window: terms.FallFor, startedAt: now}}
+	n.loadMeter.slot = int64(now) / max(1, int64(terms.FallFor)/loadMeterSlots)
+	n.cache, _ = simplelru.NewLRU[string, cachedValue](maxCachedValues, func(_ string, k cachedValue) { n.bytes -= int64(k.size) })
 	if terms.PauseEvery > 0 {
-		n.turnAt = now + n.nextPause()
+		n.pauseChangeAt = now + n.nextPause()
 	}
-	if n.cold {
-		n.warmAt = now + terms.WarmFor/warmSteps
+	if n.startedCold {
+		n.warmStepAt = now + terms.WarmFor/warmUpSteps
 	}
 	n.setRate()
 	return n
 }
 
-// nextPause spreads pauses, lest all nodes stand still together.
+// nextPause draws the time until the next pause, so that the hosts do not all pause at the same time.
 func (n *Node) nextPause() time.Duration {
-	return between(n.chance, n.terms.PauseEvery/2, n.terms.PauseEvery*3/2)
+	return uniform(n.rng, n.terms.PauseEvery/2, n.terms.PauseEvery*3/2)
 }
 
-// Warmth is the share of its capacity that the node has.
+// Warmth returns the fraction of its full capacity that the host has.
 func (n *Node) Warmth(now time.Duration) float64 {
 	if !n.Cold(now) {
 		return 1
 	}
-	return n.terms.ColdFrom + (1-n.terms.ColdFrom)*float64(now-n.born)/float64(n.terms.WarmFor)
+	return n.terms.ColdFrom + (1-n.terms.ColdFrom)*float64(now-n.startedAt)/float64(n.terms.WarmFor)
 }
 
-// Cold tells whether the node still warms.
-func (n *Node) Cold(now time.Duration) bool { return n.cold && now-n.born < n.terms.WarmFor }
+// Cold reports whether the host is still warming up.
+func (n *Node) Cold(now time.Duration) bool {
+	return n.startedCold && now-n.startedAt < n.terms.WarmFor
+}
 
 func (n *Node) setRate() {
-	n.engine.rate = n.terms.Speed * n.Warmth(n.engine.now) / n.slow
-	if n.stalled || n.paused || n.fallen {
-		n.engine.rate = 0
+	n.processor.rate = n.terms.Speed * n.Warmth(n.processor.now) / n.slowdown
+	if n.stalled || n.paused || n.failed {
+		n.processor.rate = 0
 	}
 }
 
-// able is the work that the node can do in a second of a moment; a pause takes nothing from it.
-func (n *Node) able(now time.Duration) float64 {
-	return n.terms.Speed * n.Warmth(now) / n.slow * float64(n.terms.Cores)
+// capacity returns the work that the host can do per second at a given time. Pauses do not reduce it.
+func (n *Node) capacity(now time.Duration) float64 {
+	return n.terms.Speed * n.Warmth(now) / n.slowdown * float64(n.terms.Cores)
 }
 
-// weigh brings the strain up to a moment, with the work that is sent there.
-func (n *Node) weigh(now, work time.Duration) {
-	if !n.cold || n.fallen || n.terms.FallMultiple <= 0 {
+// recordLoad adds the capacity since the last call and the newly offered work to the load meter. It marks a cold host as failed
+// when the load is above FallMultiple.
+func (n *Node) recordLoad(now, work time.Duration) {
+	if !n.startedCold || n.failed || n.terms.FallMultiple <= 0 {
 		return
 	}
-	n.strain.add(now, float64(work), n.able(now)*float64(now-n.counted))
-	n.counted = now
-	if n.Cold(now) && n.strain.multiple(now) > n.terms.FallMultiple {
-		n.fallen, n.fellAt, n.fellFrom = true, now, n.strain.multiple(now)
+	n.loadMeter.add(now, float64(work), n.capacity(now)*float64(now-n.loadRecordedUntil))
+	n.loadRecordedUntil = now
+	if n.Cold(now) && n.loadMeter.multiple(now) > n.terms.FallMultiple {
+		n.failed, n.failedAt, n.failedMultiple = true, now, n.loadMeter.multiple(now)
 	}
 }
 
-// Offer sends a job to the node at a moment to which Advance has been called. False: the queue is full.
+// Offer sends a job to the host at a time up to which Advance has been called. It returns false if the queue is full or the host
+// has failed.
 func (n *Node) Offer(now time.Duration, j Job) bool {
-	n.weigh(now, j.Work)
-	if n.fallen || !n.engine.room() {
+	n.recordLoad(now, j.Work)
+	if n.failed || !n.processor.hasRoom() {
 		return false
 	}
-	if n.terms.MissPart > 0 && !j.Write && j.Key != "" && !n.kept.Contains(j.Key) {
+	if n.terms.MissPart > 0 && !j.Write && j.Key != "" && !n.cache.Contains(j.Key) {
 		j.Work = time.Duration(float64(j.Work) * n.terms.MissPart)
 	}
-	n.engine.take(j)
+	n.processor.add(j)
 	return true
 }
 
-// Advance plays the node up to a moment and returns what has left it, in order.
+// Advance simulates the host up to a given time and returns the jobs that ended or were lost, in order.
 func (n *Node) Advance(now time.Duration) (done []Done) {
 	for {
-		if n.fallen {
-			n.engine.now = max(n.engine.now, now)
-			for _, j := range n.engine.empty() {
-				done = append(done, Done{Job: j, At: n.fellAt, Lost: true})
+		if n.failed {
+			n.processor.now = max(n.processor.now, now)
+			for _, j := range n.processor.removeAll() {
+				done = append(done, Done{Job: j, At: n.failedAt, Lost: true})
 			}
 			return done
 		}
-		change := min(n.turnAt, n.warmAt)
-		to := min(now, change, n.engine.next())
-		for _, j := range n.engine.step(max(to, n.engine.now)) {
+		change := min(n.pauseChangeAt, n.warmStepAt)
+		until := min(now, change, n.processor.nextEnd())
+		for _, j := range n.processor.advance(max(until, n.processor.now)) {
 			done = append(done, n.finish(j))
 		}
-		if to == change {
-			n.turn(change)
-		} else if to == now && n.engine.next() > now {
-			n.weigh(now, 0)
-			if !n.fallen {
+		if until == change {
+			n.applyChange(change)
+		} else if until == now && n.processor.nextEnd() > now {
+			n.recordLoad(now, 0)
+			if !n.failed {
 				return done
 			}
 		}
@@ -152,99 +157,100 @@
 }
 
 func (n *Node) finish(j Job) Done {
-	d := Done{Job: j, At: n.engine.now}
-	if k, ok := n.kept.Get(j.Key); ok && !j.Write {
+	d := Done{Job: j, At: n.processor.now}
+	if k, ok := n.cache.Get(j.Key); ok && !j.Write {
 		d.Hit, d.Version, d.Size = true, k.version, k.size
 	}
 	return d
 }
 
-// turn begins or ends a pause, or takes a step of warming.
-func (n *Node) turn(at time.Duration) {
-	if at == n.warmAt {
-		n.warmAt = at + n.terms.WarmFor/warmSteps
+// applyChange begins or ends a pause, takes a step of the warm-up, or both.
+func (n *Node) applyChange(at time.Duration) {
+	if at == n.warmStepAt {
+		n.warmStepAt = at + n.terms.WarmFor/warmUpSteps
 		if !n.Cold(at) {
-			n.warmAt = never
+			n.warmStepAt = never
 		}
 	}
-	if at == n.turnAt {
+	if at == n.pauseChangeAt {
 		n.paused = !n.paused
-		n.turnAt = at + n.nextPause()
+		n.pauseChangeAt = at + n.nextPause()
 		if n.paused {
-			n.turnAt = at + between(n.chance, n.terms.PauseFor/2, n.terms.PauseFor*3/2)
+			n.pauseChangeAt = at + uniform(n.rng, n.terms.PauseFor/2, n.terms.PauseFor*3/2)
 		}
 	}
 	n.setRate()
 }
 
-// Due is the next moment at which something happens by itself.
+// Due returns the time of the next change that needs no call from outside.
 func (n *Node) Due() time.Duration {
-	if n.fallen {
+	if n.failed {
 		return never
 	}
-	due := n.engine.next()
-	if len(n.engine.running) > 0 { // else a change of rate moves nobody
-		due = min(due, n.turnAt, n.warmAt)
+	due := n.processor.nextEnd()
+	if len(n.processor.running) > 0 { // without running jobs a change of the rate affects nothing
+		due = min(due, n.pauseChangeAt, n.warmStepAt)
 	}
 	return due
 }
 
-// GiveUp hears that the caller of a job has left; true where the job is gone with it.
-func (n *Node) GiveUp(id string) bool { return n.terms.DropsGivenUp && n.engine.drop(id) }
+// GiveUp notifies the host that the caller no longer waits for a job. It returns true if that removed the job.
+func (n *Node) GiveUp(id string) bool { return n.terms.DropsGivenUp && n.processor.removeWaiting(id) }
 
-// Keep stores a value, unless a newer version is kept.
+// Keep caches a value, unless a newer version is cached.
 func (n *Node) Keep(key string, version uint64, size int) {
-	if old, ok := n.kept.Peek(key); ok {
+	if old, ok := n.cache.Peek(key); ok {
 		if old.version > version {
 			return
 		}
-		n.kept.Remove(key)
+		n.cache.Remove(key)
 	}
 	n.bytes += int64(size)
-	n.kept.Add(key, kept{version, size})
-	for n.bytes > n.terms.KeepBytes && n.kept.Len() > 0 {
-		n.kept.RemoveOldest()
+	n.cache.Add(key, cachedValue{version, size})
+	for n.bytes > n.terms.KeepBytes && n.cache.Len() > 0 {
+		n.cache.RemoveOldest()
 	}
 }
 
-// Void drops a value that is older than a version.
+// Void removes the cached value of a key if it is older than a version.
 func (n *Node) Void(key string, version uint64) {
-	if old, ok := n.kept.Peek(key); ok && old.version < version {
-		n.kept.Remove(key)
+	if old, ok := n.cache.Peek(key); ok && old.version < version {
+		n.cache.Remove(key)
 	}
 }
 
-// Slow makes the node do its work so many times slower from a moment on to which Advance has been called; 1 ends that.
-func (n *Node) Slow(times float64) {
-	n.slow = max(times, 1e-3)
+// Slow divides the speed of the host by a factor, from the time up to which Advance has been called; a factor of 1 restores it.
+func (n *Node) Slow(factor float64) {
+	n.slowdown = max(factor, 1e-3)
 	n.setRate()
 }
 
-// Stall makes the node take jobs and do none, or ends that.
+// Stall makes the host accept jobs without working on any, or ends that.
 func (n *Node) Stall(on bool) {
 	n.stalled = on
 	n.setRate()
 }
 
-// Fallen tells whether the node was pushed over while cold, when, and by which multiple of what it could do.
+// Fallen reports whether the host failed from overload while it was cold, when, and the multiple of its capacity that it was
+// offered.
 func (n *Node) Fallen() (at time.Duration, multiple float64, fallen bool) {
-	return n.fellAt, n.fellFrom, n.fallen
+	return n.failedAt, n.failedMultiple, n.failed
 }
 
-// Strain is the highest multiple of what it could do that the cold node was sent over its span.
-func (n *Node) Strain() float64 { return n.strain.highest }
+// Strain returns the highest multiple of its capacity that the host was offered over FallFor while it was cold.
+func (n *Node) Strain() float64 { return n.loadMeter.highest }
 
-// Load is what the node reports of itself.
+// Load is the load that a host reports.
 type Load struct {
 	InFlight, Queue int
-	Util            float64 // share of the cores at work
+	Util            float64 // fraction of the cores that are busy
 }
 
-// Load tells the present load.
+// Load returns the current load.
 func (n *Node) Load() Load {
-	return Load{InFlight: len(n.engine.running) + len(n.engine.waiting), Queue: len(n.engine.waiting),
-		Util: float64(len(n.engine.running)) / float64(max(1, n.terms.Cores))}
+	return Load{InFlight: len(n.processor.running) + len(n.processor.waiting), Queue: len(n.processor.waiting),
+		Util: float64(len(n.processor.running)) / float64(max(1, n.terms.Cores))}
 }
 
-// Busy is the core time that the node has spent at work.
-func (n *Node) Busy() time.Duration { return n.engine.busy }
+// Busy returns the core time that the host has spent on jobs.
+func (n *Node) Busy() time.Duration { return n.processor.busyTime }
--- a/internal/rehearsal/model/register.go
+++ b/internal/rehearsal/model/register.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Condition is what the register says of a node.
+// Condition is the lifecycle state of a cache host in discovery.
 type Condition string
 
 const (
@@ -17,50 +17,51 @@
 	Left    Condition = "left"
 )
 
-// Entry is one line of the register.
+// Entry is a cache host as discovery lists it.
 type Entry struct {
 	Node       string
 	Zone, Kind string
 	Cell       int
 	Condition  Condition
 	Weight     float64
-	Born       time.Duration // 0: before the day
+	Born       time.Duration // start of the host; 0: before the run
 }
 
-// Register holds the list of nodes and brings changes to each balancer's agent late. It is not safe for concurrent use.
+// Register models discovery. It holds the list of cache hosts and passes changes to the agent of each balancer with a delay. It
+// is not safe for concurrent use.
 type Register struct {
-	chance     *rand.Rand
-	late       [2]time.Duration
+	rng        *rand.Rand
+	delays     [2]time.Duration
 	generation int64
 	agents     []*agent
 	entries    map[string]Entry
 }
 
-// agent is what one balancer can see.
+// agent is the discovery agent of one balancer, with the list that it currently has.
 type agent struct {
 	generation int64
 	entries    map[string]Entry
-	changed    map[string]int64 // by node, the generation of its last change here
-	due        []news           // in order of At
-	silent     bool
+	lastChange map[string]int64 // by host, the agent's generation of its last change
+	pending    []pendingChange  // ordered by time
+	silent     bool             // it does not answer
 }
 
-type news struct {
+type pendingChange struct {
 	at         time.Duration
 	generation int64
 	entry      Entry
 }
 
-// NewRegister makes a register for so many balancers that tells each change within a range of delays.
-func NewRegister(balancers int, late [2]time.Duration, chance *rand.Rand) *Register {
-	r := &Register{chance: chance, late: late, generation: 1, entries: map[string]Entry{}}
+// NewRegister returns a discovery model for a number of balancers, which passes on each change after a delay from a range.
+func NewRegister(balancers int, delays [2]time.Duration, rng *rand.Rand) *Register {
+	r := &Register{rng: rng, delays: delays, generation: 1, entries: map[string]Entry{}}
 	for range balancers {
-		r.agents = append(r.agents, &agent{generation: 1, entries: map[string]Entry{}, changed: map[string]int64{}})
+		r.agents = append(r.agents, &agent{generation: 1, entries: map[string]Entry{}, lastChange: map[string]int64{}})
 	}
 	return r
 }
 
-// Set changes an entry. Before the day all agents know it at once. It returns when each balancer's agent will have it.
+// Set changes an entry. It returns for each balancer when its agent will have the change; at time 0 all have it at once.
 func (r *Register) Set(now time.Duration, e Entry) (at []time.Duration) {
 	r.generation++
 	r.entries[e.Node] = e
@@ -68,75 +69,76 @@
 		delete(r.entries, e.Node)
 	}
 	for _, a := range r.agents {
-		n := news{now, r.generation, e}
+		n := pendingChange{now, r.generation, e}
 		if now > 0 {
-			n.at += between(r.chance, r.late[0], r.late[1])
+			n.at += uniform(r.rng, r.delays[0], r.delays[1])
 		}
-		// Changes of one node come in their order: a late one must not bring an older state back.
-		for _, d := range a.due {
+		// Changes of the same host stay in order: a delayed change must not restore an older state.
+		for _, d := range a.pending {
 			if d.entry.Node == e.Node {
 				n.at = max(n.at, d.at)
 			}
 		}
-		i, _ := slices.BinarySearchFunc(a.due, n.at, func(d news, at time.Duration) int {
+		i, _ := slices.BinarySearchFunc(a.pending, n.at, func(d pendingChange, at time.Duration) int {
 			if d.at <= at {
 				return -1
 			}
 			return 1
 		})
-		a.due = slices.Insert(a.due, i, n)
+		a.pending = slices.Insert(a.pending, i, n)
 		at = append(at, n.at)
 	}
 	return at
 }
 
-// Silence makes the agent of a balancer say nothing, or ends that.
+// Silence stops the agent of a balancer from answering, or ends that.
 func (r *Register) Silence(balancer int, on bool) { r.agents[balancer].silent = on }
 
-// Silent tells whether the agent of a balancer says nothing.
+// Silent reports whether the agent of a balancer does not answer.
 func (r *Register) Silent(balancer int) bool { return r.agents[balancer].silent }
 
-// Rewind makes the agent forget that it told anything: versions start over, as after a restart of the register.
+// Rewind restarts the generations of the agent of a balancer, as a restart of discovery does.
 func (r *Register) Rewind(balancer int) {
 	a := r.agents[balancer]
 	a.generation = 1
-	for node := range a.changed {
-		a.changed[node] = 1
+	for node := range a.lastChange {
+		a.lastChange[node] = 1
 	}
 }
 
-// Due is when the agent of a balancer hears the next change.
+// Due returns when the agent of a balancer receives the next change.
 func (r *Register) Due(balancer int) time.Duration {
-	if a := r.agents[balancer]; len(a.due) > 0 {
-		return a.due[0].at
+	if a := r.agents[balancer]; len(a.pending) > 0 {
+		return a.pending[0].at
 	}
 	return never
 }
 
-// Advance hands on what the agents have heard by a moment. It returns the balancers whose list changed.
+// Advance applies the changes that the agents receive up to a given time. It returns the balancers whose list changed.
 func (r *Register) Advance(now time.Duration) (changed []int) {
 	for i, a := range r.agents {
-		news := false
-		for len(a.due) > 0 && a.due[0].at <= now {
-			d := a.due[0]
-			a.due = a.due[1:]
-			a.generation++ // of the agent's own: its versions never go back by themselves
-			a.entries[d.entry.Node], a.changed[d.entry.Node] = d.entry, a.generation
-			news = true
+		updated := false
+		for len(a.pending) > 0 && a.pending[0].at <= now {
+			d := a.pending[0]
+			a.pending = a.pending[1:]
+			a.generation++ // each agent counts its own generations, which only Rewind sets back
+			a.entries[d.entry.Node], a.lastChange[d.entry.Node] = d.entry, a.generation
+			updated = true
 		}
-		if news {
+		if updated {
 			changed = append(changed, i)
 		}
 	}
 	return changed
 }
 
-// List is what the agent of a balancer answers: all entries, or those that changed after a generation of its own.
-func (r *Register) List(balancer int, after int64, whole bool) (generation int64, reset bool, entries []Entry) {
+// List returns the answer of a balancer's agent: all entries if full is set or the given generation is unknown, else those that
+// changed after the given generation.
+func (r *Register) List(balancer int, after int64, full bool) (generation int64, reset bool, entries []Entry) {
 	a := r.agents[balancer]
-	reset = whole || after > a.generation
+	reset = full || after > a.generation
 	for _, e := range slices.SortedFunc(maps.Values(a.entries), func(x, y Entry) int { return strings.Compare(x.Node, y.Node) }) {
-		if reset && e.Condition != Left || !reset && a.changed[e.Node] > after {
+		if reset && e.Condition != Left || !reset && a.lastChange[e.Node] > after {
 			entries = append(entries, e)
 		}
 	}
--- a/internal/rehearsal/model/way.go
+++ b/internal/rehearsal/model/way.go
@@ -5,73 +5,77 @@
 	"time"
 )
 
-// WayTerms are how one way between two balancers treats datagrams.
+// WayTerms configures how a network link in one direction between two balancers treats datagrams.
 type WayTerms struct {
-	Cut       bool
-	Loss      float64       // part that is lost
-	Delay     time.Duration // of each
-	Jitter    time.Duration // up to so much more
-	Repeat    float64       // part that comes twice
-	Reorder   float64       // part that is overtaken: it comes Late later
+	Cut       bool          // nothing arrives
+	Loss      float64       // fraction that is lost
+	Delay     time.Duration // of each datagram
+	Jitter    time.Duration // maximum of the random delay added to Delay
+	Repeat    float64       // fraction that is delivered twice
+	Reorder   float64       // fraction that is delayed by Late, so that others overtake it
 	Late      time.Duration
-	Spoil     float64 // part with a byte changed
-	BytesPerS float64 // 0: no bound
+	Spoil     float64 // fraction with one byte changed
+	BytesPerS float64 // bandwidth; 0: unlimited
 }
 
-// Way is one way between two, which has no clock and does no I/O: it tells when a datagram that leaves now comes.
+// Way models a network link in one direction between two balancers. It has no clock and does no I/O: it computes when a datagram
+// that is sent now arrives.
 type Way struct {
 	WayTerms
-	chance *rand.Rand
-	free   time.Duration // with a bound on bytes: when what was sent has passed
-	out    []Passed
+	rng          *rand.Rand
+	queueEmptyAt time.Duration // with limited bandwidth: when everything sent so far has been transmitted
+	arrivals     []Passed
 }
 
-// Passed is one copy of a datagram that comes.
+// Passed is one arriving copy of a datagram.
 type Passed struct {
 	At      time.Duration
 	Spoilt  bool
-	SpoilAt float64 // as a part of its length
+	SpoilAt float64 // position of the changed byte as a fraction of the length
 }
 
-// NewWay makes a way whose chance comes from a stream.
-func NewWay(t WayTerms, chance *rand.Rand) *Way { return &Way{WayTerms: t, chance: chance} }
+// NewWay returns a link that draws its random numbers from rng.
+func NewWay(t WayTerms, rng *rand.Rand) *Way { return &Way{WayTerms: t, rng: rng} }
 
-// mostQueued bounds what waits before a narrow way, as a device's queue does.
-const mostQueued = 500 * time.Millisecond
+// maxQueueDelay limits the queue in front of a link with limited bandwidth, as the queue of a network device does. Datagrams
+// beyond it are lost.
+const maxQueueDelay = 500 * time.Millisecond
 
-// Pass tells which copies of a datagram come, and when. The result is good until the next call.
+// Pass returns the copies of a datagram that arrive, and when. The result is valid until the next call.
 func (w *Way) Pass(now time.Duration, bytes int) []Passed {
-	w.out = w.out[:0]
-	if w.Cut || w.hits(w.Loss) {
-		return w.out
+	w.arrivals = w.arrivals[:0]
+	if w.Cut || w.occurs(w.Loss) {
+		return w.arrivals
 	}
 	at := now
 	if w.BytesPerS > 0 {
-		w.free = max(w.free, now) + time.Duration(float64(bytes)/w.BytesPerS*float64(time.Second))
-		if w.free > now+mostQueued {
-			w.free = now + mostQueued
-			return w.out
+		w.queueEmptyAt = max(w.queueEmptyAt, now) + time.Duration(float64(bytes)/w.BytesPerS*float64(time.Second))
+		if w.queueEmptyAt > now+maxQueueDelay {
+			w.queueEmptyAt = now + maxQueueDelay
+			return w.arrivals
 		}
-		at = w.free
+		at = w.queueEmptyAt
 	}
 	copies := 1
-	if w.hits(w.Repeat) {
+	if w.occurs(w.Repeat) {
 		copies = 2
 	}
 	for range copies {
 		p := Passed{At: at + w.Delay}
 		if w.Jitter > 0 {
-			p.At += time.Duration(w.chance.Int64N(int64(w.Jitter)))
+			p.At += time.Duration(w.rng.Int64N(int64(w.Jitter)))
 		}
-		if w.hits(w.Reorder) {
+		if w.occurs(w.Reorder) {
 			p.At += w.Late
 		}
-		if w.hits(w.Spoil) {
-			p.Spoilt, p.SpoilAt = true, w.chance.Float64()
+		if w.occurs(w.Spoil) {
+			p.Spoilt, p.SpoilAt = true, w.rng.Float64()
 		}
-		w.out = append(w.out, p)
+		w.arrivals = append(w.arrivals, p)
 	}
-	return w.out
+	return w.arrivals
 }
 
-func (w *Way) hits(part float64) bool { return part > 0 && w.chance.Float64() < part }
+func (w *Way) occurs(p float64) bool {
+	return p > 0 && w.rng.Float64() < p
+}
