--- a/internal/rehearsal/measure/closed.go
+++ b/internal/rehearsal/measure/closed.go
@@ -18,18 +18,20 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Closed is what a balancer does when each of its clients sends its next call as soon as it has the answer.
+// Closed holds the measurements of a balancer under a closed loop: each client sends its next request as soon as it has the
+// answer to the last one.
 type Closed struct {
 	Clients, Hosts   int
 	PerS             float64
-	CPU              time.Duration // of the balancer, a call
+	CPU              time.Duration // processor time of the balancer per request
 	P50, P99, P999   time.Duration
 	Calls, Fulfilled int64
 	Sockets          int
 	MB               float64
 }
 
-// Saturate drives a balancer with so many clients, each on a connection of its own, against hosts that answer at once.
+// Saturate measures a balancer with a number of closed-loop clients, each on its own connection, and hosts that answer
+// immediately.
 func Saturate(ctx context.Context, launch runner.Launch, clients, hosts int, length time.Duration) (c Closed, err error) {
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
@@ -76,7 +78,8 @@
 	return c, err
 }
 
-// runClient is one client.
+// runClient sends requests as one client until a given time. It returns the latencies in microseconds and the counts of all and
+// of fulfilled requests.
 func runClient(addr string, client int, product, tenant string, end time.Time) (h *hdrhistogram.Histogram, calls, good int64, err error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -110,12 +113,12 @@
 	return h, calls, good, nil
 }
 
-// ClosedHead and Line write a table.
+// ClosedHead writes the head of the table whose rows Closed.Line writes.
 func ClosedHead(to io.Writer) {
 	fmt.Fprintf(to, "%7s %6s %9s %9s  %8s %8s %8s  %9s %7s %6s\n", "clients", "hosts", "calls/s", "CPU/call", "p50", "p99", "p99.9", "fulfilled", "sockets", "MB")
 }
 
-// Line writes one row.
+// Line writes one row of the table.
 func (c Closed) Line(to io.Writer) {
 	share := strconv.FormatFloat(100*float64(c.Fulfilled)/float64(max(1, c.Calls)), 'f', 2, 64) + "%"
 	fmt.Fprintf(to, "%7d %6d %9.0f %9v  %8v %8v %8v  %9s %7d %6.1f\n", c.Clients, c.Hosts, c.PerS, c.CPU.Round(100*time.Nanosecond), c.P50, c.P99, c.P999, share, c.Sockets, c.MB)
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -13,26 +13,28 @@
 	"streamrail/internal/rehearsal/virtual"
 )
 
-// Evidence is one kind of day, played by balancers that tell each other of nodes and by the same ones that do not, on the same seeds.
+// Evidence compares, for one scenario and the same seeds, balancers that exchange observations of cache hosts with balancers
+// that do not.
 type Evidence struct {
 	Name         string
 	Mates, Seeds int
-	Alone, Told  EvidenceSide
+	Alone, Told  EvidenceSide // without and with the exchange of observations
 }
 
-// EvidenceSide are means over the seeds.
+// EvidenceSide holds the results without or with the exchange, as means over the seeds where nothing else is stated.
 type EvidenceSide struct {
-	AtBad         float64 // attempts a day that came to bad nodes while they were bad
-	Vain          float64 // attempts a day that brought nothing, at any node
+	AtBad         float64 // attempts per run that arrived at a faulty host during its fault
+	Vain          float64 // attempts per run at any cache host that were neither served nor a cache miss
 	Service       float64
-	Worst10       float64 // the worst ten seconds of all days
-	WorstDay      float64 // service of the worst day
-	Broken        int     // rules, on all days
+	Worst10       float64 // service in the worst ten seconds of all runs
+	WorstDay      float64 // service of the worst run
+	Broken        int     // number of broken rules in all runs
 	Took          time.Duration
-	serviceBySeed []float64 // service by seed
+	serviceBySeed []float64 // service of each seed
 }
 
-// evidenceScenario is a fleet whose balancers meet a node once in seconds.
+// evidenceScenario is a fleet in which each balancer sends a request to a given cache host only once in several seconds, so that
+// its own observations of a host are few.
 const evidenceScenario = `
 name = "evidence"
 length = "40s"
@@ -58,25 +60,26 @@
 tries = 1
 `
 
-// evidenceCases are the kinds: a fifth of the nodes fail, hang, or both by turns; or all are well and some balancers lie.
+// evidenceCases are the measured cases: a fifth of the hosts fail or hang, in two groups one after the other; all hosts are
+// healthy; and some balancers report false observations.
 var evidenceCases = []struct {
 	name   string
 	faults []scenario.Fault
 	alter  virtual.Liars
 }{
-	{name: "a fifth of the nodes fail, two groups by turns", faults: alternatingFaults("fail", 1)},
-	{name: "a fifth hang, two groups by turns", faults: alternatingFaults("stall", 0)},
-	{name: "all nodes are well"},
-	{name: "all are well, three in eight balancers call a quarter of the nodes bad", alter: alteredByThreeInEight(func(i int, r *evidence.Row) {
+	{name: "a fifth of the hosts fail, in two groups one after the other", faults: alternatingFaults("fail", 1)},
+	{name: "a fifth of the hosts hang, in two groups one after the other", faults: alternatingFaults("stall", 0)},
+	{name: "all hosts are healthy"},
+	{name: "all hosts are healthy, three in eight balancers report a quarter of them as bad", alter: alteredByThreeInEight(func(i int, r *evidence.Row) {
 		if i%4 == 0 {
 			r.Good, r.Bad = 0, 9
 		}
 	})},
-	{name: "all are well, three in eight call all nodes bad", alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 0, 9 })},
-	{name: "a fifth fail by turns, three in eight call all nodes well", faults: alternatingFaults("fail", 1), alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 9, 0 })},
+	{name: "all hosts are healthy, three in eight balancers report all of them as bad", alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 0, 9 })},
+	{name: "a fifth of the hosts fail, in two groups one after the other, three in eight balancers report all hosts as good", faults: alternatingFaults("fail", 1), alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 9, 0 })},
 }
 
-// alternatingFaults has a tenth of the nodes, then another tenth, be bad for a while.
+// alternatingFaults makes a tenth of the hosts faulty for some seconds and later another tenth.
 func alternatingFaults(do string, part float64) []scenario.Fault {
 	group := func(k int) (hosts []string) {
 		for i := range hostsPerZone / 10 {
@@ -90,7 +93,7 @@
 	return []scenario.Fault{{Do: do, At: s(5), For: s(9), Part: part, Nodes: group(0)}, {Do: do, At: s(20), For: s(12), Part: part, Nodes: group(1)}}
 }
 
-// alteredByThreeInEight has three balancers in eight change what they tell.
+// alteredByThreeInEight makes three in eight balancers alter the observations that they report.
 func alteredByThreeInEight(change func(i int, r *evidence.Row)) virtual.Liars {
 	return func(b int, rows []evidence.Row) []evidence.Row {
 		if b%8 >= 3 {
@@ -104,13 +107,13 @@
 	}
 }
 
-// requestsPerBalancer is what a balancer is called a second, and hostsPerZone how many nodes a zone has.
+// requestsPerBalancer is the number of requests per second at each balancer, and hostsPerZone the number of cache hosts of a zone.
 const (
 	requestsPerBalancer = 8
 	hostsPerZone        = 30
 )
 
-// EvidenceOf measures all kinds of days with so many balancers, on so many seeds.
+// EvidenceOf measures all cases with a number of balancers and seeds, on a number of concurrent workers.
 func EvidenceOf(balancers, seeds, workers int) (all []Evidence, err error) {
 	for _, kind := range evidenceCases {
 		results := make([]EvidenceSide, 2*seeds)
@@ -166,19 +169,19 @@
 	s.serviceBySeed = append(s.serviceBySeed, result.Service)
 }
 
-// Text prints the figures.
+// Text prints the results.
 func (e Evidence) Text(to io.Writer) {
 	fmt.Fprintf(to, "%d balancers, %s, %d seeds\n", e.Mates, e.Name, e.Seeds)
 	for _, x := range []struct {
 		name string
 		s    EvidenceSide
-	}{{"alone", e.Alone}, {"told", e.Told}} {
-		fmt.Fprintf(to, "  %-6s %7.0f attempts at bad nodes, %7.0f in vain; service %.4f, worst day %.4f, worst 10 s %.3f; %d rules broken; %v to play\n",
+	}{{"alone", e.Alone}, {"shared", e.Told}} {
+		fmt.Fprintf(to, "  %-6s %7.0f attempts at faulty hosts, %7.0f without result; service %.4f, worst run %.4f, worst 10 s %.3f; %d rules broken; %v to simulate\n",
 			x.name, x.s.AtBad, x.s.Vain, x.s.Service, x.s.WorstDay, x.s.Worst10, x.s.Broken, x.s.Took.Round(time.Millisecond))
 	}
 	worst := 0.0
 	for i, v := range e.Told.serviceBySeed {
 		worst = min(worst, v-e.Alone.serviceBySeed[i])
 	}
-	fmt.Fprintf(to, "  worst difference of a day %+.4f\n", worst)
+	fmt.Fprintf(to, "  worst difference of a run %+.4f\n", worst)
 }
--- a/internal/rehearsal/measure/lanes.go
+++ b/internal/rehearsal/measure/lanes.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// SideBySide does n things on so many lanes and joins their errors.
+// SideBySide calls do for 0 to n-1 on a number of concurrent workers and joins the errors.
 func SideBySide(n, workers int, do func(i int) error) error {
 	errs := make([]error, n)
 	next := make(chan int, n)
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -11,29 +11,29 @@
 	"streamrail/internal/rehearsal/virtual"
 )
 
-// Limits are figures of one kind of day, with parts that move beside equal ones, on the same seeds.
+// Limits compares, for one scenario and the same seeds, limit shares that follow the traffic with equal shares.
 type Limits struct {
 	Name         string
-	Asked        float64 // of what the fleet can do
+	Asked        float64 // offered load as a fraction of the fleet's capacity
 	Mates, Seeds int
 	Equal, Moved Side
-	Follows      gather.Spread // from a move of the tenant's calls until nine tenths of its allowance are where they are
-	Sum          float64       // the most that the parts added up to
-	Bytes        float64       // that a balancer sends in a second; all its talk
+	Follows      gather.Spread // from a move of the tenant's requests to another balancer until that one has nine tenths of its allowance
+	Sum          float64       // highest sum of the shares of the tenant's allowance
+	Bytes        float64       // bytes per second that a balancer sends to the others, for all purposes
 }
 
-// Side are means over the seeds.
+// Side holds the results with equal or with moving shares, as means over the seeds where nothing else is stated.
 type Side struct {
-	Tenant  float64 // of the tenant that keeps within its allowance: served in time, of what it asked
-	Others  float64 // of those that ask for more than theirs
-	Service float64 // of all, by billed value
-	Worst10 float64 // the worst ten seconds of all days
-	Refused float64 // rate-limited replies in a day
-	Broken  int     // rules, on all days
+	Tenant  float64 // service of the tenant that keeps within its allowance: the fraction of its requests fulfilled in time
+	Others  float64 // service of the tenants that exceed theirs
+	Service float64 // of all tenants, by billed value
+	Worst10 float64 // service in the worst ten seconds of all runs
+	Refused float64 // rate-limited answers per run
+	Broken  int     // number of broken rules in all runs
 	Took    time.Duration
 }
 
-// limitsScenario is a fleet that is asked for more than it can do. One tenant keeps to its allowance, four others do not.
+// limitsScenario is a fleet in which the tenants together exceed their allowances: one keeps within its own, four others do not.
 const limitsScenario = `
 name = "limits"
 length = "40s"
@@ -61,19 +61,19 @@
 usage = 1.257
 `
 
-// demandFactors are what the fleet is asked for, of what it can do; all allowances together are allowed of that, so that the tenants
-// ask for a quarter more than theirs, but the one.
+// demandFactors are the offered loads as fractions of the fleet's capacity. All allowances together are allowanceFactor of the
+// offered load, so that the tenants ask for about a quarter more than theirs, except for the one that keeps within its own.
 var demandFactors = []float64{0.5, 1}
 
 const allowanceFactor = 0.78
 
-// limitsCases are the kinds of days: at which balancers the tenant's calls come in, and what happens.
+// limitsCases are the measured cases: the balancers that receive the tenant's requests, and the faults.
 var limitsCases = []struct {
 	name   string
 	at     string
 	faults string
-	move   time.Duration // of the tenant
-	cut    bool          // between all, whose names its faults leave open
+	move   time.Duration // when the tenant's requests move to another balancer; 0: never
+	cut    bool          // the links between all balancers are cut: their numbers are filled into faults
 }{
 	{name: "even"},
 	{name: "one", at: "at = [1]"},
@@ -81,7 +81,7 @@
 	{name: "one, all ways cut", at: "at = [1]", faults: "[[fault]]\ndo = \"mate-cut\"\nat = \"5s\"\nfor = \"35s\"\nbalancers = [%s]\nto = [%[1]s]\n", cut: true},
 }
 
-// limitsScenarioText is one kind of day in a scenario's words, for so many balancers.
+// limitsScenarioText returns the scenario file of one case for a number of balancers.
 func limitsScenarioText(balancers int, at, faults string) string {
 	text := fmt.Sprintf(limitsScenario, balancers, at)
 	for i := range 4 {
@@ -90,47 +90,48 @@
 	return text + faults
 }
 
-// limitsResult is what is looked at of one day.
+// limitsResult is the result of one simulation.
 type limitsResult struct {
-	rep         *report.Report
+	report      *report.Report
 	followDelay time.Duration
-	maxSum      float64 // the most that the parts of the one tenant's allowance added up to
-	bytesPerS   float64 // a second of the first balancer
+	maxSum      float64 // highest sum of the shares of the tenant's allowance
+	bytesPerS   float64 // sent by the first balancer
 }
 
-// simulateLimits plays a day; move is when the tenant's calls move to the fourth balancer, if they do.
-func simulateLimits(text string, seed uint64, moved bool, demand float64, move time.Duration) (p limitsResult, err error) {
+// simulateLimits runs a simulation with equal or with moving shares. Move is when the tenant's requests move to the fourth
+// balancer, if they do.
+func simulateLimits(text string, seed uint64, moving bool, demand float64, move time.Duration) (result limitsResult, err error) {
 	sc, err := scenario.Parse("measure", []byte(text))
 	if err != nil {
-		return p, err
+		return result, err
 	}
-	sc.Seed, sc.Mates.Limits = seed, moved
+	sc.Seed, sc.Mates.Limits = seed, moving
 	sc.Load.PerS, sc.Load.Quota = demand*sc.Capacity(), allowanceFactor*demand
 	res, err := virtual.Play(sc, nil)
 	if err != nil {
-		return p, err
+		return result, err
 	}
-	p.rep, p.followDelay = report.Of(res), gather.Never
+	result.report, result.followDelay = report.Of(res), gather.Never
 	sums := map[time.Duration]float64{}
 	for _, x := range res.Record.Parts {
 		if x.Limit != "allowance of kiosks" {
 			continue
 		}
 		sums[x.At] += x.Part
-		p.maxSum = max(p.maxSum, sums[x.At])
+		result.maxSum = max(result.maxSum, sums[x.At])
 		if move > 0 && x.At > move && x.Balancer == 3 && x.Part >= 0.9 {
-			p.followDelay = min(p.followDelay, x.At-move)
+			result.followDelay = min(result.followDelay, x.At-move)
 		}
 	}
 	for _, t := range res.Record.Talks {
 		if t.Balancer == 0 {
-			p.bytesPerS = max(p.bytesPerS, float64(t.Bytes)/sc.Length.D().Seconds())
+			result.bytesPerS = max(result.bytesPerS, float64(t.Bytes)/sc.Length.D().Seconds())
 		}
 	}
-	return p, nil
+	return result, nil
 }
 
-// LimitsOf measures all kinds of days with so many balancers, on so many seeds.
+// LimitsOf measures all cases with a number of balancers and seeds, on a number of concurrent workers.
 func LimitsOf(balancers, seeds, workers int) (all []Limits, err error) {
 	for k := range len(limitsCases) * len(demandFactors) {
 		kind, demand := limitsCases[k%len(limitsCases)], demandFactors[k/len(limitsCases)]
@@ -143,7 +144,7 @@
 			faults = fmt.Sprintf(faults, names)
 		}
 		text := limitsScenarioText(balancers, kind.at, faults)
-		results := make([]limitsResult, 2*seeds) // of each seed the equal parts, then those that move
+		results := make([]limitsResult, 2*seeds) // for each seed with equal shares, then with moving ones
 		err := SideBySide(len(results), workers, func(i int) (err error) {
 			results[i], err = simulateLimits(text, uint64(i/2+1), i%2 == 1, demand, kind.move)
 			return err
@@ -155,10 +156,10 @@
 		var followDelays []time.Duration
 		for i, p := range results {
 			if i%2 == 0 {
-				l.Equal.add(p.rep, float64(seeds))
+				l.Equal.add(p.report, float64(seeds))
 				continue
 			}
-			l.Moved.add(p.rep, float64(seeds))
+			l.Moved.add(p.report, float64(seeds))
 			followDelays = append(followDelays, p.followDelay)
 			l.Sum, l.Bytes = max(l.Sum, p.maxSum), l.Bytes+p.bytesPerS/float64(seeds)
 		}
@@ -170,7 +171,7 @@
 	return all, nil
 }
 
-// add takes a day in.
+// add adds the report of one of the given number of runs.
 func (s *Side) add(r *report.Report, days float64) {
 	for name, part := range r.Service.ByTenant {
 		if name == "kiosks" {
@@ -186,19 +187,19 @@
 	s.Broken += len(r.Verdict.BrokenRules())
 }
 
-// Text prints the figures.
+// Text prints the results.
 func (l Limits) Text(to io.Writer) {
-	fmt.Fprintf(to, "%d balancers, %s, %.2f of what the fleet can do, %d seeds\n", l.Mates, l.Name, l.Asked, l.Seeds)
+	fmt.Fprintf(to, "%d balancers, %s, load %.2f of the fleet's capacity, %d seeds\n", l.Mates, l.Name, l.Asked, l.Seeds)
 	for _, x := range []struct {
 		name string
 		s    Side
 	}{{"equal parts", l.Equal}, {"moving parts", l.Moved}} {
-		fmt.Fprintf(to, "  %-13s within its allowance %.3f, beyond theirs %.3f; service %.4f, worst 10 s %.3f; %.0f refused; %d rules broken; %v to play\n",
+		fmt.Fprintf(to, "  %-13s within its allowance %.3f, beyond theirs %.3f; service %.4f, worst 10 s %.3f; %.0f rate-limited; %d rules broken; %v to simulate\n",
 			x.name, x.s.Tenant, x.s.Others, x.s.Service, x.s.Worst10, x.s.Refused, x.s.Broken, x.s.Took.Round(time.Millisecond))
 	}
-	fmt.Fprintf(to, "  largest sum of parts %.4f; %.0f bytes a second a balancer", l.Sum, l.Bytes)
+	fmt.Fprintf(to, "  largest sum of parts %.4f; %.0f bytes per second per balancer", l.Sum, l.Bytes)
 	if l.Follows.Worst > 0 {
-		fmt.Fprintf(to, "; nine tenths followed a move in %.2f s, p99 %.2f, worst %.2f", l.Follows.Median.Seconds(), l.Follows.P99.Seconds(), l.Follows.Worst.Seconds())
+		fmt.Fprintf(to, "; nine tenths of the allowance followed a move in %.2f s (median), p99 %.2f, worst %.2f", l.Follows.Median.Seconds(), l.Follows.P99.Seconds(), l.Follows.Worst.Seconds())
 	}
 	fmt.Fprintln(to)
 }
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -1,5 +1,6 @@
-// Package measure finds how far the load generator goes on a machine and what a balancer adds to a request: the same
-// callers speak to a node straight and through a balancer, in turn, at rising rates. The nodes answer at once.
+// Package measure measures the rehearsal kit itself and single properties of balancers: the rate that the load generator
+// reaches on a machine, the latency and processor time that a balancer adds to a request, its throughput and memory, and the
+// behaviour of fleets of balancers that exchange membership, limits and observations of hosts.
 package measure
 
 import (
@@ -17,30 +18,31 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Row is one rate, measured both ways.
+// Row holds the measurements at one request rate, sent directly to a cache host and through a balancer.
 type Row struct {
 	PerS           float64 `json:"per_s"`
 	P50, P99, P999 Pair
-	Late           Pair          // p99.9 of the sends
-	CPU            time.Duration `json:"cpu_per_call_ns"` // of the balancer
+	Late           Pair          // lateness of sending at p99.9
+	CPU            time.Duration `json:"cpu_per_call_ns"` // processor time of the balancer per request
 	Fulfilled      Share
 }
 
-// Pair is a figure straight and through a balancer.
+// Pair is a value measured directly and through a balancer.
 type Pair struct{ Straight, Through time.Duration }
 
-// Share is a part of a whole, through the balancer.
+// Share counts the requests sent through the balancer and those of them that were fulfilled.
 type Share struct{ Of, Good int }
 
-// LateMost is the lateness at p99.9 up to which a rate counts as driven.
+// LateMost is the maximum lateness of sending at p99.9 at which the load generator counts as having reached a rate.
 const LateMost = 2 * time.Millisecond
 
-// hostCount answer at once, so that nothing but the way is measured.
+// The cache hosts answer immediately, so that the measurement covers only the path to them.
 const (
 	hostCount   = 8
-	instantWork = scenario.Span(time.Nanosecond) // done before a timer could be set
+	instantWork = scenario.Span(time.Nanosecond) // ends before a timer could be set
 )
 
+// baseScenario returns a scenario with one balancer, one product and hosts that answer immediately.
 func baseScenario(perS float64, length time.Duration, seed uint64) *scenario.Day {
 	d := &scenario.Day{Name: fmt.Sprintf("%.0f-per-s", perS), Length: scenario.Span(length), Seed: seed,
 		Fleet: scenario.Fleet{Zones: []string{"here"}, Balancers: 1, MemoryMB: 1024, Sockets: 8192, Attempts: 4, Mode: scenario.Aside},
@@ -56,22 +58,22 @@
 	return d
 }
 
-// Rates measures rates one after the other, each straight and through a balancer, so often; figures are the medians of
-// the repeats.
+// Rates measures request rates one after the other, each directly and through a balancer and each repeated. The results are the
+// medians of the repeats; Row.CPU and Row.Fulfilled are those of the last one.
 func Rates(ctx context.Context, launch runner.Launch, rates []float64, length time.Duration, repeats int, report func(Row)) ([]Row, error) {
 	var rows []Row
 	for _, perS := range rates {
-		var straight, through []load.Percentiles
-		var lateStraight, lateThrough []time.Duration
+		var direct, through []load.Percentiles
+		var lateDirect, lateThrough []time.Duration
 		row := Row{PerS: perS}
 		for i := range repeats {
-			for _, isStraight := range []bool{true, false} {
-				latency, late, cpu, good, err := measureOnce(ctx, launch, baseScenario(perS, length, uint64(i+1)), isStraight)
+			for _, isDirect := range []bool{true, false} {
+				latency, late, cpu, good, err := measureOnce(ctx, launch, baseScenario(perS, length, uint64(i+1)), isDirect)
 				switch {
 				case err != nil:
 					return rows, err
-				case isStraight:
-					straight, lateStraight = append(straight, latency), append(lateStraight, late.P999)
+				case isDirect:
+					direct, lateDirect = append(direct, latency), append(lateDirect, late.P999)
 				default:
 					through, lateThrough = append(through, latency), append(lateThrough, late.P999)
 					row.CPU, row.Fulfilled = cpu, good
@@ -79,13 +81,13 @@
 			}
 		}
 		medians := func(value func(load.Percentiles) time.Duration) Pair {
-			return Pair{median(straight, value), median(through, value)}
+			return Pair{median(direct, value), median(through, value)}
 		}
 		row.P50 = medians(func(p load.Percentiles) time.Duration { return p.P50 })
 		row.P99 = medians(func(p load.Percentiles) time.Duration { return p.P99 })
 		row.P999 = medians(func(p load.Percentiles) time.Duration { return p.P999 })
 		identity := func(d time.Duration) time.Duration { return d }
-		row.Late = Pair{median(lateStraight, identity), median(lateThrough, identity)}
+		row.Late = Pair{median(lateDirect, identity), median(lateThrough, identity)}
 		rows = append(rows, row)
 		if report != nil {
 			report(row)
@@ -103,7 +105,8 @@
 	return v[len(v)/2]
 }
 
-func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Day, straight bool) (latency, late load.Percentiles, cpu time.Duration, good Share, err error) {
+// measureOnce runs a scenario, with the requests sent directly to a cache host or through the balancer.
+func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Day, direct bool) (latency, late load.Percentiles, cpu time.Duration, good Share, err error) {
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
 		return latency, late, 0, good, err
@@ -113,7 +116,7 @@
 	if err != nil {
 		return latency, late, 0, good, err
 	}
-	if straight {
+	if direct {
 		session.Straight("n-1")
 	}
 	err = session.Play(ctx)
@@ -126,22 +129,22 @@
 	return session.Callers.Latency(), session.Callers.Lateness(), cpu / time.Duration(max(1, tally.Due)), good, err
 }
 
-// Head and Line write rows as a table.
+// Head writes the head of the table whose rows Line writes.
 func Head(to io.Writer) {
 	fmt.Fprintf(to, "%9s  %27s  %27s  %27s  %19s  %9s  %s\n", "calls/s", "p50 straight, through, adds", "p99", "p99.9",
 		"sent late at p99.9", "CPU/call", "fulfilled")
 }
 
-// Line writes one row.
+// Line writes one row of the table.
 func Line(to io.Writer, r Row) {
-	three := func(p Pair) string {
+	formatPair := func(p Pair) string {
 		return fmt.Sprintf("%8v %8v %9v", p.Straight.Round(time.Microsecond), p.Through.Round(time.Microsecond), (p.Through - p.Straight).Round(time.Microsecond))
 	}
-	fmt.Fprintf(to, "%9.0f  %s  %s  %s  %9v %9v  %9v  %d of %d\n", r.PerS, three(r.P50), three(r.P99), three(r.P999), r.Late.Straight, r.Late.Through,
+	fmt.Fprintf(to, "%9.0f  %s  %s  %s  %9v %9v  %9v  %d of %d\n", r.PerS, formatPair(r.P50), formatPair(r.P99), formatPair(r.P999), r.Late.Straight, r.Late.Through,
 		r.CPU.Round(100*time.Nanosecond), r.Fulfilled.Good, r.Fulfilled.Of)
 }
 
-// Driven is the highest rate at which the sends to a node straight kept to LateMost.
+// Driven returns the highest rate at which sending directly to a cache host was at most LateMost late.
 func Driven(rows []Row) (perS float64) {
 	for _, r := range rows {
 		if r.Late.Straight <= LateMost {
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -14,37 +14,37 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Members are the figures of fleets of one size.
+// Members holds the membership measurements of a fleet of one size.
 type Members struct {
 	Mates       int
 	Sockets     bool
 	Seeds       int
-	First, Last gather.Spread // from a death to the first and to the last view that has it
-	Birth       gather.Spread // from a start to the last view
-	Heal        gather.Spread // from the end of a cut in three sides to equal views
-	Calm        []Calm
-	CPU         time.Duration // of one balancer in a second; on sockets
-	Bytes       float64       // that one sends in a second; on sockets
+	First, Last gather.Spread // from the end of a process until the first and until the last view has it as dead
+	Birth       gather.Spread // from the start of a process until all views have it
+	Heal        gather.Spread // from the end of a partition into three sides until all views are equal
+	Calm        []Calm        // without deaths; in virtual time
+	CPU         time.Duration // processor time of one balancer per second; on sockets
+	Bytes       float64       // bytes that one balancer sends per second; on sockets
 }
 
-// Calm is a fleet without deaths.
+// Calm holds the measurements of a fleet in which no process ends.
 type Calm struct {
 	Loss  float64
-	Stall time.Duration // members stand still for up to so long, one each 100 ms
+	Stall time.Duration // longest pause of a process; every 100 ms one pauses
 	gather.Calm
 }
 
-// defaultTerms is what the operator's file has where it says nothing.
+// defaultTerms returns a fleet with the defaults of the operator's file.
 func defaultTerms(members int, seed uint64, loss float64) gather.Terms {
 	return gather.Terms{Mates: members, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
 		Ways: model.WayTerms{Loss: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
-// maxQuietRun is how long one quiet play goes on before the next seed: many starts say more than one long play.
+// maxQuietRun limits one simulation without deaths before the next seed begins: many starts cover more cases than one long run.
 const maxQuietRun = 25 * time.Minute
 
-// Virtual measures fleets of one size in virtual time: so many seeds on so many lanes, quiet plays of a length, and plays
-// with loss and stalls of another. Each play that ends is told to note.
+// Virtual measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers. The runs without
+// deaths last for quiet in total, those with pauses of processes for stalled. Each run that ends is noted in note.
 func Virtual(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
 	m := Members{Mates: members, Seeds: seeds}
 	var mu sync.Mutex
@@ -74,40 +74,41 @@
 			defer mu.Unlock()
 			c.Suspicions, c.Deaths, c.Played = c.Suspicions+result.Suspicions, c.Deaths+result.Deaths, c.Played+result.Played
 			c.BytesPerS, c.PerS = c.BytesPerS+result.BytesPerS/float64(runs), c.PerS+result.PerS/float64(runs)
-			fmt.Fprintf(note, "%d members, loss %.2f, stalls to %v, seed %d: %v played, %d wrong deaths\n", members, c.Loss, c.Stall, seed, result.Played, result.Deaths)
+			fmt.Fprintf(note, "%d members, loss %.2f, pauses up to %v, seed %d: %v simulated, %d false deaths\n", members, c.Loss, c.Stall, seed, result.Played, result.Deaths)
 		})
 	}
 	return m
 }
 
-// Text prints the figures.
+// Text prints the results.
 func (m Members) Text(to io.Writer) {
-	how := "virtual"
+	clock := "virtual"
 	if m.Sockets {
-		how = "sockets"
+		clock = "sockets"
 	}
-	ms := func(s gather.Spread) string {
-		of := func(d time.Duration) string {
+	formatSpread := func(s gather.Spread) string {
+		formatSeconds := func(d time.Duration) string {
 			if d >= gather.Never/2 {
 				return "never"
 			}
 			return fmt.Sprintf("%.2f", d.Seconds())
 		}
-		return of(s.Median) + " " + of(s.P99) + " " + of(s.Worst)
+		return formatSeconds(s.Median) + " " + formatSeconds(s.P99) + " " + formatSeconds(s.Worst)
 	}
-	fmt.Fprintf(to, "%d members, %s, %d times; seconds as median, p99, worst\n  death in the first view %s, in the last %s; a start in the last %s; equal views after a cut %s\n",
-		m.Mates, how, m.Seeds, ms(m.First), ms(m.Last), ms(m.Birth), ms(m.Heal))
+	fmt.Fprintf(to, "%d members, %s, %d times; seconds as median, p99, worst\n  death in the first view %s, in the last %s; a start in the last %s; equal views after a partition %s\n",
+		m.Mates, clock, m.Seeds, formatSpread(m.First), formatSpread(m.Last), formatSpread(m.Birth), formatSpread(m.Heal))
 	if m.Sockets {
-		fmt.Fprintf(to, "  calm: %.0f bytes a second a balancer, %v of processor time a second a balancer\n", m.Bytes, m.CPU)
+		fmt.Fprintf(to, "  without deaths: %.0f bytes per second per balancer, %v of processor time per second per balancer\n", m.Bytes, m.CPU)
 	}
 	for _, c := range m.Calm {
 		hours := c.Played.Hours()
-		fmt.Fprintf(to, "  loss %.2f, stalls to %v, %v played: %.1f suspicions and %.2f deaths an hour, wrong all; %.0f bytes and %.1f datagrams a second a balancer\n",
+		fmt.Fprintf(to, "  loss %.2f, pauses up to %v, %v simulated: %.1f false suspicions and %.2f false deaths per hour; %.0f bytes and %.1f datagrams per second per balancer\n",
 			c.Loss, c.Stall, c.Played, float64(c.Suspicions)/hours, float64(c.Deaths)/hours, c.BytesPerS, c.PerS)
 	}
 }
 
-// OnSockets measures real processes: so many deaths, starts and cuts one after the other.
+// OnSockets measures a fleet of processes with real sockets: it ends and restarts one process after another and partitions the
+// network in the first of every three rounds.
 func OnSockets(ctx context.Context, launch runner.Launch, balancers, times int) (m Members, err error) {
 	m = Members{Mates: balancers, Sockets: true, Seeds: times}
 	dir, err := os.MkdirTemp("", "members-")
@@ -124,8 +125,9 @@
 	}
 	defer session.End()
 	session.W.Begin()
-	life := make([]string, balancers)
-	// present counts the views, of all others than one, that have it in this life, and tells whether all views are equal.
+	processIDs := make([]string, balancers)
+	// countViews counts the views of the other balancers that have the current process of the excepted balancer as present. It also
+	// reports whether all these views are complete and equal. Without an exception (-1) it compares the views of all balancers.
 	countViews := func(except int) (n int, equal bool) {
 		var mu sync.Mutex
 		var group sync.WaitGroup
@@ -140,9 +142,9 @@
 				defer mu.Unlock()
 				digests[v.Digest] = true
 				complete = complete && ok && v.Seen == balancers
-				life[b] = v.Life
+				processIDs[b] = v.Life
 				for _, x := range v.Members {
-					if except >= 0 && x.Life == life[except] && (x.State == "alive" || x.State == "suspected") {
+					if except >= 0 && x.Life == processIDs[except] && (x.State == "alive" || x.State == "suspected") {
 						n++
 					}
 				}
--- a/internal/rehearsal/measure/sizes.go
+++ b/internal/rehearsal/measure/sizes.go
@@ -15,26 +15,28 @@
 	"streamrail/internal/rehearsal/runner"
 )
 
-// Size is what one balancer takes with so many hosts in its list and so many balancers in its settings, while nobody calls it:
-// what a host costs that has no attempt and no connection.
+// Size holds the resource usage of one balancer without requests, for a number of hosts in its list and of balancers in its
+// settings. It shows the cost of a host that has no attempt and no connection.
 type Size struct {
 	Hosts, Balancers int
-	Ready            time.Duration // from the start of the process until it answers
-	MB               float64       // resident, after all hosts have been told of twice
+	Ready            time.Duration // from the start of the process until it accepts connections
+	MB               float64       // resident memory, after the changes of the host list
 	Threads          int
 	Descriptors      int
 }
 
-// SizesHead and SizesLine print rows.
+// SizesHead writes the head of the table whose rows SizesLine writes.
 func SizesHead(to io.Writer) {
 	fmt.Fprintln(to, "hosts balancers  ready ms     MB threads descriptors")
 }
 
+// SizesLine writes one row of the table.
 func SizesLine(to io.Writer, s Size) {
 	fmt.Fprintf(to, "%5d %9d %9.1f %6.1f %7d %11d\n", s.Hosts, s.Balancers, float64(s.Ready.Microseconds())/1000, s.MB, s.Threads, s.Descriptors)
 }
 
-// SizesOf measures each pair of sizes; half of the hosts leave and are replaced before memory is looked at.
+// SizesOf measures each combination of host and balancer counts. Half of the hosts are replaced several times before memory is
+// read.
 func SizesOf(ctx context.Context, launch runner.Launch, hosts, balancers []int, row func(Size)) (all []Size, err error) {
 	for _, h := range hosts {
 		for _, b := range balancers {
@@ -49,7 +51,8 @@
 	return all, nil
 }
 
-// listChanges is how often half of the list changes, and listChangeInterval how far apart: as fast as the full fleet's days replace hosts.
+// listChanges is how often half of the host list is replaced, and listChangeInterval the time between two changes. The interval
+// matches the speed at which the rehearsals of a full fleet replace hosts.
 const (
 	listChanges        = 4
 	listChangeInterval = 500 * time.Millisecond
@@ -108,7 +111,7 @@
 
 const readyTimeout = 10 * time.Second
 
-// changingDiscovery is a register of which half is replaced by other hosts every so often, so many times.
+// changingDiscovery serves a host list of which half is replaced listChanges times, once per listChangeInterval.
 type changingDiscovery struct {
 	hosts int
 	began time.Time
