--- a/internal/rehearsal/measure/lanes.go
+++ b/internal/rehearsal/measure/lanes.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// SideBySide does n things on so many lanes and joins their errors.
-func SideBySide(n, lanes int, do func(i int) error) error {
+// SideBySide calls do for 0 to n-1 on a number of concurrent workers and joins the errors.
+func SideBySide(n, workers int, do func(i int) error) error {
 	errs := make([]error, n)
 	next := make(chan int, n)
 	for i := range n {
@@ -14,7 +14,7 @@
 	}
 	close(next)
 	var group sync.WaitGroup
-	for range min(n, lanes) {
+	for range min(n, workers) {
 		group.Add(1)
 		go func() {
 			defer group.Done()
--- a/internal/rehearsal/measure/sizes.go
+++ b/internal/rehearsal/measure/sizes.go
@@ -15,30 +15,32 @@
 	"streamrail/internal/rehearsal/runner"
 )
 
-// Size is what one balancer takes with so many hosts in its list and so many balancers in its settings, while nobody calls it:
-// what a host costs that has no attempt and no connection.
+// Size holds the resource usage of one balancer without requests, for a number of hosts in its list and of balancers in its
+// settings. It shows the cost of a host that has no attempt and no connection.
 type Size struct {
 	Hosts, Balancers int
-	Ready            time.Duration // from the start of the process until it answers
-	MB               float64       // resident, after all hosts have been told of twice
+	Ready            time.Duration // from the start of the process until it accepts connections
+	MB               float64       // resident memory, after the changes of the host list
 	Threads          int
 	Descriptors      int
 }
 
-// SizesHead and SizesLine print rows.
+// SizesHead writes the head of the table whose rows SizesLine writes.
 func SizesHead(to io.Writer) {
 	fmt.Fprintln(to, "hosts balancers  ready ms     MB threads descriptors")
 }
 
+// SizesLine writes one row of the table.
 func SizesLine(to io.Writer, s Size) {
 	fmt.Fprintf(to, "%5d %9d %9.1f %6.1f %7d %11d\n", s.Hosts, s.Balancers, float64(s.Ready.Microseconds())/1000, s.MB, s.Threads, s.Descriptors)
 }
 
-// SizesOf measures each pair of sizes; half of the hosts leave and are replaced before memory is looked at.
+// SizesOf measures each combination of host and balancer counts. Half of the hosts are replaced several times before memory is
+// read.
 func SizesOf(ctx context.Context, launch runner.Launch, hosts, balancers []int, row func(Size)) (all []Size, err error) {
 	for _, h := range hosts {
 		for _, b := range balancers {
-			s, err := sizeOf(ctx, launch, h, b)
+			s, err := measureSize(ctx, launch, h, b)
 			if err != nil {
 				return nil, err
 			}
@@ -49,13 +51,14 @@
 	return all, nil
 }
 
-// turns is how often half of the list changes, and turnsIn how far apart: as fast as the full fleet's days replace hosts.
+// listChanges is how often half of the host list is replaced, and listChangeInterval the time between two changes. The interval
+// matches the speed at which the rehearsals of a full fleet replace hosts.
 const (
-	turns   = 4
-	turnsIn = 500 * time.Millisecond
+	listChanges        = 4
+	listChangeInterval = 500 * time.Millisecond
 )
 
-func sizeOf(ctx context.Context, launch runner.Launch, hosts, balancers int) (s Size, err error) {
+func measureSize(ctx context.Context, launch runner.Launch, hosts, balancers int) (s Size, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	dir, err := os.MkdirTemp("", "sizes")
@@ -63,67 +66,69 @@
 		return s, err
 	}
 	defer os.RemoveAll(dir)
-	register, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return s, err
 	}
-	began := time.Now()
-	server := &http.Server{Handler: changing{hosts, began}}
-	go server.Serve(register)
+	listStart := time.Now()
+	server := &http.Server{Handler: changingDiscovery{hosts, listStart}}
+	go server.Serve(listener)
 	defer server.Close()
-	own, err := net.Listen("tcp", "127.0.0.1:0")
+	reserved, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return s, err
 	}
-	addr := own.Addr().String()
-	own.Close()
+	addr := reserved.Addr().String()
+	reserved.Close()
 	type m = map[string]any
-	text, _ := json.Marshal(m{"name": "n", "listen": addr, "discovery": register.Addr().String(), "seed": "1", "limits": m{"memory_mb": 192, "sockets": 1024},
+	text, _ := json.Marshal(m{"name": "n", "listen": addr, "discovery": listener.Addr().String(), "seed": "1", "limits": m{"memory_mb": 192, "sockets": 1024},
 		"settings": m{"balancers": balancers, "areas": []string{"here"}, "hostTypes": []string{"cache"}, "discovery": "automatic", "extra": m{"mode": "through", "originKind": -1},
 			"rules": m{"drainGraceNs": int64(time.Second)}, "products": []m{{"name": "read", "effect": "idempotent", "latencySloNs": int64(time.Second)}}}})
-	at := runner.Place{Config: filepath.Join(dir, "config.json"), Log: filepath.Join(dir, "log"), Temp: dir}
-	if err = os.WriteFile(at.Config, text, 0o600); err != nil {
+	place := runner.Place{Config: filepath.Join(dir, "config.json"), Log: filepath.Join(dir, "log"), Temp: dir}
+	if err = os.WriteFile(place.Config, text, 0o600); err != nil {
 		return s, err
 	}
 	start := time.Now()
-	in, err := launch(ctx, 0, at)
+	process, err := launch(ctx, 0, place)
 	if err != nil {
 		return s, err
 	}
-	defer in.Kill()
+	defer process.Kill()
 	for s = (Size{Hosts: hosts, Balancers: balancers}); s.Ready == 0; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			c.Close()
 			s.Ready = time.Since(start)
-		} else if time.Since(start) > readyWithin {
-			return s, fmt.Errorf("%d hosts, %d balancers: not ready within %v", hosts, balancers, readyWithin)
+		} else if time.Since(start) > readyTimeout {
+			return s, fmt.Errorf("%d hosts, %d balancers: not ready within %v", hosts, balancers, readyTimeout)
 		}
 	}
-	time.Sleep(time.Until(began.Add((turns + 2) * turnsIn)))
-	u := in.Usage()
-	s.MB, s.Descriptors, s.Threads = u.MB, u.Sockets, u.Threads
+	time.Sleep(time.Until(listStart.Add((listChanges + 2) * listChangeInterval)))
+	usage := process.Usage()
+	s.MB, s.Descriptors, s.Threads = usage.MB, usage.Sockets, usage.Threads
 	return s, nil
 }
 
-const readyWithin = 10 * time.Second
+const readyTimeout = 10 * time.Second
 
-// changing is a register of which half is replaced by other hosts every so often, so many times.
-type changing struct {
+// changingDiscovery serves a host list of which half is replaced listChanges times, once per listChangeInterval.
+type changingDiscovery struct {
 	hosts int
 	began time.Time
 }
 
-func (c changing) version() int { return min(turns, int(time.Since(c.began)/turnsIn)) + 1 }
+func (c changingDiscovery) generation() int {
+	return min(listChanges, int(time.Since(c.began)/listChangeInterval)) + 1
+}
 
-func (c changing) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c changingDiscovery) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if after, err := strconv.Atoi(r.URL.Query().Get("after")); err == nil {
 		ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-		for until := time.Now().Add(time.Duration(ms) * time.Millisecond); c.version() <= after && time.Now().Before(until); {
+		for until := time.Now().Add(time.Duration(ms) * time.Millisecond); c.generation() <= after && time.Now().Before(until); {
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	v := c.version()
+	v := c.generation()
 	type entry struct {
 		InstanceID  string `json:"instanceId"`
 		HostPort    string `json:"hostPort"`
