--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -48,7 +48,7 @@
 	policy   *policy.Balancer
 	now      policy.Nanos // fixed for the thing that happens
 	timers   timerWheel
-	requests map[policy.CallID]*clientRequest
+	requests map[policy.RequestID]*clientRequest
 
 	requestCount atomic.Uint64
 	requestIDs   idSet
@@ -86,8 +86,8 @@
 	epoch := time.Now()
 	epochNanos := policy.Nanos(epoch.UnixNano())
 	b := &Balancer{deployment: deployed, log: log, epoch: epoch, epochNanos: epochNanos, phaseChanged: make(chan struct{}, 4), toIdleWorker: make(chan *clientRequest),
-		subscribeRequested: make(chan struct{}, 1), requests: map[policy.CallID]*clientRequest{}, requestIDs: idSet{inUse: map[string]struct{}{}},
-		traffic:     trafficStats{hosts: map[policy.CacheID]*[2]int64{}},
+		subscribeRequested: make(chan struct{}, 1), requests: map[policy.RequestID]*clientRequest{}, requestIDs: idSet{inUse: map[string]struct{}{}},
+		traffic:     trafficStats{hosts: map[policy.HostID]*[2]int64{}},
 		answerStats: newAnswerStats(deployed),
 		clients:     newClientConns(deployed.Sockets / 4),
 		hosts: upstream.New(upstream.Limits{Pool: operatorFile.Connections.Terms(pool.Terms{Balancers: deployed.Terms.Balancers,
@@ -108,11 +108,11 @@
 	b.listeningSince = b.epoch
 	b.stalls = stall.New(b.epoch)
 	go b.runStallTicker()
-	b.listSource.addr, b.listSource.ready, b.listSource.hosts = deployed.Discovery, make(chan struct{}), map[policy.CacheID]discovery.Host{}
+	b.listSource.addr, b.listSource.ready, b.listSource.hosts = deployed.Discovery, make(chan struct{}), map[policy.HostID]discovery.Host{}
 	b.limitShares = b.newLimitShares(operatorFile.Connections.Openings)
 	b.fleetOrders = b.newExclusionOrders()
 	b.observations = b.newObservationExchange()
-	b.callPolicy(func() { b.policy = policy.New(policyHost{b}, deployed.Terms, deployed.Seed) })
+	b.callPolicy(func() { b.policy = policy.New(policyEnvironment{b}, deployed.Terms, deployed.Seed) })
 	return b
 }
 
--- a/internal/balancer/bans_test.go
+++ b/internal/balancer/bans_test.go
@@ -39,7 +39,7 @@
 			disk := &failingStore{err: fault}
 			x.exclusions.save = disk.save
 			for _, host := range []string{"a", "b"} {
-				if err := x.setExclusion(policy.CacheID(host), true, false); !errors.Is(err, errNotSaved) || !errors.Is(err, fault) {
+				if err := x.setExclusion(policy.HostID(host), true, false); !errors.Is(err, errNotSaved) || !errors.Is(err, fault) {
 					t.Errorf("%s is out: %v", host, err)
 				}
 			}
@@ -66,7 +66,7 @@
 					t.Fatalf("kept are %q", kept)
 				}
 			}
-			if err := x.setExclusion(policy.CacheID("a"), false, false); err != nil {
+			if err := x.setExclusion(policy.HostID("a"), false, false); err != nil {
 				t.Errorf("a is back: %v", err)
 			}
 		})
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -263,14 +263,14 @@
 
 func newFaultyHosts(t *testing.T, seed uint64, faults injectedFaults) *faultyHosts {
 	f := &faultyHosts{attemptLog: newAttemptLog(), random: newRandomSource(seed), maxWriteDelay: faults.maxWriteDelay}
-	terms := func(effect policy.Effect) policy.ProductTerms {
-		return policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: policy.Nanos(dedupWindow)}
+	terms := func(effect policy.Effect) policy.ProductConfig {
+		return policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: policy.Nanos(dedupWindow)}
 	}
 	deployed := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: time.Second, IdleLimit: time.Minute,
-		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0, "origin": 1},
+		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0, "origin": 1},
 		Products: map[string]policy.Product{"marked": 0, "read": 1, "pay": 2},
-		Terms: policy.Terms{Balancers: 1, Products: []policy.ProductTerms{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
-			OriginKind: 1, Aside: !faults.cachesTakeWrites, MayCancel: true, MostAttempts: 6, Tick: policy.Millisecond}}
+		Terms: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
+			OriginKind: 1, CacheAside: !faults.cachesTakeWrites, MayCancel: true, MaxAttempts: 6, TimerGranularity: policy.Millisecond}}
 	f.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
 	list := discovery.List{Whole: true}
@@ -282,11 +282,11 @@
 		names[f.originHost(t, faults.origin)] = "origin"
 	}
 	for addr, name := range names {
-		kind := policy.Kind(0)
+		kind := policy.MachineKind(0)
 		if name == "origin" {
 			kind = 1
 		}
-		list.Hosts = append(list.Hosts, discovery.Host{Addr: addr, Entry: policy.Entry{Cache: policy.CacheID(name), Kind: kind, Size: 1}})
+		list.Hosts = append(list.Hosts, discovery.Host{Addr: addr, HostEntry: policy.HostEntry{HostID: policy.HostID(name), Kind: kind, Size: 1}})
 	}
 	f.hosts.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if f.random.upTo(100) < faults.refusedPercent {
--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -25,7 +25,7 @@
 	arrived          time.Time         // when its last byte arrived; for a long write, its command line
 	admitted         time.Time         // when its handling began, after it was read and admitted
 	deadline         deadline.Deadline // of the client; a long write uses upload.Deadline once its last byte has arrived
-	id               policy.CallID     // chosen here, so it is unique among open requests whatever ids clients send
+	id               policy.RequestID  // chosen here, so it is unique among open requests whatever ids clients send
 	previousAnswered chan struct{}     // closed when all earlier commands of the connection are answered
 	answered         chan struct{}     // closed when this request is answered
 
@@ -54,7 +54,7 @@
 // action is something that the policy wants done for a request.
 type action struct {
 	do         func(c *clientRequest, a action)
-	host       policy.CacheID
+	host       policy.HostID
 	attempt    int
 	deadline   deadline.Deadline
 	beginBy    deadline.Deadline // the attempt must start by then: connecting and waiting for a connection take time after the decision
@@ -76,16 +76,16 @@
 		c.answerRateLimited(action{})
 		return
 	}
-	c.attemptResults = make(chan attemptResult, b.deployment.Terms.MostAttempts+1)
+	c.attemptResults = make(chan attemptResult, b.deployment.Terms.MaxAttempts+1)
 	c.notify = make(chan struct{}, 1)
 	b.countArrival(c.customer)
-	c.id = policy.CallID(strconv.FormatUint(b.requestCount.Add(1), 36))
+	c.id = policy.RequestID(strconv.FormatUint(b.requestCount.Add(1), 36))
 	c.armDeadlineTimer(due)
 	defer c.deadlineTimer.Stop()
 	b.post(func() {
 		b.requests[c.id] = c
-		b.policy.Arrived(policy.Call{ID: c.id, Customer: c.customer, Product: c.product, Key: policy.Key(c.Key),
-			Write: c.Write, Repeat: c.Repeat, Deadline: b.toNanos(due)})
+		b.policy.RequestArrived(policy.Request{ID: c.id, Customer: c.customer, Product: c.product, Key: policy.Key(c.Key),
+			Write: c.Write, ClientRetry: c.Repeat, Deadline: b.toNanos(due)})
 	})
 	gone := c.client.gone
 	for {
@@ -124,8 +124,8 @@
 	host := c.attempts[e.attempt].To
 	b.post(func() {
 		b.traffic.countAttempt(host, e.Outcome)
-		b.policy.Ended(policy.Ending{Call: c.id, Attempt: e.attempt, Final: c.isAnswerChosen(), Outcome: e.Outcome,
-			Took: policy.Nanos(e.took), Load: e.Load, Cache: host})
+		b.policy.AttemptEnded(policy.AttemptResult{RequestID: c.id, Attempt: e.attempt, Final: c.isAnswerChosen(), Outcome: e.Outcome,
+			Duration: policy.Nanos(e.took), Load: e.Load, HostID: host})
 	})
 }
 
@@ -149,7 +149,7 @@
 	if !c.claimAnswer() {
 		return
 	}
-	b.post(func() { b.policy.Abandoned(c.id) }) // it cancels the attempts in flight
+	b.post(func() { b.policy.RequestAbandoned(c.id) }) // it cancels the attempts in flight
 	b.delays.answeredByTimer.Add(1)
 	if c.inFlight == 0 && !c.mayHaveRun {
 		c.answerRateLimited(action{})
@@ -163,7 +163,7 @@
 	if !c.claimAnswer() {
 		return
 	}
-	b.post(func() { b.policy.Abandoned(c.id) })
+	b.post(func() { b.policy.RequestAbandoned(c.id) })
 	b.traffic.abandoned.Add(1)
 	b.answerStats.unanswered.Add(-1)
 	close(c.answered)
@@ -258,48 +258,48 @@
 		for id, c := range b.requests {
 			if !c.isAnswerChosen() {
 				n++
-				policyHost{b}.Error(id)
-				b.policy.Abandoned(id)
+				policyEnvironment{b}.Error(id)
+				b.policy.RequestAbandoned(id)
 			}
 		}
 	})
 	return n
 }
 
-// policyHost is the interface through which the policy acts. It only queues actions, since it is called while the policy's lock is held.
-type policyHost struct{ b *Balancer }
+// policyEnvironment is the interface through which the policy acts. It only queues actions, since it is called while the policy's lock is held.
+type policyEnvironment struct{ b *Balancer }
 
-func (h policyHost) enqueue(id policy.CallID, a action, final bool) {
+func (h policyEnvironment) enqueue(id policy.RequestID, a action, final bool) {
 	if c := h.b.requests[id]; c != nil {
 		c.addAction(a, final)
 	}
 }
 
-func (h policyHost) Now() policy.Nanos { return h.b.now }
+func (h policyEnvironment) Now() policy.Nanos { return h.b.now }
 
-func (h policyHost) Send(id policy.CallID, host policy.CacheID, deadline, beginBy policy.Nanos) {
+func (h policyEnvironment) Send(id policy.RequestID, host policy.HostID, deadline, beginBy policy.Nanos) {
 	h.enqueue(id, action{do: (*clientRequest).sendAttempt, host: host, deadline: h.b.toDeadline(deadline), beginBy: h.b.toDeadline(beginBy)}, false)
 }
 
-func (h policyHost) Cancel(id policy.CallID, attempt int) {
+func (h policyEnvironment) Cancel(id policy.RequestID, attempt int) {
 	h.enqueue(id, action{do: (*clientRequest).cancelAttempt, attempt: attempt}, false)
 }
 
-func (h policyHost) RateLimit(id policy.CallID, retryAfter policy.Nanos) {
+func (h policyEnvironment) RateLimit(id policy.RequestID, retryAfter policy.Nanos) {
 	h.enqueue(id, action{do: (*clientRequest).answerRateLimited, retryAfter: time.Duration(retryAfter)}, true)
 }
 
-func (h policyHost) Error(id policy.CallID) {
+func (h policyEnvironment) Error(id policy.RequestID) {
 	h.enqueue(id, action{do: (*clientRequest).answerErrored}, true)
 }
 
-func (h policyHost) Subscribe() {
+func (h policyEnvironment) Subscribe() {
 	select {
 	case h.b.subscribeRequested <- struct{}{}:
 	default:
 	}
 }
 
-func (h policyHost) SetTimer(after policy.Nanos, id policy.TimerID) {
+func (h policyEnvironment) SetTimer(after policy.Nanos, id policy.TimerID) {
 	h.b.setTimer(h.b.now+after, id)
 }
--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -128,7 +128,7 @@
 	list := func(from int) (l discovery.List) {
 		l.Whole = true
 		for i := range hosts {
-			l.Hosts = append(l.Hosts, discovery.Host{Addr: "127.0.0.1:1", Entry: policy.Entry{Cache: policy.CacheID(fmt.Sprint("s-", from+i)), Size: 1}})
+			l.Hosts = append(l.Hosts, discovery.Host{Addr: "127.0.0.1:1", HostEntry: policy.HostEntry{HostID: policy.HostID(fmt.Sprint("s-", from+i)), Size: 1}})
 		}
 		return l
 	}
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -39,13 +39,13 @@
 // newTestBalancer has a host of each name; answers[name] is what it says, with the request's id for %s. Hosts in late are held up.
 func newTestBalancer(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, late ...string) *testBalancer {
 	x := &testBalancer{T: t, connectAllowed: map[string]chan struct{}{}, connecting: map[string]chan struct{}{}, received: map[string][]string{}, lines: make(chan string, 1000)}
-	terms := policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: window}
+	terms := policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: window}
 	read := terms
 	read.Effect = policy.Idempotent
 	told := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleLimit: time.Minute,
-		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0},
+		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0},
 		Products: map[string]policy.Product{"pay": 0, "read": 1},
-		Terms:    policy.Terms{Balancers: 1, Products: []policy.ProductTerms{terms, read}, OriginKind: -1, MayCancel: true, MostAttempts: 4, Tick: policy.Millisecond}}
+		Terms:    policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms, read}, OriginKind: -1, MayCancel: true, MaxAttempts: 4, TimerGranularity: policy.Millisecond}}
 	x.Balancer = New(told, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
 	l := discovery.List{Whole: true}
@@ -57,7 +57,7 @@
 		t.Cleanup(func() { at.Close() })
 		names[at.Addr().String()] = name
 		go x.serveHost(at, name, answer)
-		l.Hosts = append(l.Hosts, discovery.Host{Addr: at.Addr().String(), Entry: policy.Entry{Cache: policy.CacheID(name), Size: 1}})
+		l.Hosts = append(l.Hosts, discovery.Host{Addr: at.Addr().String(), HostEntry: policy.HostEntry{HostID: policy.HostID(name), Size: 1}})
 	}
 	for _, name := range late {
 		x.connectAllowed[name], x.connecting[name] = make(chan struct{}), make(chan struct{}, 1000)
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -77,7 +77,7 @@
 		}
 	}
 	listed := 0
-	b.callPolicy(func() { listed, _ = b.policy.Fleet() })
+	b.callPolicy(func() { listed, _ = b.policy.HostCounts() })
 	o := b.observations
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -101,7 +101,7 @@
 		}
 	}
 	b.callPolicy(func() {
-		evidence.Tell(o.delivered, observations, func(host string, good, bad float64) { b.policy.Said(policy.CacheID(host), good, bad) })
+		evidence.Tell(o.delivered, observations, func(host string, good, bad float64) { b.policy.SetObservations(policy.HostID(host), good, bad) })
 	})
 	for _, one := range o.delivered {
 		if !evidence.Has(observations, one.Host) {
--- a/internal/balancer/figures.go
+++ b/internal/balancer/figures.go
@@ -53,7 +53,7 @@
 		figures.Products = append(figures.Products, admin.Product{Name: name, Fulfilled: counts[fulfilled].Load(),
 			RateLimited: counts[rateLimited].Load(), Errored: counts[errored].Load()})
 	}
-	a.b.callPolicy(func() { figures.Listed, figures.Avoided = a.b.policy.Fleet() })
+	a.b.callPolicy(func() { figures.Listed, figures.Avoided = a.b.policy.HostCounts() })
 	figures.Fleet = a.b.fleetStats()
 	return figures
 }
@@ -72,5 +72,5 @@
 	if options != (admin.How{}) {
 		return "", admin.ErrNoOrders
 	}
-	return "", a.b.setExclusion(policy.CacheID(host), exclude, false)
+	return "", a.b.setExclusion(policy.HostID(host), exclude, false)
 }
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -111,7 +111,7 @@
 		}
 		if b.deployment.Terms.MustSubscribe {
 			subscribed = false
-			b.callPolicy(func() { b.policy.Listed(policy.ListUnavailable, nil) })
+			b.callPolicy(func() { b.policy.ApplyList(policy.ListUnavailable, nil) })
 			continue
 		}
 		wait := jitter(backoff)
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -46,7 +46,7 @@
 		smallestParts: make([]float64, n), initialFloors: make([]float64, n), customerCount: n, epoch: time.Now()}
 	for _, name := range slices.Sorted(maps.Keys(b.deployment.Customers)) {
 		c := b.deployment.Customers[name]
-		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.Terms.Customers[c].AllowancePerS, 1/(share.NeedTurns*share.Turn.Seconds())
+		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.Terms.Customers[c].QuotaPerSecond, 1/(share.NeedTurns*share.Turn.Seconds())
 	}
 	if openings > 0 { // need and share are fractions of the limit, the same for every host
 		l.names, l.bounds, l.smallestParts = append(l.names, "openings"), append(l.bounds, 1), append(l.smallestParts, 1/openings)
@@ -175,7 +175,7 @@
 	}
 	b.callPolicy(func() {
 		for i, fraction := range shares[:l.customerCount] {
-			b.policy.Part(policy.Customer(i), fraction)
+			b.policy.SetQuotaShare(policy.Customer(i), fraction)
 		}
 	})
 	if l.customerCount < len(shares) {
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -34,7 +34,7 @@
 	}
 	b.startTimes.place(changes, b.toNanos(deadline.After(began, 0)))
 	all := entriesOf(list.Hosts)
-	b.callPolicy(func() { b.policy.ListBegins(kind, all) })
+	b.callPolicy(func() { b.policy.BeginList(kind, all) })
 	for batch := range slices.Chunk(changes, hostsPerBatch) {
 		b.applyBatch(discovery.List{Hosts: batch, At: list.At})
 		b.pause()
@@ -50,16 +50,16 @@
 func (b *Balancer) applyBatch(batch discovery.List) {
 	b.hosts.Listed(batch)
 	entries := entriesOf(batch.Hosts)
-	b.callPolicy(func() { b.policy.Changed(entries) })
+	b.callPolicy(func() { b.policy.ApplyEntries(entries) })
 	for _, condition := range []policy.Condition{policy.Draining, policy.Gone} {
 		b.logHosts(condition, batch.Hosts)
 	}
 }
 
-func entriesOf(hosts []discovery.Host) []policy.Entry {
-	entries := make([]policy.Entry, len(hosts))
+func entriesOf(hosts []discovery.Host) []policy.HostEntry {
+	entries := make([]policy.HostEntry, len(hosts))
 	for i := range hosts {
-		entries[i] = hosts[i].Entry
+		entries[i] = hosts[i].HostEntry
 	}
 	return entries
 }
@@ -71,7 +71,7 @@
 	var ids []string
 	for i := range hosts {
 		if hosts[i].Condition == condition {
-			ids = append(ids, string(hosts[i].Cache))
+			ids = append(ids, string(hosts[i].HostID))
 		}
 	}
 	if len(ids) > 0 {
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -139,12 +139,12 @@
 	}
 	var current []string // sorted by name, like wanted
 	listed := 0
-	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.Fleet() })
+	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.HostCounts() })
 	wanted := b.fleetOrders.machine.Excluded(listed)
 	for _, order := range all {
 		_, exclude := slices.BinarySearch(wanted, order.Host)
 		if _, excluded := slices.BinarySearch(current, order.Host); exclude != excluded {
-			if err := b.setExclusion(policy.CacheID(order.Host), exclude, true); err != nil {
+			if err := b.setExclusion(policy.HostID(order.Host), exclude, true); err != nil {
 				b.log.Warn().Err(err).Str("host", order.Host).Msg("an exclusion order is not in force in both processes of the upgrade")
 			}
 		}
@@ -156,7 +156,7 @@
 func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.How) (note string, err error) {
 	o := b.fleetOrders
 	known, listed := false, 0
-	b.callPolicy(func() { known = b.policy.Knows(policy.CacheID(id)); listed, _ = b.policy.Fleet() })
+	b.callPolicy(func() { known = b.policy.IsKnownHost(policy.HostID(id)); listed, _ = b.policy.HostCounts() })
 	if !known {
 		return "", admin.ErrNobody
 	}
@@ -227,7 +227,7 @@
 	}
 	_, missing := a.b.orderConfirmations()
 	listed := 0
-	a.b.callPolicy(func() { listed, _ = a.b.policy.Fleet() })
+	a.b.callPolicy(func() { listed, _ = a.b.policy.HostCounts() })
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine == nil {
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -18,12 +18,12 @@
 type trafficStats struct {
 	fulfilled, rateLimited, errored, abandoned atomic.Int64
 	// Guarded by Balancer.mu.
-	attempts [policy.Unknown + 1]int64    // by outcome
-	hosts    map[policy.CacheID]*[2]int64 // attempts since the last report, and how many of them failed
+	attempts [policy.Unknown + 1]int64   // by outcome
+	hosts    map[policy.HostID]*[2]int64 // attempts since the last report, and how many of them failed
 }
 
 // countAttempt counts an attempt that has ended.
-func (t *trafficStats) countAttempt(host policy.CacheID, outcome policy.Outcome) {
+func (t *trafficStats) countAttempt(host policy.HostID, outcome policy.Outcome) {
 	t.attempts[outcome]++
 	h := t.hosts[host]
 	if h == nil {
@@ -31,7 +31,7 @@
 		t.hosts[host] = h
 	}
 	h[0]++
-	if outcome != policy.Fulfilled && outcome != policy.Missed && outcome != policy.Cancelled && outcome != policy.NeverSent {
+	if outcome != policy.Fulfilled && outcome != policy.CacheMiss && outcome != policy.Cancelled && outcome != policy.NeverSent {
 		h[1]++
 	}
 }
@@ -42,10 +42,10 @@
 // logReport logs the traffic since the start; the difference of two lines is the traffic between them.
 func (b *Balancer) logReport() {
 	var attempts [policy.Unknown + 1]int64
-	var hosts map[policy.CacheID]*[2]int64
+	var hosts map[policy.HostID]*[2]int64
 	b.callPolicy(func() {
 		attempts, hosts = b.traffic.attempts, b.traffic.hosts
-		b.traffic.hosts = map[policy.CacheID]*[2]int64{}
+		b.traffic.hosts = map[policy.HostID]*[2]int64{}
 	})
 	for id, n := range hosts {
 		if n[1] >= 5 && n[1] > n[0]/10 { // a healthy host has fewer failures now and then
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -83,21 +83,21 @@
 		b := New(deployed, &operator.File{}, zerolog.Nop())
 		defer b.hosts.Close()
 		defer b.cancel()
-		host := discovery.Host{Addr: "127.0.0.1:1", Entry: policy.Entry{Cache: "h", Size: 1}}
+		host := discovery.Host{Addr: "127.0.0.1:1", HostEntry: policy.HostEntry{HostID: "h", Size: 1}}
 		cold := host
-		cold.Cache, cold.Born = "cold", b.now
+		cold.HostID, cold.ListedStart = "cold", b.now
 		b.applyHostList(policy.ListRestored, discovery.List{Whole: true, Hosts: []discovery.Host{host, cold}})
 		for i := range 50 {
 			b.callPolicy(func() {
 				for p := range deployed.Terms.Products {
-					b.policy.Arrived(policy.Call{ID: policy.CallID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
+					b.policy.RequestArrived(policy.Request{ID: policy.RequestID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
 						Write: p > 0, Deadline: b.now + policy.Second})
 				}
 				b.policy.TimerFired("beat")
 			})
 		}
 		if deployed.ConnectTimeout <= 0 || deployed.ClientTimeout <= 0 || deployed.IdleLimit < 0 || deployed.DrainGrace < 0 || deployed.MostOpen <= 0 ||
-			deployed.Terms.MostAttempts < 1 || deployed.Terms.AskEvery <= 0 {
+			deployed.Terms.MaxAttempts < 1 || deployed.Terms.SubscribeInterval <= 0 {
 			t.Errorf("%s = %v: accepted as %+v", key, value, deployed.Terms)
 		}
 	}
--- a/internal/balancer/source.go
+++ b/internal/balancer/source.go
@@ -19,7 +19,7 @@
 	ready      chan struct{}      // closed once there is a host list
 	readyOnce  sync.Once
 	generation int64
-	hosts      map[policy.CacheID]discovery.Host
+	hosts      map[policy.HostID]discovery.Host
 	resumeFrom *int64                                                            // generation of the list from before the start, if the watch continues from it
 	dial       func(ctx context.Context, network, addr string) (net.Conn, error) // nil: dial the network
 }
@@ -32,15 +32,15 @@
 		changes = s.removeUnlisted(list)
 	}
 	for _, h := range list.Hosts {
-		known, isKnown := s.hosts[h.Cache]
+		known, isKnown := s.hosts[h.HostID]
 		if isKnown && known == h || !isKnown && h.Condition == policy.Gone {
 			continue
 		}
 		changes = append(changes, h)
 		if h.Condition == policy.Gone {
-			delete(s.hosts, h.Cache)
+			delete(s.hosts, h.HostID)
 		} else {
-			s.hosts[h.Cache] = h
+			s.hosts[h.HostID] = h
 		}
 	}
 	slices.SortStableFunc(changes, func(x, y discovery.Host) int { return cmp.Compare(y.Condition, x.Condition) })
@@ -49,9 +49,9 @@
 
 // removeUnlisted removes the known hosts that a whole list does not name and returns them as gone.
 func (s *listSource) removeUnlisted(list discovery.List) (gone []discovery.Host) {
-	listed := make(map[policy.CacheID]struct{}, len(list.Hosts))
+	listed := make(map[policy.HostID]struct{}, len(list.Hosts))
 	for _, h := range list.Hosts {
-		listed[h.Cache] = struct{}{}
+		listed[h.HostID] = struct{}{}
 	}
 	for id, h := range s.hosts {
 		if _, isListed := listed[id]; !isListed {
--- a/internal/balancer/starts.go
+++ b/internal/balancer/starts.go
@@ -11,7 +11,7 @@
 // stepped at any time, so each start time is converted only once, by the host's age when that start time was first reported.
 type startTimes struct {
 	wallClock func() time.Time
-	placed    map[policy.CacheID]placedStart
+	placed    map[policy.HostID]placedStart
 }
 
 // placedStart is the start of one host on both clocks.
@@ -21,23 +21,23 @@
 }
 
 func newStartTimes(wallClock func() time.Time) *startTimes {
-	return &startTimes{wallClock: wallClock, placed: map[policy.CacheID]placedStart{}}
+	return &startTimes{wallClock: wallClock, placed: map[policy.HostID]placedStart{}}
 }
 
 // place sets the Started time of the hosts. A start time in the future becomes now; hosts that are gone are forgotten.
 func (s *startTimes) place(hosts []discovery.Host, now policy.Nanos) {
 	for i := range hosts {
 		h := &hosts[i]
-		if h.Born <= 0 || h.Condition == policy.Gone {
-			delete(s.placed, h.Cache)
+		if h.ListedStart <= 0 || h.Condition == policy.Gone {
+			delete(s.placed, h.HostID)
 			continue
 		}
-		known, isKnown := s.placed[h.Cache]
-		if !isKnown || known.reported != h.Born {
-			age := policy.Nanos(s.wallClock().UnixNano()) - h.Born
-			known = placedStart{reported: h.Born, at: now - max(0, age)}
+		known, isKnown := s.placed[h.HostID]
+		if !isKnown || known.reported != h.ListedStart {
+			age := policy.Nanos(s.wallClock().UnixNano()) - h.ListedStart
+			known = placedStart{reported: h.ListedStart, at: now - max(0, age)}
 		}
-		s.placed[h.Cache] = known
-		h.Started = known.at
+		s.placed[h.HostID] = known
+		h.LocalStart = known.at
 	}
 }
--- a/internal/balancer/starts_test.go
+++ b/internal/balancer/starts_test.go
@@ -16,14 +16,14 @@
 		s := newStartTimes(func() time.Time { return wall })
 		now := policy.Nanos(time.Hour)
 		host := func(name string, born time.Time) discovery.Host {
-			return discovery.Host{Entry: policy.Entry{Cache: policy.CacheID(name), Born: policy.Nanos(born.UnixNano())}}
+			return discovery.Host{HostEntry: policy.HostEntry{HostID: policy.HostID(name), ListedStart: policy.Nanos(born.UnixNano())}}
 		}
-		age := func(l []discovery.Host, i int) time.Duration { return time.Duration(now - l[i].Started) }
+		age := func(l []discovery.Host, i int) time.Duration { return time.Duration(now - l[i].LocalStart) }
 		first := host("first", wall.Add(-2*time.Second))
 		l := []discovery.Host{first, host("old", time.Unix(0, 0))}
 		s.place(l, now)
-		if age(l, 0) != 2*time.Second || l[1].Started != 0 {
-			t.Errorf("step %v: before the step a host is %v old, one of long ago started at %v", step, age(l, 0), l[1].Started)
+		if age(l, 0) != 2*time.Second || l[1].LocalStart != 0 {
+			t.Errorf("step %v: before the step a host is %v old, one of long ago started at %v", step, age(l, 0), l[1].LocalStart)
 		}
 		now += policy.Nanos(time.Second)
 		wall = wall.Add(time.Second + step)
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -17,7 +17,7 @@
 	begun := false
 	c.b.callPolicy(func() {
 		if begun = c.startStream(); begun {
-			c.b.policy.Streaming(c.id)
+			c.b.policy.AnswerStarted(c.id)
 		}
 	})
 	if !begun {
@@ -122,7 +122,7 @@
 	b := u.call.b
 	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Left).Earlier(answerTravelReserve)
 	u.call.armDeadlineTimer(u.Deadline)
-	b.post(func() { b.policy.Came(u.call.id, b.toNanos(u.Deadline)) })
+	b.post(func() { b.policy.WriteReceived(u.call.id, b.toNanos(u.Deadline)) })
 	if u.TooLate() {
 		return 0, errTooLate
 	}
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -90,7 +90,7 @@
 		if err := json.Unmarshal(state.Learnt, &learnt); err != nil {
 			b.log.Warn().Err(err).Msg("the learnt state handed over is not readable, ignored")
 		} else {
-			b.callPolicy(func() { b.policy.TakeOver(learnt) })
+			b.callPolicy(func() { b.policy.ImportLearnt(learnt) })
 		}
 		b.splitLimits(state.Holds)
 		go b.receiveFromOlder(b.upgrade.older)
@@ -102,7 +102,7 @@
 		}
 	}
 	for _, id := range excluded {
-		b.switchExclusion(policy.CacheID(id), true)
+		b.switchExclusion(policy.HostID(id), true)
 	}
 	if len(excluded) > 0 {
 		b.saveExclusions()
@@ -157,7 +157,7 @@
 	var learnt policy.Learnt
 	b.callPolicy(func() {
 		state.Excluded = b.excludedHosts()
-		learnt = b.policy.Tell()
+		learnt = b.policy.ExportLearnt()
 	})
 	if state.Learnt, err = json.Marshal(learnt); err != nil {
 		return state, err
@@ -184,7 +184,7 @@
 		case handover.Ask:
 			go func() { // in a goroutine: setExclusion may wait for a message that is received here
 				answer := handover.Message{Kind: handover.Answer, N: m.N}
-				if err := b.setExclusion(policy.CacheID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
+				if err := b.setExclusion(policy.HostID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
 					answer.Fault = err.Error()
 				}
 				peer.Say(answer)
@@ -205,7 +205,7 @@
 		case handover.Holding:
 			b.splitLimits(*m.Holds)
 		case handover.Ban:
-			b.applyExclusion(policy.CacheID(m.Member), m.Out)
+			b.applyExclusion(policy.HostID(m.Member), m.Out)
 			peer.Say(handover.Message{Kind: handover.Done, N: m.N})
 		case handover.Answer:
 			b.upgrade.deliverAnswer(m)
@@ -227,7 +227,7 @@
 	b.log.Info().Msg("the other process of the upgrade has ended")
 	b.setLimits(b.capacity)
 	debug.SetMemoryLimit(b.memoryLimit())
-	b.callPolicy(func() { b.policy.Beside(false, 0) })
+	b.callPolicy(func() { b.policy.SetPeerOriginInFlight(false, 0) })
 	b.setSharesUpgrading(false)
 }
 
@@ -269,7 +269,7 @@
 
 // setExclusion excludes a host, or includes it again, in both processes of an upgrade. An order for the whole fleet also holds for a host
 // that no list has named yet.
-func (b *Balancer) setExclusion(id policy.CacheID, exclude, fleet bool) error {
+func (b *Balancer) setExclusion(id policy.HostID, exclude, fleet bool) error {
 	u := &b.upgrade
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -287,7 +287,7 @@
 	if exclude {
 		b.callPolicy(func() { known, withinLimit = b.policy.Exclude(id) })
 	} else {
-		b.callPolicy(func() { known = b.policy.Knows(id) })
+		b.callPolicy(func() { known = b.policy.IsKnownHost(id) })
 	}
 	switch {
 	case !known && !fleet:
@@ -324,20 +324,20 @@
 
 // applyExclusion changes an exclusion in this process and saves it before anybody gets a positive answer. The error tells that it could
 // not be saved.
-func (b *Balancer) applyExclusion(id policy.CacheID, exclude bool) error {
+func (b *Balancer) applyExclusion(id policy.HostID, exclude bool) error {
 	b.switchExclusion(id, exclude)
 	return b.saveExclusions()
 }
 
 // switchExclusion excludes a host first in the policy, which chooses it for attempts, and then in the connection pool, which sends
 // them. It includes a host in the reverse order.
-func (b *Balancer) switchExclusion(id policy.CacheID, exclude bool) {
+func (b *Balancer) switchExclusion(id policy.HostID, exclude bool) {
 	if !exclude {
 		b.hosts.Include(id)
 	}
 	b.callPolicy(func() {
 		if exclude {
-			b.policy.Bar(id)
+			b.policy.ExcludeUnchecked(id)
 		} else {
 			b.policy.Include(id)
 		}
@@ -350,7 +350,7 @@
 
 // excludedHosts returns the hosts that operators have excluded. The caller holds Balancer.mu.
 func (b *Balancer) excludedHosts() (all []string) {
-	for _, id := range b.policy.Excluded() {
+	for _, id := range b.policy.ExcludedHosts() {
 		all = append(all, string(id))
 	}
 	return all
@@ -374,7 +374,7 @@
 func (b *Balancer) usage() handover.Holds {
 	h := handover.Holds{Clients: int64(b.clients.count()), Upstream: int64(b.hosts.Open()), Calls: b.inFlight.Load(),
 		Bytes: b.valueBytes.Load(), Leaving: b.currentPhase() > Serving}
-	b.callPolicy(func() { h.Origin = b.policy.AtOrigin() })
+	b.callPolicy(func() { h.Origin = b.policy.OriginInFlight() })
 	return h
 }
 
@@ -399,7 +399,7 @@
 	b.setLimits(resourceLimits{share(total.clients-reservedSockets/2, own.Clients, other.Clients), share(total.upstream-reservedSockets/2, own.Upstream, other.Upstream),
 		share(total.requests, own.Calls, other.Calls), share(total.bytes, own.Bytes, other.Bytes)})
 	debug.SetMemoryLimit(b.memoryLimit() / 2)
-	b.callPolicy(func() { b.policy.Beside(true, other.Origin) })
+	b.callPolicy(func() { b.policy.SetPeerOriginInFlight(true, other.Origin) })
 }
 
 // processShare is what one of two processes may use of a resource: what it uses now, and half of what is free, or an eighth of it if
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -13,9 +13,9 @@
 )
 
 var outcomes = map[string]policy.Outcome{
-	"0": policy.Fulfilled, "13": policy.Errored, "8": policy.TurnedAway, "4": policy.TimedOut,
+	"0": policy.Fulfilled, "13": policy.Errored, "8": policy.Rejected, "4": policy.TimedOut,
 	"14": policy.ConnectFailed, "10": policy.Reset, "1": policy.Cancelled, "9": policy.NeverSent,
-	"5": policy.Missed,
+	"5": policy.CacheMiss,
 }
 
 var listKinds = map[string]policy.ListKind{
@@ -75,11 +75,11 @@
 	return t
 }
 
-func (f *fields) entry() policy.Entry {
-	e := policy.Entry{
-		Cache: policy.CacheID(f.required(1)), Zone: policy.Zone(f.number(2)), Kind: policy.Kind(f.number(3)),
+func (f *fields) entry() policy.HostEntry {
+	e := policy.HostEntry{
+		HostID: policy.HostID(f.required(1)), Zone: policy.Zone(f.number(2)), Kind: policy.MachineKind(f.number(3)),
 		Cell: policy.Cell(f.number(4)), Condition: lookUp(f, "condition", conditions, f.text(5)),
-		Size: 1, Born: f.nanos(7),
+		Size: 1, ListedStart: f.nanos(7),
 	}
 	if v := f.text(6); v != "" {
 		size, err := strconv.ParseFloat(v, 64)
@@ -91,11 +91,11 @@
 	return e
 }
 
-func (f *fields) request(now policy.Nanos) policy.Call {
+func (f *fields) request(now policy.Nanos) policy.Request {
 	bits := f.number(4)
-	return policy.Call{
-		ID: policy.CallID(f.required(2)), Customer: policy.Customer(f.number(3)), Key: policy.Key(f.text(5)),
-		Repeat: bits&2 != 0, Write: bits&4 != 0, Deadline: now + f.nanos(6), Work: f.expectedWork(bits), Product: policy.Product(f.number(9)),
+	return policy.Request{
+		ID: policy.RequestID(f.required(2)), Customer: policy.Customer(f.number(3)), Key: policy.Key(f.text(5)),
+		ClientRetry: bits&2 != 0, Write: bits&4 != 0, Deadline: now + f.nanos(6), ExpectedWork: f.expectedWork(bits), Product: policy.Product(f.number(9)),
 	}
 }
 
@@ -107,21 +107,21 @@
 	return 0
 }
 
-func (f *fields) attemptResult() policy.Ending {
+func (f *fields) attemptResult() policy.AttemptResult {
 	outcome, known := outcomes[f.text(5)]
 	if !known {
 		outcome = policy.Unknown
 	}
 	f.number(7) // hit status of a read: not used, but a malformed value is an error
-	return policy.Ending{
-		Call: policy.CallID(f.required(2)), Attempt: int(f.number(3)), Final: f.text(4) == "1", Outcome: outcome,
-		Took: f.nanos(6), Cache: policy.CacheID(f.required(8)),
+	return policy.AttemptResult{
+		RequestID: policy.RequestID(f.required(2)), Attempt: int(f.number(3)), Final: f.text(4) == "1", Outcome: outcome,
+		Duration: f.nanos(6), HostID: policy.HostID(f.required(8)),
 		Load: loadreport.Parse(f.text(9), ":"),
 	}
 }
 
 // config decodes the settings, given as path=value pairs.
-func (f *fields) config() policy.Terms {
+func (f *fields) config() policy.Config {
 	pairs := deployment.Pairs{}
 	for _, p := range f.parts {
 		if path, v, ok := strings.Cut(p, "="); ok && v != "-" {
--- a/internal/benchwire/link.go
+++ b/internal/benchwire/link.go
@@ -16,11 +16,11 @@
 	out       *bufio.Writer
 	output    []byte // of the current batch; written only after the whole batch was parsed
 	now       policy.Nanos
-	lists     map[int64][]policy.Entry
+	lists     map[int64][]policy.HostEntry
 	instances map[int64]*instance
 }
 
-// instance is one balancer and the policy.Host that it acts on.
+// instance is one balancer and the policy.Environment that it acts on.
 type instance struct {
 	link     *Link
 	number   int64
@@ -29,7 +29,7 @@
 
 func New(in io.Reader, out io.Writer) *Link {
 	return &Link{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20),
-		lists: map[int64][]policy.Entry{}, instances: map[int64]*instance{}}
+		lists: map[int64][]policy.HostEntry{}, instances: map[int64]*instance{}}
 }
 
 // Run processes batches of events and answers each until the input ends.
@@ -110,22 +110,22 @@
 	case "MEMBERS":
 		kind := lookUp(f, "list kind", listKinds, f.text(2))
 		if f.err == nil {
-			b.Listed(kind, l.lists[f.number(4)])
+			b.ApplyList(kind, l.lists[f.number(4)])
 		}
 	case "ORDER":
 		if c := f.request(l.now); f.err == nil {
-			b.Arrived(c)
+			b.RequestArrived(c)
 		}
 	case "DONE":
 		if e := f.attemptResult(); f.err == nil {
-			b.Ended(e)
+			b.AttemptEnded(e)
 		}
 	case "ABANDONED":
-		b.Abandoned(policy.CallID(f.required(2)))
+		b.RequestAbandoned(policy.RequestID(f.required(2)))
 	case "TIMER":
 		b.TimerFired(policy.TimerID(f.required(2)))
 	case "STREAMING":
-		b.Streaming(policy.CallID(f.required(2)))
+		b.AnswerStarted(policy.RequestID(f.required(2)))
 	case "CHECKED", "WHISPER": // balancers here neither probe hosts nor use messages of other balancers
 	default:
 		f.fail("event", f.parts[0])
@@ -134,7 +134,7 @@
 }
 
 func (l *Link) readList(f *fields) error {
-	var entries []policy.Entry
+	var entries []policy.HostEntry
 	for range f.number(2) {
 		row, err := l.readLine()
 		if err != nil {
@@ -174,17 +174,17 @@
 func formatNanos(n policy.Nanos) string { return strconv.FormatInt(int64(n), 10) }
 
 func (in *instance) Now() policy.Nanos { return in.link.now }
-func (in *instance) Send(c policy.CallID, to policy.CacheID, deadline, _ policy.Nanos) {
+func (in *instance) Send(c policy.RequestID, to policy.HostID, deadline, _ policy.Nanos) {
 	in.write("FORWARD", string(c), string(to), formatNanos(max(1, deadline-in.link.now)))
 }
-func (in *instance) Cancel(c policy.CallID, attempt int) {
+func (in *instance) Cancel(c policy.RequestID, attempt int) {
 	in.write("CANCEL", string(c), strconv.Itoa(attempt))
 }
-func (in *instance) RateLimit(c policy.CallID, retryAfter policy.Nanos) {
+func (in *instance) RateLimit(c policy.RequestID, retryAfter policy.Nanos) {
 	in.write("REFUSE", string(c), formatNanos(retryAfter))
 }
-func (in *instance) Error(c policy.CallID) { in.write("FAIL", string(c)) }
-func (in *instance) Subscribe()            { in.write("STREAM_CHANGES", "1") }
+func (in *instance) Error(c policy.RequestID) { in.write("FAIL", string(c)) }
+func (in *instance) Subscribe()               { in.write("STREAM_CHANGES", "1") }
 func (in *instance) SetTimer(after policy.Nanos, id policy.TimerID) {
 	in.write("SLEEP", formatNanos(after), string(id))
 }
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -24,11 +24,11 @@
 	MemoryMB, Sockets       int
 	Known                   json.RawMessage // host list that the balancer last had; may be absent
 
-	Terms     policy.Terms
+	Terms     policy.Config
 	Products  map[string]policy.Product
 	Customers map[string]policy.Customer
 	Zones     map[string]policy.Zone
-	Kinds     map[string]policy.Kind
+	Kinds     map[string]policy.MachineKind
 
 	ConnectTimeout, IdleLimit, DrainGrace time.Duration
 	ClientTimeout                         time.Duration // the longest of all products' timeouts
@@ -158,7 +158,7 @@
 	if d.Zones, err = indexNames[policy.Zone](pairs, "areas", ""); err != nil {
 		return err
 	}
-	if d.Kinds, err = indexNames[policy.Kind](pairs, "hostTypes", ""); err != nil {
+	if d.Kinds, err = indexNames[policy.MachineKind](pairs, "hostTypes", ""); err != nil {
 		return err
 	}
 	r := &settingsReader{pairs: pairs}
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -26,8 +26,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if want.Products[0] != (policy.ProductTerms{LatencySLO: policy.Second / 2, BilledValue: 2.5, OverdueValue: 0.5,
-		Effect: policy.Deduplicated, Group: policy.GroupCell, Window: 8 * policy.Second}) || want.RampTime != 24*policy.Second {
+	if want.Products[0] != (policy.ProductConfig{LatencySLO: policy.Second / 2, BilledValue: 2.5, LateValueFraction: 0.5,
+		Effect: policy.Deduplicated, DedupScope: policy.DedupScopeCell, DedupWindow: 8 * policy.Second}) || want.WarmUpTime != 24*policy.Second {
 		t.Errorf("from pairs: %+v", want)
 	}
 	d := &Deployment{}
@@ -99,7 +99,7 @@
 			if err == nil || !strings.Contains(err.Error(), row.key) {
 				t.Errorf("%s: %v", row.settings, err)
 			}
-		} else if err != nil || d.Reports != row.reports || d.Terms.CrossPrice != row.cross || d.Terms.FetchPrice != row.fetch {
+		} else if err != nil || d.Reports != row.reports || d.Terms.CrossZoneCost != row.cross || d.Terms.OriginFetchCost != row.fetch {
 			t.Errorf("%s: %v, %+v", row.settings, err, d.Terms)
 		}
 	}
--- a/internal/deployment/terms.go
+++ b/internal/deployment/terms.go
@@ -17,8 +17,8 @@
 	"at_most_once": policy.NonIdempotent,
 }
 
-var dedupScopes = map[string]policy.Group{
-	"all": policy.GroupAll, "zone": policy.GroupZone, "cell": policy.GroupCell,
+var dedupScopes = map[string]policy.DedupScope{
+	"all": policy.DedupScopeAll, "zone": policy.DedupScopeZone, "cell": policy.DedupScopeCell,
 }
 
 // reportSources maps the permitted sources of load reports to whether the reports come with answers.
@@ -89,47 +89,47 @@
 }
 
 // TermsOf decodes the part of the settings that the policy uses and ignores unknown keys.
-func TermsOf(pairs Pairs) (policy.Terms, error) {
+func TermsOf(pairs Pairs) (policy.Config, error) {
 	r := &settingsReader{pairs: pairs}
-	t := policy.Terms{
+	t := policy.Config{
 		Balancers: max(1, int(r.numberWithin("balancers", 1, 0, maxListLength))), Zone: policy.Zone(r.numberWithin("locality", 0, -1, maxListLength)),
-		MustSubscribe: pairs["discovery"] == "subscribe", Aside: pairs["extra.mode"] == "aside",
-		OriginKind:   policy.Kind(r.numberWithin("extra.originKind", -1, -1, maxListLength)),
-		MayCancel:    pairs["caps.mayCancel"] == "true",
-		MostAttempts: int(r.numberWithin("caps.mostShots", 1, 1, maxAttempts)),
-		LiveSizes:    pairs["weights"] == "live", SizesEqual: pairs["weights"] == "none",
-		ColdFrom: r.numberWithin("rules.coldFrom", 0.1, 0, 1), RampTime: r.duration("rules.rampTimeNs"),
-		FallMultiple: r.numberWithin("rules.fallMultiple", 1, 0, 1e6), FallWindow: r.duration("rules.fallNs"),
-		AskEvery: r.duration("rules.askEveryNs"), Tick: r.duration("tickNs"),
-		KeepAlive: r.duration("caps.keepaliveNs"),
+		MustSubscribe: pairs["discovery"] == "subscribe", CacheAside: pairs["extra.mode"] == "aside",
+		OriginKind:      policy.MachineKind(r.numberWithin("extra.originKind", -1, -1, maxListLength)),
+		MayCancel:       pairs["caps.mayCancel"] == "true",
+		MaxAttempts:     int(r.numberWithin("caps.mostShots", 1, 1, maxAttempts)),
+		SizesFollowLoad: pairs["weights"] == "live", IgnoreSizes: pairs["weights"] == "none",
+		ColdCapacityFraction: r.numberWithin("rules.coldFrom", 0.1, 0, 1), WarmUpTime: r.duration("rules.rampTimeNs"),
+		OverloadMultiple: r.numberWithin("rules.fallMultiple", 1, 0, 1e6), OverloadWindow: r.duration("rules.fallNs"),
+		SubscribeInterval: r.duration("rules.askEveryNs"), TimerGranularity: r.duration("tickNs"),
+		IdleConnectionLife: r.duration("caps.keepaliveNs"),
 	}
-	if t.AskEvery == 0 {
-		t.AskEvery = 10 * policy.Second // 0 would make failed calls repeat without a pause
+	if t.SubscribeInterval == 0 {
+		t.SubscribeInterval = 10 * policy.Second // 0 would make failed calls repeat without a pause
 	}
-	if t.FallWindow == 0 {
-		t.RampTime = 0 // no host fails under load, so slow start is not needed
+	if t.OverloadWindow == 0 {
+		t.WarmUpTime = 0 // no host fails under load, so slow start is not needed
 	}
-	t.CrossPrice, t.FetchPrice = r.price("prices.crossZone"), r.price("prices.origin")
+	t.CrossZoneCost, t.OriginFetchCost = r.price("prices.crossZone"), r.price("prices.origin")
 	lookUp(r, "report.source", "answers, probe or none", reportSources)
 	if pairs["caps.retryAfter"] == "true" {
-		t.MaxComeBack = r.duration("caps.maxRetryAfterNs")
+		t.MaxRetryAfter = r.duration("caps.maxRetryAfterNs")
 	}
 	for i := range int(r.number("products.count", 0)) {
 		prefix := fmt.Sprintf("products.%d.", i)
-		p := policy.ProductTerms{
+		p := policy.ProductConfig{
 			LatencySLO:  r.duration(prefix + "latencySloNs"),
-			BilledValue: r.numberWithin(prefix+"billedValue", 1, 0, 1e12), OverdueValue: r.numberWithin(prefix+"overdueBilledValue", 0, 0, 1e12),
-			Effect: lookUp(r, prefix+"effect", "idempotent, deduplicated or at_most_once", effects),
-			Window: r.duration(prefix + "windowNs"),
+			BilledValue: r.numberWithin(prefix+"billedValue", 1, 0, 1e12), LateValueFraction: r.numberWithin(prefix+"overdueBilledValue", 0, 0, 1e12),
+			Effect:      lookUp(r, prefix+"effect", "idempotent, deduplicated or at_most_once", effects),
+			DedupWindow: r.duration(prefix + "windowNs"),
 		}
 		if pairs[prefix+"group"] != "" {
-			p.Group = lookUp(r, prefix+"group", "all, zone or cell", dedupScopes)
+			p.DedupScope = lookUp(r, prefix+"group", "all, zone or cell", dedupScopes)
 		}
 		t.Products = append(t.Products, p)
 	}
 	for i := range int(r.number("customers.count", 0)) {
-		t.Customers = append(t.Customers, policy.CustomerTerms{
-			AllowancePerS: r.number(fmt.Sprintf("customers.%d.allowancePerS", i), 0),
+		t.Customers = append(t.Customers, policy.CustomerConfig{
+			QuotaPerSecond: r.number(fmt.Sprintf("customers.%d.allowancePerS", i), 0),
 		})
 	}
 	return t, r.err
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -15,7 +15,7 @@
 // Names maps the zone and machine type names that discovery uses to their indexes in the settings' lists.
 type Names struct {
 	Zones map[string]policy.Zone
-	Kinds map[string]policy.Kind
+	Kinds map[string]policy.MachineKind
 	// Pause is called by Parse after every entriesPerPause entries, so that parsing a long list does not block other work.
 	// It may be nil.
 	Pause func()
@@ -114,7 +114,7 @@
 		}
 		h, err := n.parseHost(&entry, err)
 		if err != nil {
-			l.Unread = append(l.Unread, Unread{h.Cache, h.Condition, err})
+			l.Unread = append(l.Unread, Unread{h.HostID, h.Condition, err})
 		} else {
 			l.Hosts = append(l.Hosts, h)
 		}
@@ -128,8 +128,8 @@
 
 // parseHost converts an entry to a host. If the entry is unusable, it returns an error and the fields that could be read.
 func (n Names) parseHost(entry *instance, decodeErr error) (h Host, err error) {
-	h = Host{Addr: entry.HostPort, Entry: policy.Entry{Cache: policy.CacheID(entry.InstanceID),
-		Cell: policy.Cell(entry.Cell), Size: 1, Born: policy.Nanos(entry.StartedAtMs) * policy.Millisecond}}
+	h = Host{Addr: entry.HostPort, HostEntry: policy.HostEntry{HostID: policy.HostID(entry.InstanceID),
+		Cell: policy.Cell(entry.Cell), Size: 1, ListedStart: policy.Nanos(entry.StartedAtMs) * policy.Millisecond}}
 	var ok bool
 	if h.Condition, ok = conditions[entry.Lifecycle]; !ok && entry.Lifecycle != "" {
 		h.Condition = policy.Draining // an unknown state does not ask for new requests
@@ -148,7 +148,7 @@
 		h.Zone = policy.Zone(len(n.Zones)) // an index that no zone in the settings has, so it is never the balancer's own zone
 	}
 	if h.Kind, ok = n.Kinds[entry.MachineType]; !ok {
-		h.Kind = policy.Kind(len(n.Kinds))
+		h.Kind = policy.MachineKind(len(n.Kinds))
 	}
 	if entry.Weight != nil {
 		h.Size = *entry.Weight
@@ -160,8 +160,8 @@
 func (n Names) Format(l List) []byte {
 	body := listResponse{Generation: l.Generation, Reset: l.Whole, Instances: []instance{}}
 	for _, h := range l.Hosts {
-		body.Instances = append(body.Instances, instance{string(h.Cache), h.Addr, nameOf(n.Zones, h.Zone), nameOf(n.Kinds, h.Kind),
-			int(h.Cell), nameOf(conditions, h.Condition), &h.Size, int64(h.Born / policy.Millisecond)})
+		body.Instances = append(body.Instances, instance{string(h.HostID), h.Addr, nameOf(n.Zones, h.Zone), nameOf(n.Kinds, h.Kind),
+			int(h.Cell), nameOf(conditions, h.Condition), &h.Size, int64(h.ListedStart / policy.Millisecond)})
 	}
 	text, _ := json.Marshal(body)
 	return text
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -19,7 +19,7 @@
 
 // Host is one entry of the host list and the host's address.
 type Host struct {
-	policy.Entry
+	policy.HostEntry
 	Addr string
 }
 
@@ -34,7 +34,7 @@
 
 // Unread is an entry that cannot be used, with its id (empty if missing) and the condition as far as it could be read.
 type Unread struct {
-	Cache     policy.CacheID
+	Cache     policy.HostID
 	Condition policy.Condition // Up if none was given
 	Why       error
 }
@@ -57,28 +57,28 @@
 		return l
 	}
 	outdated := l.olderThan(known.Generation)
-	knownByID := make(map[policy.CacheID]Host, len(known.Hosts))
+	knownByID := make(map[policy.HostID]Host, len(known.Hosts))
 	for _, h := range known.Hosts {
-		knownByID[h.Cache] = h
+		knownByID[h.HostID] = h
 	}
 	if outdated {
 		for i, h := range l.Hosts {
-			if previous, ok := knownByID[h.Cache]; ok && previous.Born == h.Born {
+			if previous, ok := knownByID[h.HostID]; ok && previous.ListedStart == h.ListedStart {
 				l.Hosts[i].Condition = max(h.Condition, previous.Condition)
 			}
 		}
 	}
-	unidentified, unreadConditions := false, map[policy.CacheID]policy.Condition{}
+	unidentified, unreadConditions := false, map[policy.HostID]policy.Condition{}
 	for _, u := range l.Unread {
 		unidentified = unidentified || u.Cache == ""
 		unreadConditions[u.Cache] = max(unreadConditions[u.Cache], u.Condition)
 	}
 	for _, h := range l.Hosts {
-		delete(knownByID, h.Cache)
+		delete(knownByID, h.HostID)
 	}
 	for _, h := range known.Hosts {
-		condition, unread := unreadConditions[h.Cache]
-		if _, absent := knownByID[h.Cache]; absent && (unread || l.Whole && unidentified) {
+		condition, unread := unreadConditions[h.HostID]
+		if _, absent := knownByID[h.HostID]; absent && (unread || l.Whole && unidentified) {
 			h.Condition = max(h.Condition, condition)
 			l.Hosts = append(l.Hosts, h)
 		}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -48,7 +48,7 @@
 				io.WriteString(w, answer)
 			}))
 			defer s.Close()
-			w := &Watch{Addr: strings.TrimPrefix(s.URL, "http://"), Names: Names{Kinds: map[string]policy.Kind{}}, Pace: PaceOf(time.Second, true)}
+			w := &Watch{Addr: strings.TrimPrefix(s.URL, "http://"), Names: Names{Kinds: map[string]policy.MachineKind{}}, Pace: PaceOf(time.Second, true)}
 			defer w.Close()
 			if row.from > 0 {
 				w.From(row.from)
@@ -65,7 +65,7 @@
 
 // TestBadLists checks that a faulty response neither makes a leaving host usable again nor empties the known list.
 func TestBadLists(t *testing.T) {
-	names := Names{Zones: map[string]policy.Zone{"z": 0}, Kinds: map[string]policy.Kind{"k": 0}}
+	names := Names{Zones: map[string]policy.Zone{"z": 0}, Kinds: map[string]policy.MachineKind{"k": 0}}
 	entry := func(id, state, more string) string {
 		return `{"instanceId":"` + id + `","hostPort":"127.0.0.1:1","zone":"z","machineType":"k","startedAtMs":5,"lifecycle":"` + state + `"` + more + `}`
 	}
@@ -110,7 +110,7 @@
 			l = l.Over(previous)
 			got := strconv.FormatInt(l.Generation, 10)
 			for _, h := range l.Hosts {
-				got += " " + string(h.Cache) + ":" + [...]string{"up", "draining", "gone"}[h.Condition]
+				got += " " + string(h.HostID) + ":" + [...]string{"up", "draining", "gone"}[h.Condition]
 			}
 			if got != row.want {
 				t.Errorf("got %s, expected %s", got, row.want)
@@ -123,9 +123,9 @@
 func TestLongList(t *testing.T) {
 	var l List
 	for i := range 5000 {
-		l.Hosts = append(l.Hosts, Host{Addr: "127.0.0.1:1", Entry: policy.Entry{Cache: policy.CacheID(strings.Repeat("x", 200) + strconv.Itoa(i)), Size: 1}})
+		l.Hosts = append(l.Hosts, Host{Addr: "127.0.0.1:1", HostEntry: policy.HostEntry{HostID: policy.HostID(strings.Repeat("x", 200) + strconv.Itoa(i)), Size: 1}})
 	}
-	names := Names{Kinds: map[string]policy.Kind{"k": 0}, Zones: map[string]policy.Zone{"z": 0}}
+	names := Names{Kinds: map[string]policy.MachineKind{"k": 0}, Zones: map[string]policy.Zone{"z": 0}}
 	text := names.Format(l)
 	got, err := names.Parse(text)
 	if err != nil || len(got.Hosts) != 5000 || len(text) > maxListBytes {
@@ -139,9 +139,9 @@
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
 			var l List
 			for i := range n {
-				l.Hosts = append(l.Hosts, Host{Addr: "10.1.0.18:11211", Entry: policy.Entry{Cache: policy.CacheID("s-5be2a07c-" + strconv.Itoa(i)), Size: 1}})
+				l.Hosts = append(l.Hosts, Host{Addr: "10.1.0.18:11211", HostEntry: policy.HostEntry{HostID: policy.HostID("s-5be2a07c-" + strconv.Itoa(i)), Size: 1}})
 			}
-			names := Names{Kinds: map[string]policy.Kind{"cache": 0}, Zones: map[string]policy.Zone{"here": 0}}
+			names := Names{Kinds: map[string]policy.MachineKind{"cache": 0}, Zones: map[string]policy.Zone{"here": 0}}
 			text := names.Format(l)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/fleet/evidence/evidence.go
+++ b/internal/fleet/evidence/evidence.go
@@ -159,9 +159,9 @@
 // before the SLO elapsed is no evidence.
 func Proves(outcome policy.Outcome, took, slo policy.Nanos) (good, proves bool) {
 	switch outcome {
-	case policy.Fulfilled, policy.Missed:
+	case policy.Fulfilled, policy.CacheMiss:
 		return took <= slo, true
-	case policy.Errored, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.Spoilt:
+	case policy.Errored, policy.TimedOut, policy.ConnectFailed, policy.Reset, policy.MalformedAnswer:
 		return false, true
 	case policy.Cancelled:
 		return false, took >= slo
--- a/internal/loadreport/loadreport.go
+++ b/internal/loadreport/loadreport.go
@@ -14,8 +14,8 @@
 
 // Parse parses name and value pairs separated by commas, with separator between a name and its value. Unknown names, values that
 // are not a number or out of range, and repeated names are ignored. It returns nil if no usable pair remains.
-func Parse(text, separator string) *policy.Load {
-	l := policy.Load{InHand: -1, Busy: -1, Took: -1}
+func Parse(text, separator string) *policy.LoadReport {
+	l := policy.LoadReport{InProgress: -1, Utilisation: -1, ServiceSeconds: -1}
 	for n := 0; n < maxPairs && text != ""; n++ {
 		var pair string
 		pair, text, _ = strings.Cut(text, ",")
@@ -25,15 +25,15 @@
 			continue
 		}
 		switch {
-		case name == "inflight" && l.InHand < 0:
-			l.InHand = v
-		case name == "util" && l.Busy < 0:
-			l.Busy = v
-		case name == "latency_ms" && l.Took < 0:
-			l.Took = v / 1000
+		case name == "inflight" && l.InProgress < 0:
+			l.InProgress = v
+		case name == "util" && l.Utilisation < 0:
+			l.Utilisation = v
+		case name == "latency_ms" && l.ServiceSeconds < 0:
+			l.ServiceSeconds = v / 1000
 		}
 	}
-	if l.InHand < 0 && l.Busy < 0 && l.Took < 0 {
+	if l.InProgress < 0 && l.Utilisation < 0 && l.ServiceSeconds < 0 {
 		return nil
 	}
 	return &l
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -13,14 +13,14 @@
 	"streamrail/policy"
 )
 
-// balancer is one real decision module with the world's side of it. It is the module's policy.Host.
+// balancer is one real decision module with the world's side of it. It is the module's policy.Environment.
 type balancer struct {
 	d     *Day
 	index int
 	zone  int
 	mod   *policy.Balancer // nil while it is down
 	lives uint64
-	calls map[policy.CallID]*call
+	calls map[policy.RequestID]*call
 	after int64 // generation of the list that it has
 	up    map[string]bool
 	life  record.Life
@@ -93,7 +93,7 @@
 	}
 	b.lives++
 	b.until = 0
-	b.calls, b.up, b.after, b.seen, b.words = map[policy.CallID]*call{}, map[string]bool{}, 0, nil, nil
+	b.calls, b.up, b.after, b.seen, b.words = map[policy.RequestID]*call{}, map[string]bool{}, 0, nil, nil
 	b.life = record.Life{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
 	seed := model.Stream(b.d.Seed, fmt.Sprint("balancer ", b.index, b.lives)).Uint64()
 	b.mod = policy.New(host{b, b.lives}, b.d.terms(b.zone), seed)
@@ -124,8 +124,8 @@
 	b.calls = nil
 }
 
-func sorted(calls map[policy.CallID]*call) []policy.CallID {
-	ids := make([]policy.CallID, 0, len(calls))
+func sorted(calls map[policy.RequestID]*call) []policy.RequestID {
+	ids := make([]policy.RequestID, 0, len(calls))
 	for id := range calls {
 		ids = append(ids, id)
 	}
@@ -160,7 +160,7 @@
 		return
 	}
 	b.after = generation
-	var list []policy.Entry
+	var list []policy.HostEntry
 	named := map[string]bool{}
 	for _, e := range entries {
 		named[e.Node] = true
@@ -176,7 +176,7 @@
 			}
 		}
 	}
-	b.mod.Listed(kind, list)
+	b.mod.ApplyList(kind, list)
 }
 
 func (b *balancer) told(node string, up bool) {
@@ -190,22 +190,22 @@
 
 // take takes a call that a client has sent.
 func (b *balancer) take(c *call) {
-	b.calls[policy.CallID(c.id)] = c
+	b.calls[policy.RequestID(c.id)] = c
 	c.b = b
 	left := c.rec.Timeout - b.d.now - wayBack
 	if left <= 0 {
 		c.settle(record.RateLimited, 0)
-		delete(b.calls, policy.CallID(c.id))
+		delete(b.calls, policy.RequestID(c.id))
 		return
 	}
 	if b.d.mates != nil {
 		b.d.mates.To(b.d.now)
 		b.d.mates.Came(b.index, c.rec.Tenant)
 		b.d.mates.Parts(b.index, func(tenant int, part float64) {
-			b.mod.Part(policy.Customer(tenant), max(part, math.SmallestNonzeroFloat64))
+			b.mod.SetQuotaShare(policy.Customer(tenant), max(part, math.SmallestNonzeroFloat64))
 		})
 	}
-	b.mod.Arrived(policy.Call{ID: policy.CallID(c.id), Customer: policy.Customer(c.rec.Tenant), Product: policy.Product(c.rec.Product),
+	b.mod.RequestArrived(policy.Request{ID: policy.RequestID(c.id), Customer: policy.Customer(c.rec.Tenant), Product: policy.Product(c.rec.Product),
 		Key: policy.Key(c.key), Write: c.write, Deadline: epoch + policy.Nanos(c.rec.Timeout-wayBack)})
 	b.leave(c)
 }
@@ -213,7 +213,7 @@
 // leave forgets a call that has its answer and whose attempts have ended.
 func (b *balancer) leave(c *call) {
 	if c.settled && c.out == 0 && b.calls != nil {
-		delete(b.calls, policy.CallID(c.id))
+		delete(b.calls, policy.RequestID(c.id))
 	}
 }
 
@@ -223,7 +223,7 @@
 		return
 	}
 	c.settled = true
-	b.mod.Abandoned(policy.CallID(c.id))
+	b.mod.RequestAbandoned(policy.RequestID(c.id))
 	b.leave(c)
 }
 
@@ -253,20 +253,20 @@
 	})
 }
 
-func (h host) RateLimit(id policy.CallID, comeBack policy.Nanos) {
+func (h host) RateLimit(id policy.RequestID, comeBack policy.Nanos) {
 	h.final(id, record.RateLimited, time.Duration(comeBack))
 }
 
-func (h host) Error(id policy.CallID) { h.final(id, record.Errored, 0) }
+func (h host) Error(id policy.RequestID) { h.final(id, record.Errored, 0) }
 
-func (h host) final(id policy.CallID, reply record.Reply, comeBack time.Duration) {
+func (h host) final(id policy.RequestID, reply record.Reply, comeBack time.Duration) {
 	if c := h.b.calls[id]; c != nil {
 		c.settle(reply, comeBack)
 		h.b.d.after(0, func() { h.b.leave(c) })
 	}
 }
 
-func (h host) Cancel(id policy.CallID, attempt int) {
+func (h host) Cancel(id policy.RequestID, attempt int) {
 	c := h.b.calls[id]
 	if c == nil || attempt >= len(c.attempts) {
 		return
@@ -280,7 +280,7 @@
 	})
 }
 
-func (h host) Send(id policy.CallID, to policy.CacheID, deadline, _ policy.Nanos) {
+func (h host) Send(id policy.RequestID, to policy.HostID, deadline, _ policy.Nanos) {
 	b, d := h.b, h.b.d
 	c := b.calls[id]
 	if c == nil {
@@ -357,7 +357,7 @@
 		return // lost on the way: for the balancer it is still out
 	}
 	if s.ended == 0 {
-		s.ended, s.whole = d.now+s.way(), o != policy.Reset && o != policy.Spoilt
+		s.ended, s.whole = d.now+s.way(), o != policy.Reset && o != policy.MalformedAnswer
 		s.proof = proofs[o]
 	}
 	if d.Fleet.Mode != scenario.Through {
@@ -366,7 +366,7 @@
 	d.after(s.way(), func() { s.heard(o, note) })
 }
 
-var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.WasServed, policy.Missed: record.Missed, policy.TurnedAway: record.NeverRan}
+var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.WasServed, policy.CacheMiss: record.Missed, policy.Rejected: record.NeverRan}
 
 // giveUp ends the connection that carries an attempt; its server hears that.
 func (s *attempt) giveUp() {
@@ -424,7 +424,7 @@
 			b.seen.Ended(b.d.now, s.to.id, good)
 		}
 	}
-	b.mod.Ended(policy.Ending{Call: policy.CallID(c.id), Attempt: s.n, Final: c.settled, Outcome: o, Took: policy.Nanos(b.d.now - s.sent),
-		Cache: policy.CacheID(s.server())})
+	b.mod.AttemptEnded(policy.AttemptResult{RequestID: policy.RequestID(c.id), Attempt: s.n, Final: c.settled, Outcome: o, Duration: policy.Nanos(b.d.now - s.sent),
+		HostID: policy.HostID(s.server())})
 	b.leave(c)
 }
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -201,8 +201,8 @@
 }
 
 // entry is a register's line as the module takes it.
-func (d *Day) entry(e model.Entry) policy.Entry {
-	p := policy.Entry{Cache: policy.CacheID(e.Node), Zone: policy.Zone(d.zoneOf(e.Zone)), Condition: policy.Up, Size: e.Weight}
+func (d *Day) entry(e model.Entry) policy.HostEntry {
+	p := policy.HostEntry{HostID: policy.HostID(e.Node), Zone: policy.Zone(d.zoneOf(e.Zone)), Condition: policy.Up, Size: e.Weight}
 	if e.Kind == "origin" {
 		p.Kind = 1
 	}
@@ -216,7 +216,7 @@
 		p.Condition = policy.Up
 	}
 	if e.Born > 0 && !d.wrong.warm {
-		p.Born = epoch + policy.Nanos(e.Born)
+		p.ListedStart = epoch + policy.Nanos(e.Born)
 	}
 	return p
 }
@@ -234,22 +234,22 @@
 	scenario.NonIdempotent: policy.NonIdempotent}
 
 // terms are what a balancer in a zone is told, as on sockets.
-func (d *Day) terms(zone int) policy.Terms {
-	t := policy.Terms{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), Aside: d.Fleet.Mode == scenario.Aside, OriginKind: -1, MayCancel: true,
-		MostAttempts: d.Fleet.Attempts, MaxComeBack: policy.Nanos(d.Clients.ComeBack), ColdFrom: 1, FallMultiple: d.Rules.FallMultiple,
-		FallWindow: policy.Nanos(d.Rules.FallFor), AskEvery: 10 * policy.Second, Tick: 5 * policy.Millisecond}
-	if t.Aside {
+func (d *Day) terms(zone int) policy.Config {
+	t := policy.Config{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), CacheAside: d.Fleet.Mode == scenario.Aside, OriginKind: -1, MayCancel: true,
+		MaxAttempts: d.Fleet.Attempts, MaxRetryAfter: policy.Nanos(d.Clients.ComeBack), ColdCapacityFraction: 1, OverloadMultiple: d.Rules.FallMultiple,
+		OverloadWindow: policy.Nanos(d.Rules.FallFor), SubscribeInterval: 10 * policy.Second, TimerGranularity: 5 * policy.Millisecond}
+	if t.CacheAside {
 		t.OriginKind = 1
 	}
 	for _, n := range d.Nodes {
-		t.ColdFrom, t.RampTime = min(t.ColdFrom, n.ColdFrom), max(t.RampTime, policy.Nanos(n.WarmFor))
+		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, n.ColdFrom), max(t.WarmUpTime, policy.Nanos(n.WarmFor))
 	}
 	for _, p := range d.Products {
-		t.Products = append(t.Products, policy.ProductTerms{LatencySLO: policy.Nanos(p.LatencySLO), BilledValue: p.BilledValue,
-			Effect: effects[p.Effect], Window: policy.Nanos(p.Window)})
+		t.Products = append(t.Products, policy.ProductConfig{LatencySLO: policy.Nanos(p.LatencySLO), BilledValue: p.BilledValue,
+			Effect: effects[p.Effect], DedupWindow: policy.Nanos(p.Window)})
 	}
 	for _, x := range d.Tenants {
-		t.Customers = append(t.Customers, policy.CustomerTerms{AllowancePerS: x.Share * d.Load.Quota * d.Capacity()})
+		t.Customers = append(t.Customers, policy.CustomerConfig{QuotaPerSecond: x.Share * d.Load.Quota * d.Capacity()})
 	}
 	return t
 }
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -61,7 +61,7 @@
 			peers = append(peers, evidence.Peer{Life: e.life(k), Zone: e.zone(k)})
 		}
 	}
-	listed, _ := b.mod.Fleet()
+	listed, _ := b.mod.HostCounts()
 	b.seen.Tick(d.now, peers, listed)
 	for _, s := range b.seen.Out() {
 		e.Sent++
@@ -79,7 +79,7 @@
 		})
 	}
 	words := b.seen.Words()
-	evidence.Tell(b.words, words, func(host string, good, bad float64) { b.mod.Said(policy.CacheID(host), good, bad) })
+	evidence.Tell(b.words, words, func(host string, good, bad float64) { b.mod.SetObservations(policy.HostID(host), good, bad) })
 	b.words = words
 }
 
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -99,7 +99,7 @@
 	}
 	s.cold = n.m.Cold(n.d.now)
 	if !n.m.Offer(n.d.now, model.Job{ID: s.call.id, Key: s.call.key, Mark: s.call.mark, Write: s.call.write, Work: s.work, Tag: s}) {
-		s.answer(policy.TurnedAway, 0)
+		s.answer(policy.Rejected, 0)
 	} else {
 		n.out = append(n.out, s)
 	}
@@ -123,7 +123,7 @@
 		case n.reset > 0 && n.chance.Float64() < n.reset:
 			s.answer(policy.Reset, 0)
 		case n.spoil > 0 && n.chance.Float64() < n.spoil:
-			s.answer(policy.Spoilt, 0)
+			s.answer(policy.MalformedAnswer, 0)
 		case n.d.Fleet.Mode == scenario.Through && (done.Write || !done.Hit):
 			n.through(s, done)
 		case done.Write:
@@ -132,7 +132,7 @@
 			s.answer(policy.Fulfilled, 1)
 		default:
 			s.call.missed = append(s.call.missed, n)
-			s.answer(policy.Missed, 2)
+			s.answer(policy.CacheMiss, 2)
 		}
 	}
 	if at, multiple, fell := n.m.Fallen(); fell && n.cold {
@@ -157,7 +157,7 @@
 	n.d.gateway.take(s.call, done.Write, func(r fetched) {
 		switch {
 		case r.full:
-			s.answer(policy.TurnedAway, 2)
+			s.answer(policy.Rejected, 2)
 		case r.lost:
 			s.answer(policy.Errored, 2)
 		default:
@@ -227,7 +227,7 @@
 		s.ran = !r.lost && !r.full
 		switch {
 		case r.full:
-			s.answer(policy.TurnedAway, 0)
+			s.answer(policy.Rejected, 0)
 		case r.lost || reset:
 			s.answer(policy.Reset, 0)
 		default:
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -57,7 +57,7 @@
 		}}, []judge.Rule{judge.NoRepeat, judge.OneEffect}},
 		"resets turned away": {"spoilt", wrong{lie: func(o policy.Outcome) policy.Outcome {
 			if o == policy.Reset {
-				return policy.TurnedAway
+				return policy.Rejected
 			}
 			return o
 		}}, []judge.Rule{judge.Promise}},
--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -58,7 +58,7 @@
 	buffer := make([]byte, 100)
 	host.Read(buffer)
 	fmt.Fprint(host, "EN O1\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 	waitIdle(t, hs, 1)
 	late, ended := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	late.Deadline = deadline.After(time.Now(), time.Millisecond)
@@ -71,7 +71,7 @@
 		t.Errorf("the host got %q", buffer[:n])
 	}
 	fmt.Fprint(host, "EN O3\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 }
 
 // setSmallBuffers makes the system's socket buffers as small as possible.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -76,7 +76,7 @@
 		r, written, keep := c.exchange(a)
 		a.finish(r, written) // before the connection is reused: a later GiveUp cannot end another attempt
 		hs.mu.Lock()
-		if first && (r.Outcome == policy.TurnedAway || r.Outcome == policy.Reset) {
+		if first && (r.Outcome == policy.Rejected || r.Outcome == policy.Reset) {
 			hs.pool.Rejected(hs.now(), c.id)
 		}
 		c.unfinished = !keep
@@ -121,7 +121,7 @@
 	case isConnectionError(err):
 		r = Result{Outcome: policy.Reset}
 	case err != nil:
-		r = Result{Outcome: policy.Spoilt}
+		r = Result{Outcome: policy.MalformedAnswer}
 	}
 	r.Peer += clientTime
 	return r, true, keep && err == nil
@@ -230,13 +230,13 @@
 	}
 	switch answer.Reply {
 	case memcache.TurnedAway:
-		r.Outcome = policy.TurnedAway
+		r.Outcome = policy.Rejected
 		return r, true, nil
 	case memcache.Errored:
 		r.Outcome = policy.Errored
 		return r, true, nil
 	case memcache.Miss:
-		r.Outcome = policy.Missed
+		r.Outcome = policy.CacheMiss
 	case memcache.Receipt:
 		r.Body = append(r.Body, answer.Receipt...)
 	}
@@ -293,7 +293,7 @@
 	case resp.Status == 200 && (!a.Command.Write || memcache.IsReceipt(resp.Body)):
 		r.Body = resp.Body
 	case (resp.Status == 503 || resp.Status == 504) && resp.NotProcessed:
-		r.Outcome = policy.TurnedAway
+		r.Outcome = policy.Rejected
 	default:
 		r.Outcome = policy.Errored
 	}
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -25,15 +25,15 @@
 	}{
 		"a value":            {command: read, text: "VA 5 Oa h1 Lutil=0.5\r\nhello\r\n", body: "hello", whole: policy.Fulfilled},
 		"an empty value":     {command: read, text: "VA 0 Oa\r\n\r\n", whole: policy.Fulfilled},
-		"a miss":             {command: read, text: "EN Oa\r\n", whole: policy.Missed},
+		"a miss":             {command: read, text: "EN Oa\r\n", whole: policy.CacheMiss},
 		"a receipt":          {command: write, text: "HD Oa cdone\r\n", body: "done", whole: policy.Fulfilled},
-		"turned away":        {command: write, text: "SERVER_ERROR busy\r\n", whole: policy.TurnedAway},
+		"turned away":        {command: write, text: "SERVER_ERROR busy\r\n", whole: policy.Rejected},
 		"failed":             {command: write, text: "SERVER_ERROR failed\r\n", whole: policy.Errored},
 		"a length":           {origin: true, command: read, text: head("Content-Length: 5\r\n") + "hello", body: "hello", whole: policy.Fulfilled},
 		"chunks":             {origin: true, command: read, text: head("Transfer-Encoding: chunked\r\n") + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nX-T: 1\r\n\r\n", body: "hello", whole: policy.Fulfilled},
 		"no length":          {origin: true, command: read, text: head("Connection: close\r\n") + "hello", body: "hello", whole: policy.Fulfilled, closeEndsAnswer: true},
 		"a receipt, length":  {origin: true, command: write, text: head("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
-		"never ran":          {origin: true, command: write, text: "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", whole: policy.TurnedAway},
+		"never ran":          {origin: true, command: write, text: "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", whole: policy.Rejected},
 		"an interim, and it": {origin: true, command: write, text: "HTTP/1.1 100 Continue\r\n\r\n" + head("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
 	} {
 		for _, how := range []string{"closed", "reset"} {
@@ -116,7 +116,7 @@
 			for r := (Result{}); ; {
 				select {
 				case r = <-ended:
-					if r.Outcome != policy.TimedOut && r.Outcome != policy.Spoilt {
+					if r.Outcome != policy.TimedOut && r.Outcome != policy.MalformedAnswer {
 						t.Errorf("outcome %d", r.Outcome)
 					}
 					if took := time.Since(began); took > 5*time.Second {
@@ -177,7 +177,7 @@
 				if r.Outcome == policy.Fulfilled && string(r.Body) != "right" {
 					t.Fatalf("attempt %d got %q", i, r.Body)
 				}
-				if r.Outcome == policy.NeverSent || r.Outcome == policy.ConnectFailed || r.Outcome == policy.TurnedAway {
+				if r.Outcome == policy.NeverSent || r.Outcome == policy.ConnectFailed || r.Outcome == policy.Rejected {
 					t.Fatalf("attempt %d ended as never run: %d", i, r.Outcome)
 				}
 			}
--- a/internal/upstream/sizes_test.go
+++ b/internal/upstream/sizes_test.go
@@ -18,7 +18,7 @@
 			defer hs.Close()
 			list := func(n, from int, condition policy.Condition) (all []discovery.Host) {
 				for i := range n {
-					all = append(all, discovery.Host{Entry: policy.Entry{Cache: policy.CacheID(fmt.Sprint("s-", from+i)), Condition: condition}, Addr: "127.0.0.1:1"})
+					all = append(all, discovery.Host{HostEntry: policy.HostEntry{HostID: policy.HostID(fmt.Sprint("s-", from+i)), Condition: condition}, Addr: "127.0.0.1:1"})
 				}
 				return all
 			}
@@ -37,7 +37,7 @@
 	before := runtime.NumGoroutine()
 	var all []discovery.Host
 	for i := range 1025 {
-		all = append(all, discovery.Host{Entry: policy.Entry{Cache: policy.CacheID(fmt.Sprint("s-", i))}, Addr: "127.0.0.1:1"})
+		all = append(all, discovery.Host{HostEntry: policy.HostEntry{HostID: policy.HostID(fmt.Sprint("s-", i))}, Addr: "127.0.0.1:1"})
 	}
 	hs.Listed(discovery.List{Hosts: all})
 	if n := runtime.NumGoroutine(); n > before {
--- a/internal/upstream/told_test.go
+++ b/internal/upstream/told_test.go
@@ -15,7 +15,7 @@
 	hs := New(Limits{Grace: grace}, -1)
 	defer hs.Close()
 	entry := func(condition policy.Condition) []discovery.Host {
-		return []discovery.Host{{Addr: "127.0.0.1:1", Entry: policy.Entry{Cache: "h", Condition: condition}}}
+		return []discovery.Host{{Addr: "127.0.0.1:1", HostEntry: policy.HostEntry{HostID: "h", Condition: condition}}}
 	}
 	for _, c := range []struct {
 		delay   time.Duration // from the list's arrival until it is applied
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -21,14 +21,14 @@
 // Result is the outcome of an attempt, as far as it is known for certain.
 type Result struct {
 	Outcome policy.Outcome
-	Load    *policy.Load  // load of the host, if its answers report it
-	Body    []byte        // the value or the receipt of a write; empty for a value that was streamed
-	Peer    time.Duration // part of the attempt's time that transferring a long value from or to the client took
+	Load    *policy.LoadReport // load of the host, if its answers report it
+	Body    []byte             // the value or the receipt of a write; empty for a value that was streamed
+	Peer    time.Duration      // part of the attempt's time that transferring a long value from or to the client took
 }
 
 // Attempt is one sending of a request to a host. It ends exactly once, by a call of Done, which must not block.
 type Attempt struct {
-	To       policy.CacheID
+	To       policy.HostID
 	Command  *memcache.Command
 	Value    []byte                    // value of a write
 	Upload   *Upload                   // value of a write that is long and still arriving
@@ -75,7 +75,7 @@
 	givenUp := a.givenUp
 	a.stop = nil
 	a.mu.Unlock()
-	if givenUp && r.Outcome != policy.Fulfilled && r.Outcome != policy.Missed {
+	if givenUp && r.Outcome != policy.Fulfilled && r.Outcome != policy.CacheMiss {
 		r.Outcome = policy.NeverSent
 		if written {
 			r.Outcome = policy.Cancelled
@@ -97,18 +97,18 @@
 // Hosts holds all hosts that discovery has listed, and the connections to them.
 type Hosts struct {
 	limits Limits
-	origin policy.Kind
+	origin policy.MachineKind
 	epoch  time.Time
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // may be replaced before the first attempt
 
 	mu       sync.Mutex
 	pool     *pool.Pool
-	byID     map[policy.CacheID]*host
+	byID     map[policy.HostID]*host
 	conns    map[pool.Conn]*conn
 	attempts map[pool.Attempt]*Attempt // attempts that the pool has neither sent nor refused yet
 	lastID   pool.Attempt
-	closed   chan struct{}           // closed by Close
-	excluded map[policy.CacheID]bool // hosts excluded by an operator
+	closed   chan struct{}          // closed by Close
+	excluded map[policy.HostID]bool // hosts excluded by an operator
 
 	sent                atomic.Int64  // attempts completely written, including those to the origin
 	maxWriteAfterNotice time.Duration // longest time from a host's notice to a write that was still allowed; guarded by mu
@@ -122,9 +122,9 @@
 }
 
 // New creates an empty set of hosts. Discovery lists the origin with the given kind.
-func New(limits Limits, origin policy.Kind) *Hosts {
-	hs := &Hosts{limits: limits, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, byID: map[policy.CacheID]*host{}, conns: map[pool.Conn]*conn{},
-		attempts: map[pool.Attempt]*Attempt{}, excluded: map[policy.CacheID]bool{}, closed: make(chan struct{})}
+func New(limits Limits, origin policy.MachineKind) *Hosts {
+	hs := &Hosts{limits: limits, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, byID: map[policy.HostID]*host{}, conns: map[pool.Conn]*conn{},
+		attempts: map[pool.Attempt]*Attempt{}, excluded: map[policy.HostID]bool{}, closed: make(chan struct{})}
 	hs.pool = pool.New(poolActions{hs}, limits.Pool, rand.Float64)
 	go hs.tick()
 	return hs
@@ -158,10 +158,10 @@
 		at = time.Now()
 	}
 	for _, e := range l.Hosts {
-		h, moved := hs.byID[e.Cache], false
+		h, moved := hs.byID[e.HostID], false
 		if h == nil {
 			h = &host{isOrigin: e.Kind == hs.origin}
-			hs.byID[e.Cache] = h
+			hs.byID[e.HostID] = h
 		} else {
 			moved = h.Addr != e.Addr
 		}
@@ -173,19 +173,19 @@
 
 // removeIfUnused removes a host that is gone once it has no connections. Otherwise hosts would pile up, since new ones come under new ids.
 func (hs *Hosts) removeIfUnused(h *host) {
-	if h.Condition == policy.Gone && h.open == 0 && hs.byID[h.Cache] == h {
-		delete(hs.byID, h.Cache)
+	if h.Condition == policy.Gone && h.open == 0 && hs.byID[h.HostID] == h {
+		delete(hs.byID, h.HostID)
 	}
 }
 
 // applyCondition reports a host's condition to the pool. The time at is when this balancer received it.
 func (hs *Hosts) applyCondition(h *host, condition policy.Condition, moved bool, at time.Time) {
 	h.Condition = condition
-	if condition != policy.Up || hs.excluded[h.Cache] {
+	if condition != policy.Up || hs.excluded[h.HostID] {
 		if h.noticeAt.IsZero() {
 			h.noticeAt = at
 		}
-		hs.pool.Leaves(pool.Host(h.Cache))
+		hs.pool.Leaves(pool.Host(h.HostID))
 		return
 	}
 	h.noticeAt = time.Time{}
@@ -194,14 +194,14 @@
 		limit = hs.limits.Origin
 	}
 	startedAt := policy.Nanos(0) // start time from the list: a different one means another process
-	if h.Born > 0 {
-		startedAt = max(1, cmp.Or(h.Started, h.Born)-hs.limits.Epoch)
+	if h.ListedStart > 0 {
+		startedAt = max(1, cmp.Or(h.LocalStart, h.ListedStart)-hs.limits.Epoch)
 	}
-	hs.pool.Up(now, pool.Host(h.Cache), startedAt, moved, limit)
+	hs.pool.Up(now, pool.Host(h.HostID), startedAt, moved, limit)
 }
 
 // Exclude takes a host out of use, on an operator's request. It is treated like a draining host, whatever the list says.
-func (hs *Hosts) Exclude(id policy.CacheID) {
+func (hs *Hosts) Exclude(id policy.HostID) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	hs.excluded[id] = true
@@ -211,7 +211,7 @@
 }
 
 // Include ends an exclusion. The host may have been restarted meanwhile, so no earlier connection is reused.
-func (hs *Hosts) Include(id policy.CacheID) {
+func (hs *Hosts) Include(id policy.HostID) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	if !hs.excluded[id] {
@@ -265,7 +265,7 @@
 type poolActions struct{ hs *Hosts }
 
 func (o poolActions) Open(to pool.Host, id pool.Conn) {
-	h := o.hs.byID[policy.CacheID(to)]
+	h := o.hs.byID[policy.HostID(to)]
 	ctx, cancel := context.WithTimeout(context.Background(), o.hs.limits.Connect)
 	c := &conn{id: id, hosts: o.hs, host: h, addr: h.Addr, cancel: cancel}
 	h.open++
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -36,7 +36,7 @@
 			conns <- c
 		}
 	}()
-	entry = discovery.Host{Addr: l.Addr().String(), Entry: policy.Entry{Cache: "h"}}
+	entry = discovery.Host{Addr: l.Addr().String(), HostEntry: policy.HostEntry{HostID: "h"}}
 	hs = New(limits, -1)
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
 	t.Cleanup(hs.Close)
@@ -206,7 +206,7 @@
 	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	w.answers <- "EN O1\r\n"
 	hs.Send(first)
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 	second, ended := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	waitIdle(t, hs, 1)
 	hs.mu.Lock()
@@ -215,7 +215,7 @@
 	hs.Send(second)
 	close(w.answers)
 	io.WriteString(<-conns, "EN O2\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 }
 
 // The origin accepts few connections: its limit holds even if an idle connection to a cache host could make room.
@@ -224,15 +224,15 @@
 	limits.Pool.Most, limits.Origin = 2, 1
 	hs, entry, conns := newTestHosts(t, limits)
 	hs.origin = 7
-	entry.Cache = "i"
+	entry.HostID = "i"
 	origin := entry
-	origin.Cache, origin.Kind = "o", 7
+	origin.HostID, origin.Kind = "o", 7
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry, origin}})
 	cached, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	cached.To = "i"
 	hs.Send(cached)
 	io.WriteString(<-conns, "EN O1\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 	waitIdle(t, hs, 1)
 	held, _ := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	held.To = "o"
@@ -256,15 +256,15 @@
 	hs.Send(second)
 	expectOutcome(t, refused, policy.NeverSent)
 	io.WriteString(c, "EN O1\r\n")
-	expectOutcome(t, ended, policy.Missed)
-	entry := discovery.Host{Addr: c.LocalAddr().String(), Entry: policy.Entry{Cache: "i"}}
+	expectOutcome(t, ended, policy.CacheMiss)
+	entry := discovery.Host{Addr: c.LocalAddr().String(), HostEntry: policy.HostEntry{HostID: "i"}}
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
 	waitIdle(t, hs, 1)
 	third, ended := newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
 	third.To = "i"
 	hs.Send(third)
 	io.WriteString(<-conns, "EN O3\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 }
 
 // Invalid answers are distinguished from broken connections. Otherwise a host that occasionally sends garbage would be treated as
@@ -274,12 +274,12 @@
 		"":                         policy.Reset,
 		"VA 9 O1\r\nshort":         policy.Reset, // breaks off
 		"EN O1":                    policy.Reset,
-		"noise\r\n":                policy.Spoilt,
-		"EN O1\n":                  policy.Spoilt,
-		"EN O2\r\n":                policy.Spoilt,
-		"VA 2 O1\r\nlonger\r\n":    policy.Spoilt,
-		"VA 3000000000 O1\r\nx":    policy.Spoilt,
-		strings.Repeat("x", 1<<16): policy.Spoilt,
+		"noise\r\n":                policy.MalformedAnswer,
+		"EN O1\n":                  policy.MalformedAnswer,
+		"EN O2\r\n":                policy.MalformedAnswer,
+		"VA 2 O1\r\nlonger\r\n":    policy.MalformedAnswer,
+		"VA 3000000000 O1\r\nx":    policy.MalformedAnswer,
+		strings.Repeat("x", 1<<16): policy.MalformedAnswer,
 	} {
 		a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 		hs := New(testLimits, -1)
@@ -293,10 +293,10 @@
 
 // A host's load report is returned with every kind of answer that contains one, but only if load reports are enabled in the settings.
 func TestReports(t *testing.T) {
-	for answer, want := range map[string]*policy.Load{
-		"VA 1 O1 h1 Linflight=7,queue=2,util=0.61\r\nx\r\n": {InHand: 7, Busy: 0.61, Took: -1},
-		"EN O1 h0 Llatency_ms=40\r\n":                       {InHand: -1, Busy: -1, Took: 0.04},
-		"SERVER_ERROR busy Linflight=60\r\n":                {InHand: 60, Busy: -1, Took: -1},
+	for answer, want := range map[string]*policy.LoadReport{
+		"VA 1 O1 h1 Linflight=7,queue=2,util=0.61\r\nx\r\n": {InProgress: 7, Utilisation: 0.61, ServiceSeconds: -1},
+		"EN O1 h0 Llatency_ms=40\r\n":                       {InProgress: -1, Utilisation: -1, ServiceSeconds: 0.04},
+		"SERVER_ERROR busy Linflight=60\r\n":                {InProgress: 60, Utilisation: -1, ServiceSeconds: -1},
 		"EN O1 Lutil=-3,inflight=many\r\n":                  nil,
 		"EN O1\r\n":                                         nil,
 	} {
@@ -331,7 +331,7 @@
 	}
 	for i, c := range held {
 		io.WriteString(c, "EN O1\r\n")
-		expectOutcome(t, all[i], policy.Missed)
+		expectOutcome(t, all[i], policy.CacheMiss)
 		waitIdle(t, hs, i+1)
 	}
 	a, _ := newAttempt(t, "mg next v O1 Pc=read,d=900", "", time.Minute)
@@ -364,7 +364,7 @@
 		t.Error("removed with an attempt in flight")
 	}
 	io.WriteString(c, "EN O1\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 	for began := time.Now(); known() > 0; time.Sleep(time.Millisecond) {
 		if time.Since(began) > 10*time.Second {
 			t.Fatal("never removed")
@@ -372,7 +372,7 @@
 	}
 	for i := range 100 {
 		before := gone(entry)
-		entry.Cache = policy.CacheID(fmt.Sprint(i))
+		entry.HostID = policy.HostID(fmt.Sprint(i))
 		hs.Listed(discovery.List{Hosts: []discovery.Host{before, entry}})
 	}
 	if known() != 1 {
@@ -389,7 +389,7 @@
 	first := <-conns
 	first.Read(make([]byte, 100))
 	io.WriteString(first, "EN O1\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 	waitIdle(t, hs, 1)
 	hs.Exclude("h")
 	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
@@ -409,5 +409,5 @@
 	case <-time.After(10 * time.Second):
 		t.Fatal("no new connection was opened")
 	}
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -16,8 +16,8 @@
 	queue         events
 	eventCount    int
 	rand          *rand.Rand
-	hosts         map[CacheID]*simulatedHost
-	attemptCounts map[CallID]int
+	hosts         map[HostID]*simulatedHost
+	attemptCounts map[RequestID]int
 }
 
 // coldScenario describes one run: the balancers, the hosts, and the hosts that start cold at the same time.
@@ -34,7 +34,7 @@
 
 // simulatedHost is a cache host with a queue and a single server.
 type simulatedHost struct {
-	Entry
+	HostEntry
 	capacityPerS float64
 	arrivals     []Nanos
 	idleFrom     Nanos // when its queued work is done
@@ -90,13 +90,13 @@
 		}
 	})
 }
-func (s *simulatedBalancer) Subscribe()              {}
-func (s *simulatedBalancer) Cancel(CallID, int)      {}
-func (s *simulatedBalancer) RateLimit(CallID, Nanos) {}
-func (s *simulatedBalancer) Error(CallID)            {}
+func (s *simulatedBalancer) Subscribe()                 {}
+func (s *simulatedBalancer) Cancel(RequestID, int)      {}
+func (s *simulatedBalancer) RateLimit(RequestID, Nanos) {}
+func (s *simulatedBalancer) Error(RequestID)            {}
 
 // Send queues the request at the host, whose speed follows its warm-up.
-func (s *simulatedBalancer) Send(id CallID, to CacheID, deadline, _ Nanos) {
+func (s *simulatedBalancer) Send(id RequestID, to HostID, deadline, _ Nanos) {
 	h := s.hosts[to]
 	h.arrivals = append(h.arrivals, s.now)
 	n := s.attemptCounts[id]
@@ -110,7 +110,7 @@
 	}
 	s.schedule(end, func() {
 		if !s.stopped {
-			s.b.Ended(Ending{Call: id, Attempt: n, Final: outcome == Fulfilled, Outcome: outcome, Took: s.now - sent, Cache: to})
+			s.b.AttemptEnded(AttemptResult{RequestID: id, Attempt: n, Final: outcome == Fulfilled, Outcome: outcome, Duration: s.now - sent, HostID: to})
 		}
 	})
 }
@@ -123,26 +123,26 @@
 )
 
 func (f *coldSimulation) warmShare(h *simulatedHost, at Nanos) float64 {
-	if h.Born == 0 || at >= h.Born+testRampTime {
+	if h.ListedStart == 0 || at >= h.ListedStart+testRampTime {
 		return 1
 	}
-	return testColdFrom + (1-testColdFrom)*(at-h.Born).seconds()/testRampTime.seconds()
+	return testColdFrom + (1-testColdFrom)*(at-h.ListedStart).seconds()/testRampTime.seconds()
 }
 
 // run starts the cold hosts after ten seconds. Of all windows that begin with a request at a cold host it returns
 // the number, how many exceed the allowed requests, and the highest ratio of requests to allowed ones. used is the
 // fraction of the cold hosts' capacity that was used in their first ten seconds.
 func (p coldScenario) run(seed uint64) (windows, exceeded int, maxRatio, used float64) {
-	f := &coldSimulation{coldScenario: p, rand: rand.New(rand.NewPCG(seed, 9)), hosts: map[CacheID]*simulatedHost{}, attemptCounts: map[CallID]int{}}
+	f := &coldSimulation{coldScenario: p, rand: rand.New(rand.NewPCG(seed, 9)), hosts: map[HostID]*simulatedHost{}, attemptCounts: map[RequestID]int{}}
 	const coldStart = 10 * Second
-	var list, changed []Entry
+	var list, changed []HostEntry
 	for i := range p.hostCount {
-		id := CacheID(fmt.Sprint("h", i))
-		f.hosts[id] = &simulatedHost{Entry: Entry{Cache: id, Size: 1}, capacityPerS: p.capacityPerS}
-		list = append(list, f.hosts[id].Entry)
+		id := HostID(fmt.Sprint("h", i))
+		f.hosts[id] = &simulatedHost{HostEntry: HostEntry{HostID: id, Size: 1}, capacityPerS: p.capacityPerS}
+		list = append(list, f.hosts[id].HostEntry)
 	}
-	terms := Terms{Balancers: p.balancers, Products: []ProductTerms{{LatencySLO: Second, BilledValue: 1}}, MayCancel: true, MostAttempts: 4,
-		OriginKind: -1, ColdFrom: testColdFrom, RampTime: testRampTime, FallMultiple: testFallMultiple, FallWindow: testFallWindow, Tick: 5 * Millisecond}
+	terms := Config{Balancers: p.balancers, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}}, MayCancel: true, MaxAttempts: 4,
+		OriginKind: -1, ColdCapacityFraction: testColdFrom, WarmUpTime: testRampTime, OverloadMultiple: testFallMultiple, OverloadWindow: testFallWindow, TimerGranularity: 5 * Millisecond}
 	var balancers []*simulatedBalancer
 	start := func(i int) *simulatedBalancer {
 		s := &simulatedBalancer{coldSimulation: f}
@@ -157,50 +157,50 @@
 	}
 	for i := range p.balancers {
 		s := start(i)
-		s.b.Listed(ListReplace, list)
+		s.b.ApplyList(ListReplace, list)
 		balancers = append(balancers, s)
 		mean := Second.seconds() / (total * weights[i] / sum)
 		n := 0
 		var arrive func()
 		arrive = func() {
 			n++
-			id := CallID(fmt.Sprint(i, "-", n))
+			id := RequestID(fmt.Sprint(i, "-", n))
 			key := Key(fmt.Sprint("k", int(math.Pow(f.rand.Float64(), 3)*2000)))
-			balancers[i].b.Arrived(Call{ID: id, Key: key, Deadline: f.now + 2*Second})
+			balancers[i].b.RequestArrived(Request{ID: id, Key: key, Deadline: f.now + 2*Second})
 			f.schedule(f.now+Nanos(f.rand.ExpFloat64()*mean*float64(Second)), arrive)
 		}
 		f.schedule(Nanos(f.rand.ExpFloat64()*mean*float64(Second)), arrive)
 	}
 	f.runUntil(coldStart)
 	for i := range p.coldHosts {
-		h := f.hosts[CacheID(fmt.Sprint("h", i))]
-		h.Born, h.capacityPerS, h.arrivals, h.idleFrom = coldStart, p.capacityPerS*p.coldSpeed, nil, coldStart
-		changed = append(changed, h.Entry)
+		h := f.hosts[HostID(fmt.Sprint("h", i))]
+		h.ListedStart, h.capacityPerS, h.arrivals, h.idleFrom = coldStart, p.capacityPerS*p.coldSpeed, nil, coldStart
+		changed = append(changed, h.HostEntry)
 	}
 	for i, s := range balancers {
 		if float64(i) < p.restartedBalancers*float64(p.balancers) {
 			s.stopped = true
 			balancers[i] = start(i)
-			full := append([]Entry{}, changed...)
-			balancers[i].b.Listed(ListReplace, append(full, list[p.coldHosts:]...))
+			full := append([]HostEntry{}, changed...)
+			balancers[i].b.ApplyList(ListReplace, append(full, list[p.coldHosts:]...))
 		} else {
-			s.b.Listed(ListUpdate, changed)
+			s.b.ApplyList(ListUpdate, changed)
 		}
 	}
 	f.runUntil(coldStart + 4*Second)
-	var gone []Entry
+	var gone []HostEntry
 	for i := p.coldHosts; i < p.coldHosts+int(p.leavingHosts*float64(p.hostCount-p.coldHosts)); i++ {
 		e := list[i]
 		e.Condition = Draining
 		gone = append(gone, e)
 	}
 	for _, s := range balancers {
-		s.b.Listed(ListUpdate, gone)
+		s.b.ApplyList(ListUpdate, gone)
 	}
 	f.runUntil(coldStart + 14*Second)
 	received, possible := 0.0, 0.0
 	for i := range p.coldHosts {
-		h := f.hosts[CacheID(fmt.Sprint("h", i))]
+		h := f.hosts[HostID(fmt.Sprint("h", i))]
 		for from, at := range h.arrivals {
 			n := 0
 			for _, c := range h.arrivals[from:] {
--- a/policy/discovery_test.go
+++ b/policy/discovery_test.go
@@ -47,7 +47,7 @@
 
 func (a *listClient) Subscribe() {
 	a.received++
-	unavailable := func() { a.b.Listed(ListUnavailable, nil) }
+	unavailable := func() { a.b.ApplyList(ListUnavailable, nil) }
 	start := max(a.now, a.idleFrom)
 	if start-a.now > maxQueueTime {
 		unavailable()
@@ -59,13 +59,13 @@
 		a.schedule(a.now+clientTimeout, unavailable)
 		return
 	}
-	a.schedule(a.idleFrom, func() { a.answered++; a.b.Listed(ListUpdate, nil) })
+	a.schedule(a.idleFrom, func() { a.answered++; a.b.ApplyList(ListUpdate, nil) })
 }
 
-func (a *listClient) Send(CallID, CacheID, Nanos, Nanos) {}
-func (a *listClient) Cancel(CallID, int)                 {}
-func (a *listClient) RateLimit(CallID, Nanos)            {}
-func (a *listClient) Error(CallID)                       {}
+func (a *listClient) Send(RequestID, HostID, Nanos, Nanos) {}
+func (a *listClient) Cancel(RequestID, int)                {}
+func (a *listClient) RateLimit(RequestID, Nanos)           {}
+func (a *listClient) Error(RequestID)                      {}
 
 // A release starts most balancers at once. If all of them request the host list together, and again as soon as
 // that failed, discovery is kept busy with requests whose clients have given up: in 25 s only nine of 80 balancers
@@ -86,12 +86,12 @@
 		d := &fakeDiscovery{perRequest: row.perRequest}
 		for i := range row.balancers {
 			a := &listClient{fakeDiscovery: d}
-			a.b = New(a, Terms{Balancers: row.balancers, MustSubscribe: true, AskEvery: 10 * Second}, uint64(i))
-			var restored []Entry
+			a.b = New(a, Config{Balancers: row.balancers, MustSubscribe: true, SubscribeInterval: 10 * Second}, uint64(i))
+			var restored []HostEntry
 			if row.restored {
-				restored = []Entry{{Cache: "a", Size: 1}}
+				restored = []HostEntry{{HostID: "a", Size: 1}}
 			}
-			a.b.Listed(ListRestored, restored)
+			a.b.ApplyList(ListRestored, restored)
 		}
 		d.runUntil(row.by)
 		if d.answered < row.minAnswered {
--- a/policy/fairness.go
+++ b/policy/fairness.go
@@ -23,7 +23,7 @@
 // customers exceed their quotas, would otherwise count every customer as excessive. The factor of 1.25 keeps most
 // customers below the raised limit.
 func (b *Balancer) exceedsQuota(r *request) bool {
-	if int(r.Customer) >= len(b.quotas) || b.config.Customers[r.Customer].AllowancePerS <= 0 {
+	if int(r.Customer) >= len(b.quotas) || b.config.Customers[r.Customer].QuotaPerSecond <= 0 {
 		return false
 	}
 	q, now, equalShare := &b.quotas[r.Customer], b.env.Now(), 1/float64(b.config.Balancers)
@@ -31,14 +31,14 @@
 	var usages []float64
 	for i := range b.quotas {
 		other := &b.quotas[i]
-		usages = append(usages, other.arrivalRate.totalGood(now)/max(cmp.Or(other.share, equalShare)*b.config.Customers[i].AllowancePerS, 1e-9))
+		usages = append(usages, other.arrivalRate.totalGood(now)/max(cmp.Or(other.share, equalShare)*b.config.Customers[i].QuotaPerSecond, 1e-9))
 	}
 	slices.Sort(usages)
 	usageFactor := 1.25 * usages[len(usages)/2]
 	if q.share > 0 { // may be the minimum of a balancer that has just started: scale usage to the window's filled part
 		usageFactor *= outcomeWindow.seconds() / min(outcomeWindow, max(outcomeSlot, now-b.startedAt)).seconds()
 	}
-	rate := min(1, cmp.Or(q.share, equalShare)*max(1, usageFactor)) * b.config.Customers[r.Customer].AllowancePerS
+	rate := min(1, cmp.Or(q.share, equalShare)*max(1, usageFactor)) * b.config.Customers[r.Customer].QuotaPerSecond
 	// One second of traffic plus the standard deviation of the arrivals in a window: at few requests a second,
 	// ordinary variation would otherwise exceed the quota.
 	burst := max(1, rate+math.Sqrt(rate*outcomeWindow.seconds()))
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -9,17 +9,17 @@
 // Exclusions of hosts that no list names any more are kept, so their number is bounded. Beyond the bound an
 // exclusion is refused, and the existing ones remain.
 func TestExclusionsBounded(t *testing.T) {
-	s := &testEnv{T: t, requests: map[CallID]*clientRequest{}, hosts: map[CacheID]*testHost{}}
-	b := New(s, Terms{Balancers: 1, OriginKind: -1}, 1)
+	s := &testEnv{T: t, requests: map[RequestID]*clientRequest{}, hosts: map[HostID]*testHost{}}
+	b := New(s, Config{Balancers: 1, OriginKind: -1}, 1)
 	for i := range maxExcluded + 1 {
-		id := CacheID(fmt.Sprint("h", i))
-		b.Listed(ListReplace, []Entry{{Cache: id, Size: 1}})
+		id := HostID(fmt.Sprint("h", i))
+		b.ApplyList(ListReplace, []HostEntry{{HostID: id, Size: 1}})
 		if known, excluded := b.Exclude(id); !known || excluded != (i < maxExcluded) {
 			t.Fatalf("host %d: known %v, excluded %v", i, known, excluded)
 		}
 	}
-	b.Listed(ListReplace, []Entry{{Cache: "h0", Size: 1}})
-	if listed, avoided := b.Fleet(); listed != 1 || avoided != 1 {
+	b.ApplyList(ListReplace, []HostEntry{{HostID: "h0", Size: 1}})
+	if listed, avoided := b.HostCounts(); listed != 1 || avoided != 1 {
 		t.Errorf("%d listed, %d avoided", listed, avoided)
 	}
 	if _, excluded := b.Exclude("h0"); !excluded {
@@ -54,16 +54,16 @@
 func TestTakeOver(t *testing.T) {
 	newBalancer := func(balancers int, born Nanos) *Balancer {
 		s := &testEnv{T: t, counts: map[string]int{}, now: 1000 * Second}
-		b := New(s, Terms{Balancers: balancers, OriginKind: -1, Products: []ProductTerms{{LatencySLO: Second, BilledValue: 1}},
-			ColdFrom: 0.25, RampTime: 10 * Second, FallMultiple: 3, FallWindow: Second}, 7)
-		b.Listed(ListRestored, []Entry{{Cache: "a", Size: 1, Born: born}, {Cache: "b", Size: 1}})
+		b := New(s, Config{Balancers: balancers, OriginKind: -1, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}},
+			ColdCapacityFraction: 0.25, WarmUpTime: 10 * Second, OverloadMultiple: 3, OverloadWindow: Second}, 7)
+		b.ApplyList(ListRestored, []HostEntry{{HostID: "a", Size: 1, ListedStart: born}, {HostID: "b", Size: 1}})
 		return b
 	}
 	older := newBalancer(4, 0)
 	older.hosts["a"].concurrencyLimit, older.fleetLimitPerHost, older.origin.concurrencyLimit = 17, 23, 31
 	older.hosts["a"].outcomes.add(1000*Second, 2, 40)
 	older.attemptTime.add(1000*Second, 0.06, 2)
-	learnt := older.Tell()
+	learnt := older.ExportLearnt()
 	for _, row := range []struct {
 		name        string
 		balancers   int
@@ -76,7 +76,7 @@
 		{"started again since", 4, 900 * Second, newBalancer(4, 0).hosts["a"].concurrencyLimit, 0, 23, 0.03},
 	} {
 		b := newBalancer(row.balancers, row.born)
-		b.TakeOver(learnt)
+		b.ImportLearnt(learnt)
 		_, bad := b.hosts["a"].outcomes.decayed(1000 * Second)
 		took, n := b.attemptTime.decayed(1000 * Second)
 		if b.hosts["a"].concurrencyLimit != row.limit || bad != row.bad || b.fleetLimitPerHost != row.fleet || took/n != row.pace {
@@ -84,9 +84,9 @@
 		}
 	}
 	b := newBalancer(4, 0)
-	want := b.Tell()
-	b.TakeOver(Learnt{Balancers: 4, FleetBears: -1, Origin: 1e9, Pace: -2, Caches: []LearntOf{{Cache: "a", Limit: -5, Good: -1, Bad: 3}, {Cache: "none", Limit: 2}}})
-	if got := b.Tell(); fmt.Sprint(got) != fmt.Sprint(want) {
+	want := b.ExportLearnt()
+	b.ImportLearnt(Learnt{Balancers: 4, FleetBears: -1, Origin: 1e9, Pace: -2, Caches: []LearntOf{{Cache: "a", Limit: -5, Good: -1, Bad: 3}, {Cache: "none", Limit: 2}}})
+	if got := b.ExportLearnt(); fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("invalid values were taken over: %+v", got)
 	}
 }
@@ -95,12 +95,12 @@
 // after the assignment is withdrawn.
 func TestAssignedShare(t *testing.T) {
 	s := &testEnv{T: t, counts: map[string]int{}, now: 1000 * Second}
-	b := New(s, Terms{Balancers: 10, OriginKind: -1, Products: []ProductTerms{{LatencySLO: Second, BilledValue: 1}},
-		Customers: []CustomerTerms{{AllowancePerS: 100}, {AllowancePerS: 100}, {AllowancePerS: 100}}}, 7)
+	b := New(s, Config{Balancers: 10, OriginKind: -1, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}},
+		Customers: []CustomerConfig{{QuotaPerSecond: 100}, {QuotaPerSecond: 100}, {QuotaPerSecond: 100}}}, 7)
 	countOverQuota := func() (n int) {
 		for range 500 { // ten seconds at half of the quota, all of it at this balancer
 			s.now += 20 * Millisecond
-			if b.exceedsQuota(&request{Call: Call{Customer: 0}}) {
+			if b.exceedsQuota(&request{Request: Request{Customer: 0}}) {
 				n++
 			}
 		}
@@ -109,11 +109,11 @@
 	if n := countOverQuota(); n < 200 {
 		t.Errorf("%d of 500 beyond an equal share of a tenth", n)
 	}
-	b.Part(0, 1)
+	b.SetQuotaShare(0, 1)
 	if n := countOverQuota(); n > 0 {
 		t.Errorf("%d of 500 beyond the whole quota", n)
 	}
-	b.Part(0, 0)
+	b.SetQuotaShare(0, 0)
 	if n := countOverQuota(); n < 200 {
 		t.Errorf("%d of 500 beyond the quota after the assignment was withdrawn", n)
 	}
@@ -124,11 +124,11 @@
 // balancers. A customer that exceeds its quota by more than most is singled out.
 func TestAssignedSharesWhenAllExceed(t *testing.T) {
 	s := &testEnv{T: t, counts: map[string]int{}, now: 1000 * Second}
-	b := New(s, Terms{Balancers: 10, OriginKind: -1, Products: []ProductTerms{{LatencySLO: Second, BilledValue: 1}},
-		Customers: []CustomerTerms{{AllowancePerS: 100}, {AllowancePerS: 100}, {AllowancePerS: 100}}}, 7)
+	b := New(s, Config{Balancers: 10, OriginKind: -1, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}},
+		Customers: []CustomerConfig{{QuotaPerSecond: 100}, {QuotaPerSecond: 100}, {QuotaPerSecond: 100}}}, 7)
 	shares := []float64{0.01, 0.01, 0.02}
 	for c, share := range shares {
-		b.Part(Customer(c), share)
+		b.SetQuotaShare(Customer(c), share)
 	}
 	countOverQuota := func(perS [3]float64) (n [3]int) { // in four seconds
 		var due [3]float64
@@ -136,7 +136,7 @@
 			s.now += 10 * Millisecond
 			for c := range due {
 				for due[c] += perS[c] / 100; due[c] >= 1; due[c]-- {
-					if b.exceedsQuota(&request{Call: Call{Customer: Customer(c)}}) {
+					if b.exceedsQuota(&request{Request: Request{Customer: Customer(c)}}) {
 						n[c]++
 					}
 				}
--- a/policy/health.go
+++ b/policy/health.go
@@ -34,16 +34,16 @@
 
 // recordOutcome updates the host's health and concurrency limit and the product's attempt times by the outcome of
 // an attempt.
-func (b *Balancer) recordOutcome(h *cacheHost, r *request, e Ending, a *attempt) {
-	now, slo, rejected := b.env.Now(), r.product.LatencySLO, e.Outcome == TurnedAway
-	good := (e.Outcome == Fulfilled || e.Outcome == Missed) && e.Took <= slo
-	bad := !good && !rejected && e.Outcome != NeverSent && (e.Outcome != Cancelled || e.Took >= slo/2)
+func (b *Balancer) recordOutcome(h *cacheHost, r *request, e AttemptResult, a *attempt) {
+	now, slo, rejected := b.env.Now(), r.product.LatencySLO, e.Outcome == Rejected
+	good := (e.Outcome == Fulfilled || e.Outcome == CacheMiss) && e.Duration <= slo
+	bad := !good && !rejected && e.Outcome != NeverSent && (e.Outcome != Cancelled || e.Duration >= slo/2)
 	// Only outcomes that indicate overload reduce a limit. Malformed answers and broken connections occur at any
 	// load, and reducing limits for them rejected requests without need. A host that refuses connections, or
 	// returns an error faster than others answer, is not overloaded either: with half of the fleet gone and
 	// errors at some of the remaining hosts, reduced limits left the rest nearly unused.
-	overloaded := bad && e.Outcome != Spoilt && e.Outcome != Reset && e.Outcome != ConnectFailed &&
-		!(e.Outcome == Errored && h != b.origin && e.Took.seconds() < b.usualAttemptSeconds())
+	overloaded := bad && e.Outcome != MalformedAnswer && e.Outcome != Reset && e.Outcome != ConnectFailed &&
+		!(e.Outcome == Errored && h != b.origin && e.Duration.seconds() < b.usualAttemptSeconds())
 	if good {
 		h.goodCount++
 	} else if overloaded {
@@ -59,13 +59,13 @@
 		h.backoff /= 2
 	}
 	if h == b.origin {
-		b.adaptLimit(h, slo, good, overloaded, rejected, 2*e.Took.seconds()/slo.seconds())
+		b.adaptLimit(h, slo, good, overloaded, rejected, 2*e.Duration.seconds()/slo.seconds())
 		return
 	}
 	b.recordLoadReport(h, r, e)
 	if e.Outcome == Fulfilled {
-		b.attemptTime.add(now, e.Took.seconds(), 1)
-		h.excessDelay.add(now, b.excessDelayRatio(h, r, e.Took), 1)
+		b.attemptTime.add(now, e.Duration.seconds(), 1)
+		h.excessDelay.add(now, b.excessDelayRatio(h, r, e.Duration), 1)
 	}
 	sum, n := h.excessDelay.decayed(now)
 	b.adaptLimit(h, slo, good, overloaded, rejected, sum/(n+4)/overloadDelayRatio)
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -18,7 +18,7 @@
 	// within a few seconds would discard most of them.
 	loadRatio := 1 + (h.reportedWait/mean-1)/(1+(now-h.reportedAt).seconds()/outcomeWindow.seconds())
 	if pass > 0 {
-		return r.product.OverdueValue == 0 && loadRatio*b.usualAttemptSeconds() > r.product.LatencySLO.seconds()
+		return r.product.LateValueFraction == 0 && loadRatio*b.usualAttemptSeconds() > r.product.LatencySLO.seconds()
 	}
 	return b.randomFloat() > math.Pow(loadRatio, -2)
 }
@@ -32,27 +32,27 @@
 // recordLoadReport updates a host's reported wait by the load report that came with an answer. A host that does
 // not answer does not report either, so without a report an attempt of more than half of the SLO counts as a wait
 // in proportion to its duration.
-func (b *Balancer) recordLoadReport(h *cacheHost, r *request, e Ending) {
+func (b *Balancer) recordLoadReport(h *cacheHost, r *request, e AttemptResult) {
 	now := b.env.Now()
 	switch report := e.Load; {
 	case report != nil:
 		h.reportedWait = 1
-		if report.InHand >= 0 {
-			h.reportedWait = (report.InHand + 1) / h.weight
-		} else if report.Busy >= 0 {
-			h.reportedWait = 1 / (1 - min(report.Busy, 0.95)) // queue length of a single server at this utilisation
+		if report.InProgress >= 0 {
+			h.reportedWait = (report.InProgress + 1) / h.weight
+		} else if report.Utilisation >= 0 {
+			h.reportedWait = 1 / (1 - min(report.Utilisation, 0.95)) // queue length of a single server at this utilisation
 		}
-		if report.Took > 0 {
-			h.reportedWait *= report.Took
+		if report.ServiceSeconds > 0 {
+			h.reportedWait *= report.ServiceSeconds
 		}
-		if report.Took != 0 {
+		if report.ServiceSeconds != 0 {
 			b.reportedWaits.add(now, h.reportedWait, 1)
 		}
-		if report.Took == 0 || report.InHand >= 0 && report.Busy >= 0 && report.Busy < 0.9 { // no recent requests, or no queue
+		if report.ServiceSeconds == 0 || report.InProgress >= 0 && report.Utilisation >= 0 && report.Utilisation < 0.9 { // no recent requests, or no queue
 			h.reportedWait = min(h.reportedWait, b.meanReportedWait(now))
 		}
-	case e.Took > r.product.LatencySLO/2 && b.meanReportedWait(now) > 0:
-		h.reportedWait = max(h.reportedWait, b.meanReportedWait(now)*e.Took.seconds()/b.usualAttemptSeconds())
+	case e.Duration > r.product.LatencySLO/2 && b.meanReportedWait(now) > 0:
+		h.reportedWait = max(h.reportedWait, b.meanReportedWait(now)*e.Duration.seconds()/b.usualAttemptSeconds())
 	default:
 		return
 	}
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -4,20 +4,20 @@
 
 // Membership: the host list, and the hosts that operators have excluded.
 
-// Listed applies a host list or an update of it in one call. The cost grows with the length of the list: a caller
-// that must not block for that long calls ListBegins, then Changed for a few entries at a time.
-func (b *Balancer) Listed(kind ListKind, entries []Entry) {
-	b.ListBegins(kind, entries)
+// ApplyList applies a host list or an update of it in one call. The cost grows with the length of the list: a caller
+// that must not block for that long calls BeginList, then ApplyEntries for a few entries at a time.
+func (b *Balancer) ApplyList(kind ListKind, entries []HostEntry) {
+	b.BeginList(kind, entries)
 	if kind == ListUnavailable {
 		return
 	}
-	b.Changed(entries)
+	b.ApplyEntries(entries)
 	if kind == ListUpdate {
 		return
 	}
-	named := make(map[CacheID]bool, len(entries))
+	named := make(map[HostID]bool, len(entries))
 	for _, e := range entries {
-		named[e.Cache] = true
+		named[e.HostID] = true
 	}
 	for id, h := range b.hosts {
 		if !named[id] {
@@ -28,10 +28,10 @@
 	}
 }
 
-// ListBegins announces a host list or an update, or that discovery is unavailable, and applies what depends on the
-// list as a whole. The entries follow by Changed, in any order and in pieces of any size. If the list is a whole
+// BeginList announces a host list or an update, or that discovery is unavailable, and applies what depends on the
+// list as a whole. The entries follow by ApplyEntries, in any order and in pieces of any size. If the list is a whole
 // one, the caller also passes the hosts that it no longer names, as Gone.
-func (b *Balancer) ListBegins(kind ListKind, entries []Entry) {
+func (b *Balancer) BeginList(kind ListKind, entries []HostEntry) {
 	switch kind {
 	case ListUnavailable:
 		b.scheduleListRequest(false)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Changed applies entries of the host list. Its cost depends only on their number.
-func (b *Balancer) Changed(entries []Entry) {
+// ApplyEntries applies entries of the host list. Its cost depends only on their number.
+func (b *Balancer) ApplyEntries(entries []HostEntry) {
 	origin := b.origin
 	for _, e := range entries {
 		h := b.applyEntry(e)
@@ -70,7 +70,7 @@
 // updateAvailability adds a host to the available hosts and the ring, or removes it, as its present condition
 // demands.
 func (b *Balancer) updateAvailability(h *cacheHost) {
-	available := h != b.origin && b.isUp(h) && b.hosts[h.Cache] == h
+	available := h != b.origin && b.isUp(h) && b.hosts[h.HostID] == h
 	switch {
 	case available && h.availablePos == 0:
 		b.available = append(b.available, h)
@@ -106,22 +106,22 @@
 func (b *Balancer) meanLoad() float64 { return max(0, b.loadSum) / float64(max(1, len(b.available))) }
 
 // isUp reports whether a host may get requests: it is listed as up and not excluded.
-func (b *Balancer) isUp(h *cacheHost) bool { return h.Condition == Up && !b.excluded[h.Cache] }
+func (b *Balancer) isUp(h *cacheHost) bool { return h.Condition == Up && !b.excluded[h.HostID] }
 
 // Exclude takes a cache host out of use until Include is called; a host list that names it, or no longer does,
 // makes no difference. It reports whether the host is known, and whether it is excluded now: at maxExcluded it is
 // not.
-func (b *Balancer) Exclude(id CacheID) (known, excluded bool) {
-	if known = b.Knows(id); !known || len(b.excluded) >= maxExcluded && !b.excluded[id] {
+func (b *Balancer) Exclude(id HostID) (known, excluded bool) {
+	if known = b.IsKnownHost(id); !known || len(b.excluded) >= maxExcluded && !b.excluded[id] {
 		return known, false
 	}
-	b.Bar(id)
+	b.ExcludeUnchecked(id)
 	return known, true
 }
 
-// Bar excludes a host without the checks of Exclude, for exclusions made at another process or before this one
+// ExcludeUnchecked excludes a host without the checks of Exclude, for exclusions made at another process or before this one
 // started.
-func (b *Balancer) Bar(id CacheID) {
+func (b *Balancer) ExcludeUnchecked(id HostID) {
 	b.excluded[id] = true
 	if h := b.hosts[id]; h != nil {
 		b.updateAvailability(h)
@@ -135,14 +135,14 @@
 // Include ends the exclusion of a host. Operators usually restart an excluded host, so it is treated as one that
 // starts now, whatever start time the list has, and its earlier statistics are dropped. A host that was not
 // excluded is left unchanged.
-func (b *Balancer) Include(id CacheID) (known bool) {
-	if known = b.Knows(id); !b.excluded[id] {
+func (b *Balancer) Include(id HostID) (known bool) {
+	if known = b.IsKnownHost(id); !b.excluded[id] {
 		return known
 	}
 	delete(b.excluded, id)
 	if old := b.hosts[id]; old != nil {
 		delete(b.hosts, id)
-		h, now := b.applyEntry(old.Entry), b.env.Now()
+		h, now := b.applyEntry(old.HostEntry), b.env.Now()
 		h.inFlight, h.busySince, h.lastEnded, h.includedAt = old.inFlight, old.busySince, old.lastEnded, now
 		h.firstUseDue, b.firstUsePending = now+Nanos(float64(firstUseWithin)*b.randomFloat()), true
 		b.updateAvailability(h)
@@ -174,8 +174,8 @@
 // dropIfGone removes a host that is gone once no attempt is in flight there. Without it, state would accumulate,
 // as new hosts arrive under new ids all day.
 func (b *Balancer) dropIfGone(h *cacheHost) {
-	if h.Condition == Gone && h.inFlight == 0 && h != b.origin && b.hosts[h.Cache] == h {
-		delete(b.hosts, h.Cache)
+	if h.Condition == Gone && h.inFlight == 0 && h != b.origin && b.hosts[h.HostID] == h {
+		delete(b.hosts, h.HostID)
 	}
 }
 
@@ -190,7 +190,7 @@
 	b.listRequestPending = true
 	delay := Nanos(0)
 	if !immediately {
-		delay = Nanos(float64(min(b.config.AskEvery/2, maxListRetryDelay)) * b.randomFloat())
+		delay = Nanos(float64(min(b.config.SubscribeInterval/2, maxListRetryDelay)) * b.randomFloat())
 	}
 	b.env.SetTimer(delay, "list")
 }
@@ -203,7 +203,7 @@
 // fixNominalSizes sets, once, the listed size that gets the nominal number of virtual nodes, rounded down to a
 // power of two, and the size of each kind of machine where listed sizes follow the load. Balancers that start at
 // different times thus build the same ring, and no load report moves a key.
-func (b *Balancer) fixNominalSizes(entries []Entry) {
+func (b *Balancer) fixNominalSizes(entries []HostEntry) {
 	largest := 0.0
 	for _, e := range entries {
 		if e.Kind != b.config.OriginKind {
@@ -217,11 +217,11 @@
 }
 
 // applyEntry applies one entry of the host list and returns its host.
-func (b *Balancer) applyEntry(e Entry) *cacheHost {
-	old := b.hosts[e.Cache]
-	if old != nil && (old.Born == e.Born || old == b.origin) {
+func (b *Balancer) applyEntry(e HostEntry) *cacheHost {
+	old := b.hosts[e.HostID]
+	if old != nil && (old.ListedStart == e.ListedStart || old == b.origin) {
 		old.Condition = e.Condition
-		if size := b.sizeByKind[e.Kind]; b.config.LiveSizes && e.Size > 0 && e.Size <= size {
+		if size := b.sizeByKind[e.Kind]; b.config.SizesFollowLoad && e.Size > 0 && e.Size <= size {
 			load := max(size/e.Size-1, 0.6*old.listedLoad)
 			if old.availablePos > 0 {
 				b.loadSum += load - old.listedLoad
@@ -231,21 +231,21 @@
 		return old
 	}
 	// A restart under the same name is a new process: it is cold, and the statistics of the old one do not apply.
-	h := &cacheHost{Entry: e, concurrencyLimit: b.initialLimit(), weight: e.Size}
+	h := &cacheHost{HostEntry: e, concurrencyLimit: b.initialLimit(), weight: e.Size}
 	h.excessDelay.width, h.coldBudgetAt = delaySlot, b.env.Now()
 	if old != nil {
 		h.inFlight, h.busySince, h.lastEnded, h.includedAt, h.firstUseDue = old.inFlight, old.busySince, old.lastEnded, old.includedAt, old.firstUseDue
 	}
-	if size := b.sizeByKind[e.Kind]; b.config.LiveSizes && size > 0 {
+	if size := b.sizeByKind[e.Kind]; b.config.SizesFollowLoad && size > 0 {
 		h.weight = math.Exp2(math.Round(2*math.Log2(size)) / 2)
 	}
-	if b.config.SizesEqual || !(h.weight > 0) {
+	if b.config.IgnoreSizes || !(h.weight > 0) {
 		h.weight = b.nominalSize
 	}
-	if b.config.Aside && e.Kind == b.config.OriginKind {
+	if b.config.CacheAside && e.Kind == b.config.OriginKind {
 		b.origin = h
 	}
-	b.hosts[e.Cache] = h
+	b.hosts[e.HostID] = h
 	if old != nil {
 		b.updateAvailability(old)
 	}
--- a/policy/origin.go
+++ b/policy/origin.go
@@ -11,7 +11,7 @@
 		limit = max(1, 0.75*limit)
 	}
 	full := float64(o.inFlight+b.peerInFlight) >= limit || b.env.Now() < o.backoffUntil
-	if o.Cache == "" || o.Condition != Up || full || !b.maySend(r, o) {
+	if o.HostID == "" || o.Condition != Up || full || !b.maySend(r, o) {
 		b.raiseShedding(r)
 		b.giveUp(r)
 		return
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -1,17 +1,17 @@
-// Package policy decides where each request goes. New makes a Balancer from the Terms of its deployment. After
-// that, the caller reports each event by a method (Listed, Arrived, Ended, Streaming, Abandoned, TimerFired), and
-// the Balancer acts by calling its Host, which is declared in types.go. A Balancer is not safe for concurrent use,
-// has no clock of its own and shares no state.
+// Package policy decides where each request goes. New makes a Balancer from the Config of its deployment. After
+// that, the caller reports each event by a method (ApplyList, RequestArrived, AttemptEnded, AnswerStarted,
+// RequestAbandoned, TimerFired), and the Balancer acts by calling its Environment, which is declared in types.go.
+// A Balancer is not safe for concurrent use, has no clock of its own and shares no state.
 // Reading order: policy.go has the life cycle of a request; routing.go, ring.go and replication.go choose the
 // cache host; retry.go decides what may be sent again; origin.go limits traffic to the origin; slowstart.go,
 // health.go, concurrency.go, fairness.go and loadreport.go limit the traffic to each host and to the fleet;
 // membership.go maintains the host list. The state is declared in state.go, meter.go and chance.go.
 package policy
 
-// New returns a balancer without any hosts; Listed supplies the first host list.
-func New(env Host, config Terms, seed uint64) *Balancer {
-	b := &Balancer{env: env, config: config, seed: seedHash(seed), startedAt: env.Now(), hosts: map[CacheID]*cacheHost{},
-		excluded: map[CacheID]bool{}, sizeByKind: map[Kind]float64{}, zoneOutcomes: map[Zone]*meter{}, requests: map[CallID]*request{},
+// New returns a balancer without any hosts; ApplyList supplies the first host list.
+func New(env Environment, config Config, seed uint64) *Balancer {
+	b := &Balancer{env: env, config: config, seed: seedHash(seed), startedAt: env.Now(), hosts: map[HostID]*cacheHost{},
+		excluded: map[HostID]bool{}, sizeByKind: map[MachineKind]float64{}, zoneOutcomes: map[Zone]*meter{}, requests: map[RequestID]*request{},
 		keys: keyTable{index: map[Key]int{}}, quotas: make([]quota, len(config.Customers)),
 		attemptTimes: make([]meter, 2*len(config.Products)), origin: &cacheHost{concurrencyLimit: maxInFlight / 4},
 		fleetLimitPerHost: largeFleetInitialInFlight / float64(config.Balancers)}
@@ -23,34 +23,34 @@
 	return b
 }
 
-// Arrived takes a new request. The balancer owes it exactly one final answer.
-func (b *Balancer) Arrived(in Call) {
+// RequestArrived takes a new request. The balancer owes it exactly one final answer.
+func (b *Balancer) RequestArrived(in Request) {
 	now := b.env.Now()
 	if in.Key == "" {
 		in.Key = Key(in.ID)
 	}
-	r := &request{Call: in, product: &b.config.Products[in.Product], arrivedAt: now}
+	r := &request{Request: in, product: &b.config.Products[in.Product], arrivedAt: now}
 	// Expires two ticks before the deadline: the timer may fire up to one tick late, and the answer must still
 	// reach the client in time.
-	b.env.SetTimer(max(0, in.Deadline-now-2*b.config.Tick), TimerID("e"+in.ID))
+	b.env.SetTimer(max(0, in.Deadline-now-2*b.config.TimerGranularity), TimerID("e"+in.ID))
 	b.requests[in.ID] = r
 	b.countKeyUse(r)
 	r.overQuota = b.exceedsQuota(r)
 	switch {
-	case r.Work > r.product.LatencySLO && r.product.OverdueValue == 0,
+	case r.ExpectedWork > r.product.LatencySLO && r.product.LateValueFraction == 0,
 		r.overQuota && b.randomFloat() < max(b.shedProbability, b.meanLoad()/4):
 		b.giveUp(r)
-	case b.config.Aside && r.Write: // cache hosts do not take writes in this deployment
+	case b.config.CacheAside && r.Write: // cache hosts do not take writes in this deployment
 		b.sendToOrigin(r)
 	default:
 		b.sendToHost(r)
 	}
 }
 
-// Ended takes the outcome of an attempt.
-func (b *Balancer) Ended(e Ending) {
+// AttemptEnded takes the outcome of an attempt.
+func (b *Balancer) AttemptEnded(e AttemptResult) {
 	now := b.env.Now()
-	h, r := b.hosts[e.Cache], b.requests[e.Call]
+	h, r := b.hosts[e.HostID], b.requests[e.RequestID]
 	if h != nil {
 		if h.inFlight > 0 {
 			h.inFlight--
@@ -58,7 +58,7 @@
 				b.attemptsInFlight--
 			}
 		}
-		h.lastEnded, h.lastAttemptSeconds = now, e.Took.seconds()
+		h.lastEnded, h.lastAttemptSeconds = now, e.Duration.seconds()
 		b.dropIfGone(h)
 	}
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || !r.attempts[e.Attempt].inFlight {
@@ -76,14 +76,14 @@
 	if h != nil {
 		b.recordOutcome(h, r, e, a)
 	}
-	if e.Attempt > 0 && a.host != b.origin && !r.cacheMissed && e.Outcome != NeverSent && e.Outcome != Missed &&
+	if e.Attempt > 0 && a.host != b.origin && !r.cacheMissed && e.Outcome != NeverSent && e.Outcome != CacheMiss &&
 		e.Outcome != ConnectFailed {
 		b.retryOutcomes.record(now, e.Outcome == Fulfilled, e.Outcome != Fulfilled)
 	}
 	switch {
 	case e.Final || e.Outcome == Fulfilled || r.finished:
 		b.finish(r)
-	case e.Outcome == Missed && b.config.Aside: // other deployments have no origin that the balancer could ask
+	case e.Outcome == CacheMiss && b.config.CacheAside: // other deployments have no origin that the balancer could ask
 		r.cacheMissed = true
 		b.sendToOrigin(r)
 	case r.inFlight == 0:
@@ -107,10 +107,10 @@
 // its quota it is a part of the longest wait that clients honour.
 func (b *Balancer) retryAfter(r *request) Nanos {
 	left := r.arrivedAt + r.product.LatencySLO - b.env.Now()
-	if left <= 0 || r.Repeat || r.overQuota {
-		left = b.config.MaxComeBack
+	if left <= 0 || r.ClientRetry || r.overQuota {
+		left = b.config.MaxRetryAfter
 	}
-	return min(b.config.MaxComeBack, Nanos(float64(left)*(0.3+0.4*b.randomFloat())))
+	return min(b.config.MaxRetryAfter, Nanos(float64(left)*(0.3+0.4*b.randomFloat())))
 }
 
 // finish ends a request and cancels its open attempts where allowed. The request is kept until all its attempts
@@ -129,29 +129,29 @@
 	}
 }
 
-// Abandoned reports that the client has left.
-func (b *Balancer) Abandoned(id CallID) {
+// RequestAbandoned reports that the client has left.
+func (b *Balancer) RequestAbandoned(id RequestID) {
 	if r := b.requests[id]; r != nil && !r.finished {
 		b.finish(r)
 	}
 }
 
-// Streaming reports that an answer has begun; from then on the client timeout does not apply.
-func (b *Balancer) Streaming(id CallID) {
+// AnswerStarted reports that an answer has begun; from then on the client timeout does not apply.
+func (b *Balancer) AnswerStarted(id RequestID) {
 	if r := b.requests[id]; r != nil {
 		r.streaming = true
 	}
 }
 
-// Came reports that the last byte of a long write has arrived, which fixes the client's deadline.
-func (b *Balancer) Came(id CallID, deadline Nanos) {
+// WriteReceived reports that the last byte of a long write has arrived, which fixes the client's deadline.
+func (b *Balancer) WriteReceived(id RequestID, deadline Nanos) {
 	if r := b.requests[id]; r != nil && !r.finished {
 		r.Deadline = deadline
-		b.env.SetTimer(max(0, deadline-b.env.Now()-2*b.config.Tick), TimerID("e"+id))
+		b.env.SetTimer(max(0, deadline-b.env.Now()-2*b.config.TimerGranularity), TimerID("e"+id))
 	}
 }
 
-// TimerFired reports that a timer set by Host.SetTimer has expired.
+// TimerFired reports that a timer set by Environment.SetTimer has expired.
 func (b *Balancer) TimerFired(id TimerID) {
 	switch id {
 	case "beat":
@@ -166,7 +166,7 @@
 		b.env.Subscribe()
 		return
 	}
-	if r := b.requests[CallID(id[1:])]; r != nil && !r.finished && !r.streaming {
+	if r := b.requests[RequestID(id[1:])]; r != nil && !r.finished && !r.streaming {
 		b.giveUp(r)
 	}
 }
--- a/policy/replication.go
+++ b/policy/replication.go
@@ -25,7 +25,7 @@
 // popular keys.
 func (b *Balancer) replicaThreshold() float64 {
 	t := b.keys.totalReads() / float64(max(1, len(b.available))) * (crossZoneCost - sameZoneCost)
-	if b.config.FetchPrice > b.config.CrossPrice {
+	if b.config.OriginFetchCost > b.config.CrossZoneCost {
 		t += crossZoneCost - sameZoneCost
 	}
 	return t
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -18,7 +18,7 @@
 	}
 	r.attempts = append(r.attempts, attempt{host: to, sentAt: now, inFlight: true, goodCountAtSend: to.goodCount})
 	r.inFlight++
-	b.env.Send(r.ID, to.Cache, r.Deadline, r.latestStart())
+	b.env.Send(r.ID, to.HostID, r.Deadline, r.latestStart())
 }
 
 // latestStart returns the instant from which on an attempt must not begin: the receiver drops a repeat only within
@@ -39,7 +39,9 @@
 
 // safeRepeatWindow returns the part of the deduplication window in which a repeat may be decided on and begun.
 // Even if its sending is delayed by maxSendDelay, it still falls within the window.
-func (t *ProductTerms) safeRepeatWindow() Nanos { return t.Window - min(maxSendDelay, t.Window/4) }
+func (t *ProductConfig) safeRepeatWindow() Nanos {
+	return t.DedupWindow - min(maxSendDelay, t.DedupWindow/4)
+}
 
 // retry makes a further attempt after one that failed, or gives the request up.
 func (b *Balancer) retry(r *request, failed *cacheHost) {
@@ -47,7 +49,7 @@
 	// An attempt that got no connection gave no host any work, so a retry after it does not add to an overload.
 	connected := slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.noConnection })
 	switch {
-	case late && r.product.OverdueValue == 0 || connected && !b.drawRetry():
+	case late && r.product.LateValueFraction == 0 || connected && !b.drawRetry():
 		b.giveUp(r)
 	case failed == b.origin:
 		b.sendToOrigin(r)
@@ -67,23 +69,23 @@
 // MayHaveRun reports whether a request may have run at the receiver, given the outcome of the attempt. Any outcome
 // that is no proof of the contrary counts as one that may have run.
 func MayHaveRun(o Outcome) bool {
-	return o != TurnedAway && o != ConnectFailed && o != NeverSent && o != Missed
+	return o != Rejected && o != ConnectFailed && o != NeverSent && o != CacheMiss
 }
 
 // maySend reports whether an attempt may be sent now, given the attempts before it. No attempt is sent without
 // this check.
 func (b *Balancer) maySend(r *request, to *cacheHost) bool {
-	return len(r.attempts) < b.config.MostAttempts && !r.finished && r.inFlight == 0 &&
+	return len(r.attempts) < b.config.MaxAttempts && !r.finished && r.inFlight == 0 &&
 		b.repeatHarmless(r, func(a attempt) bool {
-			return r.product.Group == GroupAll || r.product.Group == GroupZone && a.host.Zone == to.Zone ||
-				r.product.Group == GroupCell && a.host.Cell == to.Cell
+			return r.product.DedupScope == DedupScopeAll || r.product.DedupScope == DedupScopeZone && a.host.Zone == to.Zone ||
+				r.product.DedupScope == DedupScopeCell && a.host.Cell == to.Cell
 		})
 }
 
 // mayRateLimit reports whether a request may be answered as rate-limited, which promises that a retry is harmless
 // at whichever host it arrives.
 func (b *Balancer) mayRateLimit(r *request) bool {
-	return b.repeatHarmless(r, func(attempt) bool { return r.product.Group == GroupAll })
+	return b.repeatHarmless(r, func(attempt) bool { return r.product.DedupScope == DedupScopeAll })
 }
 
 // repeatHarmless reports whether a repeat cannot cause a second effect. Non-idempotent work must not run again;
--- a/policy/ring.go
+++ b/policy/ring.go
@@ -49,7 +49,7 @@
 	h.ringNumber = r.allocateNumber(h)
 	h.virtualNodes = virtualNodes
 	r.hostCount++
-	id := hashPrefix(string(h.Cache))
+	id := hashPrefix(string(h.HostID))
 	for n := range virtualNodes {
 		position := id.with(uint64(n))
 		segment := &r.segments[segmentOf(position)]
@@ -72,7 +72,7 @@
 
 // remove removes a host from the ring.
 func (r *ring) remove(h *cacheHost) {
-	id := hashPrefix(string(h.Cache))
+	id := hashPrefix(string(h.HostID))
 	for n := range h.virtualNodes {
 		position := id.with(uint64(n))
 		segment := &r.segments[segmentOf(position)]
@@ -93,7 +93,7 @@
 			if c := cmp.Compare(x.position, y.position); c != 0 { // equal positions are rare
 				return c
 			}
-			return cmp.Compare(r.hosts[x.hostNumber].Cache, r.hosts[y.hostNumber].Cache)
+			return cmp.Compare(r.hosts[x.hostNumber].HostID, r.hosts[y.hostNumber].HostID)
 		})
 		segment.sorted = true
 	}
--- a/policy/ring_test.go
+++ b/policy/ring_test.go
@@ -9,10 +9,10 @@
 )
 
 // ringOrder returns the hosts in ring order from a key on, by sorting all virtual nodes anew.
-func ringOrder(hosts map[CacheID]int, key Key) (order []CacheID) {
+func ringOrder(hosts map[HostID]int, key Key) (order []HostID) {
 	type node struct {
 		hash uint64
-		host CacheID
+		host HostID
 	}
 	var nodes []node
 	for id, points := range hosts {
@@ -47,22 +47,22 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		var r ring
-		hosts, caches := map[CacheID]int{}, map[CacheID]*cacheHost{}
+		hosts, caches := map[HostID]int{}, map[HostID]*cacheHost{}
 		for range 10 + random.IntN(200) {
-			id := CacheID(fmt.Sprint("s-", random.IntN(60)))
+			id := HostID(fmt.Sprint("s-", random.IntN(60)))
 			if h := caches[id]; h != nil {
 				r.remove(h)
 				delete(caches, id)
 				delete(hosts, id)
 			} else {
-				h := &cacheHost{Entry: Entry{Cache: id}}
+				h := &cacheHost{HostEntry: HostEntry{HostID: id}}
 				caches[id], hosts[id] = h, 1+random.IntN(100)
 				r.add(h, hosts[id])
 			}
 			key := Key(fmt.Sprint("key", random.IntN(1000)))
-			var got []CacheID
+			var got []HostID
 			for h := range r.hostsFrom(key) {
-				got = append(got, h.Cache)
+				got = append(got, h.HostID)
 			}
 			if want := ringOrder(hosts, key); !slices.Equal(got, want) {
 				t.Fatalf("from key %s: %v, expected %v", key, got, want)
@@ -76,7 +76,7 @@
 // anew.
 func TestChangedInPieces(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
-	config := Terms{Balancers: 10, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1, LiveSizes: true, RampTime: 10 * Second, FallWindow: Second, FallMultiple: 2}
+	config := Config{Balancers: 10, Products: []ProductConfig{{LatencySLO: Second}}, OriginKind: -1, SizesFollowLoad: true, WarmUpTime: 10 * Second, OverloadWindow: Second, OverloadMultiple: 2}
 	for range 30 {
 		clock := &idleEnv{now: 100 * Second}
 		whole, pieces := New(clock, config, 1), New(clock, config, 1)
@@ -84,29 +84,29 @@
 			clock.now += Second
 			whole.recomputeSums() // as the periodic maintenance does
 			pieces.recomputeSums()
-			var list []Entry
+			var list []HostEntry
 			for _, n := range random.Perm(40)[:1+random.IntN(40)] {
-				list = append(list, Entry{Cache: CacheID(fmt.Sprint("s-", n)), Zone: Zone(n % 3), Condition: Condition(random.IntN(3)),
-					Size: 1 + random.Float64(), Born: Nanos(random.IntN(2)) * 95 * Second})
+				list = append(list, HostEntry{HostID: HostID(fmt.Sprint("s-", n)), Zone: Zone(n % 3), Condition: Condition(random.IntN(3)),
+					Size: 1 + random.Float64(), ListedStart: Nanos(random.IntN(2)) * 95 * Second})
 			}
 			kind := ListUpdate
 			if random.IntN(2) == 0 || whole.nominalSize == 0 {
 				kind = ListReplace
 			}
-			whole.Listed(kind, list)
-			pieces.ListBegins(kind, list)
+			whole.ApplyList(kind, list)
+			pieces.BeginList(kind, list)
 			rest := slices.Clone(list)
 			if kind == ListReplace {
 				for id := range pieces.hosts {
-					if !slices.ContainsFunc(list, func(e Entry) bool { return e.Cache == id }) {
-						rest = append(rest, Entry{Cache: id, Condition: Gone, Born: pieces.hosts[id].Born})
+					if !slices.ContainsFunc(list, func(e HostEntry) bool { return e.HostID == id }) {
+						rest = append(rest, HostEntry{HostID: id, Condition: Gone, ListedStart: pieces.hosts[id].ListedStart})
 					}
 				}
 			}
 			random.Shuffle(len(rest), func(i, j int) { rest[i], rest[j] = rest[j], rest[i] })
 			for len(rest) > 0 {
 				n := 1 + random.IntN(len(rest))
-				pieces.Changed(rest[:n])
+				pieces.ApplyEntries(rest[:n])
 				rest = rest[n:]
 			}
 			for _, b := range []*Balancer{whole, pieces} {
@@ -115,9 +115,9 @@
 					t.Fatalf("warm capacity %v, load %v, %d hosts on the ring; computed anew %v, %v, %d", warmCapacity, loadSum, b.ring.hostCount, b.warmCapacity, b.loadSum, len(b.available))
 				}
 			}
-			ids := func(b *Balancer) (all []CacheID) {
+			ids := func(b *Balancer) (all []HostID) {
 				for h := range b.ring.hostsFrom("key") {
-					all = append(all, h.Cache)
+					all = append(all, h.HostID)
 				}
 				return all
 			}
--- a/policy/routing.go
+++ b/policy/routing.go
@@ -59,7 +59,7 @@
 // limited number of connections, so the skip probability follows the share of recent attempts that found none. The
 // second pass may still open new connections.
 func (b *Balancer) connectionUnlikely(h *cacheHost) bool {
-	if b.config.KeepAlive == 0 || h.lastConnectedAt > 0 && b.env.Now()-h.lastConnectedAt < b.config.KeepAlive {
+	if b.config.IdleConnectionLife == 0 || h.lastConnectedAt > 0 && b.env.Now()-h.lastConnectedAt < b.config.IdleConnectionLife {
 		return false
 	}
 	connected, refused := b.connectOutcomes.decayed(b.env.Now())
@@ -120,11 +120,11 @@
 		}
 	}
 	if candidate != home && candidate != nil && u.replicaHost == "" && b.replicaProfit(u, home, candidate) > b.replicaThreshold() {
-		u.replicaHost = candidate.Cache
+		u.replicaHost = candidate.HostID
 	}
 	h := b.hosts[u.replicaHost]
 	if h == nil || home == nil || h == home || !b.isUp(h) ||
-		cmp.Or(cmp.Compare(b.hopCost(h), b.hopCost(home)), cmp.Compare(h.Cache, home.Cache)) > 0 {
+		cmp.Or(cmp.Compare(b.hopCost(h), b.hopCost(home)), cmp.Compare(h.HostID, home.HostID)) > 0 {
 		return nil
 	}
 	return h
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -25,10 +25,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := &testEnv{T: t, requests: map[CallID]*clientRequest{}, replies: map[CacheID]scriptedReply{}, hosts: map[CacheID]*testHost{},
-				config: Terms{Balancers: 1, OriginKind: -1, MayCancel: true, MostAttempts: 6, MaxComeBack: Second,
-					ColdFrom: 0.25, RampTime: 10 * Second, FallMultiple: 3, FallWindow: Second,
-					AskEvery: 10 * Second, Tick: Millisecond}}
+			s := &testEnv{T: t, requests: map[RequestID]*clientRequest{}, replies: map[HostID]scriptedReply{}, hosts: map[HostID]*testHost{},
+				config: Config{Balancers: 1, OriginKind: -1, MayCancel: true, MaxAttempts: 6, MaxRetryAfter: Second,
+					ColdCapacityFraction: 0.25, WarmUpTime: 10 * Second, OverloadMultiple: 3, OverloadWindow: Second,
+					SubscribeInterval: 10 * Second, TimerGranularity: Millisecond}}
 			for i, line := range strings.Split(string(text), "\n") {
 				if line, _, _ = strings.Cut(line, "#"); strings.TrimSpace(line) != "" {
 					s.line = fmt.Sprintf("line %d: %s", i+1, strings.TrimSpace(line))
@@ -60,12 +60,12 @@
 	took         Nanos
 	strayEvery   int // every strayEvery-th attempt ends as strayOutcome; 0: none
 	strayOutcome Outcome
-	load         *Load
+	load         *LoadReport
 }
 
 // clientRequest is a request as the rules see it.
 type clientRequest struct {
-	call     Call
+	call     Request
 	deadline Nanos
 	attempts []attempt
 	answered bool
@@ -73,7 +73,7 @@
 
 // testHost is a host as the rules see it.
 type testHost struct {
-	Entry
+	HostEntry
 	stoppedAt    Nanos // when it began to drain or left the list; 0: neither
 	attemptsAt   []Nanos
 	capacityPerS float64 // requests per second when warm; 0: not stated
@@ -83,20 +83,20 @@
 // independently of the balancer.
 type testEnv struct {
 	*testing.T
-	config           Terms
+	config           Config
 	b                *Balancer
 	now              Nanos
 	line             string
-	requests         map[CallID]*clientRequest
-	hosts            map[CacheID]*testHost
-	replies          map[CacheID]scriptedReply
+	requests         map[RequestID]*clientRequest
+	hosts            map[HostID]*testHost
+	replies          map[HostID]scriptedReply
 	queue            []timer
 	log              []string
 	counts           map[string]int
 	customerOutcomes map[Customer]Outcome
 	timeouts         []Nanos // of the clients, by product
 	floodCount       int
-	load             *Load // report that comes with the outcome being delivered
+	load             *LoadReport // report that comes with the outcome being delivered
 }
 
 func (s *testEnv) record(format string, v ...any) { s.log = append(s.log, fmt.Sprintf(format, v...)) }
@@ -120,7 +120,7 @@
 func (s *testEnv) Now() Nanos                    { return s.now }
 func (s *testEnv) Subscribe()                    { s.record("subscribe") }
 func (s *testEnv) SetTimer(in Nanos, id TimerID) { s.schedule(in, func() { s.b.TimerFired(id) }) }
-func (s *testEnv) Cancel(id CallID, n int) {
+func (s *testEnv) Cancel(id RequestID, n int) {
 	s.record("cancel %s %d", id, n)
 	d := s.requests[id]
 	s.schedule(Millisecond, func() { s.endAttempt(id, n, Cancelled, s.now-d.attempts[n].sentAt) })
@@ -133,14 +133,14 @@
 			continue
 		}
 		p := s.config.Products[d.call.Product]
-		if p.Effect == NonIdempotent || p.Effect == Deduplicated && (s.now-x.sentAt >= p.Window || !deduplicates(x)) {
+		if p.Effect == NonIdempotent || p.Effect == Deduplicated && (s.now-x.sentAt >= p.DedupWindow || !deduplicates(x)) {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *testEnv) Send(id CallID, to CacheID, deadline, beginBy Nanos) {
+func (s *testEnv) Send(id RequestID, to HostID, deadline, beginBy Nanos) {
 	timeout := max(1, deadline-s.now)
 	s.record("send %s %s", id, to)
 	s.counts[string(to)]++
@@ -156,36 +156,36 @@
 	case d.answered || s.now > d.deadline:
 		s.Errorf("%s: rule 1: %s sent after its final answer or deadline", s.line, id)
 	case !s.repeatHarmless(d, func(x attempt) bool {
-		e, p := x.host.Entry, s.config.Products[d.call.Product]
-		return p.Group == GroupAll || p.Group == GroupZone && e.Zone == h.Zone || p.Group == GroupCell && e.Cell == h.Cell
+		e, p := x.host.HostEntry, s.config.Products[d.call.Product]
+		return p.DedupScope == DedupScopeAll || p.DedupScope == DedupScopeZone && e.Zone == h.Zone || p.DedupScope == DedupScopeCell && e.Cell == h.Cell
 	}):
 		s.Errorf("%s: rule 2: %s may run twice", s.line, id)
-	case inFlight > 0 || len(d.attempts) >= s.config.MostAttempts:
+	case inFlight > 0 || len(d.attempts) >= s.config.MaxAttempts:
 		s.Errorf("%s: too many attempts of %s", s.line, id)
 	case beginBy > deadline || slices.ContainsFunc(d.attempts, func(x attempt) bool {
 		p := s.config.Products[d.call.Product]
-		return x.mayHaveRun && p.Effect == Deduplicated && beginBy > x.sentAt+p.Window
+		return x.mayHaveRun && p.Effect == Deduplicated && beginBy > x.sentAt+p.DedupWindow
 	}):
 		s.Errorf("%s: rule 2: %s may begin after the window in which it is dropped as a repeat", s.line, id)
 	case h.stoppedAt > 0 && s.now > h.stoppedAt+testDrainGrace:
 		s.Errorf("%s: rule 3: %s sent to %s after the grace", s.line, id, to)
 	}
 	h.attemptsAt = append(h.attemptsAt, s.now)
-	if age := s.now - h.Born; h.Born > 0 && h.capacityPerS > 0 && age < s.config.RampTime {
+	if age := s.now - h.ListedStart; h.ListedStart > 0 && h.capacityPerS > 0 && age < s.config.WarmUpTime {
 		n := 0
 		for _, at := range h.attemptsAt {
-			if at > s.now-s.config.FallWindow {
+			if at > s.now-s.config.OverloadWindow {
 				n++
 			}
 		}
-		share := s.config.ColdFrom + (1-s.config.ColdFrom)*age.seconds()/s.config.RampTime.seconds()
-		allowed := s.config.FallMultiple * share * h.capacityPerS * s.config.FallWindow.seconds() / float64(s.config.Balancers)
+		share := s.config.ColdCapacityFraction + (1-s.config.ColdCapacityFraction)*age.seconds()/s.config.WarmUpTime.seconds()
+		allowed := s.config.OverloadMultiple * share * h.capacityPerS * s.config.OverloadWindow.seconds() / float64(s.config.Balancers)
 		if float64(n) > max(1, allowed) {
 			s.Errorf("%s: rule 4: %d sent to cold %s, %.1f allowed", s.line, n, to, allowed)
 		}
 	}
 	n := len(d.attempts)
-	d.attempts = append(d.attempts, attempt{host: &cacheHost{Entry: h.Entry}, sentAt: s.now, inFlight: true})
+	d.attempts = append(d.attempts, attempt{host: &cacheHost{HostEntry: h.HostEntry}, sentAt: s.now, inFlight: true})
 	r, ok := s.replies[to]
 	if o, fixed := s.customerOutcomes[d.call.Customer]; fixed && ok {
 		r = scriptedReply{outcome: o, took: Millisecond}
@@ -201,19 +201,19 @@
 	}
 }
 
-func (s *testEnv) endAttempt(id CallID, n int, o Outcome, took Nanos) {
+func (s *testEnv) endAttempt(id RequestID, n int, o Outcome, took Nanos) {
 	d := s.requests[id]
 	x := &d.attempts[n]
 	if !x.inFlight { // already cancelled or answered
 		return
 	}
-	x.inFlight, x.mayHaveRun = false, o != TurnedAway && o != ConnectFailed && o != NeverSent && o != Missed
+	x.inFlight, x.mayHaveRun = false, o != Rejected && o != ConnectFailed && o != NeverSent && o != CacheMiss
 	wasAnswered := d.answered
 	d.answered = d.answered || o == Fulfilled
-	s.b.Ended(Ending{Call: id, Attempt: n, Final: wasAnswered || o == Fulfilled, Outcome: o, Took: took, Cache: x.host.Cache, Load: s.load})
+	s.b.AttemptEnded(AttemptResult{RequestID: id, Attempt: n, Final: wasAnswered || o == Fulfilled, Outcome: o, Duration: took, HostID: x.host.HostID, Load: s.load})
 }
 
-func (s *testEnv) finalAnswer(id CallID, what string) {
+func (s *testEnv) finalAnswer(id RequestID, what string) {
 	s.record("%s %s", what, id)
 	d := s.requests[id]
 	s.counts[what]++
@@ -221,36 +221,36 @@
 	if d.answered || s.now > d.deadline {
 		s.Errorf("%s: rule 1: %s answered twice or late", s.line, id)
 	}
-	all := func(attempt) bool { return s.config.Products[d.call.Product].Group == GroupAll }
+	all := func(attempt) bool { return s.config.Products[d.call.Product].DedupScope == DedupScopeAll }
 	if what == "ratelimit" && !s.repeatHarmless(d, all) {
 		s.Errorf("%s: rule 2: %s rate-limited although it may have run", s.line, id)
 	}
 	d.answered = true
 }
 
-func (s *testEnv) RateLimit(id CallID, retryAfter Nanos) {
-	if retryAfter < 0 || retryAfter > s.config.MaxComeBack {
+func (s *testEnv) RateLimit(id RequestID, retryAfter Nanos) {
+	if retryAfter < 0 || retryAfter > s.config.MaxRetryAfter {
 		s.Errorf("%s: retry after %d", s.line, retryAfter)
 	}
 	s.finalAnswer(id, "ratelimit")
 }
-func (s *testEnv) Error(id CallID) { s.finalAnswer(id, "error") }
+func (s *testEnv) Error(id RequestID) { s.finalAnswer(id, "error") }
 
-func (s *testEnv) arrive(id CallID, o options, key string) {
+func (s *testEnv) arrive(id RequestID, o options, key string) {
 	p := Product(o.number("product", 0))
 	if host, n, found := strings.Cut(strings.TrimPrefix(key, "@"), "/"); key[0] == '@' { // @a/2: the second key whose home is a
 		left, _ := strconv.Atoi(n)
 		for i := 0; !found || left > 0; i++ {
 			key = fmt.Sprint("k", i)
-			if s.b.ring.home(Key(key)).Cache == CacheID(host) {
+			if s.b.ring.home(Key(key)).HostID == HostID(host) {
 				left, found = left-1, true
 			}
 		}
 	}
-	in := Call{ID: id, Key: Key(key), Product: p, Customer: Customer(o.number("customer", 0)), Write: o["write"] != "",
-		Deadline: s.now + o.milliseconds("left", float64(s.timeouts[p]/Millisecond)), Work: o.milliseconds("work", 0)}
+	in := Request{ID: id, Key: Key(key), Product: p, Customer: Customer(o.number("customer", 0)), Write: o["write"] != "",
+		Deadline: s.now + o.milliseconds("left", float64(s.timeouts[p]/Millisecond)), ExpectedWork: o.milliseconds("work", 0)}
 	s.requests[id] = &clientRequest{call: in, deadline: in.Deadline}
-	s.b.Arrived(in)
+	s.b.RequestArrived(in)
 }
 
 type options map[string]string
@@ -266,11 +266,11 @@
 }
 
 // load returns the load report given by hand=, busy= and lat=, or nil without any of them.
-func (o options) load() *Load {
+func (o options) load() *LoadReport {
 	if o["hand"]+o["busy"]+o["lat"] == "" {
 		return nil
 	}
-	return &Load{InHand: o.number("hand", -1), Busy: o.number("busy", -1), Took: o.number("lat", -1000) / 1000}
+	return &LoadReport{InProgress: o.number("hand", -1), Utilisation: o.number("busy", -1), ServiceSeconds: o.number("lat", -1000) / 1000}
 }
 
 func parseOptions(words []string) (plain []string, o options) {
@@ -286,8 +286,8 @@
 	return plain, o
 }
 
-var outcomeNames = map[string]Outcome{"fulfilled": Fulfilled, "errored": Errored, "full": TurnedAway, "timeout": TimedOut,
-	"unconnected": ConnectFailed, "reset": Reset, "cancelled": Cancelled, "moot": NeverSent, "miss": Missed, "spoilt": Spoilt,
+var outcomeNames = map[string]Outcome{"fulfilled": Fulfilled, "errored": Errored, "full": Rejected, "timeout": TimedOut,
+	"unconnected": ConnectFailed, "reset": Reset, "cancelled": Cancelled, "moot": NeverSent, "miss": CacheMiss, "spoilt": MalformedAnswer,
 	"unknown": Unknown}
 
 func (s *testEnv) runCommand(words []string) {
@@ -296,24 +296,24 @@
 	switch w[0] {
 	case "terms":
 		t.Balancers = int(o.number("balancers", 1))
-		t.Aside, t.MustSubscribe, t.LiveSizes = o["aside"] != "", o["subscribe"] != "", o["live"] != ""
-		t.CrossPrice, t.FetchPrice = o.number("cross", 0), o.number("fetch", 0)
-		t.OriginKind = Kind(o.number("origin", -1))
-		t.MostAttempts = int(o.number("shots", 6))
-		t.KeepAlive = o.milliseconds("keep", 0)
+		t.CacheAside, t.MustSubscribe, t.SizesFollowLoad = o["aside"] != "", o["subscribe"] != "", o["live"] != ""
+		t.CrossZoneCost, t.OriginFetchCost = o.number("cross", 0), o.number("fetch", 0)
+		t.OriginKind = MachineKind(o.number("origin", -1))
+		t.MaxAttempts = int(o.number("shots", 6))
+		t.IdleConnectionLife = o.milliseconds("keep", 0)
 	case "customer": // customer N OUTCOME: from now on all hosts answer its requests so
 		if len(w) == 3 {
 			n, _ := strconv.Atoi(w[1])
 			s.customerOutcomes = map[Customer]Outcome{Customer(n): outcomeNames[w[2]]}
 			break
 		}
-		t.Customers = append(t.Customers, CustomerTerms{AllowancePerS: o.number("allowance", 0)})
+		t.Customers = append(t.Customers, CustomerConfig{QuotaPerSecond: o.number("allowance", 0)})
 	case "product":
 		e := map[string]Effect{"idempotent": Idempotent, "deduplicated": Deduplicated, "nonidempotent": NonIdempotent}[w[1]]
-		g := map[string]Group{"zone": GroupZone, "cell": GroupCell}[o["group"]]
+		g := map[string]DedupScope{"zone": DedupScopeZone, "cell": DedupScopeCell}[o["group"]]
 		s.timeouts = append(s.timeouts, o.milliseconds("timeout", 2000))
-		t.Products = append(t.Products, ProductTerms{LatencySLO: o.milliseconds("slo", 1000),
-			BilledValue: o.number("value", 1), Effect: e, Group: g, Window: o.milliseconds("window", 500)})
+		t.Products = append(t.Products, ProductConfig{LatencySLO: o.milliseconds("slo", 1000),
+			BilledValue: o.number("value", 1), Effect: e, DedupScope: g, DedupWindow: o.milliseconds("window", 500)})
 	case "list":
 		if s.b == nil {
 			s.now, s.counts = 1000*Second, map[string]int{}
@@ -321,34 +321,34 @@
 		}
 		kind := map[string]ListKind{"update": ListUpdate, "replace": ListReplace, "restored": ListRestored,
 			"unavailable": ListUnavailable}[w[1]]
-		var entries []Entry
-		named := map[CacheID]bool{}
+		var entries []HostEntry
+		named := map[HostID]bool{}
 		for _, x := range words[2:] { // name,zone=1,cell=2,kind=1,size=2,born=0,perS=20,drain
 			parts, eo := parseOptions(strings.Split(x, ","))
-			e := Entry{Cache: CacheID(parts[0]), Zone: Zone(eo.number("zone", 0)), Cell: Cell(eo.number("cell", 0)),
-				Kind: Kind(eo.number("kind", 0)), Size: eo.number("size", 1)}
+			e := HostEntry{HostID: HostID(parts[0]), Zone: Zone(eo.number("zone", 0)), Cell: Cell(eo.number("cell", 0)),
+				Kind: MachineKind(eo.number("kind", 0)), Size: eo.number("size", 1)}
 			if _, ok := eo["born"]; ok {
-				e.Born = s.now - eo.milliseconds("born", 0)
+				e.ListedStart = s.now - eo.milliseconds("born", 0)
 			}
-			h := &testHost{Entry: e, capacityPerS: eo.number("perS", 0)}
+			h := &testHost{HostEntry: e, capacityPerS: eo.number("perS", 0)}
 			if eo["drain"] != "" {
 				e.Condition, h.stoppedAt = Draining, s.now
 			}
-			entries, named[e.Cache] = append(entries, e), true
-			s.hosts[e.Cache] = h
+			entries, named[e.HostID] = append(entries, e), true
+			s.hosts[e.HostID] = h
 		}
 		for id, h := range s.hosts {
 			if kind == ListReplace && !named[id] && h.stoppedAt == 0 {
 				h.stoppedAt = s.now
 			}
 		}
-		s.b.Listed(kind, entries)
+		s.b.ApplyList(kind, entries)
 	case "exclude", "include": // by an operator; nobody=1: no cache host has that id
 		known := false
-		if h := s.hosts[CacheID(w[1])]; w[0] == "include" {
-			known = s.b.Include(CacheID(w[1]))
-			h.stoppedAt, h.Born = 0, s.now
-		} else if known, _ = s.b.Exclude(CacheID(w[1])); h != nil {
+		if h := s.hosts[HostID(w[1])]; w[0] == "include" {
+			known = s.b.Include(HostID(w[1]))
+			h.stoppedAt, h.ListedStart = 0, s.now
+		} else if known, _ = s.b.Exclude(HostID(w[1])); h != nil {
 			h.stoppedAt = s.now - testDrainGrace - 1
 		}
 		if known != (o["nobody"] == "") {
@@ -358,10 +358,10 @@
 		s.advanceTo(s.now + Nanos(o.number("ns", 0)) + o.milliseconds("ms", 0))
 	case "answer":
 		for _, h := range strings.Split(w[1], ",") {
-			s.replies[CacheID(h)] = scriptedReply{outcomeNames[w[2]], o.milliseconds("took", 10), int(o.number("stray", 0)), outcomeNames[o["as"]], o.load()}
+			s.replies[HostID(h)] = scriptedReply{outcomeNames[w[2]], o.milliseconds("took", 10), int(o.number("stray", 0)), outcomeNames[o["as"]], o.load()}
 		}
 	case "call":
-		s.arrive(CallID(w[1]), o, w[2])
+		s.arrive(RequestID(w[1]), o, w[2])
 	case "flood": // flood N: N requests, each for a key of its own or all for key=
 		n, _ := strconv.Atoi(w[1])
 		s.counts = map[string]int{}
@@ -376,17 +376,17 @@
 			} else {
 				delete(o, "customer")
 			}
-			s.arrive(CallID(fmt.Sprint("flood", s.floodCount)), o, key)
+			s.arrive(RequestID(fmt.Sprint("flood", s.floodCount)), o, key)
 			s.advanceTo(s.now + o.milliseconds("every", 1))
 		}
 		s.advanceTo(s.now + o.milliseconds("rest", 0))
 		s.log = nil
 	case "end":
 		n, _ := strconv.Atoi(w[2])
-		s.endAttempt(CallID(w[1]), n, outcomeNames[w[3]], s.now-s.requests[CallID(w[1])].attempts[n].sentAt)
+		s.endAttempt(RequestID(w[1]), n, outcomeNames[w[3]], s.now-s.requests[RequestID(w[1])].attempts[n].sentAt)
 	case "abandon":
-		s.requests[CallID(w[1])].answered = true
-		s.b.Abandoned(CallID(w[1]))
+		s.requests[RequestID(w[1])].answered = true
+		s.b.RequestAbandoned(RequestID(w[1]))
 	case "count": // count WHAT MIN MAX: attempts at a host, or answers, in the last flood
 		least, _ := strconv.Atoi(w[2])
 		most, _ := strconv.Atoi(w[3])
--- a/policy/sizes_test.go
+++ b/policy/sizes_test.go
@@ -8,18 +8,18 @@
 // idleEnv is an environment that does nothing and whose clock moves only when a test sets it.
 type idleEnv struct{ now Nanos }
 
-func (s *idleEnv) Now() Nanos                         { return s.now }
-func (s *idleEnv) Send(CallID, CacheID, Nanos, Nanos) {}
-func (s *idleEnv) Cancel(CallID, int)                 {}
-func (s *idleEnv) RateLimit(CallID, Nanos)            {}
-func (s *idleEnv) Error(CallID)                       {}
-func (s *idleEnv) Subscribe()                         {}
-func (s *idleEnv) SetTimer(after Nanos, id TimerID)   {}
+func (s *idleEnv) Now() Nanos                           { return s.now }
+func (s *idleEnv) Send(RequestID, HostID, Nanos, Nanos) {}
+func (s *idleEnv) Cancel(RequestID, int)                {}
+func (s *idleEnv) RateLimit(RequestID, Nanos)           {}
+func (s *idleEnv) Error(RequestID)                      {}
+func (s *idleEnv) Subscribe()                           {}
+func (s *idleEnv) SetTimer(after Nanos, id TimerID)     {}
 
 // makeEntries returns n list entries, numbered from the given number on.
-func makeEntries(n, from int, condition Condition) (all []Entry) {
+func makeEntries(n, from int, condition Condition) (all []HostEntry) {
 	for i := range n {
-		all = append(all, Entry{Cache: CacheID(fmt.Sprint("s-", from+i)), Condition: condition, Size: 1})
+		all = append(all, HostEntry{HostID: HostID(fmt.Sprint("s-", from+i)), Condition: condition, Size: 1})
 	}
 	return all
 }
@@ -30,10 +30,10 @@
 func BenchmarkListed(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := New(&idleEnv{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
-			m.Listed(ListReplace, makeEntries(n, 0, Up))
+			m := New(&idleEnv{now: Second}, Config{Balancers: 350, Products: []ProductConfig{{LatencySLO: Second}}, OriginKind: -1}, 1)
+			m.ApplyList(ListReplace, makeEntries(n, 0, Up))
 			for i := 0; b.Loop(); i++ {
-				m.Listed(ListUpdate, append(makeEntries(n/2, i*n/2, Gone), makeEntries(n/2, n+i*n/2, Up)...))
+				m.ApplyList(ListUpdate, append(makeEntries(n/2, i*n/2, Gone), makeEntries(n/2, n+i*n/2, Up)...))
 			}
 		})
 	}
@@ -46,8 +46,8 @@
 			list := makeEntries(n, 0, Up)
 			b.ReportAllocs()
 			for b.Loop() {
-				m := New(&idleEnv{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
-				m.Listed(ListReplace, list)
+				m := New(&idleEnv{now: Second}, Config{Balancers: 350, Products: []ProductConfig{{LatencySLO: Second}}, OriginKind: -1}, 1)
+				m.ApplyList(ListReplace, list)
 			}
 		})
 	}
@@ -57,11 +57,11 @@
 func BenchmarkOneReplaced(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := New(&idleEnv{now: Second}, Terms{Balancers: 350, Products: []ProductTerms{{LatencySLO: Second}}, OriginKind: -1}, 1)
-			m.Listed(ListReplace, makeEntries(n, 0, Up))
+			m := New(&idleEnv{now: Second}, Config{Balancers: 350, Products: []ProductConfig{{LatencySLO: Second}}, OriginKind: -1}, 1)
+			m.ApplyList(ListReplace, makeEntries(n, 0, Up))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				m.Changed(append(makeEntries(1, i, Gone), makeEntries(1, n+i, Up)...))
+				m.ApplyEntries(append(makeEntries(1, i, Gone), makeEntries(1, n+i, Up)...))
 			}
 		})
 	}
@@ -72,14 +72,14 @@
 	for _, n := range fleetSizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			h := &idleEnv{now: Second}
-			m := New(h, Terms{Balancers: 350, MostAttempts: 4, Products: []ProductTerms{{LatencySLO: Second, BilledValue: 1}}, OriginKind: -1, FallWindow: Second}, 1)
-			m.Listed(ListReplace, makeEntries(n, 0, Up))
+			m := New(h, Config{Balancers: 350, MaxAttempts: 4, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}}, OriginKind: -1, OverloadWindow: Second}, 1)
+			m.ApplyList(ListReplace, makeEntries(n, 0, Up))
 			for i := 0; b.Loop(); i++ {
 				h.now += 10 * Millisecond
-				id := CallID(fmt.Sprint(i))
-				m.Arrived(Call{ID: id, Key: Key(fmt.Sprint("key", i%1000)), Deadline: h.now + Second})
+				id := RequestID(fmt.Sprint(i))
+				m.RequestArrived(Request{ID: id, Key: Key(fmt.Sprint("key", i%1000)), Deadline: h.now + Second})
 				if r := m.requests[id]; r != nil && len(r.attempts) > 0 {
-					m.Ended(Ending{Call: id, Outcome: Fulfilled, Took: 50 * Millisecond, Cache: r.attempts[0].host.Cache})
+					m.AttemptEnded(AttemptResult{RequestID: id, Outcome: Fulfilled, Duration: 50 * Millisecond, HostID: r.attempts[0].host.HostID})
 				}
 			}
 		})
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,15 +4,15 @@
 
 // Slow start: limits the requests that a host that has just started gets from all balancers together.
 
-// warmShare returns the share of its capacity that a host has at least, by the time since its start: ColdFrom at
-// the start, rising evenly to 1 within RampTime.
+// warmShare returns the share of its capacity that a host has at least, by the time since its start: ColdCapacityFraction at
+// the start, rising evenly to 1 within WarmUpTime.
 func (b *Balancer) warmShare(h *cacheHost) float64 {
-	startedAt := max(cmp.Or(h.Started, h.Born), h.includedAt)
+	startedAt := max(cmp.Or(h.LocalStart, h.ListedStart), h.includedAt)
 	age := b.env.Now() - startedAt
-	if startedAt == 0 || age >= b.config.RampTime {
+	if startedAt == 0 || age >= b.config.WarmUpTime {
 		return 1
 	}
-	return b.config.ColdFrom + (1-b.config.ColdFrom)*max(0, float64(age))/float64(b.config.RampTime)
+	return b.config.ColdCapacityFraction + (1-b.config.ColdCapacityFraction)*max(0, float64(age))/float64(b.config.WarmUpTime)
 }
 
 // coldHostMayTake reports whether a host that is warming up may take a request. The host gets a rising part of its
@@ -20,18 +20,18 @@
 // exception new hosts stayed idle in a half-replaced fleet while the older ones were overloaded.
 // In both cases a budget applies, this balancer's part of the requests that would overload the host. A fraction of
 // a request is drawn at random and spent in any case: a minimum of one request for each of hundreds of balancers
-// would overload the host. The budget accumulates up to a whole FallWindow: with a lower maximum, balancers with
+// would overload the host. The budget accumulates up to a whole OverloadWindow: with a lower maximum, balancers with
 // one request every few seconds would hardly ever use it, and cold hosts would stay idle.
 func (b *Balancer) coldHostMayTake(h *cacheHost, r *request, any bool) bool {
 	warm := b.warmShare(h)
 	if warm == 1 {
 		return true
 	}
-	if !any && hashFraction(hash(string(h.Cache)+string(r.Key), 1)) >= warm {
+	if !any && hashFraction(hash(string(h.HostID)+string(r.Key), 1)) >= warm {
 		return false
 	}
 	perS, now := b.coldRequestRate(h, warm), b.env.Now()
-	h.coldBudget = min(perS*b.config.FallWindow.seconds(), h.coldBudget+perS*(now-h.coldBudgetAt).seconds())
+	h.coldBudget = min(perS*b.config.OverloadWindow.seconds(), h.coldBudget+perS*(now-h.coldBudgetAt).seconds())
 	h.coldBudgetAt = now
 	available := h.coldBudget
 	h.coldBudget = max(0, available-1)
@@ -51,11 +51,11 @@
 func (b *Balancer) coldRequestRate(h *cacheHost, warm float64) float64 {
 	span := min(outcomeWindow, max(outcomeSlot, b.env.Now()-b.startedAt))
 	perS := b.goodPerCapacity.totalGood(b.env.Now()) / span.seconds() * h.weight
-	minimum := fleetMinInFlight / float64(b.config.Balancers) / b.config.FallWindow.seconds()
+	minimum := fleetMinInFlight / float64(b.config.Balancers) / b.config.OverloadWindow.seconds()
 	if b.hasPeer { // both processes of an upgrade have a minimum; the estimate follows their own traffic
 		minimum /= 2
 	}
-	return max(coldSafetyFactor*b.config.FallMultiple*warm*perS, minimum)
+	return max(coldSafetyFactor*b.config.OverloadMultiple*warm*perS, minimum)
 }
 
 // recomputeSums recomputes the warm capacity and the listed load of the available hosts.
--- a/policy/state.go
+++ b/policy/state.go
@@ -10,11 +10,11 @@
 
 // Balancer holds the state of one balancer.
 type Balancer struct {
-	env       Host
-	config    Terms
+	env       Environment
+	config    Config
 	seed      prefixHash
 	drawCount uint64 // random numbers drawn so far
-	hosts     map[CacheID]*cacheHost
+	hosts     map[HostID]*cacheHost
 	// Cache hosts that are up and not excluded, in no order. The origin is never among them.
 	available       []*cacheHost
 	availableInZone int        // available hosts in this balancer's zone
@@ -22,9 +22,9 @@
 	ring            ring
 	// Attempts in flight at available hosts.
 	attemptsInFlight int
-	nominalSize      float64          // listed size that gets the nominal number of virtual nodes
-	sizeByKind       map[Kind]float64 // replaces the listed size where listed sizes follow the load
-	requests         map[CallID]*request
+	nominalSize      float64                 // listed size that gets the nominal number of virtual nodes
+	sizeByKind       map[MachineKind]float64 // replaces the listed size where listed sizes follow the load
+	requests         map[RequestID]*request
 	keys             keyTable
 	quotas           []quota // by customer
 	// Durations of attempts at cache hosts in seconds, and their number: two meters for each product, one for
@@ -42,20 +42,20 @@
 	zoneOutcomes                                 map[Zone]*meter // as hostOutcomes, by the hosts' zones
 	// Attempts that this balancer may have in flight over all available hosts, divided by their number.
 	fleetLimitPerHost  float64
-	loadSum            float64          // sum of listedLoad over available hosts
-	listedUpCount      int              // cache hosts that the last whole list named as up
-	excluded           map[CacheID]bool // by operators, whatever the list says
-	listRequestPending bool             // a timer is set for a request to discovery
-	firstUsePending    bool             // some host may have a firstUseDue
-	reportedWaits      meter            // sum and number of the recent reported waits of all hosts
-	connectOutcomes    meter            // attempts at cache hosts that got a connection, and that did not
-	peerInFlight       int              // attempts at the origin by the other process of an upgrade
-	hasPeer            bool             // an upgrade has another process running
+	loadSum            float64         // sum of listedLoad over available hosts
+	listedUpCount      int             // cache hosts that the last whole list named as up
+	excluded           map[HostID]bool // by operators, whatever the list says
+	listRequestPending bool            // a timer is set for a request to discovery
+	firstUsePending    bool            // some host may have a firstUseDue
+	reportedWaits      meter           // sum and number of the recent reported waits of all hosts
+	connectOutcomes    meter           // attempts at cache hosts that got a connection, and that did not
+	peerInFlight       int             // attempts at the origin by the other process of an upgrade
+	hasPeer            bool            // an upgrade has another process running
 }
 
 // cacheHost is the state of a cache host, or of the origin.
 type cacheHost struct {
-	Entry
+	HostEntry
 	weight                        float64 // size that counts for the ring and the capacity
 	availablePos                  int     // index in Balancer.available plus one; 0: not there
 	ringNumber                    uint32
@@ -86,8 +86,8 @@
 
 // request is a request that has no final answer yet or still has attempts in flight.
 type request struct {
-	Call
-	product             *ProductTerms
+	Request
+	product             *ProductConfig
 	arrivedAt           Nanos
 	attempts            []attempt
 	inFlight            int
@@ -119,7 +119,7 @@
 	key         Key
 	reads       [keySlotCount]uint32
 	writes      [keySlotCount]uint32
-	replicaHost CacheID // empty: the key has no replica
+	replicaHost HostID // empty: the key has no replica
 }
 
 // keyTable holds the tracked keys, at most maxTrackedKeys.
@@ -176,7 +176,7 @@
 
 // LearntOf is the learnt state of one cache host.
 type LearntOf struct {
-	Cache     CacheID
+	Cache     HostID
 	Born      Nanos
 	Limit     float64
 	Good, Bad float64
@@ -184,8 +184,8 @@
 	BackAgo   Nanos // the same as an age, which takes precedence, as the clocks of two processes may differ
 }
 
-// Tell returns the learnt state for a newer process.
-func (b *Balancer) Tell() Learnt {
+// ExportLearnt returns the learnt state for a newer process.
+func (b *Balancer) ExportLearnt() Learnt {
 	state := Learnt{Balancers: b.config.Balancers, FleetBears: b.fleetLimitPerHost, Origin: b.origin.concurrencyLimit}
 	if took, n := b.attemptTime.decayed(b.env.Now()); n > 0 {
 		state.Pace = took / n
@@ -195,7 +195,7 @@
 			continue
 		}
 		good, bad := h.outcomes.decayed(b.env.Now())
-		learnt := LearntOf{Cache: h.Cache, Born: h.Born, Limit: h.concurrencyLimit, Good: good, Bad: bad, Back: h.includedAt}
+		learnt := LearntOf{Cache: h.HostID, Born: h.ListedStart, Limit: h.concurrencyLimit, Good: good, Bad: bad, Back: h.includedAt}
 		if h.includedAt > 0 {
 			learnt.BackAgo = max(1, b.env.Now()-h.includedAt)
 		}
@@ -205,10 +205,10 @@
 	return state
 }
 
-// TakeOver applies the learnt state of an older process, after the host list and before the first request.
+// ImportLearnt applies the learnt state of an older process, after the host list and before the first request.
 // Outcomes at a host are valid at any balancer as long as the same process runs there. Limits are parts of a limit
 // for the whole fleet: with another number of balancers they are learnt afresh.
-func (b *Balancer) TakeOver(state Learnt) {
+func (b *Balancer) ImportLearnt(state Learnt) {
 	now := b.env.Now()
 	validLimit := func(taken, current float64) float64 {
 		if state.Balancers == b.config.Balancers && taken > 0 && taken <= maxInFlight {
@@ -222,7 +222,7 @@
 	}
 	for _, learnt := range state.Caches {
 		h := b.hosts[learnt.Cache]
-		if h == nil || h == b.origin || h.Born != learnt.Born {
+		if h == nil || h == b.origin || h.ListedStart != learnt.Born {
 			continue
 		}
 		h.concurrencyLimit, h.includedAt = validLimit(learnt.Limit, h.concurrencyLimit), min(learnt.Back, now)
@@ -238,25 +238,27 @@
 	b.recomputeSums()
 }
 
-// Excluded returns the ids of the excluded hosts in ascending order.
-func (b *Balancer) Excluded() []CacheID { return slices.Sorted(maps.Keys(b.excluded)) }
+// ExcludedHosts returns the ids of the excluded hosts in ascending order.
+func (b *Balancer) ExcludedHosts() []HostID { return slices.Sorted(maps.Keys(b.excluded)) }
 
-// Beside records how many attempts the other process of an upgrade has in flight at the origin, and whether there
+// SetPeerOriginInFlight records how many attempts the other process of an upgrade has in flight at the origin, and whether there
 // is such a process.
-func (b *Balancer) Beside(paired bool, inFlight int) { b.hasPeer, b.peerInFlight = paired, inFlight }
+func (b *Balancer) SetPeerOriginInFlight(paired bool, inFlight int) {
+	b.hasPeer, b.peerInFlight = paired, inFlight
+}
 
-// AtOrigin returns how many attempts of this process are in flight at the origin.
-func (b *Balancer) AtOrigin() int { return b.origin.inFlight }
+// OriginInFlight returns how many attempts of this process are in flight at the origin.
+func (b *Balancer) OriginInFlight() int { return b.origin.inFlight }
 
-// Knows reports whether an id belongs to a cache host that is listed or excluded; the origin does not count.
-func (b *Balancer) Knows(id CacheID) bool {
+// IsKnownHost reports whether an id belongs to a cache host that is listed or excluded; the origin does not count.
+func (b *Balancer) IsKnownHost(id HostID) bool {
 	h := b.hosts[id]
 	return b.excluded[id] || h != nil && h != b.origin
 }
 
-// Fleet returns the number of listed cache hosts, and how many of them this balancer avoids because they are not
+// HostCounts returns the number of listed cache hosts, and how many of them this balancer avoids because they are not
 // up, excluded, unreachable or unhealthy.
-func (b *Balancer) Fleet() (listed, avoided int) {
+func (b *Balancer) HostCounts() (listed, avoided int) {
 	now := b.env.Now()
 	for _, h := range b.hosts {
 		if h == b.origin || h.Condition == Gone {
@@ -270,13 +272,13 @@
 	return listed, avoided
 }
 
-// Said sets the observations of other balancers at a host, as numbers of good and bad outcomes; zeros withdraw
+// SetObservations sets the observations of other balancers at a host, as numbers of good and bad outcomes; zeros withdraw
 // them.
-func (b *Balancer) Said(id CacheID, good, bad float64) {
+func (b *Balancer) SetObservations(id HostID, good, bad float64) {
 	if h := b.hosts[id]; h != nil && h != b.origin {
 		h.peerGood, h.peerBad = good, bad
 	}
 }
 
-// Part sets this balancer's share of a customer's quota, as a fraction; 0 means that no share is assigned.
-func (b *Balancer) Part(c Customer, share float64) { b.quotas[c].share = share }
+// SetQuotaShare sets this balancer's share of a customer's quota, as a fraction; 0 means that no share is assigned.
+func (b *Balancer) SetQuotaShare(c Customer, share float64) { b.quotas[c].share = share }
