--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -90,8 +90,8 @@
 		traffic:     trafficStats{hosts: map[policy.HostID]*[2]int64{}},
 		answerStats: newAnswerStats(deployed),
 		clients:     newClientConns(deployed.Sockets / 4),
-		hosts: upstream.New(upstream.Limits{Pool: operatorFile.Connections.Terms(pool.Terms{Balancers: deployed.Terms.Balancers,
-			Most: upstreamSockets, Idle: policy.Nanos(deployed.IdleLimit)}), Origin: maxAttemptsToOrigin, Connect: deployed.ConnectTimeout, Reports: deployed.Reports,
+		hosts: upstream.New(upstream.Limits{Pool: operatorFile.Connections.Terms(pool.Config{Balancers: deployed.Terms.Balancers,
+			MaxConnections: upstreamSockets, IdleTimeout: policy.Nanos(deployed.IdleLimit)}), Origin: maxAttemptsToOrigin, Connect: deployed.ConnectTimeout, Reports: deployed.Reports,
 			Grace: grace, Epoch: epochNanos}, deployed.Terms.OriginKind)}
 	b.mu.handle = b.handleEvent
 	b.startTimes = newStartTimes(time.Now)
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -63,7 +63,7 @@
 	return f, nil
 }
 
-var reuseOrders = map[string]pool.Reuse{"": pool.Longest, "longest": pool.Longest, "last": pool.Last}
+var reuseOrders = map[string]pool.Reuse{"": pool.LongestIdle, "longest": pool.LongestIdle, "last": pool.LastUsed}
 
 func (c *Connections) check(s *strict.File) {
 	const section = "connections."
@@ -98,9 +98,9 @@
 
 // Terms returns the connection pool's configuration. base holds what the platform sets: the number of balancers, the limit of
 // all connections and the idle limit.
-func (c *Connections) Terms(base pool.Terms) pool.Terms {
-	base.HostMost, base.Openings, base.ColdOpenings = c.HostMost, c.Openings, c.ColdOpenings
-	base.ColdFor, base.Age, base.Shrink = policy.Nanos(c.ColdFor), policy.Nanos(c.Age), policy.Nanos(c.Shrink)
-	base.Reuse, base.Wait, base.Ahead = reuseOrders[c.Reuse], c.Wait, c.Ahead
+func (c *Connections) Terms(base pool.Config) pool.Config {
+	base.HostMaxConnections, base.OpeningsPerSecond, base.ColdOpeningsPerSecond = c.HostMost, c.Openings, c.ColdOpenings
+	base.ColdFor, base.MaxAge, base.ShrinkInterval = policy.Nanos(c.ColdFor), policy.Nanos(c.Age), policy.Nanos(c.Shrink)
+	base.Reuse, base.MaxWaitFraction, base.AheadDeviations = reuseOrders[c.Reuse], c.Wait, c.Ahead
 	return base
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -55,9 +55,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	base := pool.Terms{Balancers: 3, Most: 500, Idle: 9}
+	base := pool.Config{Balancers: 3, MaxConnections: 500, IdleTimeout: 9}
 	got := f.Connections.Terms(base)
-	if got.Openings != 40 || got.ColdOpenings != 20 || got.ColdFor != 20*policy.Second || got.Most != 500 || got.HostMost != 1200 {
+	if got.OpeningsPerSecond != 40 || got.ColdOpeningsPerSecond != 20 || got.ColdFor != 20*policy.Second || got.MaxConnections != 500 || got.HostMaxConnections != 1200 {
 		t.Errorf("%+v", got)
 	}
 	if got := (&Connections{}).Terms(base); got != base {
--- a/internal/pool/local.go
+++ b/internal/pool/local.go
@@ -25,8 +25,8 @@
 	b.until = now + policy.Nanos(float64(b.pause)*(0.5+random/2))
 }
 
-// FailedHere reports that a connection could not be opened because of a fault of this machine, which says nothing about the host.
-func (p *Pool) FailedHere(now policy.Nanos, id Conn) {
+// FailedLocally reports that a connection could not be opened because of a fault of this machine, which says nothing about the host.
+func (p *Pool) FailedLocally(now policy.Nanos, id Conn) {
 	p.backoff.failed(now, p.random())
-	p.openingFailed(now, id, Local)
+	p.openingFailed(now, id, LocalFault)
 }
--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -1,6 +1,6 @@
 // Package pool manages the connections to cache hosts and the origin. It decides which connection an attempt uses, which attempts
 // wait for one, when connections are opened (also ahead of need) and when they are retired. The caller reports each event to a
-// Pool through a method, and the Pool acts by calling the Orders that it was created with. A Pool is not safe for concurrent
+// Pool through a method, and the Pool acts by calling the Actions that it was created with. A Pool is not safe for concurrent
 // use, has no clock and does no I/O. Choosing the host of an attempt and retrying are decided elsewhere.
 package pool
 
@@ -19,64 +19,64 @@
 	Attempt uint64 // identifies an attempt; assigned by the caller, never reused
 )
 
-// Why is the reason for closing a connection or refusing an attempt.
-type Why int
+// Reason states why a connection is closed or an attempt is refused.
+type Reason int
 
 const (
-	Unknown   Why = iota // the host is not known
-	Leaving              // the host drains, is gone or was replaced by another process
-	Full                 // the limit of the host or of the pool is reached and no connection comes free in time
-	Budget               // the rate of new connections to the host is used up
-	Late                 // the attempt's time is over
-	NoConnect            // the connection that the attempt waited for could not be opened
-	Idle                 // idle for so long that the host may close the connection
-	Age                  // the connection has reached its maximum age
-	Surplus              // more idle connections than were recently needed
-	Room                 // closed to make room for a connection to another host
-	Shut                 // the pool is closed
-	Local                // this machine cannot open connections at present
+	Unknown             Reason = iota // the host is not known
+	Leaving                           // the host drains, is gone or was replaced by another process
+	LimitReached                      // the limit of the host or of the pool is reached and no connection comes free in time
+	OpeningRateExceeded               // the rate of new connections to the host is used up
+	Expired                           // the attempt's time is over
+	ConnectFailed                     // the connection that the attempt waited for could not be opened
+	Idle                              // idle for so long that the host may close the connection
+	Age                               // the connection has reached its maximum age
+	Surplus                           // more idle connections than were recently needed
+	RoomNeeded                        // closed to make room for a connection to another host
+	PoolClosed                        // the pool is closed
+	LocalFault                        // this machine cannot open connections at present
 )
 
-func (w Why) String() string {
+func (w Reason) String() string {
 	return [...]string{"unknown", "leaving", "full", "budget", "late", "no_connect", "idle", "age", "surplus", "room", "shut", "local"}[w]
 }
 
-// Orders are the actions of a Pool, implemented by its user. A call takes effect at once and must not call back into the Pool.
-type Orders interface {
-	Open(h Host, c Conn)       // dials; the result is reported by Opened, Failed or FailedHere
-	Carry(c Conn, a Attempt)   // sends the attempt over the connection; its end is reported by Freed or Closed
-	Close(c Conn, why Why)     // closes an idle connection or one being opened; nothing is reported back
-	Refuse(a Attempt, why Why) // ends the attempt without sending it
+// Actions are how a Pool acts; its user implements them. A call takes effect at once and must not call back into the Pool.
+type Actions interface {
+	Open(h Host, c Conn)          // dials; the result is reported by Opened, Failed or FailedLocally
+	Send(c Conn, a Attempt)       // sends the attempt over the connection; its end is reported by Freed or Closed
+	Close(c Conn, why Reason)     // closes an idle connection or one being opened; nothing is reported back
+	Refuse(a Attempt, why Reason) // ends the attempt without sending it
 }
 
 // Reuse is the order in which idle connections are used.
 type Reuse int
 
 const (
-	Longest Reuse = iota // the one idle longest: a close by the host has been noticed by then
-	Last                 // the one used last: the others reach their idle limit
+	LongestIdle Reuse = iota // the one idle longest: a close by the host has been noticed by then
+	LastUsed                 // the one used last: the others reach their idle limit
 )
 
-// Terms configure a Pool. Zero turns a limit or feature off, but a zero Most allows no connections.
-type Terms struct {
-	Balancers    int          // balancers that share the hosts without coordinating; 0 counts as 1
-	Most         int          // maximum connections of this pool
-	HostMost     int          // maximum connections that a host accepts from all balancers together
-	Openings     float64      // new connections per second that a host tolerates from all balancers together
-	ColdOpenings float64      // the same while the host is cold; 0: as Openings
-	ColdFor      policy.Nanos // how long a host counts as cold after its start
-	Idle         policy.Nanos // idle time after which a host closes a connection
-	Age          policy.Nanos // age at which a connection is retired
-	Reuse        Reuse
-	Wait         float64      // fraction of an attempt's remaining time that it may wait for a connection in use; 0: it does not wait
-	Ahead        float64      // connections kept beyond the mean demand, in standard deviations of it; 0: none are opened ahead
-	Shrink       policy.Nanos // interval at which connections idle throughout are closed; 0: kept until Idle
+// Config configures a Pool. Zero turns a limit or feature off, but a zero MaxConnections allows no connections.
+type Config struct {
+	Balancers             int          // balancers that share the hosts without coordinating; 0 counts as 1
+	MaxConnections        int          // maximum connections of this pool
+	HostMaxConnections    int          // maximum connections that a host accepts from all balancers together
+	OpeningsPerSecond     float64      // new connections per second that a host tolerates from all balancers together
+	ColdOpeningsPerSecond float64      // the same while the host is cold; 0: as OpeningsPerSecond
+	ColdFor               policy.Nanos // how long a host counts as cold after its start
+	IdleTimeout           policy.Nanos // idle time after which a host closes a connection
+	MaxAge                policy.Nanos // age at which a connection is retired
+	Reuse                 Reuse
+	MaxWaitFraction       float64      // fraction of an attempt's remaining time that it may wait for a connection in use; 0: it does not wait
+	AheadDeviations       float64      // connections kept beyond the mean demand, in standard deviations of it; 0: none are opened ahead
+	ShrinkInterval        policy.Nanos // interval at which connections idle throughout are closed; 0: kept until IdleTimeout
 }
 
 // Pool holds the state of all connections and waiting attempts.
 type Pool struct {
-	actions       Orders
-	config        Terms
+	actions       Actions
+	config        Config
 	random        func() float64 // random source in [0, 1)
 	hosts         map[Host]*host
 	conns         map[Conn]*conn
@@ -86,8 +86,8 @@
 	idleCount     int // idle connections
 	cachedMean    meanDemand
 	closed        bool
-	limitHits     map[Host]int // refused attempts per host since the last call of Bound
-	openingsShare float64      // fraction of a host's openings set by Part; 0: an equal share
+	limitHits     map[Host]int // refused attempts per host since the last call of TakeLimitHits
+	openingsShare float64      // fraction of a host's openings set by SetOpeningsShare; 0: an equal share
 	backoff       backoff
 }
 
@@ -100,10 +100,10 @@
 	open           int     // connections that are idle, in use or being opened
 	opening        int
 	queue          []*waiter // in order of arrival
-	openingsWanted int       // openings that attempts asked for since the last call of Need
+	openingsWanted int       // openings that attempts asked for since the last call of OpeningsNeed
 	tokens         float64
 	tokensAt       policy.Nanos
-	fixedLimit     int // limit on connections given to Up; 0: none
+	fixedLimit     int // limit on connections given to HostUp; 0: none
 	learnedLimit   int // limit on connections learned from rejections; 0: none
 	learnedLimitAt policy.Nanos
 	demand         demand
@@ -140,16 +140,16 @@
 }
 
 // New creates an empty pool. The function random returns numbers in [0, 1).
-func New(actions Orders, config Terms, random func() float64) *Pool {
+func New(actions Actions, config Config, random func() float64) *Pool {
 	config.Balancers = max(1, config.Balancers)
 	return &Pool{actions: actions, config: config, random: random, hosts: map[Host]*host{}, conns: map[Conn]*conn{},
 		waiting: map[Attempt]*waiter{}, limitHits: map[Host]int{}}
 }
 
-// Up reports that a host accepts attempts. Its process started at startedAt, 0 if that is long ago. A different start time or a
+// HostUp reports that a host accepts attempts. Its process started at startedAt, 0 if that is long ago. A different start time or a
 // moved address means another process, so connections to the earlier one are not reused. If limit is not 0, it limits the
 // connections to this host.
-func (p *Pool) Up(now policy.Nanos, id Host, startedAt policy.Nanos, moved bool, limit int) {
+func (p *Pool) HostUp(now policy.Nanos, id Host, startedAt policy.Nanos, moved bool, limit int) {
 	h := p.hosts[id]
 	if h == nil {
 		h = &host{id: id, startedAt: startedAt, fixedLimit: limit, tokensAt: now, shrunkAt: now}
@@ -165,11 +165,11 @@
 	h.leaving = false
 }
 
-// Limit changes the maximum number of connections. Connections beyond it are closed as they come free.
-func (p *Pool) Limit(limit int) { p.config.Most = limit }
+// SetMaxConnections changes the maximum number of connections. Connections beyond it are closed as they come free.
+func (p *Pool) SetMaxConnections(limit int) { p.config.MaxConnections = limit }
 
-// Leaves reports that a host drains or is gone: no further attempt is sent over its connections.
-func (p *Pool) Leaves(id Host) {
+// HostLeaving reports that a host drains or is gone: no further attempt is sent over its connections.
+func (p *Pool) HostLeaving(id Host) {
 	h := p.hosts[id]
 	if h == nil {
 		return
@@ -183,7 +183,7 @@
 }
 
 // clear closes the idle connections of a host and those being opened ahead.
-func (p *Pool) clear(h *host, why Why) {
+func (p *Pool) clear(h *host, why Reason) {
 	for len(h.idle) > 0 {
 		p.close(h.idle[0], why)
 	}
@@ -202,12 +202,12 @@
 	}
 }
 
-// Ask requests a connection for an attempt that is useless once it expires. The attempt is sent or refused, now or later.
-func (p *Pool) Ask(now policy.Nanos, id Host, a Attempt, expires policy.Nanos) {
+// Checkout requests a connection for an attempt that is useless once it expires. The attempt is sent or refused, now or later.
+func (p *Pool) Checkout(now policy.Nanos, id Host, a Attempt, expires policy.Nanos) {
 	h := p.hosts[id]
 	switch {
 	case p.closed:
-		p.actions.Refuse(a, Shut)
+		p.actions.Refuse(a, PoolClosed)
 		return
 	case h == nil:
 		p.actions.Refuse(a, Unknown)
@@ -216,7 +216,7 @@
 		p.actions.Refuse(a, Leaving)
 		return
 	case now >= expires:
-		p.actions.Refuse(a, Late)
+		p.actions.Refuse(a, Expired)
 		return
 	}
 	h.demand.recordAttempt(now)
@@ -232,7 +232,7 @@
 		return
 	}
 	if why != Unknown {
-		w.refuseAt = now + policy.Nanos(p.config.Wait*float64(expires-now))
+		w.refuseAt = now + policy.Nanos(p.config.MaxWaitFraction*float64(expires-now))
 	}
 	h.queue = append(h.queue, w)
 	p.waiting[a] = w
@@ -245,7 +245,7 @@
 func (p *Pool) idleConn(now policy.Nanos, h *host) *conn {
 	for len(h.idle) > 0 {
 		c := h.idle[0]
-		if p.config.Reuse == Last {
+		if p.config.Reuse == LastUsed {
 			c = h.idle[len(h.idle)-1]
 		}
 		if why, retire := p.mustRetire(now, c); retire {
@@ -261,11 +261,11 @@
 // hold a connection and from the attempts that wait already.
 func (p *Pool) mayWait(now policy.Nanos, h *host, w *waiter) bool {
 	busy := h.open - h.opening - len(h.idle)
-	if p.config.Wait <= 0 || busy <= 0 || len(h.queue) >= maxQueue(busy) {
+	if p.config.MaxWaitFraction <= 0 || busy <= 0 || len(h.queue) >= maxQueue(busy) {
 		return false
 	}
 	expected := float64(len(h.queue)+1) / float64(busy) * h.demand.meanHold()
-	return expected <= p.config.Wait*float64(w.expires-now)
+	return expected <= p.config.MaxWaitFraction*float64(w.expires-now)
 }
 
 // maxQueue limits the attempts that wait for connections in use. More than two for each connection would not be served within
@@ -279,7 +279,7 @@
 	}
 	c.phase, c.phaseSince = inUse, now
 	c.uses++
-	p.actions.Carry(c.id, a)
+	p.actions.Send(c.id, a)
 }
 
 func (p *Pool) removeIdle(c *conn) {
@@ -342,7 +342,7 @@
 	for len(h.queue) > 0 {
 		w := h.queue[0]
 		if now >= w.expires {
-			p.refuse(w, Late)
+			p.refuse(w, Expired)
 			continue
 		}
 		p.dequeue(w)
@@ -350,7 +350,7 @@
 		return
 	}
 	if p.connectionLimit(h) < h.open {
-		p.close(c, Full)
+		p.close(c, LimitReached)
 		return
 	}
 	c.phase, c.phaseSince = idle, now
@@ -378,7 +378,7 @@
 	}
 }
 
-func (p *Pool) refuse(w *waiter, why Why) {
+func (p *Pool) refuse(w *waiter, why Reason) {
 	p.dequeue(w)
 	p.actions.Refuse(w.attempt, why)
 }
@@ -405,9 +405,9 @@
 }
 
 // Failed reports that a connection could not be opened. The attempt that it was opened for is refused: the host may be dead.
-func (p *Pool) Failed(now policy.Nanos, id Conn) { p.openingFailed(now, id, NoConnect) }
+func (p *Pool) Failed(now policy.Nanos, id Conn) { p.openingFailed(now, id, ConnectFailed) }
 
-func (p *Pool) openingFailed(now policy.Nanos, id Conn, why Why) {
+func (p *Pool) openingFailed(now policy.Nanos, id Conn, why Reason) {
 	c := p.conns[id]
 	if c == nil {
 		return
@@ -441,7 +441,7 @@
 // host may have too many connections: its limit is lowered and then grows again slowly.
 func (p *Pool) Rejected(now policy.Nanos, id Conn) {
 	c := p.conns[id]
-	if c == nil || c.uses > 1 || p.config.HostMost == 0 {
+	if c == nil || c.uses > 1 || p.config.HostMaxConnections == 0 {
 		return
 	}
 	h := c.host
@@ -484,21 +484,21 @@
 	p.openCount--
 }
 
-func (p *Pool) close(c *conn, why Why) {
+func (p *Pool) close(c *conn, why Reason) {
 	p.remove(c)
 	p.actions.Close(c.id, why)
 	p.removeIfUnused(c.host)
 }
 
-// Shut closes the idle connections, refuses the waiting attempts and refuses all attempts from now on.
-func (p *Pool) Shut() {
+// Close closes the idle connections, refuses the waiting attempts and refuses all attempts from now on.
+func (p *Pool) Close() {
 	p.closed = true
 	for _, id := range p.activeHosts() {
 		h := p.hosts[id]
 		for len(h.queue) > 0 {
-			p.refuse(h.queue[0], Shut)
+			p.refuse(h.queue[0], PoolClosed)
 		}
-		p.clear(h, Shut)
+		p.clear(h, PoolClosed)
 	}
 }
 
@@ -506,7 +506,7 @@
 // connections nor waiting attempts are skipped unless connections are opened ahead, so that many unused hosts cost nothing.
 func (p *Pool) activeHosts() []Host {
 	ids := make([]Host, 0, p.openCount+len(p.waiting))
-	if p.config.Ahead > 0 {
+	if p.config.AheadDeviations > 0 {
 		ids = slices.AppendSeq(ids, maps.Keys(p.hosts))
 	} else {
 		for _, c := range p.conns {
@@ -525,8 +525,8 @@
 // Open returns the number of connections, including those being opened.
 func (p *Pool) Open() int { return p.openCount }
 
-// Bound returns, by host, how many attempts could neither get a connection nor wait for one, and resets the counts.
-func (p *Pool) Bound() map[Host]int {
+// TakeLimitHits returns, by host, how many attempts could neither get a connection nor wait for one, and resets the counts.
+func (p *Pool) TakeLimitHits() map[Host]int {
 	hits := p.limitHits
 	p.limitHits = map[Host]int{}
 	return hits
@@ -537,7 +537,7 @@
 // equalShare returns this balancer's equal share of what a host allows all balancers.
 func (p *Pool) equalShare(total float64) float64 { return total / float64(p.config.Balancers) }
 
-// ownShare returns this balancer's share of the new connections that a host tolerates; Part may have set it.
+// ownShare returns this balancer's share of the new connections that a host tolerates; SetOpeningsShare may have set it.
 func (p *Pool) ownShare(total float64) float64 {
 	if p.openingsShare > 0 {
 		return total * p.openingsShare
@@ -545,12 +545,12 @@
 	return p.equalShare(total)
 }
 
-// Part sets this balancer's fraction of the new connections to each host; 0 means an equal share.
-func (p *Pool) Part(share float64) { p.openingsShare = share }
+// SetOpeningsShare sets this balancer's fraction of the new connections to each host; 0 means an equal share.
+func (p *Pool) SetOpeningsShare(share float64) { p.openingsShare = share }
 
-// Need returns the fraction of a host's openings that this balancer's attempts asked for in the period that ends now, for the host
+// OpeningsNeed returns the fraction of a host's openings that this balancer's attempts asked for in the period that ends now, for the host
 // where it was largest, and resets the counts. The fraction is of half of what the host tolerates.
-func (p *Pool) Need(now policy.Nanos, period policy.Nanos) (share float64) {
+func (p *Pool) OpeningsNeed(now policy.Nanos, period policy.Nanos) (share float64) {
 	for _, h := range p.hosts {
 		if allowed := p.hostRate(h, now) / 2; allowed > 0 {
 			share = max(share, float64(h.openingsWanted)/seconds(period)/allowed)
@@ -565,9 +565,9 @@
 
 // connectionLimit returns how many connections this balancer may have to a host.
 func (p *Pool) connectionLimit(h *host) int {
-	limit := p.config.Most
-	if p.config.HostMost > 0 {
-		limit = min(limit, max(1, int(p.equalShare(float64(p.config.HostMost)))))
+	limit := p.config.MaxConnections
+	if p.config.HostMaxConnections > 0 {
+		limit = min(limit, max(1, int(p.equalShare(float64(p.config.HostMaxConnections)))))
 	}
 	for _, m := range []int{h.fixedLimit, h.learnedLimit} {
 		if m > 0 {
@@ -577,25 +577,25 @@
 	return limit
 }
 
-// mayOpen checks whether another connection to a host may be opened. It returns Unknown if so, Room if an idle connection to another
+// mayOpen checks whether another connection to a host may be opened. It returns Unknown if so, RoomNeeded if an idle connection to another
 // host must be closed first, and otherwise the reason against it.
-func (p *Pool) mayOpen(now policy.Nanos, h *host) Why {
+func (p *Pool) mayOpen(now policy.Nanos, h *host) Reason {
 	if h.learnedLimit > 0 && now-h.learnedLimitAt >= learnedLimitInterval {
 		h.learnedLimit, h.learnedLimitAt = h.learnedLimit+1, now
 	}
 	switch {
 	case now < p.backoff.until:
-		return Local
+		return LocalFault
 	case h.open >= p.connectionLimit(h):
-		return Full
+		return LimitReached
 	case !p.leavesReserve(h):
-		return Full
-	case p.openCount >= p.config.Most && p.longestIdle(h) == nil:
-		return Full
+		return LimitReached
+	case p.openCount >= p.config.MaxConnections && p.longestIdle(h) == nil:
+		return LimitReached
 	case !p.withinOpeningRate(now, h): // checked last, so that tokens are spent only where a connection can be opened
-		return Budget
-	case p.openCount >= p.config.Most:
-		return Room
+		return OpeningRateExceeded
+	case p.openCount >= p.config.MaxConnections:
+		return RoomNeeded
 	}
 	return Unknown
 }
@@ -603,7 +603,7 @@
 // leavesReserve reports whether another connection to a host leaves room for the other hosts. Half of the pool's limit is reserved in equal
 // parts for all hosts, so that a host that hangs cannot take every connection; the other half goes to the hosts that need it.
 func (p *Pool) leavesReserve(h *host) bool {
-	reserve := p.config.Most / 2 / max(1, len(p.hosts))
+	reserve := p.config.MaxConnections / 2 / max(1, len(p.hosts))
 	if h.open < reserve {
 		return true
 	}
@@ -615,7 +615,7 @@
 			}
 		}
 	}
-	return p.openCount-(p.idleCount-len(h.idle))+reserved < p.config.Most
+	return p.openCount-(p.idleCount-len(h.idle))+reserved < p.config.MaxConnections
 }
 
 // longestIdle returns the connection that has been idle longest, among all hosts except one.
@@ -632,10 +632,10 @@
 }
 
 // makeRoom is like mayOpen, but where only room is missing it closes the connection idle longest at another host.
-func (p *Pool) makeRoom(now policy.Nanos, h *host) Why {
+func (p *Pool) makeRoom(now policy.Nanos, h *host) Reason {
 	why := p.mayOpen(now, h)
-	if why == Room {
-		p.close(p.longestIdle(h), Room)
+	if why == RoomNeeded {
+		p.close(p.longestIdle(h), RoomNeeded)
 		return Unknown
 	}
 	return why
@@ -648,10 +648,10 @@
 
 // hostRate returns the new connections per second that a host tolerates from all balancers.
 func (p *Pool) hostRate(h *host, now policy.Nanos) float64 {
-	if p.config.ColdOpenings > 0 && h.startedAt > 0 && now-h.startedAt < p.config.ColdFor {
-		return p.config.ColdOpenings
+	if p.config.ColdOpeningsPerSecond > 0 && h.startedAt > 0 && now-h.startedAt < p.config.ColdFor {
+		return p.config.ColdOpeningsPerSecond
 	}
-	return p.config.Openings
+	return p.config.OpeningsPerSecond
 }
 
 // openingBurst returns the maximum of saved tokens: the openings of a quarter of a second.
@@ -660,7 +660,7 @@
 // withinOpeningRate reports whether the opening rate permits another connection. Less than a whole token is the probability of permission and
 // is spent either way. A guaranteed minimum of one opening for each of hundreds of balancers would overload a fresh host.
 func (p *Pool) withinOpeningRate(now policy.Nanos, h *host) bool {
-	if p.config.Openings <= 0 {
+	if p.config.OpeningsPerSecond <= 0 {
 		return true
 	}
 	h.openingsWanted++
@@ -679,7 +679,7 @@
 }
 
 func (p *Pool) spendToken(now policy.Nanos, h *host) {
-	if p.config.Openings > 0 {
+	if p.config.OpeningsPerSecond > 0 {
 		h.tokens = max(0, h.tokens-1)
 	}
 }
@@ -691,18 +691,18 @@
 // mustRetire reports whether and why a connection must not be used again. Idle connections retire at five to six eighths of the host's idle
 // limit, old ones between three quarters and all of the maximum age. The random spread keeps connections that were opened
 // together from ending together.
-func (p *Pool) mustRetire(now policy.Nanos, c *conn) (why Why, retire bool) {
-	if p.config.Idle > 0 && c.phase == idle && float64(now-c.phaseSince) >= float64(p.config.Idle)*(0.75-c.retireJitter/8) {
+func (p *Pool) mustRetire(now policy.Nanos, c *conn) (why Reason, retire bool) {
+	if p.config.IdleTimeout > 0 && c.phase == idle && float64(now-c.phaseSince) >= float64(p.config.IdleTimeout)*(0.75-c.retireJitter/8) {
 		return Idle, true
 	}
-	if p.config.Age > 0 && c.phase != opening && float64(now-c.openedAt) >= float64(p.config.Age)*(1-c.retireJitter/4) {
+	if p.config.MaxAge > 0 && c.phase != opening && float64(now-c.openedAt) >= float64(p.config.MaxAge)*(1-c.retireJitter/4) {
 		return Age, true
 	}
 	return Unknown, false
 }
 
-// TickEvery is the interval at which Tick must be called.
-const TickEvery = 100 * policy.Millisecond
+// TickInterval is the interval at which Tick must be called.
+const TickInterval = 100 * policy.Millisecond
 
 // Tick does the periodic work: it refuses attempts that waited too long, retires connections and opens connections ahead.
 func (p *Pool) Tick(now policy.Nanos) {
@@ -710,9 +710,9 @@
 		h := p.hosts[id]
 		for _, w := range slices.Clone(h.queue) {
 			if now >= w.expires {
-				p.refuse(w, Late)
+				p.refuse(w, Expired)
 			} else if w.refuseAt > 0 && now >= w.refuseAt && w.opening == nil {
-				p.refuse(w, Full)
+				p.refuse(w, LimitReached)
 			}
 		}
 		for _, c := range slices.Clone(h.idle) {
@@ -727,7 +727,7 @@
 
 // closeSurplus closes the connections that stayed idle during the last interval, but keeps as many as recent demand calls for.
 func (p *Pool) closeSurplus(now policy.Nanos, h *host) {
-	if p.config.Shrink <= 0 || now-h.shrunkAt < p.config.Shrink {
+	if p.config.ShrinkInterval <= 0 || now-h.shrunkAt < p.config.ShrinkInterval {
 		return
 	}
 	surplus := min(h.minIdle, h.open-p.targetConnections(now, h))
@@ -739,7 +739,7 @@
 }
 
 // targetConnections returns how many connections a host needs. By Little's law the mean number in use is the rate of attempts times their
-// duration; Ahead standard deviations are added. A cold host without attempts so far is expected to need as many as the others.
+// duration; AheadDeviations standard deviations are added. A cold host without attempts so far is expected to need as many as the others.
 func (p *Pool) targetConnections(now policy.Nanos, h *host) int {
 	mean := h.demand.mean(now)
 	if mean == 0 && h.startedAt > 0 && now-h.startedAt < p.config.ColdFor {
@@ -748,7 +748,7 @@
 	if mean == 0 {
 		return 0
 	}
-	return int(math.Ceil(mean + p.config.Ahead*math.Sqrt(mean)))
+	return int(math.Ceil(mean + p.config.AheadDeviations*math.Sqrt(mean)))
 }
 
 // meanDemand caches the mean demand of all hosts at one instant.
@@ -776,10 +776,10 @@
 
 // openAhead opens the connections that will be needed, within the opening rate.
 func (p *Pool) openAhead(now policy.Nanos, h *host) {
-	if p.config.Ahead <= 0 || p.closed || h.leaving {
+	if p.config.AheadDeviations <= 0 || p.closed || h.leaving {
 		return
 	}
-	for h.open < p.targetConnections(now, h) && p.openCount < p.config.Most && p.mayOpen(now, h) == Unknown { // never closes connections to other hosts
+	for h.open < p.targetConnections(now, h) && p.openCount < p.config.MaxConnections && p.mayOpen(now, h) == Unknown { // never closes connections to other hosts
 		p.startOpening(now, h, nil)
 	}
 }
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -13,7 +13,7 @@
 
 const ms, s = policy.Millisecond, policy.Second
 
-// actionLog implements Orders. It records the calls as text and checks the rules that every call must keep.
+// actionLog implements Actions. It records the calls as text and checks the rules that every call must keep.
 type actionLog struct {
 	text      strings.Builder
 	fault     string
@@ -43,7 +43,7 @@
 	l.opens = append(l.opens, c)
 }
 
-func (l *actionLog) Carry(c Conn, a Attempt) {
+func (l *actionLog) Send(c Conn, a Attempt) {
 	fmt.Fprintf(&l.text, "carry %d/%d ", a, c)
 	if l.conns[c] != "up" {
 		l.fail("attempt %d is sent over connection %d, whose state is %q", a, c, l.conns[c])
@@ -54,7 +54,7 @@
 	l.conns[c], l.attemptOn[c], l.attempts[a] = "in use", a, "carried"
 }
 
-func (l *actionLog) Close(c Conn, why Why) {
+func (l *actionLog) Close(c Conn, why Reason) {
 	fmt.Fprintf(&l.text, "close %d %v ", c, why)
 	if l.conns[c] == "in use" || l.conns[c] == "" {
 		l.fail("connection %d is closed, but its state was %q", c, l.conns[c])
@@ -62,7 +62,7 @@
 	delete(l.conns, c)
 }
 
-func (l *actionLog) Refuse(a Attempt, why Why) {
+func (l *actionLog) Refuse(a Attempt, why Reason) {
 	fmt.Fprintf(&l.text, "refuse %d %v ", a, why)
 	if l.attempts[a] != "asked" {
 		l.fail("attempt %d is refused, but its state was %q", a, l.attempts[a])
@@ -84,7 +84,7 @@
 	lastAttempt Attempt
 }
 
-func newTestPool(config Terms, seed uint64) *testPool {
+func newTestPool(config Config, seed uint64) *testPool {
 	l := newActionLog()
 	return &testPool{actionLog: l, p: New(l, config, rand.New(rand.NewPCG(seed, 1)).Float64)}
 }
@@ -92,7 +92,7 @@
 func (w *testPool) ask(h Host, left policy.Nanos) Attempt {
 	w.lastAttempt++
 	w.attempts[w.lastAttempt] = "asked"
-	w.p.Ask(w.now, h, w.lastAttempt, w.now+left)
+	w.p.Checkout(w.now, h, w.lastAttempt, w.now+left)
 	return w.lastAttempt
 }
 
@@ -129,8 +129,8 @@
 // An attempt that waits for a connection being opened uses another one if that comes free earlier, and the opened one then serves the
 // next attempt. A failed dial ends the attempt that it was made for, so that a dead host is noticed.
 func TestWaitForConnection(t *testing.T) {
-	w := newTestPool(Terms{Most: 2, Wait: 0.5}, 1)
-	w.p.Up(0, "a", 0, false, 0)
+	w := newTestPool(Config{MaxConnections: 2, MaxWaitFraction: 0.5}, 1)
+	w.p.HostUp(0, "a", 0, false, 0)
 	w.ask("a", s)
 	w.opened(1)
 	w.ask("a", s)
@@ -146,8 +146,8 @@
 	w.expect(t, "carry 3/2 carry 4/2")
 	w.ask("a", 5*ms) // attempts take 10 ms, which is too long for its remaining time
 	w.expect(t, "refuse 5 full")
-	w.p.Up(w.now, "b", 0, false, 0)
-	w.p.Leaves("a")
+	w.p.HostUp(w.now, "b", 0, false, 0)
+	w.p.HostLeaving("a")
 	w.freed(1)
 	w.expect(t, "close 1 leaving")
 	w.ask("b", s)
@@ -158,14 +158,14 @@
 
 // No attempt for a restarted host is sent over a connection to its earlier process.
 func TestAnotherProcess(t *testing.T) {
-	w := newTestPool(Terms{Most: 9}, 1)
-	w.p.Up(0, "a", 0, false, 0)
+	w := newTestPool(Config{MaxConnections: 9}, 1)
+	w.p.HostUp(0, "a", 0, false, 0)
 	w.ask("a", s)
 	w.ask("a", s)
 	w.opened(1)
 	w.opened(2)
 	w.freed(1)
-	w.p.Up(ms, "a", ms, false, 0)
+	w.p.HostUp(ms, "a", ms, false, 0)
 	w.freed(2)
 	w.ask("a", s)
 	w.expect(t, "open a1 open a2 carry 1/1 carry 2/2 close 1 leaving close 2 leaving open a3")
@@ -173,8 +173,8 @@
 
 // A connection idle for so long that its host may close it is not used. Connections opened together are not closed together.
 func TestIdleConnectionsRetire(t *testing.T) {
-	w := newTestPool(Terms{Most: 9, Idle: 8 * s}, 3)
-	w.p.Up(0, "a", 0, false, 0)
+	w := newTestPool(Config{MaxConnections: 9, IdleTimeout: 8 * s}, 3)
+	w.p.HostUp(0, "a", 0, false, 0)
 	for range 3 {
 		w.ask("a", s)
 	}
@@ -186,7 +186,7 @@
 	}
 	w.takeText()
 	ends := map[policy.Nanos]int{}
-	for w.now = 4 * s; w.now < 6*s+TickEvery; w.now += TickEvery {
+	for w.now = 4 * s; w.now < 6*s+TickInterval; w.now += TickInterval {
 		w.p.Tick(w.now)
 		if n := strings.Count(w.takeText(), "idle"); n > 0 {
 			ends[w.now] += n
@@ -206,9 +206,9 @@
 
 // A host that hangs keeps every connection that it gets, so it must not get all of them.
 func TestOneHostCannotTakeAll(t *testing.T) {
-	w := newTestPool(Terms{Most: 20}, 1)
+	w := newTestPool(Config{MaxConnections: 20}, 1)
 	for i := range 5 {
-		w.p.Up(0, Host(rune('a'+i)), 0, false, 0)
+		w.p.HostUp(0, Host(rune('a'+i)), 0, false, 0)
 	}
 	for range 40 {
 		w.ask("a", s)
@@ -231,8 +231,8 @@
 
 // Connections are opened ahead of need, slightly more than are in use on average, and closed after a surge.
 func TestOpenAheadAndCloseSurplus(t *testing.T) {
-	w := newTestPool(Terms{Most: 100, Ahead: 2, Shrink: 2 * s, ColdFor: 20 * s}, 1)
-	w.p.Up(0, "a", 0, false, 0)
+	w := newTestPool(Config{MaxConnections: 100, AheadDeviations: 2, ShrinkInterval: 2 * s, ColdFor: 20 * s}, 1)
+	w.p.HostUp(0, "a", 0, false, 0)
 	run := func(n int, until policy.Nanos) {
 		for ; w.now < until; w.now += 50 * ms {
 			for range n {
@@ -257,7 +257,7 @@
 		t.Errorf("%d open during the surge", n)
 	}
 	w.takeText()
-	w.p.Up(w.now, "b", w.now, false, 0) // a new host, before its first attempt
+	w.p.HostUp(w.now, "b", w.now, false, 0) // a new host, before its first attempt
 	w.p.Tick(w.now)
 	if got := strings.Count(w.takeText(), "open b"); got < 8 || got > 16 {
 		t.Errorf("%d opened ahead for a new host", got)
@@ -275,8 +275,8 @@
 		const cap = 50
 		pools := make([]*testPool, balancers)
 		for i := range pools {
-			pools[i] = newTestPool(Terms{Balancers: balancers, Most: 500, Openings: 400, ColdOpenings: cap, ColdFor: 60 * s}, uint64(i+1))
-			pools[i].p.Up(s, "new", s, false, 0)
+			pools[i] = newTestPool(Config{Balancers: balancers, MaxConnections: 500, OpeningsPerSecond: 400, ColdOpeningsPerSecond: cap, ColdFor: 60 * s}, uint64(i+1))
+			pools[i].p.HostUp(s, "new", s, false, 0)
 		}
 		perTick := []int{}
 		for now := s; now < 9*s; now += 10 * ms {
@@ -313,8 +313,8 @@
 
 // A host that rejects attempts on new connections gets fewer connections, and slowly more again.
 func TestRejectionsLowerLimit(t *testing.T) {
-	w := newTestPool(Terms{Balancers: 1, Most: 100, HostMost: 10}, 1)
-	w.p.Up(0, "a", 0, false, 0)
+	w := newTestPool(Config{Balancers: 1, MaxConnections: 100, HostMaxConnections: 10}, 1)
+	w.p.HostUp(0, "a", 0, false, 0)
 	for range 8 {
 		w.ask("a", s)
 	}
@@ -340,11 +340,11 @@
 // forever, and the counts match the actual connections.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := Terms{Balancers: rapid.IntRange(1, 3).Draw(t, "balancers"), Most: rapid.IntRange(1, 12).Draw(t, "most"),
-			HostMost: rapid.IntRange(0, 20).Draw(t, "host most"), Openings: float64(rapid.IntRange(0, 40).Draw(t, "openings")),
-			Idle: 3 * s, Age: 9 * s, Wait: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "wait"),
-			Ahead: rapid.SampledFrom([]float64{0, 1}).Draw(t, "ahead"), Shrink: 2 * s, ColdFor: 5 * s,
-			Reuse: rapid.SampledFrom([]Reuse{Longest, Last}).Draw(t, "reuse")}
+		config := Config{Balancers: rapid.IntRange(1, 3).Draw(t, "balancers"), MaxConnections: rapid.IntRange(1, 12).Draw(t, "most"),
+			HostMaxConnections: rapid.IntRange(0, 20).Draw(t, "host most"), OpeningsPerSecond: float64(rapid.IntRange(0, 40).Draw(t, "openings")),
+			IdleTimeout: 3 * s, MaxAge: 9 * s, MaxWaitFraction: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "wait"),
+			AheadDeviations: rapid.SampledFrom([]float64{0, 1}).Draw(t, "ahead"), ShrinkInterval: 2 * s, ColdFor: 5 * s,
+			Reuse: rapid.SampledFrom([]Reuse{LongestIdle, LastUsed}).Draw(t, "reuse")}
 		w := newTestPool(config, rapid.Uint64().Draw(t, "seed"))
 		hosts := []Host{"a", "b", "c"}
 		pick := func(state string) (Conn, bool) {
@@ -363,15 +363,15 @@
 			if w.fault != "" {
 				t.Fatal(w.fault)
 			}
-			if len(w.conns) != w.p.openCount || w.p.openCount > config.Most {
-				t.Fatalf("%d open by the recorded calls, %d by the count, at most %d allowed", len(w.conns), w.p.openCount, config.Most)
+			if len(w.conns) != w.p.openCount || w.p.openCount > config.MaxConnections {
+				t.Fatalf("%d open by the recorded calls, %d by the count, at most %d allowed", len(w.conns), w.p.openCount, config.MaxConnections)
 			}
 			perHost := map[Host]int{}
 			for c := range w.conns {
 				perHost[w.host[c]]++
 			}
 			for id, h := range w.p.hosts {
-				if h.open != perHost[id] || config.HostMost > 0 && h.open > max(1, config.HostMost/config.Balancers) {
+				if h.open != perHost[id] || config.HostMaxConnections > 0 && h.open > max(1, config.HostMaxConnections/config.Balancers) {
 					t.Fatalf("%s has %d open by the recorded calls, %d by the count", id, perHost[id], h.open)
 				}
 			}
@@ -392,9 +392,9 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"up": func(t *rapid.T) {
-				w.p.Up(w.now, rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2).Draw(t, "born"))*s, rapid.Bool().Draw(t, "moved"), 0)
+				w.p.HostUp(w.now, rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2).Draw(t, "born"))*s, rapid.Bool().Draw(t, "moved"), 0)
 			},
-			"leaves": func(t *rapid.T) { w.p.Leaves(rapid.SampledFrom(hosts).Draw(t, "host")) },
+			"leaves": func(t *rapid.T) { w.p.HostLeaving(rapid.SampledFrom(hosts).Draw(t, "host")) },
 			"ask": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "shots") {
 					w.ask(rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2000).Draw(t, "left"))*ms)
@@ -443,7 +443,7 @@
 		// After shutdown no attempt is left waiting.
 		w.now += 3 * s
 		w.p.Tick(w.now)
-		w.p.Shut()
+		w.p.Close()
 		check()
 		for _, state := range w.attempts {
 			if state == "asked" {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -43,7 +43,7 @@
 	hs.mu.Lock()
 	switch {
 	case err != nil && !c.closing && isLocal(err):
-		hs.pool.FailedHere(hs.now(), c.id)
+		hs.pool.FailedLocally(hs.now(), c.id)
 	case err != nil && !c.closing:
 		hs.pool.Failed(hs.now(), c.id)
 	case err == nil:
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -40,7 +40,7 @@
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
 				limits := testLimits
-				limits.Pool.Most = 1000
+				limits.Pool.MaxConnections = 1000
 				hs, _, conns := newTestHosts(t, limits)
 				if row.origin {
 					hs.mu.Lock()
--- a/internal/upstream/sizes_test.go
+++ b/internal/upstream/sizes_test.go
@@ -14,7 +14,7 @@
 func BenchmarkListed(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			hs := New(Limits{Pool: pool.Terms{Balancers: 350, Most: 378}}, -1)
+			hs := New(Limits{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
 			defer hs.Close()
 			list := func(n, from int, condition policy.Condition) (all []discovery.Host) {
 				for i := range n {
@@ -32,7 +32,7 @@
 
 // A host without connections needs no goroutine.
 func TestNoGoroutinePerHost(t *testing.T) {
-	hs := New(Limits{Pool: pool.Terms{Balancers: 350, Most: 378}}, -1)
+	hs := New(Limits{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
 	defer hs.Close()
 	before := runtime.NumGoroutine()
 	var all []discovery.Host
@@ -49,9 +49,9 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := pool.New(poolActions{}, pool.Terms{Balancers: 350, Most: 378}, func() float64 { return 0 })
+			p := pool.New(poolActions{}, pool.Config{Balancers: 350, MaxConnections: 378}, func() float64 { return 0 })
 			for i := range n {
-				p.Up(0, pool.Host(fmt.Sprint("s-", i)), 0, false, 0)
+				p.HostUp(0, pool.Host(fmt.Sprint("s-", i)), 0, false, 0)
 			}
 			for b.Loop() {
 				p.Tick(policy.Second)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -86,7 +86,7 @@
 
 // Limits configure the connections.
 type Limits struct {
-	Pool    pool.Terms
+	Pool    pool.Config
 	Origin  int           // maximum connections to the origin
 	Reports bool          // answers contain a load report of the host
 	Connect time.Duration // timeout for opening a connection
@@ -135,7 +135,7 @@
 
 // tick calls the pool's periodic work until Close.
 func (hs *Hosts) tick() {
-	t := time.NewTicker(time.Duration(pool.TickEvery))
+	t := time.NewTicker(time.Duration(pool.TickInterval))
 	defer t.Stop()
 	for {
 		select {
@@ -185,7 +185,7 @@
 		if h.noticeAt.IsZero() {
 			h.noticeAt = at
 		}
-		hs.pool.Leaves(pool.Host(h.HostID))
+		hs.pool.HostLeaving(pool.Host(h.HostID))
 		return
 	}
 	h.noticeAt = time.Time{}
@@ -197,7 +197,7 @@
 	if h.ListedStart > 0 {
 		startedAt = max(1, cmp.Or(h.LocalStart, h.ListedStart)-hs.limits.Epoch)
 	}
-	hs.pool.Up(now, pool.Host(h.HostID), startedAt, moved, limit)
+	hs.pool.HostUp(now, pool.Host(h.HostID), startedAt, moved, limit)
 }
 
 // Exclude takes a host out of use, on an operator's request. It is treated like a draining host, whatever the list says.
@@ -247,7 +247,7 @@
 		return
 	}
 	hs.attempts[a.id] = a
-	hs.pool.Ask(hs.now(), pool.Host(a.To), a.id, policy.Nanos(a.BeginBy.Time().Sub(hs.epoch)))
+	hs.pool.Checkout(hs.now(), pool.Host(a.To), a.id, policy.Nanos(a.BeginBy.Time().Sub(hs.epoch)))
 }
 
 // cancelWaiting removes an attempt from the pool's queue. It returns false if the attempt was not waiting.
@@ -273,7 +273,7 @@
 	go c.run(ctx)
 }
 
-func (o poolActions) Carry(id pool.Conn, attempt pool.Attempt) {
+func (o poolActions) Send(id pool.Conn, attempt pool.Attempt) {
 	c := o.hs.conns[id]
 	c.next = o.hs.attempts[attempt]
 	delete(o.hs.attempts, attempt)
@@ -282,7 +282,7 @@
 	}
 }
 
-func (o poolActions) Close(id pool.Conn, _ pool.Why) {
+func (o poolActions) Close(id pool.Conn, _ pool.Reason) {
 	c := o.hs.conns[id]
 	c.closing = true
 	c.cancel()
@@ -291,11 +291,11 @@
 	}
 }
 
-func (o poolActions) Refuse(attempt pool.Attempt, why pool.Why) {
+func (o poolActions) Refuse(attempt pool.Attempt, why pool.Reason) {
 	a := o.hs.attempts[attempt]
 	delete(o.hs.attempts, attempt)
 	outcome := policy.NeverSent
-	if why == pool.NoConnect {
+	if why == pool.ConnectFailed {
 		outcome = policy.ConnectFailed
 	}
 	a.finish(Result{Outcome: outcome}, false)
@@ -330,21 +330,21 @@
 func (hs *Hosts) Limit(limit int) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Limit(limit)
+	hs.pool.SetMaxConnections(limit)
 }
 
 // OpeningNeed returns the largest fraction of a host's connection openings that this balancer asked for in the period that ends now.
 func (hs *Hosts) OpeningNeed(period time.Duration) float64 {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	return hs.pool.Need(hs.now(), policy.Nanos(period))
+	return hs.pool.OpeningsNeed(hs.now(), policy.Nanos(period))
 }
 
 // OpeningPart sets this balancer's fraction of the openings of each host; 0 means an equal share.
 func (hs *Hosts) OpeningPart(share float64) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Part(share)
+	hs.pool.SetOpeningsShare(share)
 }
 
 // Open returns the number of connections.
@@ -358,13 +358,13 @@
 func (hs *Hosts) Bound() map[pool.Host]int {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	return hs.pool.Bound()
+	return hs.pool.TakeLimitHits()
 }
 
 // Close closes all idle connections and refuses all attempts from now on.
 func (hs *Hosts) Close() {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Shut()
+	hs.pool.Close()
 	close(hs.closed)
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -84,7 +84,7 @@
 	t.Fatal("the expected number of idle connections was not reached")
 }
 
-var testLimits = Limits{Pool: pool.Terms{Most: 10, Idle: policy.Nanos(time.Minute)}, Origin: 10, Connect: time.Second, Grace: time.Second}
+var testLimits = Limits{Pool: pool.Config{MaxConnections: 10, IdleTimeout: policy.Nanos(time.Minute)}, Origin: 10, Connect: time.Second, Grace: time.Second}
 
 // expectExchange sends an attempt over a connection and checks its outcome.
 func expectExchange(t *testing.T, c *conn, a *Attempt, want policy.Outcome) {
@@ -221,7 +221,7 @@
 // The origin accepts few connections: its limit holds even if an idle connection to a cache host could make room.
 func TestOriginLimit(t *testing.T) {
 	limits := testLimits
-	limits.Pool.Most, limits.Origin = 2, 1
+	limits.Pool.MaxConnections, limits.Origin = 2, 1
 	hs, entry, conns := newTestHosts(t, limits)
 	hs.origin = 7
 	entry.HostID = "i"
@@ -247,7 +247,7 @@
 // At the connection limit an idle connection is closed to make room; without an idle one the attempt is refused.
 func TestConnectionLimit(t *testing.T) {
 	limits := testLimits
-	limits.Pool.Most = 1
+	limits.Pool.MaxConnections = 1
 	hs, _, conns := newTestHosts(t, limits)
 	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(first)
