--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -9,14 +9,16 @@
 // sendAttempt starts an attempt; how it ends comes back through c.ended.
 func (c *clientRequest) sendAttempt(o action) {
 	n, sent := len(c.attempts), time.Now()
-	s := &upstream.Attempt{To: o.host, Command: &c.Command, Value: c.value, Deadline: o.deadline, BeginBy: o.beginBy}
-	s.Room = c.reserveMemory
-	s.Pass = c.streamValue
-	s.Gone = c.isUnwanted
+	s := &upstream.Attempt{To: o.host, Command: &c.Command, Value: c.value, Deadline: o.deadline, LatestStart: o.beginBy}
+	s.ReserveMemory = c.reserveMemory
+	s.StreamValue = c.streamValue
+	s.ClientGone = c.isUnwanted
 	if c.upload != nil {
 		s.Upload = &c.upload.Upload
 	}
-	s.Done = func(r upstream.Result) { c.attemptResults <- attemptResult{r, n, time.Since(sent) - r.Peer} }
+	s.Done = func(r upstream.Result) {
+		c.attemptResults <- attemptResult{r, n, time.Since(sent) - r.ClientTransferTime}
+	}
 	c.attempts = append(c.attempts, s)
 	c.inFlight++
 	if c.client.hasLeft() || c.isAnswerChosen() { // since this was decided
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -90,9 +90,9 @@
 		traffic:     trafficStats{hosts: map[policy.HostID]*[2]int64{}},
 		answerStats: newAnswerStats(deployed),
 		clients:     newClientConns(deployed.Sockets / 4),
-		hosts: upstream.New(upstream.Limits{Pool: operatorFile.Connections.Terms(pool.Config{Balancers: deployed.Terms.Balancers,
-			MaxConnections: upstreamSockets, IdleTimeout: policy.Nanos(deployed.IdleLimit)}), Origin: maxAttemptsToOrigin, Connect: deployed.ConnectTimeout, Reports: deployed.Reports,
-			Grace: grace, Epoch: epochNanos}, deployed.Terms.OriginKind)}
+		hosts: upstream.New(upstream.Config{Pool: operatorFile.Connections.Terms(pool.Config{Balancers: deployed.Terms.Balancers,
+			MaxConnections: upstreamSockets, IdleTimeout: policy.Nanos(deployed.IdleLimit)}), OriginMaxConnections: maxAttemptsToOrigin, ConnectTimeout: deployed.ConnectTimeout, LoadReports: deployed.Reports,
+			Grace: grace, Now: epochNanos}, deployed.Terms.OriginKind)}
 	b.mu.handle = b.handleEvent
 	b.startTimes = newStartTimes(time.Now)
 	b.exclusions.save = handover.Save
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -154,7 +154,7 @@
 		return false
 	}
 	length, _ := strconv.Atoi(string(found[1]) + string(found[2]))
-	return length > upstream.Whole
+	return length > upstream.MaxBufferedBytes
 }
 
 // parseAttempt reads the first attempt of what was written, of either protocol; size 0: it is not whole yet.
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -136,7 +136,7 @@
 				machine.Need(now, i, float64(sum)/(share.NeedTurns*share.Turn.Seconds()))
 			}
 			if l.customerCount < len(l.bounds) {
-				machine.Need(now, l.customerCount, b.hosts.OpeningNeed(share.Turn))
+				machine.Need(now, l.customerCount, b.hosts.OpeningsNeed(share.Turn))
 			}
 			machine.Tick(now, members)
 		})
@@ -179,7 +179,7 @@
 		}
 	})
 	if l.customerCount < len(shares) {
-		b.hosts.OpeningPart(shares[l.customerCount])
+		b.hosts.SetOpeningsShare(shares[l.customerCount])
 	}
 }
 
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -48,7 +48,7 @@
 
 // applyBatch applies some entries. The connections come first, so that attempts can be sent to every host that the policy knows.
 func (b *Balancer) applyBatch(batch discovery.List) {
-	b.hosts.Listed(batch)
+	b.hosts.ApplyList(batch)
 	entries := entriesOf(batch.Hosts)
 	b.callPolicy(func() { b.policy.ApplyEntries(entries) })
 	for _, condition := range []policy.Condition{policy.Draining, policy.Gone} {
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -243,14 +243,14 @@
 // admit reads a request's value, admits the request or answers it, and starts its life; false where no command follows.
 func (b *Balancer) admit(req *clientRequest, fault *memcache.Fault) bool {
 	c := req.client
-	if req.Write && req.Length > upstream.Whole && c.noMoreCommands.Load() { // ended before its value has come
+	if req.Write && req.Length > upstream.MaxBufferedBytes && c.noMoreCommands.Load() { // ended before its value has come
 		return c.refuse()
 	}
 	started, admitted := false, b.inFlight.Add(1) <= b.maxInFlight.Load() && b.clients.makeRoomFor(c)
-	long := req.Write && fault == nil && req.Length > upstream.Whole
+	long := req.Write && fault == nil && req.Length > upstream.MaxBufferedBytes
 	room := req.Length
 	if long {
-		room = upstream.PieceBytes
+		room = upstream.StreamBufferBytes
 	}
 	admitted = admitted && (!req.Write || fault != nil || req.reserveMemory(room))
 	defer func() {
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -52,7 +52,7 @@
 			b.log.Warn().Str("host", string(id)).Int64("shots", n[0]).Int64("bad", n[1]).Msg("host in trouble")
 		}
 	}
-	for id, n := range b.hosts.Bound() {
+	for id, n := range b.hosts.TakeLimitHits() {
 		if n >= minBoundRefusals {
 			b.log.Warn().Str("host", string(id)).Int("shots", n).Msg("connections bound")
 		}
@@ -69,7 +69,7 @@
 		Int64("rate_limited", t.rateLimited.Load()).Int64("errored", t.errored.Load()).
 		Int64("abandoned", t.abandoned.Load()).Dict("shots", byOutcome).Int64("in_hand", b.inFlight.Load()).
 		Int("clients", b.clients.count()).Int("upstream", b.hosts.Open()).
-		Float64("after_told_ms", milliseconds(b.hosts.AfterTold())).
+		Float64("after_told_ms", milliseconds(b.hosts.MaxWriteAfterNotice())).
 		Float64("held_ms", milliseconds(d.handling.takeRecent())).Float64("waited_ms", milliseconds(d.waiting.takeRecent())).
 		Int64("late", d.lateAnswers.Load()).Int64("guarded", d.answeredByTimer.Load()).Float64("latest_ms", milliseconds(d.lateBy.takeRecent())).Msg("traffic")
 }
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -30,7 +30,7 @@
 	case <-c.client.gone:
 		return false
 	}
-	to := upstream.Patient{Conn: c.client.conn}
+	to := upstream.ExtendingConn{Conn: c.client.conn}
 	_, err := to.Write(memcache.AppendValue(nil, c.ID, v.Length))
 	if err == nil {
 		_, err = upstream.Copy(to, v, v.Length)
@@ -88,8 +88,8 @@
 
 func newUpload(c *clientRequest) *upload {
 	u := &upload{call: c, remaining: c.Length, wanted: make(chan struct{}), connFree: make(chan struct{})}
-	u.Length, u.In, u.Ended = c.Length, u, make(chan struct{})
-	u.Wait = c.Left - answerTravelReserve
+	u.Length, u.Reader, u.Done = c.Length, u, make(chan struct{})
+	u.ClientTimeout = c.Left - answerTravelReserve
 	return u
 }
 
@@ -142,22 +142,22 @@
 	c.watchForClose(func() { // while the value waits for a connection to a host, its client may leave
 		select {
 		case <-u.wanted:
-		case <-u.Ended:
+		case <-u.Done:
 		case <-u.call.answered:
 		}
 	})
 	close(u.connFree)
 	select {
-	case <-u.Ended:
+	case <-u.Done:
 	case <-u.call.answered:
 		if u.Take() {
-			close(u.Ended)
+			close(u.Done)
 		}
-		<-u.Ended
+		<-u.Done
 	}
 	for u.err == nil && u.remaining > 0 {
 		c.extendValueDeadline()
-		n, err := c.reader.Discard(min(u.remaining, upstream.PieceBytes))
+		n, err := c.reader.Discard(min(u.remaining, upstream.StreamBufferBytes))
 		u.remaining -= n
 		u.err = err
 		if u.remaining == 0 && err == nil {
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -381,7 +381,7 @@
 // setLimits sets the resource limits of this process.
 func (b *Balancer) setLimits(limits resourceLimits) {
 	b.clients.setLimits(int(limits.clients-limits.clients/8), int(limits.clients))
-	b.hosts.Limit(int(limits.upstream))
+	b.hosts.SetMaxConnections(int(limits.upstream))
 	b.maxInFlight.Store(limits.requests)
 	b.maxValueBytes.Store(limits.bytes)
 }
--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -39,7 +39,7 @@
 		} {
 			a := &Attempt{Deadline: deadline.After(time.Now(), c.left), Value: make([]byte, c.value)}
 			if c.upload {
-				a.Upload = &Upload{Wait: time.Second}
+				a.Upload = &Upload{ClientTimeout: time.Second}
 			}
 			if got := a.announcedTime(); got < c.least || got > c.most {
 				t.Errorf("%+v: announced %v", c, got)
@@ -98,7 +98,7 @@
 	}()
 	entry.Addr = listener.Addr().String()
 	hs.Dial = dialer.DialContext
-	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry}})
 	return hs, conns
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -93,8 +93,8 @@
 // whether the connection can be reused.
 func (c *conn) exchange(a *Attempt) (r Result, written, keep bool) {
 	// The attempt may have waited for the connection. It is not written if its time is over or the grace of its host has expired.
-	if !a.setStop(c.reset) || c.hosts.graceExpired(c.host) || a.BeginBy.Passed() || a.Deadline.Passed() ||
-		a.Gone != nil && a.Gone() {
+	if !a.setStop(c.reset) || c.hosts.graceExpired(c.host) || a.LatestStart.Passed() || a.Deadline.Passed() ||
+		a.ClientGone != nil && a.ClientGone() {
 		return Result{Outcome: policy.NeverSent}, false, true
 	}
 	c.net.SetReadDeadline(a.Deadline.Time())
@@ -123,7 +123,7 @@
 	case err != nil:
 		r = Result{Outcome: policy.MalformedAnswer}
 	}
-	r.Peer += clientTime
+	r.ClientTransferTime += clientTime
 	return r, true, keep && err == nil
 }
 
@@ -159,7 +159,7 @@
 // if the attempt may run.
 func (c *conn) write(a *Attempt, announced time.Duration) policy.Outcome {
 	if len(a.Value) > maxUnblockedWrite { // a write that is incomplete by then is abandoned
-		c.net.SetWriteDeadline(a.BeginBy.First(deadline.After(time.Now(), a.transferTime())).Time())
+		c.net.SetWriteDeadline(a.LatestStart.First(deadline.After(time.Now(), a.transferTime())).Time())
 		defer c.net.SetWriteDeadline(time.Time{})
 	}
 	c.writeBuffer = c.writeBuffer[:0]
@@ -225,7 +225,7 @@
 	if err != nil {
 		return r, false, err
 	}
-	if c.hosts.limits.Reports {
+	if c.hosts.config.LoadReports {
 		r.Load = loadreport.Parse(string(answer.Report), "=")
 	}
 	switch answer.Reply {
@@ -246,10 +246,10 @@
 		return r, false, errInvalidAnswer
 	}
 	if answer.Reply == memcache.Value {
-		if answer.Length > Whole {
+		if answer.Length > MaxBufferedBytes {
 			return c.streamValue(a, r, answer.Length, c.readLineEnd)
 		}
-		if !a.Room(answer.Length + 2) {
+		if !a.ReserveMemory(answer.Length + 2) {
 			return r, false, errNoMemory
 		}
 		r.Body = make([]byte, answer.Length+2)
@@ -277,11 +277,11 @@
 }
 
 func (c *conn) readOrigin(a *Attempt) (r Result, keep bool, err error) {
-	maxBuffered := Whole
+	maxBuffered := MaxBufferedBytes
 	if a.Command.Write {
 		maxBuffered = memcache.MostValue // the body is a receipt or an error text
 	}
-	resp, err := httpwire.Read(c.reader, memcache.MostValue, maxBuffered, a.Room)
+	resp, err := httpwire.Read(c.reader, memcache.MostValue, maxBuffered, a.ReserveMemory)
 	if err != nil {
 		return r, false, err
 	}
--- a/internal/upstream/sizes_test.go
+++ b/internal/upstream/sizes_test.go
@@ -14,7 +14,7 @@
 func BenchmarkListed(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			hs := New(Limits{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
+			hs := New(Config{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
 			defer hs.Close()
 			list := func(n, from int, condition policy.Condition) (all []discovery.Host) {
 				for i := range n {
@@ -22,9 +22,9 @@
 				}
 				return all
 			}
-			hs.Listed(discovery.List{Hosts: list(n, 0, policy.Up)})
+			hs.ApplyList(discovery.List{Hosts: list(n, 0, policy.Up)})
 			for i := 0; b.Loop(); i++ {
-				hs.Listed(discovery.List{Hosts: append(list(n/2, i*n/2, policy.Gone), list(n/2, n+i*n/2, policy.Up)...)})
+				hs.ApplyList(discovery.List{Hosts: append(list(n/2, i*n/2, policy.Gone), list(n/2, n+i*n/2, policy.Up)...)})
 			}
 		})
 	}
@@ -32,14 +32,14 @@
 
 // A host without connections needs no goroutine.
 func TestNoGoroutinePerHost(t *testing.T) {
-	hs := New(Limits{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
+	hs := New(Config{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
 	defer hs.Close()
 	before := runtime.NumGoroutine()
 	var all []discovery.Host
 	for i := range 1025 {
 		all = append(all, discovery.Host{HostEntry: policy.HostEntry{HostID: policy.HostID(fmt.Sprint("s-", i))}, Addr: "127.0.0.1:1"})
 	}
-	hs.Listed(discovery.List{Hosts: all})
+	hs.ApplyList(discovery.List{Hosts: all})
 	if n := runtime.NumGoroutine(); n > before {
 		t.Errorf("%d goroutines, %d before", n, before)
 	}
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	// Whole is the longest value that is buffered completely; longer ones are streamed, and their latency is measured to the first bytes.
-	Whole = 64 << 10
-	// PieceBytes is the buffer size for streaming a value.
-	PieceBytes = 32 << 10
-	// PieceWait is how long a peer may neither send nor accept any byte of a value. Slow peers pause too, but for less than that.
-	PieceWait = 5 * time.Second
+	// MaxBufferedBytes is the longest value that is buffered completely; longer ones are streamed, and their latency is measured to the first bytes.
+	MaxBufferedBytes = 64 << 10
+	// StreamBufferBytes is the buffer size for streaming a value.
+	StreamBufferBytes = 32 << 10
+	// StreamTimeout is how long a peer may neither send nor accept any byte of a value. Slow peers pause too, but for less than that.
+	StreamTimeout = 5 * time.Second
 )
 
-// Upload is a long value that is still arriving from the client. Only one attempt can take it: In cannot be read a second time.
+// Upload is a long value that is still arriving from the client. Only one attempt can take it: Reader cannot be read a second time.
 type Upload struct {
-	Length    int
-	In        io.Reader         // fails if the value is incomplete
-	Wait      time.Duration     // how long the client waits for the answer after its last byte
-	Deadline  deadline.Deadline // set by In before it gives the last byte
-	Ended     chan struct{}     // closed when In is no longer read, by whoever took the upload
-	announced time.Duration     // remaining time announced to the server
-	taken     atomic.Bool
+	Length        int
+	Reader        io.Reader         // fails if the value is incomplete
+	ClientTimeout time.Duration     // how long the client waits for the answer after its last byte
+	Deadline      deadline.Deadline // set by Reader before it gives the last byte
+	Done          chan struct{}     // closed when Reader is no longer read, by whoever took the upload
+	announced     time.Duration     // remaining time announced to the server
+	taken         atomic.Bool
 }
 
 // TooLate reports that the server was given more time than the client would have left if the last byte were written now. This happens
 // when the server reads the value more slowly than the client sends it.
 func (u *Upload) TooLate() bool { return u.Deadline.Remaining()+lastByteAllowance < u.announced }
 
-// Take claims the upload. The caller then either reads In or declares that nobody will. Take returns false if it was claimed already.
+// Take claims the upload. The caller then either reads Reader or declares that nobody will. Take returns false if it was claimed already.
 func (u *Upload) Take() bool { return !u.taken.Swap(true) }
 
-var pieceBuffers = sync.Pool{New: func() any { return new([PieceBytes]byte) }}
+var pieceBuffers = sync.Pool{New: func() any { return new([StreamBufferBytes]byte) }}
 
 // Copy copies exactly length bytes. If it fails, readerFault reports whether the reader or the writer failed.
 func Copy(to io.Writer, from io.Reader, length int) (readerFault bool, err error) {
-	buffer := pieceBuffers.Get().(*[PieceBytes]byte)
+	buffer := pieceBuffers.Get().(*[StreamBufferBytes]byte)
 	defer pieceBuffers.Put(buffer)
 	for length > 0 {
-		n, err := from.Read(buffer[:min(length, PieceBytes)])
+		n, err := from.Read(buffer[:min(length, StreamBufferBytes)])
 		if n > 0 {
 			if _, err := to.Write(buffer[:n]); err != nil {
 				return false, err
@@ -62,11 +62,11 @@
 	return false, nil
 }
 
-// Patient is a connection whose write deadline is extended with each write.
-type Patient struct{ net.Conn }
+// ExtendingConn is a connection whose write deadline is extended with each write.
+type ExtendingConn struct{ net.Conn }
 
-func (p Patient) Write(b []byte) (int, error) {
-	p.SetWriteDeadline(time.Now().Add(PieceWait))
+func (p ExtendingConn) Write(b []byte) (int, error) {
+	p.SetWriteDeadline(time.Now().Add(StreamTimeout))
 	return p.Conn.Write(b)
 }
 
@@ -79,7 +79,7 @@
 }
 
 func (v *Value) Read(p []byte) (n int, err error) {
-	v.conn.net.SetReadDeadline(time.Now().Add(PieceWait))
+	v.conn.net.SetReadDeadline(time.Now().Add(StreamTimeout))
 	n, err = v.conn.reader.Read(p)
 	if err != nil {
 		v.err = err
@@ -90,7 +90,7 @@
 // End reads what follows the value and reports whether the value ended correctly.
 func (v *Value) End() error {
 	if v.err == nil {
-		v.conn.net.SetReadDeadline(time.Now().Add(PieceWait))
+		v.conn.net.SetReadDeadline(time.Now().Add(StreamTimeout))
 		v.err = v.readEnd()
 	}
 	return v.err
@@ -99,24 +99,24 @@
 // streamValue passes a long value on while it is received. A client that does not read it is not a failure of the host, but the
 // connection cannot be reused.
 func (c *conn) streamValue(a *Attempt, r Result, length int, readEnd func() error) (Result, bool, error) {
-	if !a.Room(PieceBytes) {
+	if !a.ReserveMemory(StreamBufferBytes) {
 		return r, false, errNoMemory
 	}
 	v, began := &Value{Length: length, conn: c, readEnd: readEnd}, time.Now()
-	whole := a.Pass(v)
-	r.Peer = time.Since(began)
+	whole := a.StreamValue(v)
+	r.ClientTransferTime = time.Since(began)
 	return r, whole, v.err
 }
 
 // writeUpload writes a long value while it arrives from the client. The outcome is Fulfilled if the last byte was written.
 func (c *conn) writeUpload(a *Attempt, announced time.Duration) policy.Outcome {
-	defer close(a.Upload.Ended)
+	defer close(a.Upload.Done)
 	a.Upload.announced = announced
-	to := Patient{c.net}
+	to := ExtendingConn{c.net}
 	if _, err := to.Write(c.writeBuffer); err != nil {
 		return policy.ConnectFailed
 	}
-	if readerFault, err := Copy(to, a.Upload.In, a.Upload.Length); readerFault {
+	if readerFault, err := Copy(to, a.Upload.Reader, a.Upload.Length); readerFault {
 		return policy.NeverSent // the client failed, not the host
 	} else if err != nil {
 		return policy.ConnectFailed
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -20,24 +20,24 @@
 
 // Result is the outcome of an attempt, as far as it is known for certain.
 type Result struct {
-	Outcome policy.Outcome
-	Load    *policy.LoadReport // load of the host, if its answers report it
-	Body    []byte             // the value or the receipt of a write; empty for a value that was streamed
-	Peer    time.Duration      // part of the attempt's time that transferring a long value from or to the client took
+	Outcome            policy.Outcome
+	Load               *policy.LoadReport // load of the host, if its answers report it
+	Body               []byte             // the value or the receipt of a write; empty for a value that was streamed
+	ClientTransferTime time.Duration      // part of the attempt's time that transferring a long value from or to the client took
 }
 
 // Attempt is one sending of a request to a host. It ends exactly once, by a call of Done, which must not block.
 type Attempt struct {
-	To       policy.HostID
-	Command  *memcache.Command
-	Value    []byte                    // value of a write
-	Upload   *Upload                   // value of a write that is long and still arriving
-	Deadline deadline.Deadline         // deadline of the request: the attempt is neither started nor waited for after it
-	BeginBy  deadline.Deadline         // writing does not start after this time
-	Room     func(bytes int) bool      // reserves memory for a value, false if there is not enough; called before reading one
-	Pass     func(*Value) (whole bool) // streams a long value to the client and reports whether all of it was read; it may block
-	Gone     func() bool               // reports that the client no longer waits; nil: not known
-	Done     func(Result)
+	To            policy.HostID
+	Command       *memcache.Command
+	Value         []byte                    // value of a write
+	Upload        *Upload                   // value of a write that is long and still arriving
+	Deadline      deadline.Deadline         // deadline of the request: the attempt is neither started nor waited for after it
+	LatestStart   deadline.Deadline         // writing does not start after this time
+	ReserveMemory func(bytes int) bool      // reserves memory for a value, false if there is not enough; called before reading one
+	StreamValue   func(*Value) (whole bool) // streams a long value to the client and reports whether all of it was read; it may block
+	ClientGone    func() bool               // reports that the client no longer waits; nil: not known
+	Done          func(Result)
 
 	hosts *Hosts
 	id    pool.Attempt
@@ -84,19 +84,19 @@
 	a.Done(r)
 }
 
-// Limits configure the connections.
-type Limits struct {
-	Pool    pool.Config
-	Origin  int           // maximum connections to the origin
-	Reports bool          // answers contain a load report of the host
-	Connect time.Duration // timeout for opening a connection
-	Grace   time.Duration // how long attempts may still be written to a host after the notice that it drains or is gone
-	Epoch   policy.Nanos  // current time on the clock of the host start times
+// Config configures the connections.
+type Config struct {
+	Pool                 pool.Config
+	OriginMaxConnections int           // maximum connections to the origin
+	LoadReports          bool          // answers contain a load report of the host
+	ConnectTimeout       time.Duration // timeout for opening a connection
+	Grace                time.Duration // how long attempts may still be written to a host after the notice that it drains or is gone
+	Now                  policy.Nanos  // current time on the clock of the host start times
 }
 
 // Hosts holds all hosts that discovery has listed, and the connections to them.
 type Hosts struct {
-	limits Limits
+	config Config
 	origin policy.MachineKind
 	epoch  time.Time
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // may be replaced before the first attempt
@@ -122,10 +122,10 @@
 }
 
 // New creates an empty set of hosts. Discovery lists the origin with the given kind.
-func New(limits Limits, origin policy.MachineKind) *Hosts {
-	hs := &Hosts{limits: limits, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, byID: map[policy.HostID]*host{}, conns: map[pool.Conn]*conn{},
+func New(config Config, origin policy.MachineKind) *Hosts {
+	hs := &Hosts{config: config, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, byID: map[policy.HostID]*host{}, conns: map[pool.Conn]*conn{},
 		attempts: map[pool.Attempt]*Attempt{}, excluded: map[policy.HostID]bool{}, closed: make(chan struct{})}
-	hs.pool = pool.New(poolActions{hs}, limits.Pool, rand.Float64)
+	hs.pool = pool.New(poolActions{hs}, config.Pool, rand.Float64)
 	go hs.tick()
 	return hs
 }
@@ -149,8 +149,8 @@
 	}
 }
 
-// Listed applies the changed hosts of a list from discovery. A host that is missing from a complete list is included as gone.
-func (hs *Hosts) Listed(l discovery.List) {
+// ApplyList applies the changed hosts of a list from discovery. A host that is missing from a complete list is included as gone.
+func (hs *Hosts) ApplyList(l discovery.List) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	at := l.At
@@ -191,11 +191,11 @@
 	h.noticeAt = time.Time{}
 	limit, now := 0, hs.now()
 	if h.isOrigin {
-		limit = hs.limits.Origin
+		limit = hs.config.OriginMaxConnections
 	}
 	startedAt := policy.Nanos(0) // start time from the list: a different one means another process
 	if h.ListedStart > 0 {
-		startedAt = max(1, cmp.Or(h.LocalStart, h.ListedStart)-hs.limits.Epoch)
+		startedAt = max(1, cmp.Or(h.LocalStart, h.ListedStart)-hs.config.Now)
 	}
 	hs.pool.HostUp(now, pool.Host(h.HostID), startedAt, moved, limit)
 }
@@ -224,7 +224,7 @@
 }
 
 // Grace returns how long after the notice attempts may still be written to a host that drains, is gone or is excluded.
-func (hs *Hosts) Grace() time.Duration { return hs.limits.Grace }
+func (hs *Hosts) Grace() time.Duration { return hs.config.Grace }
 
 // Sent returns the number of attempts completely written. It includes those to the origin, which is listed like the cache hosts.
 func (hs *Hosts) Sent() int64 { return hs.sent.Load() }
@@ -247,7 +247,7 @@
 		return
 	}
 	hs.attempts[a.id] = a
-	hs.pool.Checkout(hs.now(), pool.Host(a.To), a.id, policy.Nanos(a.BeginBy.Time().Sub(hs.epoch)))
+	hs.pool.Checkout(hs.now(), pool.Host(a.To), a.id, policy.Nanos(a.LatestStart.Time().Sub(hs.epoch)))
 }
 
 // cancelWaiting removes an attempt from the pool's queue. It returns false if the attempt was not waiting.
@@ -266,7 +266,7 @@
 
 func (o poolActions) Open(to pool.Host, id pool.Conn) {
 	h := o.hs.byID[policy.HostID(to)]
-	ctx, cancel := context.WithTimeout(context.Background(), o.hs.limits.Connect)
+	ctx, cancel := context.WithTimeout(context.Background(), o.hs.config.ConnectTimeout)
 	c := &conn{id: id, hosts: o.hs, host: h, addr: h.Addr, cancel: cancel}
 	h.open++
 	o.hs.conns[id] = c
@@ -311,37 +311,37 @@
 		return false
 	}
 	since := time.Since(h.noticeAt)
-	if since > hs.limits.Grace {
+	if since > hs.config.Grace {
 		return true
 	}
 	hs.maxWriteAfterNotice = max(hs.maxWriteAfterNotice, since)
 	return false
 }
 
-// AfterTold returns the longest time, since the start of this process, between the notice that a host drains, is gone or is excluded
+// MaxWriteAfterNotice returns the longest time, since the start of this process, between the notice that a host drains, is gone or is excluded
 // and the write of an attempt that was already assigned to a connection. A value close to Grace means that this process runs late.
-func (hs *Hosts) AfterTold() time.Duration {
+func (hs *Hosts) MaxWriteAfterNotice() time.Duration {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	return hs.maxWriteAfterNotice
 }
 
-// Limit changes the maximum number of connections.
-func (hs *Hosts) Limit(limit int) {
+// SetMaxConnections changes the maximum number of connections.
+func (hs *Hosts) SetMaxConnections(limit int) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	hs.pool.SetMaxConnections(limit)
 }
 
-// OpeningNeed returns the largest fraction of a host's connection openings that this balancer asked for in the period that ends now.
-func (hs *Hosts) OpeningNeed(period time.Duration) float64 {
+// OpeningsNeed returns the largest fraction of a host's connection openings that this balancer asked for in the period that ends now.
+func (hs *Hosts) OpeningsNeed(period time.Duration) float64 {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	return hs.pool.OpeningsNeed(hs.now(), policy.Nanos(period))
 }
 
-// OpeningPart sets this balancer's fraction of the openings of each host; 0 means an equal share.
-func (hs *Hosts) OpeningPart(share float64) {
+// SetOpeningsShare sets this balancer's fraction of the openings of each host; 0 means an equal share.
+func (hs *Hosts) SetOpeningsShare(share float64) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	hs.pool.SetOpeningsShare(share)
@@ -354,8 +354,8 @@
 	return len(hs.conns)
 }
 
-// Bound returns, by host, how often attempts were refused for lack of a connection since the last call.
-func (hs *Hosts) Bound() map[pool.Host]int {
+// TakeLimitHits returns, by host, how often attempts were refused for lack of a connection since the last call.
+func (hs *Hosts) TakeLimitHits() map[pool.Host]int {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	return hs.pool.TakeLimitHits()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 )
 
 // newTestHosts creates hosts with one entry. Its listener passes the accepted connections to the channel.
-func newTestHosts(t *testing.T, limits Limits) (hs *Hosts, entry discovery.Host, conns chan net.Conn) {
+func newTestHosts(t *testing.T, limits Config) (hs *Hosts, entry discovery.Host, conns chan net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	}()
 	entry = discovery.Host{Addr: l.Addr().String(), HostEntry: policy.HostEntry{HostID: "h"}}
 	hs = New(limits, -1)
-	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry}})
 	t.Cleanup(hs.Close)
 	return hs, entry, conns
 }
@@ -49,8 +49,8 @@
 		t.Fatal(fault)
 	}
 	ended := make(chan Result, 2)
-	return &Attempt{To: "h", Command: &cmd, Value: []byte(value), Deadline: deadline.After(time.Now(), until), BeginBy: deadline.After(time.Now(), until),
-		Room: func(n int) bool { return n < 1<<19 }, Done: func(r Result) { ended <- r }}, ended
+	return &Attempt{To: "h", Command: &cmd, Value: []byte(value), Deadline: deadline.After(time.Now(), until), LatestStart: deadline.After(time.Now(), until),
+		ReserveMemory: func(n int) bool { return n < 1<<19 }, Done: func(r Result) { ended <- r }}, ended
 }
 
 func expectOutcome(t *testing.T, ended chan Result, want policy.Outcome) {
@@ -84,7 +84,7 @@
 	t.Fatal("the expected number of idle connections was not reached")
 }
 
-var testLimits = Limits{Pool: pool.Config{MaxConnections: 10, IdleTimeout: policy.Nanos(time.Minute)}, Origin: 10, Connect: time.Second, Grace: time.Second}
+var testLimits = Config{Pool: pool.Config{MaxConnections: 10, IdleTimeout: policy.Nanos(time.Minute)}, OriginMaxConnections: 10, ConnectTimeout: time.Second, Grace: time.Second}
 
 // expectExchange sends an attempt over a connection and checks its outcome.
 func expectExchange(t *testing.T, c *conn, a *Attempt, want policy.Outcome) {
@@ -148,7 +148,7 @@
 	givenUp.GiveUp()
 	expectOutcome(t, givenUpEnded, policy.NeverSent)
 	entry.Condition = policy.Draining
-	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry}})
 	expectOutcome(t, ended, policy.NeverSent)
 	close(hold)
 	givenUpEarly, ended := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
@@ -221,13 +221,13 @@
 // The origin accepts few connections: its limit holds even if an idle connection to a cache host could make room.
 func TestOriginLimit(t *testing.T) {
 	limits := testLimits
-	limits.Pool.MaxConnections, limits.Origin = 2, 1
+	limits.Pool.MaxConnections, limits.OriginMaxConnections = 2, 1
 	hs, entry, conns := newTestHosts(t, limits)
 	hs.origin = 7
 	entry.HostID = "i"
 	origin := entry
 	origin.HostID, origin.Kind = "o", 7
-	hs.Listed(discovery.List{Hosts: []discovery.Host{entry, origin}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry, origin}})
 	cached, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	cached.To = "i"
 	hs.Send(cached)
@@ -258,7 +258,7 @@
 	io.WriteString(c, "EN O1\r\n")
 	expectOutcome(t, ended, policy.CacheMiss)
 	entry := discovery.Host{Addr: c.LocalAddr().String(), HostEntry: policy.HostEntry{HostID: "i"}}
-	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry}})
 	waitIdle(t, hs, 1)
 	third, ended := newAttempt(t, "mg k v O3 Pc=read,d=900", "", time.Minute)
 	third.To = "i"
@@ -303,7 +303,7 @@
 		for _, enabled := range []bool{true, false} {
 			a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 			limits := testLimits
-			limits.Reports = enabled
+			limits.LoadReports = enabled
 			hs := New(limits, -1)
 			c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: 1 << 20}}
 			c.reader = newReader(strings.NewReader(answer))
@@ -354,7 +354,7 @@
 		h.Condition = policy.Gone
 		return h
 	}
-	hs.Listed(discovery.List{Hosts: []discovery.Host{gone(entry)}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{gone(entry)}})
 	known := func() int {
 		hs.mu.Lock()
 		defer hs.mu.Unlock()
@@ -373,7 +373,7 @@
 	for i := range 100 {
 		before := gone(entry)
 		entry.HostID = policy.HostID(fmt.Sprint(i))
-		hs.Listed(discovery.List{Hosts: []discovery.Host{before, entry}})
+		hs.ApplyList(discovery.List{Hosts: []discovery.Host{before, entry}})
 	}
 	if known() != 1 {
 		t.Errorf("%d hosts known, expected one", known())
@@ -392,7 +392,7 @@
 	expectOutcome(t, ended, policy.CacheMiss)
 	waitIdle(t, hs, 1)
 	hs.Exclude("h")
-	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry}})
 	a, ended = newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	hs.Send(a)
 	expectOutcome(t, ended, policy.NeverSent)
