--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -40,7 +40,7 @@
 	o.transport, o.stop = transport, stop
 	o.machine = evidence.New(evidence.Terms{Self: transport.Self(), Zone: transport.View().Self.Zone})
 	o.mu.Unlock()
-	transport.On(carry.TopicEvidence, func(from member.Life, body []byte) {
+	transport.On(carry.TopicEvidence, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeEvidence(body); ok {
 			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Hear(now, from, m) })
 		}
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -19,11 +19,11 @@
 	settings   *operator.Fleet
 	mu         sync.Mutex
 	transport  *carry.Carrier
-	savedState *member.Kept // the state at the time when this process handed the membership over
+	savedState *member.HandoverState // the state at the time when this process handed the membership over
 }
 
 // joinFleet starts this process's membership. saved is the state that an older process has handed over, or nil.
-func (b *Balancer) joinFleet(saved *member.Kept) error {
+func (b *Balancer) joinFleet(saved *member.HandoverState) error {
 	f := &b.fleet
 	if f.settings == nil {
 		return nil
@@ -34,7 +34,7 @@
 			zone = name
 		}
 	}
-	self := member.Record{Life: member.NewLife(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
+	self := member.Record{Life: member.NewProcessID(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
 	transportTerms, memberTerms := f.settings.Terms(self, b.deployment.Terms.Balancers, rand.Uint64())
 	transport, err := carry.Open(transportTerms, memberTerms, saved, b.log)
 	if err != nil {
@@ -63,9 +63,9 @@
 
 // takeOverMembership continues the membership of an older process, which gives it up once it is notified that this one is ready.
 func (b *Balancer) takeOverMembership(encoded json.RawMessage) {
-	var saved *member.Kept
+	var saved *member.HandoverState
 	if len(encoded) > 0 {
-		saved = new(member.Kept)
+		saved = new(member.HandoverState)
 		if err := json.Unmarshal(encoded, saved); err != nil {
 			b.log.Warn().Err(err).Msg("the fleet membership handed over is not readable, joining as a new process")
 			saved = nil
@@ -91,7 +91,7 @@
 
 // resumeMembership continues the membership from the state of the other process of an upgrade. If that fails, the balancer serves
 // without a fleet.
-func (b *Balancer) resumeMembership(saved *member.Kept) {
+func (b *Balancer) resumeMembership(saved *member.HandoverState) {
 	if err := b.joinFleet(saved); err != nil {
 		b.log.Warn().Err(err).Msg("could not join the fleet")
 	}
@@ -147,23 +147,23 @@
 	view := transport.View()
 	agoMs := func(at member.Moment) int64 { return (view.Now - at).Milliseconds() }
 	shown = admin.Members{Fleet: a.b.fleet.settings.Name, Name: view.Self.Name, Life: formatLife(view.Self.Life), Inc: uint32(view.Self.Inc),
-		Situation: view.Situation.String(), Expected: view.Expected, Seen: view.Seen, Version: view.Version, Digest: fmt.Sprintf("%016x", view.Digest),
+		Situation: view.Situation.String(), Expected: view.ExpectedMembers, Seen: view.PresentCount, Version: view.Version, Digest: fmt.Sprintf("%016x", view.Digest),
 		Members: []admin.Member{}}
-	if view.Rival.Life != 0 {
-		shown.Rival = view.Rival.Addr.String()
+	if view.NameConflict.Life != 0 {
+		shown.Rival = view.NameConflict.Addr.String()
 	}
 	for _, m := range view.Members {
 		shownMember := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: formatLife(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
-			SinceMs: agoMs(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.Suspecting}
-		if m.Heard > 0 {
-			shownMember.HeardMs = agoMs(m.Heard)
+			SinceMs: agoMs(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.SuspectedBy}
+		if m.LastReceived > 0 {
+			shownMember.HeardMs = agoMs(m.LastReceived)
 		}
 		shown.Members = append(shown.Members, shownMember)
 	}
 	return shown, nil
 }
 
-func formatLife(life member.Life) string { return fmt.Sprintf("%016x", uint64(life)) }
+func formatLife(life member.ProcessID) string { return fmt.Sprintf("%016x", uint64(life)) }
 
 // fleetStats returns the fleet's part of the telemetry; nil without a fleet.
 func (b *Balancer) fleetStats() *admin.Fleet {
@@ -172,7 +172,7 @@
 		return nil
 	}
 	view, counts := transport.View(), transport.Counts()
-	stats := &admin.Fleet{Situation: view.Situation.String(), Expected: view.Expected, States: map[string]int{member.Alive.String(): 1},
+	stats := &admin.Fleet{Situation: view.Situation.String(), Expected: view.ExpectedMembers, States: map[string]int{member.Alive.String(): 1},
 		Sent: counts.Sent, SentBytes: counts.SentBytes, Heard: counts.Heard, HeardBytes: counts.HeardBytes, Dropped: counts.Dropped}
 	for _, m := range view.Members {
 		stats.States[m.State.String()]++
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -77,7 +77,7 @@
 	l.machine.Beside(b.upgrade.older != nil)
 	l.mu.Unlock()
 	b.upgrade.mu.Unlock()
-	transport.On(carry.TopicShares, func(from member.Life, body []byte) {
+	transport.On(carry.TopicShares, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeShares(body); ok {
 			b.updateShares(func(machine *share.Machine, now share.Moment) { machine.Hear(now, from, m) })
 		}
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -58,7 +58,7 @@
 	o.transport, o.stop = transport, stop
 	o.machine = fleetorder.New(fleetorder.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
-	transport.On(carry.TopicOrders, func(from member.Life, body []byte) {
+	transport.On(carry.TopicOrders, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
 			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Hear(now, from, m) })
 		}
--- a/internal/fleet/carry/carry.go
+++ b/internal/fleet/carry/carry.go
@@ -31,7 +31,7 @@
 
 	// mu guards what follows. No datagram is sent while it is held.
 	mu       sync.Mutex
-	handlers map[uint8]func(from member.Life, body []byte) // by topic
+	handlers map[uint8]func(from member.ProcessID, body []byte) // by topic
 	machine  *member.Machine
 	codec    *codec
 	counts   Counts
@@ -53,9 +53,9 @@
 const bindTimeout = 2 * time.Second
 
 // Open binds the address and starts to take part in the membership protocol. kept is the state handed over by an older process.
-func Open(t Terms, m member.Terms, kept *member.Kept, log zerolog.Logger) (*Carrier, error) {
+func Open(t Terms, m member.Config, kept *member.HandoverState, log zerolog.Logger) (*Carrier, error) {
 	c := &Carrier{log: log, epoch: time.Now(), rescheduled: make(chan struct{}, 1), ended: make(chan struct{}), codec: newCodec(t.Fleet, t.Key)}
-	c.counts.Dropped, c.handlers = map[string]int64{}, map[uint8]func(member.Life, []byte){}
+	c.counts.Dropped, c.handlers = map[string]int64{}, map[uint8]func(member.ProcessID, []byte){}
 	until := time.Now().Add(bindTimeout)
 	for {
 		var err error
@@ -89,7 +89,7 @@
 	c.mu.Lock()
 	now := c.now()
 	input(c.machine, now)
-	sends, events := c.machine.Out()
+	sends, events := c.machine.TakeOutput()
 	wall := time.Now()
 	for i := range sends {
 		data, err := c.codec.encode(&sends[i].Msg, payload{}, wall)
@@ -117,11 +117,11 @@
 // logEvent logs a membership event.
 func (c *Carrier) logEvent(e member.Event) {
 	line := c.log.Info()
-	if e.What == "name-taken" || e.What == "name-shared" || e.What == "stalled" {
+	if e.Kind == "name-taken" || e.Kind == "name-shared" || e.Kind == "stalled" {
 		line = c.log.Warn()
 	}
-	line = line.Str("what", e.What).Str("member", e.Name).Str("cause", e.Cause)
-	if e.What == "state" {
+	line = line.Str("what", e.Kind).Str("member", e.Name).Str("cause", e.Cause)
+	if e.Kind == "state" {
 		line = line.Stringer("state", e.To).Uint64("life", uint64(e.Life))
 	}
 	line.Msg("fleet")
@@ -130,7 +130,7 @@
 // receiveLoop reads datagrams until the socket is closed.
 func (c *Carrier) receiveLoop() {
 	defer c.done.Done()
-	buf := make([]byte, member.MostDatagram+1) // one byte more, to detect datagrams that are too long
+	buf := make([]byte, member.MaxDatagramBytes+1) // one byte more, to detect datagrams that are too long
 	for {
 		n, from, err := c.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -141,18 +141,18 @@
 			continue
 		}
 		var received payload
-		var sender member.Life
-		var handler func(member.Life, []byte)
+		var sender member.ProcessID
+		var handler func(member.ProcessID, []byte)
 		c.apply(func(m *member.Machine, now member.Moment) {
 			c.counts.Heard++
 			c.counts.HeardBytes += int64(n)
-			msg, got, err := c.codec.decode(buf[:n], m.Life(), time.Now())
+			msg, got, err := c.codec.decode(buf[:n], m.ProcessID(), time.Now())
 			if err != nil {
 				c.counts.Dropped[err.Error()]++
 				return
 			}
-			m.Hear(now, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), msg)
-			if got.topic != 0 && msg.To == m.Life() && m.Holds(msg.From) {
+			m.Receive(now, netip.AddrPortFrom(from.Addr().Unmap(), from.Port()), msg)
+			if got.topic != 0 && msg.To == m.ProcessID() && m.IsPresent(msg.From) {
 				received, sender, handler = got, msg.From, c.handlers[got.topic]
 			}
 		})
@@ -163,16 +163,16 @@
 }
 
 // On registers the handler for messages on a topic that members send with Tell.
-func (c *Carrier) On(topic uint8, handler func(from member.Life, body []byte)) {
+func (c *Carrier) On(topic uint8, handler func(from member.ProcessID, body []byte)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handlers[topic] = handler
 }
 
 // Tell sends a message on a topic to a member. It may be lost.
-func (c *Carrier) Tell(to member.Life, topic uint8, body []byte) {
+func (c *Carrier) Tell(to member.ProcessID, topic uint8, body []byte) {
 	c.mu.Lock()
-	s, ok := c.machine.Letter(to)
+	s, ok := c.machine.Envelope(to)
 	var data []byte
 	if ok {
 		var err error
@@ -191,17 +191,17 @@
 }
 
 // Members returns the processes alive in the view, without this one, and the situation.
-func (c *Carrier) Members() ([]member.Life, member.Situation) {
+func (c *Carrier) Members() ([]member.ProcessID, member.Situation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Members()
+	return c.machine.AliveMembers()
 }
 
 // Self returns this process's identifier. It can change, when another process at this address turns out to have had a greater one.
-func (c *Carrier) Self() member.Life {
+func (c *Carrier) Self() member.ProcessID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.machine.Life()
+	return c.machine.ProcessID()
 }
 
 // tickLoop calls the machine's Tick when it is due.
@@ -243,10 +243,10 @@
 }
 
 // Keep returns the state that a newer process of this member takes over.
-func (c *Carrier) Keep() member.Kept {
+func (c *Carrier) Keep() member.HandoverState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.machine.Keep()
+	k := c.machine.HandoverState()
 	k.Count = c.codec.counter
 	return k
 }
--- a/internal/fleet/carry/codec.go
+++ b/internal/fleet/carry/codec.go
@@ -101,7 +101,7 @@
 	key     []byte
 	fleet   [4]byte
 	counter uint64
-	windows *lru.Cache[member.Life, *window]
+	windows *lru.Cache[member.ProcessID, *window]
 }
 
 // window records which of the last 64 datagrams of a process have been received.
@@ -120,7 +120,7 @@
 	h := fnv.New32a()
 	h.Write([]byte(fleet))
 	copy(c.fleet[:], h.Sum(nil))
-	c.windows, _ = lru.New[member.Life, *window](maxTrackedSenders) // it fails only for sizes below one
+	c.windows, _ = lru.New[member.ProcessID, *window](maxTrackedSenders) // it fails only for sizes below one
 	return c
 }
 
@@ -139,27 +139,27 @@
 func (c *codec) encode(m *member.Message, content payload, at time.Time) ([]byte, error) {
 	c.counter++
 	p := packet{Kind: uint8(m.Kind), From: uint64(m.From), Counter: c.counter, SentAtMs: at.UnixMilli(), To: uint64(m.To), Inc: uint32(m.Inc), Seq: m.Seq,
-		Digest: m.Digest, Target: uint64(m.Target), Sums: m.Sums, Mask: m.Mask}
+		Digest: m.Digest, Target: uint64(m.Target), Sums: m.BucketDigests, Mask: m.WantedBuckets}
 	if content.topic != 0 {
 		p.Kind, p.Topic, p.Body = kindPayload, content.topic, content.body
 	}
 	if m.TargetAddr.IsValid() {
 		p.TargetAddr, _ = m.TargetAddr.MarshalBinary()
 	}
-	if m.Back {
+	if m.WantTable {
 		p.Flags |= flagBack
 	}
-	if m.Full {
+	if m.WantRecords {
 		p.Flags |= flagFull
 	}
-	for _, r := range m.Rumours {
-		p.Updates = append(p.Updates, update{Life: uint64(r.Life), Inc: uint32(r.Inc), State: uint8(r.State), By: uint64(r.By)})
+	for _, r := range m.Updates {
+		p.Updates = append(p.Updates, update{Life: uint64(r.Life), Inc: uint32(r.Inc), State: uint8(r.State), By: uint64(r.Suspector)})
 	}
 	for _, r := range m.Records {
 		a, _ := r.Addr.MarshalBinary()
 		p.Records = append(p.Records, record{Life: uint64(r.Life), Inc: uint32(r.Inc), Name: r.Name, Zone: r.Zone, Addr: a})
 	}
-	for _, w := range m.Wants {
+	for _, w := range m.RecordRequests {
 		p.Wants = append(p.Wants, uint64(w))
 	}
 	body, err := cbor.Marshal(&p)
@@ -167,7 +167,7 @@
 		return nil, err
 	}
 	d := append([]byte{magic, version, c.fleet[0], c.fleet[1], c.fleet[2], c.fleet[3]}, body...)
-	if len(d)+tagSize > member.MostDatagram {
+	if len(d)+tagSize > member.MaxDatagramBytes {
 		return nil, errLong
 	}
 	h := c.mac()
@@ -179,11 +179,11 @@
 const maxDatagramAge = 5 * time.Minute
 
 // decode decodes a datagram. The error is one of the reasons above.
-func (c *codec) decode(d []byte, self member.Life, at time.Time) (*member.Message, payload, error) {
+func (c *codec) decode(d []byte, self member.ProcessID, at time.Time) (*member.Message, payload, error) {
 	switch {
 	case len(d) < headerSize+tagSize+1:
 		return nil, payload{}, errShort
-	case len(d) > member.MostDatagram:
+	case len(d) > member.MaxDatagramBytes:
 		return nil, payload{}, errLong
 	case d[0] != magic:
 		return nil, payload{}, errForeign
@@ -218,7 +218,7 @@
 }
 
 // isNew reports whether a datagram was not received before and is not too far behind its sender's others to know.
-func (c *codec) isNew(from member.Life, n uint64) bool {
+func (c *codec) isNew(from member.ProcessID, n uint64) bool {
 	w, ok := c.windows.Get(from)
 	if !ok {
 		c.windows.Add(from, &window{last: n, bits: 1})
@@ -246,30 +246,30 @@
 	} else if p.Topic != 0 || len(p.Body) > 0 {
 		return nil, false
 	}
-	if p.Kind < uint8(member.Ping) || p.Kind > uint8(member.Sums) || p.From == 0 || member.Inc(p.Inc) > member.MostInc || p.Counter == 0 {
+	if p.Kind < uint8(member.Ping) || p.Kind > uint8(member.BucketDigests) || p.From == 0 || member.Incarnation(p.Inc) > member.MaxIncarnation || p.Counter == 0 {
 		return nil, false
 	}
-	m := &member.Message{Kind: member.Kind(p.Kind), From: member.Life(p.From), To: member.Life(p.To), Inc: member.Inc(p.Inc), Seq: p.Seq,
-		Digest: p.Digest, Target: member.Life(p.Target), Back: p.Flags&flagBack != 0, Full: p.Flags&flagFull != 0, Sums: p.Sums, Mask: p.Mask}
+	m := &member.Message{Kind: member.Kind(p.Kind), From: member.ProcessID(p.From), To: member.ProcessID(p.To), Inc: member.Incarnation(p.Inc), Seq: p.Seq,
+		Digest: p.Digest, Target: member.ProcessID(p.Target), WantTable: p.Flags&flagBack != 0, WantRecords: p.Flags&flagFull != 0, BucketDigests: p.Sums, WantedBuckets: p.Mask}
 	if len(p.TargetAddr) > 0 && m.TargetAddr.UnmarshalBinary(p.TargetAddr) != nil {
 		return nil, false
 	}
 	for _, r := range p.Updates {
-		if r.Life == 0 || member.Inc(r.Inc) > member.MostInc || r.State > uint8(member.Asked) {
+		if r.Life == 0 || member.Incarnation(r.Inc) > member.MaxIncarnation || r.State > uint8(member.Queried) {
 			return nil, false
 		}
-		m.Rumours = append(m.Rumours, member.Rumour{Life: member.Life(r.Life), Inc: member.Inc(r.Inc), State: member.State(r.State), By: member.Life(r.By)})
+		m.Updates = append(m.Updates, member.StateUpdate{Life: member.ProcessID(r.Life), Inc: member.Incarnation(r.Inc), State: member.State(r.State), Suspector: member.ProcessID(r.By)})
 	}
 	for _, r := range p.Records {
 		var a netip.AddrPort
-		if r.Life == 0 || member.Inc(r.Inc) > member.MostInc || r.Name == "" || len(r.Name) > member.MostName || len(r.Zone) > member.MostName ||
-			a.UnmarshalBinary(r.Addr) != nil || !member.Usable(a) {
+		if r.Life == 0 || member.Incarnation(r.Inc) > member.MaxIncarnation || r.Name == "" || len(r.Name) > member.MaxNameBytes || len(r.Zone) > member.MaxNameBytes ||
+			a.UnmarshalBinary(r.Addr) != nil || !member.IsUsableAddr(a) {
 			return nil, false
 		}
-		m.Records = append(m.Records, member.Record{Life: member.Life(r.Life), Inc: member.Inc(r.Inc), Name: r.Name, Zone: r.Zone, Addr: a})
+		m.Records = append(m.Records, member.Record{Life: member.ProcessID(r.Life), Inc: member.Incarnation(r.Inc), Name: r.Name, Zone: r.Zone, Addr: a})
 	}
 	for _, w := range p.Wants {
-		m.Wants = append(m.Wants, member.Life(w))
+		m.RecordRequests = append(m.RecordRequests, member.ProcessID(w))
 	}
 	return m, true
 }
--- a/internal/fleet/carry/codec_test.go
+++ b/internal/fleet/carry/codec_test.go
@@ -23,12 +23,12 @@
 // fullMessage returns a message with every field set and with numbers of their greatest encoded size.
 func fullMessage(kind member.Kind) *member.Message {
 	addr := netip.MustParseAddrPort("[2001:db8:ffff:ffff:ffff:ffff:ffff:fff1]:65535")
-	m := &member.Message{Kind: kind, From: math.MaxUint64 - 9, To: math.MaxUint64, Inc: member.MostInc, Seq: math.MaxUint32,
-		Digest: math.MaxUint64, Target: math.MaxUint64, TargetAddr: addr, Back: true, Full: true, Mask: math.MaxUint64}
+	m := &member.Message{Kind: kind, From: math.MaxUint64 - 9, To: math.MaxUint64, Inc: member.MaxIncarnation, Seq: math.MaxUint32,
+		Digest: math.MaxUint64, Target: math.MaxUint64, TargetAddr: addr, WantTable: true, WantRecords: true, WantedBuckets: math.MaxUint64}
 	for i := range 9 {
-		m.Rumours = append(m.Rumours, member.Rumour{Life: math.MaxUint64, Inc: member.MostInc, State: member.Asked, By: member.Life(i)})
-		m.Records = append(m.Records, member.Record{Life: math.MaxUint64, Inc: member.MostInc, Name: fmt.Sprintf("n%40d", i), Zone: "z", Addr: addr})
-		m.Wants = append(m.Wants, math.MaxUint64)
+		m.Updates = append(m.Updates, member.StateUpdate{Life: math.MaxUint64, Inc: member.MaxIncarnation, State: member.Queried, Suspector: member.ProcessID(i)})
+		m.Records = append(m.Records, member.Record{Life: math.MaxUint64, Inc: member.MaxIncarnation, Name: fmt.Sprintf("n%40d", i), Zone: "z", Addr: addr})
+		m.RecordRequests = append(m.RecordRequests, math.MaxUint64)
 	}
 	return m
 }
@@ -36,12 +36,12 @@
 // A message is decoded as it was encoded, and no datagram exceeds the size that Message.Size estimates: one that did might be too
 // large to send.
 func TestRoundTrip(t *testing.T) {
-	for kind := member.Ping; kind <= member.Sums; kind++ {
+	for kind := member.Ping; kind <= member.BucketDigests; kind++ {
 		m := fullMessage(kind)
-		if kind == member.Sums {
-			m.Rumours, m.Records, m.Wants = nil, nil, nil
+		if kind == member.BucketDigests {
+			m.Updates, m.Records, m.RecordRequests = nil, nil, nil
 			for range 64 {
-				m.Sums = append(m.Sums, math.MaxUint32)
+				m.BucketDigests = append(m.BucketDigests, math.MaxUint32)
 			}
 		}
 		c := newCodec("f", nil)
@@ -65,7 +65,7 @@
 func TestDropped(t *testing.T) {
 	send := func(fleet, key string, at time.Time, change func(*member.Message)) []byte {
 		m := fullMessage(member.Ping)
-		m.Inc, m.Rumours, m.Records, m.Wants = 3, m.Rumours[:1], m.Records[:1], m.Wants[:1]
+		m.Inc, m.Updates, m.Records, m.RecordRequests = 3, m.Updates[:1], m.Records[:1], m.RecordRequests[:1]
 		change(m)
 		d, err := newCodec(fleet, []byte(key)).encode(m, payload{}, at)
 		if err != nil {
@@ -98,9 +98,9 @@
 		"from itself":         {send("f", "", testTime, func(m *member.Message) { m.From = 1 }), errSelf},
 		"from nobody":         {send("f", "", testTime, func(m *member.Message) { m.From = 0 }), errFields},
 		"no kind":             {send("f", "", testTime, func(m *member.Message) { m.Kind = 99 }), errFields},
-		"no incarnation":      {send("f", "", testTime, func(m *member.Message) { m.Inc = member.MostInc + 1 }), errFields},
-		"of no life":          {send("f", "", testTime, func(m *member.Message) { m.Rumours[0].Life = 0 }), errFields},
-		"no state":            {send("f", "", testTime, func(m *member.Message) { m.Rumours[0].State = 99 }), errFields},
+		"no incarnation":      {send("f", "", testTime, func(m *member.Message) { m.Inc = member.MaxIncarnation + 1 }), errFields},
+		"of no life":          {send("f", "", testTime, func(m *member.Message) { m.Updates[0].Life = 0 }), errFields},
+		"no state":            {send("f", "", testTime, func(m *member.Message) { m.Updates[0].State = 99 }), errFields},
 		"no name":             {send("f", "", testTime, func(m *member.Message) { m.Records[0].Name = "" }), errFields},
 		"a letter for nobody": {signedDatagram([]byte{0xa4, 1, 0x18, 32, 2, 9, 3, 1, 4, 0}), errFields},
 		"a wildcard":          {send("f", "", testTime, func(m *member.Message) { m.Records[0].Addr = netip.MustParseAddrPort("0.0.0.0:7") }), errFields},
@@ -160,7 +160,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for kind := member.Ping; kind <= member.Sums; kind++ {
+	for kind := member.Ping; kind <= member.BucketDigests; kind++ {
 		if d, err := newCodec("f", nil).encode(fullMessage(kind), payload{}, testTime); err == nil {
 			f.Add(d[headerSize : len(d)-tagSize])
 		}
@@ -168,7 +168,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		c := newCodec("f", nil)
 		if m, _, err := c.decode(signedDatagram(body), 1, testTime); err == nil {
-			if m.From == 0 || len(m.Rumours)+len(m.Records)+len(m.Wants)+len(m.Sums) > 4*maxListEntries {
+			if m.From == 0 || len(m.Updates)+len(m.Records)+len(m.RecordRequests)+len(m.BucketDigests) > 4*maxListEntries {
 				t.Errorf("%+v", m)
 			}
 		}
--- a/internal/fleet/carry/orders.go
+++ b/internal/fleet/carry/orders.go
@@ -50,9 +50,9 @@
 	}
 	m := &order.Message{Sum: s.Sum, Answer: s.Answer}
 	for _, row := range s.Orders {
-		o := order.Order{Host: row.Host, ID: order.ID{Count: row.Count, By: member.Life(row.By)}, Out: row.Out, Force: row.Force, Door: row.Door}
+		o := order.Order{Host: row.Host, ID: order.ID{Count: row.Count, By: member.ProcessID(row.By)}, Out: row.Out, Force: row.Force, Door: row.Door}
 		for k := 1; k < len(row.Past); k += 2 {
-			o.Past = append(o.Past, order.ID{Count: row.Past[k-1], By: member.Life(row.Past[k])})
+			o.Past = append(o.Past, order.ID{Count: row.Past[k-1], By: member.ProcessID(row.Past[k])})
 		}
 		if !o.Usable() || len(row.Past)%2 != 0 {
 			return nil, false
--- a/internal/fleet/evidence/evidence.go
+++ b/internal/fleet/evidence/evidence.go
@@ -35,13 +35,13 @@
 
 // Send is a message and the member it goes to.
 type Send struct {
-	To  member.Life
+	To  member.ProcessID
 	Msg Message
 }
 
 // Peer is a member with which observations are exchanged.
 type Peer struct {
-	Life member.Life
+	Life member.ProcessID
 	Zone string
 }
 
@@ -74,7 +74,7 @@
 
 // Terms is the configuration of a Machine; it does not change during the life of a process.
 type Terms struct {
-	Self member.Life
+	Self member.ProcessID
 	Zone string
 }
 
@@ -123,9 +123,9 @@
 	now          Moment
 	tick         int
 	ownCounts    map[string]*attemptCounts
-	reporters    map[member.Life]*reporter
-	zones        map[member.Life]string // zone of each member present
-	partners     []member.Life
+	reporters    map[member.ProcessID]*reporter
+	zones        map[member.ProcessID]string // zone of each member present
+	partners     []member.ProcessID
 	partnerIndex int    // of the partner that got the last message
 	lastSequence uint64 // of the messages sent
 	hostCount    int    // number of hosts in the host list
@@ -151,7 +151,7 @@
 
 // New returns a Machine without any observations.
 func New(config Terms) *Machine {
-	return &Machine{config: config, ownCounts: map[string]*attemptCounts{}, reporters: map[member.Life]*reporter{}, zones: map[member.Life]string{}}
+	return &Machine{config: config, ownCounts: map[string]*attemptCounts{}, reporters: map[member.ProcessID]*reporter{}, zones: map[member.ProcessID]string{}}
 }
 
 // Proves reports whether the outcome of an attempt is evidence about its host (proves), and whether it is good. An answer within the
@@ -219,7 +219,7 @@
 	for _, p := range members {
 		m.zones[p.Life] = p.Zone
 	}
-	maps.DeleteFunc(m.reporters, func(l member.Life, w *reporter) bool {
+	maps.DeleteFunc(m.reporters, func(l member.ProcessID, w *reporter) bool {
 		_, present := m.zones[l]
 		return !present || now-w.lastReceived > 10*reportTTL
 	})
@@ -236,7 +236,7 @@
 // choosePartners selects partners by a hash of the two process ids alone, so that they stay the same while their processes live.
 func (m *Machine) choosePartners(members []Peer) {
 	type ranked struct {
-		id   member.Life
+		id   member.ProcessID
 		rank uint64
 	}
 	all := make([]ranked, 0, len(members))
@@ -251,7 +251,7 @@
 	for _, r := range all[:min(partnerCount, len(all))] {
 		m.partners = append(m.partners, r.id)
 	}
-	if i := slices.IndexFunc(m.partners, func(l member.Life) bool { return !slices.Contains(before, l) }); i >= 0 {
+	if i := slices.IndexFunc(m.partners, func(l member.ProcessID) bool { return !slices.Contains(before, l) }); i >= 0 {
 		m.partnerIndex = i + len(m.partners) - 1 // a new partner has received nothing yet: it is the next to get a message
 	}
 }
@@ -299,7 +299,7 @@
 }
 
 // Hear processes a member's message.
-func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
+func (m *Machine) Hear(now Moment, from member.ProcessID, msg *Message) {
 	m.advance(now)
 	if _, present := m.zones[from]; !present && len(m.zones) > 0 || from == m.config.Self {
 		return
--- a/internal/fleet/evidence/evidence_test.go
+++ b/internal/fleet/evidence/evidence_test.go
@@ -14,7 +14,7 @@
 	m := New(Terms{Self: 1, Zone: "a"})
 	peers := []Peer{{1, "a"}}
 	for i, z := range zones {
-		peers = append(peers, Peer{member.Life(i + 2), z})
+		peers = append(peers, Peer{member.ProcessID(i + 2), z})
 	}
 	m.Tick(0, peers, 8)
 	return m, peers
@@ -134,8 +134,8 @@
 	var all []*Machine
 	var peers []Peer
 	for i := range n {
-		peers = append(peers, Peer{member.Life(i + 1), []string{"a", "b"}[i%2]})
-		all = append(all, New(Terms{Self: member.Life(i + 1), Zone: []string{"a", "b"}[i%2]}))
+		peers = append(peers, Peer{member.ProcessID(i + 1), []string{"a", "b"}[i%2]})
+		all = append(all, New(Terms{Self: member.ProcessID(i + 1), Zone: []string{"a", "b"}[i%2]}))
 	}
 	countSummaries := func() (bad, good int) {
 		for _, m := range all {
--- a/internal/fleet/member/explore_test.go
+++ b/internal/fleet/member/explore_test.go
@@ -26,9 +26,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(i + 1)}), 7946)
 }
 
-func testConfig(i, n int, seed uint64) Terms {
-	t := Terms{Expected: n, Period: testPeriod, Suspect: testSuspect, Budget: 3000, Most: 64, Seed: seed,
-		Self: Record{Life: Life(seed<<randomBits | uint64(i+1)), Name: fmt.Sprint("n", i), Addr: testAddr(i)}}
+func testConfig(i, n int, seed uint64) Config {
+	t := Config{ExpectedMembers: n, ProbeInterval: testPeriod, SuspicionTimeout: testSuspect, GossipBytesPerSecond: 3000, MaxMembers: 64, Seed: seed,
+		Self: Record{Life: ProcessID(seed<<randomBits | uint64(i+1)), Name: fmt.Sprint("n", i), Addr: testAddr(i)}}
 	for k := range n {
 		t.Seeds = append(t.Seeds, testAddr(k))
 	}
@@ -41,7 +41,7 @@
 	source := *m.rngSource
 	c.rngSource, c.rng = &source, rand.New(&source)
 	c.config.Seeds = slices.Clone(m.config.Seeds)
-	c.peers, c.byName = map[Life]*peer{}, map[string]*peer{}
+	c.peers, c.byName = map[ProcessID]*peer{}, map[string]*peer{}
 	of := map[*peer]*peer{}
 	for l, p := range m.peers {
 		q := *p
@@ -63,10 +63,10 @@
 		c.probes[i].nacks = slices.Clone(c.probes[i].nacks)
 	}
 	c.relayedProbes, c.urgentProbes = slices.Clone(m.relayedProbes), slices.Clone(m.urgentProbes)
-	c.gossipQueue, c.gossipByLife, c.recordRequestedAt = nil, map[Life]*gossipItem{}, map[Life]Moment{}
+	c.gossipQueue, c.gossipByID, c.recordRequestedAt = nil, map[ProcessID]*gossipItem{}, map[ProcessID]Moment{}
 	for _, it := range m.gossipQueue {
 		q := *it
-		c.gossipQueue, c.gossipByLife[it.Life] = append(c.gossipQueue, &q), &q
+		c.gossipQueue, c.gossipByID[it.Life] = append(c.gossipQueue, &q), &q
 	}
 	for l, at := range m.recordRequestedAt {
 		c.recordRequestedAt[l] = at
@@ -81,9 +81,9 @@
 	machines     [3]*Machine // nil where no process is running
 	startCount   uint64
 	inFlight     []datagram
-	incarnations map[Life]Inc                    // the highest that each process has sent itself
-	lastHeard    map[[2]Life]Moment              // when a process last received a message from another
-	lastView     map[[2]Life]Rumour              // the last state that a process held of another
+	incarnations map[ProcessID]Incarnation       // the highest that each process has sent itself
+	lastHeard    map[[2]ProcessID]Moment         // when a process last received a message from another
+	lastView     map[[2]ProcessID]StateUpdate    // the last state that a process held of another
 	fault        func(w *fleetState, i int) bool // called after each input to inject a bug
 	violation    string
 }
@@ -95,7 +95,7 @@
 }
 
 func newFleetState(fault func(*fleetState, int) bool) *fleetState {
-	w := &fleetState{incarnations: map[Life]Inc{}, lastHeard: map[[2]Life]Moment{}, lastView: map[[2]Life]Rumour{}, fault: fault}
+	w := &fleetState{incarnations: map[ProcessID]Incarnation{}, lastHeard: map[[2]ProcessID]Moment{}, lastView: map[[2]ProcessID]StateUpdate{}, fault: fault}
 	for i := range w.machines {
 		w.startMember(i)
 	}
@@ -126,11 +126,11 @@
 // collect puts the messages of a machine in flight and checks its state.
 func (w *fleetState) collect(i int) {
 	m := w.machines[i]
-	sends, events := m.Out()
+	sends, events := m.TakeOutput()
 	w.incarnations[m.self.Life] = max(w.incarnations[m.self.Life], m.self.Inc)
 	for _, s := range sends {
 		msg := s.Msg
-		if msg.Size() > MostDatagram {
+		if msg.Size() > MaxDatagramBytes {
 			w.violate("a datagram of %d bytes", msg.Size())
 		}
 		for to := range w.machines {
@@ -146,10 +146,10 @@
 		w.inFlight = slices.Delete(w.inFlight, 0, 1)
 	}
 	for _, e := range events {
-		if e.What != "verdict" {
+		if e.Kind != "verdict" {
 			continue
 		}
-		if heard, ok := w.lastHeard[[2]Life{m.self.Life, e.Life}]; ok && w.now-heard < testSuspect {
+		if heard, ok := w.lastHeard[[2]ProcessID{m.self.Life, e.Life}]; ok && w.now-heard < testSuspect {
 			w.violate("n%d declares %s dead, from which it received a message %v ago", i, e.Name, w.now-heard)
 		}
 	}
@@ -166,7 +166,7 @@
 func (w *fleetState) check(i int) {
 	m := w.machines[i]
 	self := m.self.Life
-	digest, byName := self.hash(), map[string]Life{}
+	digest, byName := self.hash(), map[string]ProcessID{}
 	if m.peers[self] != nil {
 		w.violate("n%d has itself among its peers", i)
 	}
@@ -174,7 +174,7 @@
 		if p.Inc > w.incarnations[l] {
 			w.violate("n%d holds %s at incarnation %d, which has itself sent only %d", i, p.Name, p.Inc, w.incarnations[l])
 		}
-		current, pair := Rumour{Life: l, Inc: p.Inc, State: p.state}, [2]Life{self, l}
+		current, pair := StateUpdate{Life: l, Inc: p.Inc, State: p.state}, [2]ProcessID{self, l}
 		if previous, ok := w.lastView[pair]; ok && (current.Inc < previous.Inc || current.Inc == previous.Inc && current.State < previous.State) {
 			w.violate("n%d reverts from %v to %v", i, previous, current)
 		}
@@ -200,12 +200,12 @@
 	if digest != m.digest {
 		w.violate("n%d: the digest does not match the view", i)
 	}
-	if len(m.probes) > maxPendingProbes || len(m.relayedProbes) > maxPendingProbes || len(m.urgentProbes) > maxPendingProbes || len(m.peers) > m.config.Most {
+	if len(m.probes) > maxPendingProbes || len(m.relayedProbes) > maxPendingProbes || len(m.urgentProbes) > maxPendingProbes || len(m.peers) > m.config.MaxMembers {
 		w.violate("n%d: a list exceeds its bound", i)
 	}
 }
 
-func (w *fleetState) nameOf(l Life) string { return fmt.Sprint("n", uint64(l)&7-1) }
+func (w *fleetState) nameOf(l ProcessID) string { return fmt.Sprint("n", uint64(l)&7-1) }
 
 // steps returns everything that can happen next.
 func (w *fleetState) steps() (all []func(*fleetState)) {
@@ -245,10 +245,10 @@
 	if m == nil {
 		return
 	}
-	w.lastHeard[[2]Life{m.self.Life, f.msg.From}] = w.now
-	m.Hear(w.now, f.from, f.msg)
+	w.lastHeard[[2]ProcessID{m.self.Life, f.msg.From}] = w.now
+	m.Receive(w.now, f.from, f.msg)
 	w.collect(f.to)
-	for _, r := range f.msg.Rumours {
+	for _, r := range f.msg.Updates {
 		if p := m.peers[r.Life]; r.State == Left && p != nil && p.state != Left {
 			w.violate("n%d received that %s left and holds it %s", f.to, p.Name, p.state)
 		}
@@ -280,11 +280,11 @@
 			fmt.Fprint(&h, "!", f.seq, f.requester, rel(f.deadline))
 		}
 		for _, it := range m.gossipQueue {
-			fmt.Fprint(&h, "~", it.Rumour, it.transmissions)
+			fmt.Fprint(&h, "~", it.StateUpdate, it.transmissions)
 		}
 	}
 	for _, f := range w.inFlight {
-		fmt.Fprint(&h, ">", f.to, f.msg.Kind, f.msg.From, f.msg.Seq, f.msg.Inc, f.msg.Rumours, len(f.msg.Records))
+		fmt.Fprint(&h, ">", f.to, f.msg.Kind, f.msg.From, f.msg.Seq, f.msg.Inc, f.msg.Updates, len(f.msg.Records))
 	}
 	return h.Sum64()
 }
@@ -347,15 +347,15 @@
 	for name, fault := range map[string]func(w *fleetState, i int) bool{
 		"raises the incarnation of another": func(w *fleetState, i int) bool {
 			for _, f := range w.inFlight {
-				for k := range f.msg.Rumours {
-					if r := &f.msg.Rumours[k]; i == 0 && r.Life != f.msg.From && r.State == Suspected {
+				for k := range f.msg.Updates {
+					if r := &f.msg.Updates[k]; i == 0 && r.Life != f.msg.From && r.State == Suspected {
 						r.Inc = 7
 					}
 				}
 			}
 			return true
 		},
-		"declares deaths at once": func(w *fleetState, i int) bool { w.machines[0].config.Suspect = 1; return true },
+		"declares deaths at once": func(w *fleetState, i int) bool { w.machines[0].config.SuspicionTimeout = 1; return true },
 		"forgets who left": func(w *fleetState, i int) bool {
 			for _, p := range w.machines[i].absent {
 				if p.state == Left {
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -11,14 +11,14 @@
 
 // Machine is the membership state of one balancer.
 type Machine struct {
-	config    Terms
+	config    Config
 	rng       *rand.Rand
 	rngSource *rand.PCG
 
 	self          Record
 	now           Moment
 	due           Moment // when Tick is to be called; a call much later means that this process was stalled
-	peers         map[Life]*peer
+	peers         map[ProcessID]*peer
 	byName        map[string]*peer // the newest process of each name
 	present       []*peer          // members present, in probe order
 	cursor        int
@@ -30,11 +30,11 @@
 	seq               uint32
 	probes            []probe
 	relayedProbes     []relayedProbe
-	urgentProbes      []Life // to be probed out of turn
+	urgentProbes      []ProcessID // to be probed out of turn
 	gossipQueue       []*gossipItem
-	gossipByLife      map[Life]*gossipItem
-	missingRecords    []Life // records missing for the input being processed
-	recordRequestedAt map[Life]Moment
+	gossipByID        map[ProcessID]*gossipItem
+	missingRecords    []ProcessID // records missing for the input being processed
+	recordRequestedAt map[ProcessID]Moment
 	tokens            float64
 	refilledAt        Moment
 
@@ -50,8 +50,8 @@
 
 	version    uint64
 	situation  Situation
-	sends      []Send
-	spareSends []Send
+	sends      []Outgoing
+	spareSends []Outgoing
 	events     []Event
 }
 
@@ -63,7 +63,7 @@
 	lastHeard    Moment // last direct message from it; 0 means never
 	rtt          time.Duration
 	index        int // in present or in absent
-	suspectedBy  []Life
+	suspectedBy  []ProcessID
 	reportedDead bool // by a table or an update: one own probe without an answer is then enough to declare it dead
 	suspicion
 }
@@ -81,9 +81,9 @@
 type probe struct {
 	seq                uint32
 	sentAt             Moment
-	target             Life
+	target             ProcessID
 	indirect           bool // other members have been asked to ping the target
-	nacks              []Life
+	nacks              []ProcessID
 	reconnect          bool // sent to a member held dead, or to a mere address: no answer says nothing new
 	deadline, nextStep Moment
 }
@@ -91,23 +91,23 @@
 // relayedProbe is an indirect probe made for another member.
 type relayedProbe struct {
 	seq          uint32
-	requester    Life
+	requester    ProcessID
 	requesterSeq uint32
-	target       Life
+	target       ProcessID
 	deadline     Moment
 }
 
 // gossipItem is an update that is still being sent. Whoever lacks the process's record requests it.
 type gossipItem struct {
-	Rumour
+	StateUpdate
 	transmissions int // how often this balancer has sent the update, or received it again from members that therefore know it
 }
 
 // New returns the Machine of a process at its start. kept is the state that an older process of the same member hands over.
-func New(c Terms, now Moment, kept *Kept) *Machine {
+func New(c Config, now Moment, kept *HandoverState) *Machine {
 	m := &Machine{config: c, rngSource: rand.NewPCG(c.Seed, uint64(c.Self.Life)), self: c.Self, now: now, refilledAt: now,
-		peers: map[Life]*peer{}, byName: map[string]*peer{}, gossipByLife: map[Life]*gossipItem{}, recordRequestedAt: map[Life]Moment{},
-		tokens: float64(c.Budget * burstSeconds)}
+		peers: map[ProcessID]*peer{}, byName: map[string]*peer{}, gossipByID: map[ProcessID]*gossipItem{}, recordRequestedAt: map[ProcessID]Moment{},
+		tokens: float64(c.GossipBytesPerSecond * burstSeconds)}
 	m.rng = rand.New(m.rngSource)
 	m.config.Seeds = slices.Clone(c.Seeds) // they are shuffled
 	m.toggleDigest(m.self.Life)
@@ -122,7 +122,7 @@
 		}
 		m.self.Inc++ // so that this process's statements supersede the older process's
 	}
-	m.enqueueUpdate(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
+	m.enqueueUpdate(StateUpdate{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
 	m.nextProbe = now + m.periods(m.rng.Float64())
 	m.nextGossip = now
 	m.nextReconnect = now
@@ -131,17 +131,17 @@
 	return m
 }
 
-// Kept is the state that a newer process of the same member takes over.
-type Kept struct {
-	Life    Life
-	Inc     Inc
+// HandoverState is the state that a newer process of the same member takes over.
+type HandoverState struct {
+	Life    ProcessID
+	Inc     Incarnation
 	Members []Record
 	Count   uint64 // of datagrams sent, for the transport
 }
 
-// Keep returns the state to hand over.
-func (m *Machine) Keep() Kept {
-	k := Kept{Life: m.self.Life, Inc: m.self.Inc}
+// HandoverState returns the state to hand over.
+func (m *Machine) HandoverState() HandoverState {
+	k := HandoverState{Life: m.self.Life, Inc: m.self.Inc}
 	for _, p := range m.present {
 		k.Members = append(k.Members, p.Record)
 	}
@@ -149,21 +149,21 @@
 }
 
 // toggleDigest adds a process to the digests of those present, or removes it.
-func (m *Machine) toggleDigest(id Life) {
+func (m *Machine) toggleDigest(id ProcessID) {
 	h := id.hash()
 	m.digest ^= h
 	m.bucketDigests[h%digestBuckets] ^= h
 }
 
-// Life returns this process's identifier.
-func (m *Machine) Life() Life { return m.self.Life }
+// ProcessID returns this process's identifier.
+func (m *Machine) ProcessID() ProcessID { return m.self.Life }
 
 // Due returns when Tick is to be called next.
 func (m *Machine) Due() Moment { return m.due }
 
-// Out returns the messages to send and the events since its last call. The list of messages stays valid until the call after
+// TakeOutput returns the messages to send and the events since its last call. The list of messages stays valid until the call after
 // the next one.
-func (m *Machine) Out() (sends []Send, events []Event) {
+func (m *Machine) TakeOutput() (sends []Outgoing, events []Event) {
 	sends, events = m.sends, m.events
 	m.sends, m.spareSends = m.spareSends[:0], m.sends
 	m.events = nil
@@ -171,7 +171,7 @@
 }
 
 func (m *Machine) periods(n float64) time.Duration {
-	return time.Duration(n * float64(m.config.Period))
+	return time.Duration(n * float64(m.config.ProbeInterval))
 }
 
 // scaleByHealth lengthens a timeout while this balancer has reason to doubt its own links.
@@ -188,7 +188,7 @@
 	if late < m.periods(1) {
 		return
 	}
-	m.emit(Event{What: "stalled", Name: m.self.Name, Life: m.self.Life, Cause: "stood still for " + late.Round(time.Millisecond).String()})
+	m.emit(Event{Kind: "stalled", Name: m.self.Name, Life: m.self.Life, Cause: "stood still for " + late.Round(time.Millisecond).String()})
 	m.probes, m.relayedProbes = nil, nil
 	m.unansweredSinceStall = len(m.present) > 0
 	for _, p := range m.suspected {
@@ -242,7 +242,7 @@
 	}
 	m.due = max(m.due, m.now+time.Millisecond)
 	if s := m.assessSituation(); s != m.situation {
-		m.emit(Event{What: "situation", Name: m.self.Name, Life: m.self.Life, Cause: m.situation.String() + " to " + s.String()})
+		m.emit(Event{Kind: "situation", Name: m.self.Name, Life: m.self.Life, Cause: m.situation.String() + " to " + s.String()})
 		m.situation = s
 		m.version++
 	}
@@ -250,7 +250,7 @@
 
 // assessSituation determines the situation from the number of members present and this process's own state.
 func (m *Machine) assessSituation() Situation {
-	seen, expected := len(m.present)+1, m.config.Expected
+	seen, expected := len(m.present)+1, m.config.ExpectedMembers
 	switch {
 	case m.nameTaken, m.unansweredSinceStall, m.consecutiveUnanswered >= 2 && len(m.present) > 0:
 		return Unsure
@@ -259,15 +259,15 @@
 	case seen == 1:
 		return Alone
 	case 2*seen > expected:
-		return Part
+		return Majority
 	}
 	return Minority
 }
 
 func (m *Machine) emit(e Event) { m.events = append(m.events, e) }
 
-// Hear processes a message received from an address.
-func (m *Machine) Hear(now Moment, from netip.AddrPort, msg *Message) {
+// Receive processes a message received from an address.
+func (m *Machine) Receive(now Moment, from netip.AddrPort, msg *Message) {
 	if msg.From == m.self.Life || msg.From == 0 {
 		return
 	}
@@ -283,16 +283,16 @@
 		return
 	case p == nil:
 		m.noteMissingRecord(msg.From)
-	case msg.Kind == Rival: // handled below; the sender is not a member
+	case msg.Kind == NameConflict: // handled below; the sender is not a member
 	default:
 		m.noteDirectContact(p, msg.Inc)
 	}
-	if msg.Kind == Rival {
+	if msg.Kind == NameConflict {
 		m.noteNameConflict(msg)
 		m.schedule()
 		return
 	}
-	for _, r := range msg.Rumours {
+	for _, r := range msg.Updates {
 		m.receiveUpdate(r, msg.Kind == Table)
 	}
 	m.respond(from, p, msg)
@@ -331,43 +331,43 @@
 		}
 		if r.Addr == m.self.Addr {
 			if r.Life > m.self.Life {
-				m.renewLife(r.Life)
+				m.renewID(r.Life)
 			}
 			continue
 		}
 		if m.nameConflict.Life != r.Life {
-			m.emit(Event{What: "name-shared", Name: r.Name, Life: r.Life, Cause: "another process has this name, at " + r.Addr.String()})
+			m.emit(Event{Kind: "name-shared", Name: r.Name, Life: r.Life, Cause: "another process has this name, at " + r.Addr.String()})
 		}
 		m.nameConflict, m.nameConflictAt = r, m.now
 		if r.Life > m.self.Life && !m.nameTaken {
 			m.nameTaken = true
-			m.emit(Event{What: "name-taken", Name: r.Name, Life: r.Life, Cause: "the newer process at " + r.Addr.String() + " keeps the name"})
+			m.emit(Event{Kind: "name-taken", Name: r.Name, Life: r.Life, Cause: "the newer process at " + r.Addr.String() + " keeps the name"})
 			m.version++
 			m.nextReconnect = m.now
 		}
 		if r.Life < m.self.Life { // it may not know of this process
-			m.send(m.addressOf(r), Message{Kind: Rival, To: r.Life, Records: []Record{m.self}})
+			m.send(m.addressOf(r), Message{Kind: NameConflict, To: r.Life, Records: []Record{m.self}})
 		}
 	}
 }
 
-// renewLife gives this process a greater identifier than that of an earlier process at its address, which was started with its
+// renewID gives this process a greater identifier than that of an earlier process at its address, which was started with its
 // clock ahead.
-func (m *Machine) renewLife(older Life) {
+func (m *Machine) renewID(older ProcessID) {
 	m.toggleDigest(m.self.Life)
 	m.self.Life = (older>>randomBits+1)<<randomBits | m.self.Life&(1<<randomBits-1)
 	m.toggleDigest(m.self.Life)
-	m.enqueueUpdate(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
+	m.enqueueUpdate(StateUpdate{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
 }
 
 // noteDirectContact records that a message came from the process itself.
-func (m *Machine) noteDirectContact(p *peer, inc Inc) {
+func (m *Machine) noteDirectContact(p *peer, inc Incarnation) {
 	if p.state == Left {
 		return
 	}
 	p.lastHeard = m.now
 	if inc > p.Inc {
-		m.receiveUpdate(Rumour{Life: p.Life, Inc: inc, State: Alive}, false)
+		m.receiveUpdate(StateUpdate{Life: p.Life, Inc: inc, State: Alive}, false)
 	}
 	p.ownProbeFailed, p.reportedDead = false, false // it is running, so the reason for these is past; its refutation is on its way
 }
@@ -385,22 +385,22 @@
 			return
 		}
 		a := Message{Kind: Ack, To: msg.From, Seq: msg.Seq, Target: m.self.Life}
-		if msg.To == 0 || msg.Full || p == nil {
+		if msg.To == 0 || msg.WantRecords || p == nil {
 			a.Records = []Record{m.self}
 		}
-		if msg.Full { // from a newcomer: referring it to others spreads the load when many start at once
+		if msg.WantRecords { // from a newcomer: referring it to others spreads the load when many start at once
 			for _, o := range m.randomAlive(newcomerReferrals, msg.From) {
 				a.Records = append(a.Records, o.Record)
 			}
 		}
 		if p != nil && p.state != Alive { // it can refute a suspicion or death only once it knows of it
-			a.Rumours = append(a.Rumours, Rumour{Life: p.Life, Inc: p.Inc, State: p.state})
+			a.Updates = append(a.Updates, StateUpdate{Life: p.Life, Inc: p.Inc, State: p.state})
 		}
 		m.send(replyTo, a)
-		if msg.Back {
-			m.sendTable(replyTo, msg.From, allBucketsMask, msg.Full, false)
+		if msg.WantTable {
+			m.sendTable(replyTo, msg.From, allBucketsMask, msg.WantRecords, false)
 		}
-	case Ask:
+	case IndirectPing:
 		if len(m.relayedProbes) >= maxPendingProbes {
 			return
 		}
@@ -419,15 +419,15 @@
 			}
 		}
 	case Table:
-		if msg.Back {
-			m.sendTable(replyTo, msg.From, msg.Mask, false, false)
+		if msg.WantTable {
+			m.sendTable(replyTo, msg.From, msg.WantedBuckets, false, false)
 		}
-	case Sums:
-		if mask := m.differingBuckets(msg.Sums); mask != 0 {
+	case BucketDigests:
+		if mask := m.differingBuckets(msg.BucketDigests); mask != 0 {
 			m.sendTable(replyTo, msg.From, mask, false, true)
 		}
 	}
-	for i, w := range msg.Wants {
+	for i, w := range msg.RecordRequests {
 		if i >= maxWantsPerDatagram {
 			break
 		}
@@ -469,7 +469,7 @@
 			if p := m.peers[f.requester]; p != nil {
 				a := Message{Kind: Ack, To: f.requester, Seq: f.requesterSeq, Target: f.target}
 				if t := m.peers[f.target]; t != nil {
-					a.Rumours = []Rumour{{Life: t.Life, Inc: t.Inc, State: t.state}}
+					a.Updates = []StateUpdate{{Life: t.Life, Inc: t.Inc, State: t.state}}
 				}
 				m.send(m.addressOf(p.Record), a)
 			}
@@ -492,7 +492,7 @@
 	}
 }
 
-func (m *Machine) isProbing(id Life) bool {
+func (m *Machine) isProbing(id ProcessID) bool {
 	return slices.ContainsFunc(m.probes, func(p probe) bool { return p.target == id && !p.reconnect })
 }
 
@@ -537,7 +537,7 @@
 func (m *Machine) ping(p *peer, seq uint32) {
 	msg := Message{Kind: Ping, To: p.Life, Seq: seq}
 	if p.state != Alive {
-		msg.Rumours = append(msg.Rumours, Rumour{Life: p.Life, Inc: p.Inc, State: p.state, By: m.self.Life})
+		msg.Updates = append(msg.Updates, StateUpdate{Life: p.Life, Inc: p.Inc, State: p.state, Suspector: m.self.Life})
 	}
 	if p.lastHeard == 0 {
 		msg.Records = append(msg.Records, m.self)
@@ -562,7 +562,7 @@
 			l.indirect, l.nextStep = true, l.deadline
 			m.ping(p, l.seq) // on a link that loses packets the second ping often arrives
 			for _, r := range m.randomAlive(indirectProbeRelays+m.localHealth, l.target) {
-				m.send(m.addressOf(r.Record), Message{Kind: Ask, To: r.Life, Seq: l.seq, Target: p.Life, TargetAddr: p.Addr})
+				m.send(m.addressOf(r.Record), Message{Kind: IndirectPing, To: r.Life, Seq: l.seq, Target: p.Life, TargetAddr: p.Addr})
 			}
 			i++
 			continue
@@ -601,8 +601,8 @@
 }
 
 // suspect records that an own probe got no answer, and which relays got none either.
-func (m *Machine) suspect(p *peer, nacks []Life) {
-	m.receiveUpdate(Rumour{Life: p.Life, Inc: p.Inc, State: Suspected, By: m.self.Life}, false)
+func (m *Machine) suspect(p *peer, nacks []ProcessID) {
+	m.receiveUpdate(StateUpdate{Life: p.Life, Inc: p.Inc, State: Suspected, Suspector: m.self.Life}, false)
 	if p.state != Suspected {
 		return
 	}
@@ -616,7 +616,7 @@
 	}
 }
 
-func (m *Machine) confirmSuspicion(p *peer, by Life) bool {
+func (m *Machine) confirmSuspicion(p *peer, by ProcessID) bool {
 	if by == 0 || len(p.suspectedBy) > fullConfirmations || slices.Contains(p.suspectedBy, by) {
 		return false
 	}
@@ -631,7 +631,7 @@
 	if slices.Contains(p.suspectedBy, m.self.Life) {
 		confirmations--
 	}
-	shortest, longest := float64(m.config.Suspect), float64(m.config.Suspect)*unconfirmedSuspicionFactor
+	shortest, longest := float64(m.config.SuspicionTimeout), float64(m.config.SuspicionTimeout)*unconfirmedSuspicionFactor
 	progress := math.Log(float64(min(max(confirmations, 0), fullConfirmations)+1)) / math.Log(fullConfirmations+1)
 	return m.scaleByHealth(time.Duration(longest - (longest-shortest)*progress))
 }
@@ -641,7 +641,7 @@
 	if p.ownProbeFailed {
 		return p.startedAt + m.suspicionTimeout(p)
 	}
-	return p.since + 2*unconfirmedSuspicionFactor*m.config.Suspect
+	return p.since + 2*unconfirmedSuspicionFactor*m.config.SuspicionTimeout
 }
 
 func (m *Machine) checkSuspicions() {
@@ -661,13 +661,13 @@
 // declareDead declares a member dead after own probes without an answer.
 func (m *Machine) declareDead(p *peer) {
 	if !m.heardRecently(p) { // a member heard recently is not set dead but probed again, and an event each time would say nothing new
-		m.emit(Event{What: "verdict", Name: p.Name, Life: p.Life, Cause: "no answer to own probes"})
+		m.emit(Event{Kind: "verdict", Name: p.Name, Life: p.Life, Cause: "no answer to own probes"})
 	}
-	m.receiveUpdate(Rumour{Life: p.Life, Inc: p.Inc, State: Dead, By: m.self.Life}, false)
+	m.receiveUpdate(StateUpdate{Life: p.Life, Inc: p.Inc, State: Dead, Suspector: m.self.Life}, false)
 }
 
 // probeSoon probes a member now, or queues it to be probed out of turn if some probes are in progress.
-func (m *Machine) probeSoon(id Life) {
+func (m *Machine) probeSoon(id ProcessID) {
 	if p := m.peers[id]; p != nil && p.state.isPresent() && len(m.probes) < maxSuspectProbes && !m.isProbing(id) {
 		m.startProbe(p)
 		return
@@ -680,7 +680,7 @@
 // reconnect tries to reach a member held dead, or a seed address, so that two sides of a past partition find each other again.
 func (m *Machine) reconnect() {
 	if m.nameTaken {
-		m.send(m.addressOf(m.nameConflict), Message{Kind: Rival, To: m.nameConflict.Life, Records: []Record{m.self}})
+		m.send(m.addressOf(m.nameConflict), Message{Kind: NameConflict, To: m.nameConflict.Life, Records: []Record{m.self}})
 		return
 	}
 	if m.nameConflict.Life != 0 && m.now-m.nameConflictAt > time.Minute {
@@ -688,7 +688,7 @@
 	}
 	m.forgetLongAbsent()
 	deadPeers := slices.DeleteFunc(slices.Clone(m.absent), func(p *peer) bool { return p.state != Dead })
-	if len(deadPeers) == 0 && len(m.present)+1 >= m.config.Expected {
+	if len(deadPeers) == 0 && len(m.present)+1 >= m.config.ExpectedMembers {
 		return
 	}
 	m.rng.Shuffle(len(m.config.Seeds), func(i, j int) {
@@ -711,15 +711,15 @@
 }
 
 // pingAddress pings an address; a member held dead there is notified of that.
-func (m *Machine) pingAddress(to netip.AddrPort, id Life, full bool) {
+func (m *Machine) pingAddress(to netip.AddrPort, id ProcessID, full bool) {
 	if len(m.probes) >= maxPendingProbes {
 		return
 	}
 	m.seq++
 	m.probes = append(m.probes, probe{seq: m.seq, sentAt: m.now, target: id, reconnect: true, nextStep: m.now + m.periods(1), deadline: m.now + m.periods(1)})
-	msg := Message{Kind: Ping, To: id, Seq: m.seq, Records: []Record{m.self}, Back: full, Full: full}
+	msg := Message{Kind: Ping, To: id, Seq: m.seq, Records: []Record{m.self}, WantTable: full, WantRecords: full}
 	if p := m.peers[id]; p != nil {
-		msg.Rumours = []Rumour{{Life: id, Inc: p.Inc, State: p.state, By: m.self.Life}}
+		msg.Updates = []StateUpdate{{Life: id, Inc: p.Inc, State: p.state, Suspector: m.self.Life}}
 	}
 	m.send(to, msg)
 }
@@ -733,14 +733,14 @@
 }
 
 func (m *Machine) addressOf(r Record) netip.AddrPort {
-	if via, ok := m.config.Via[r.Name]; ok {
+	if via, ok := m.config.AddressOverrides[r.Name]; ok {
 		return via
 	}
 	return r.Addr
 }
 
 // randomAlive returns up to n randomly drawn members that are alive, other than the one excepted.
-func (m *Machine) randomAlive(n int, except Life) (chosen []*peer) {
+func (m *Machine) randomAlive(n int, except ProcessID) (chosen []*peer) {
 	for tries := 0; len(chosen) < n && tries < 4*n && len(m.present) > 0; tries++ {
 		p := m.present[m.rng.IntN(len(m.present))]
 		if p.Life != except && p.state == Alive && !slices.Contains(chosen, p) {
@@ -753,14 +753,14 @@
 // send queues a message, filled up with updates as far as they fit.
 func (m *Machine) send(to netip.AddrPort, msg Message) {
 	msg.From, msg.Inc, msg.Digest = m.self.Life, m.self.Inc, m.digest
-	if msg.Kind != Table && msg.Kind != Sums && msg.Kind != Rival {
+	if msg.Kind != Table && msg.Kind != BucketDigests && msg.Kind != NameConflict {
 		m.attachUpdates(&msg)
 	}
-	m.sends = append(m.sends, Send{to, msg})
+	m.sends = append(m.sends, Outgoing{to, msg})
 }
 
 func (m *Machine) refillTokens() {
-	m.tokens = min(m.tokens+float64(m.config.Budget)*(m.now-m.refilledAt).Seconds(), float64(m.config.Budget*burstSeconds))
+	m.tokens = min(m.tokens+float64(m.config.GossipBytesPerSecond)*(m.now-m.refilledAt).Seconds(), float64(m.config.GossipBytesPerSecond*burstSeconds))
 	m.refilledAt = m.now
 }
 
@@ -769,8 +769,8 @@
 	if len(m.gossipQueue) == 0 || m.tokens <= 0 {
 		return
 	}
-	room := MostDatagram - msg.Size() - 3*3
-	minSize := Rumour{}.size()
+	room := MaxDatagramBytes - msg.Size() - 3*3
+	minSize := StateUpdate{}.size()
 	if len(m.gossipQueue)*minSize > room {
 		slices.SortFunc(m.gossipQueue, func(a, b *gossipItem) int { return cmp.Compare(a.transmissions, b.transmissions) })
 	}
@@ -784,13 +784,13 @@
 		if size := it.size(); room >= size && it.Life != msg.To && it.transmissions < maxSends {
 			room -= size
 			m.tokens -= float64(size)
-			msg.Rumours = append(msg.Rumours, it.Rumour)
+			msg.Updates = append(msg.Updates, it.StateUpdate)
 			it.transmissions++
 		}
 		if it.transmissions < maxSends {
 			remaining = append(remaining, it)
 		} else {
-			delete(m.gossipByLife, it.Life)
+			delete(m.gossipByID, it.Life)
 		}
 	}
 	clear(m.gossipQueue[len(remaining):])
@@ -807,14 +807,14 @@
 }
 
 // enqueueUpdate starts sending an update, in place of an earlier one on the same process.
-func (m *Machine) enqueueUpdate(r Rumour) {
-	it := m.gossipByLife[r.Life]
+func (m *Machine) enqueueUpdate(r StateUpdate) {
+	it := m.gossipByID[r.Life]
 	if it == nil {
 		it = &gossipItem{}
-		m.gossipByLife[r.Life] = it
+		m.gossipByID[r.Life] = it
 		m.gossipQueue = append(m.gossipQueue, it)
 	}
-	*it = gossipItem{Rumour: r}
+	*it = gossipItem{StateUpdate: r}
 }
 
 // sendGossip sends new updates to some members, in addition to those in probes and answers.
@@ -832,16 +832,16 @@
 
 // sendTable sends this view of some buckets in datagrams that are independent of each other: a lost one is made up for by the
 // next exchange. With wantReply the receiver is asked for its own view of these buckets.
-func (m *Machine) sendTable(to netip.AddrPort, toLife Life, mask uint64, full, wantReply bool) {
+func (m *Machine) sendTable(to netip.AddrPort, toLife ProcessID, mask uint64, full, wantReply bool) {
 	if m.tokens <= 0 {
 		return
 	}
 	msg := Message{Kind: Table, To: toLife}
 	flush := func(last bool) {
-		if msg.Back = wantReply && last; msg.Back {
-			msg.Mask = mask
+		if msg.WantTable = wantReply && last; msg.WantTable {
+			msg.WantedBuckets = mask
 		}
-		if len(msg.Rumours)+len(msg.Records) > 0 || msg.Back {
+		if len(msg.Updates)+len(msg.Records) > 0 || msg.WantTable {
 			m.tokens -= float64(msg.Size())
 			m.send(to, msg)
 		}
@@ -854,9 +854,9 @@
 		if full && s.isPresent() {
 			msg.Records = append(msg.Records, r)
 		} else {
-			msg.Rumours = append(msg.Rumours, Rumour{Life: r.Life, Inc: r.Inc, State: s})
+			msg.Updates = append(msg.Updates, StateUpdate{Life: r.Life, Inc: r.Inc, State: s})
 		}
-		if msg.Size() > MostDatagram-Record.size(Record{})-2*MostName {
+		if msg.Size() > MaxDatagramBytes-Record.size(Record{})-2*MaxNameBytes {
 			flush(false)
 		}
 	}
@@ -883,16 +883,16 @@
 		m.digestMismatches = 0
 		return
 	}
-	if msg.Kind == Table || msg.Kind == Sums {
+	if msg.Kind == Table || msg.Kind == BucketDigests {
 		return
 	}
 	if m.digestMismatches++; m.digestMismatches < 2 || m.now < m.nextExchange || m.nameTaken {
 		return
 	}
 	m.nextExchange = m.now + m.periods(exchangePeriods*(0.75+0.5*m.rng.Float64()))
-	reply := Message{Kind: Sums, To: p.Life, Sums: make([]uint32, digestBuckets)}
+	reply := Message{Kind: BucketDigests, To: p.Life, BucketDigests: make([]uint32, digestBuckets)}
 	for i, s := range m.bucketDigests {
-		reply.Sums[i] = uint32(s)
+		reply.BucketDigests[i] = uint32(s)
 	}
 	m.tokens -= float64(reply.Size())
 	m.send(m.addressOf(p.Record), reply)
@@ -909,21 +909,21 @@
 }
 
 // requestRecords asks a sender for the records of the processes it mentioned without this view knowing them.
-func (m *Machine) requestRecords(from netip.AddrPort, sender Life) {
+func (m *Machine) requestRecords(from netip.AddrPort, sender ProcessID) {
 	if p := m.peers[sender]; p != nil {
 		from = m.addressOf(p.Record)
 	}
 	for len(m.missingRecords) > 0 {
 		n := min(len(m.missingRecords), maxWantsPerDatagram)
 		m.tokens -= float64(headerBytes + wantBytes*n)
-		m.send(from, Message{Kind: Gossip, To: sender, Wants: m.missingRecords[:n:n]})
+		m.send(from, Message{Kind: Gossip, To: sender, RecordRequests: m.missingRecords[:n:n]})
 		m.missingRecords = m.missingRecords[n:]
 	}
 	m.missingRecords = nil
 }
 
 // noteMissingRecord notes that the sender of this input is to be asked for a process's record.
-func (m *Machine) noteMissingRecord(id Life) {
+func (m *Machine) noteMissingRecord(id ProcessID) {
 	if at, requested := m.recordRequestedAt[id]; requested && m.now-at < m.periods(1) {
 		return
 	}
@@ -935,19 +935,19 @@
 }
 
 // sendRecord sends a requested record, in the same datagram as the ones before it where they go to the same address.
-func (m *Machine) sendRecord(to netip.AddrPort, toLife Life, r Record) {
+func (m *Machine) sendRecord(to netip.AddrPort, toLife ProcessID, r Record) {
 	n := len(m.sends)
 	if n > 0 {
-		if s := &m.sends[n-1]; s.Msg.Kind == Gossip && s.To == to && s.Msg.Size()+r.size() <= MostDatagram {
+		if s := &m.sends[n-1]; s.Msg.Kind == Gossip && s.To == to && s.Msg.Size()+r.size() <= MaxDatagramBytes {
 			s.Msg.Records = append(s.Msg.Records, r)
 			m.tokens -= float64(r.size())
 			return
 		}
 	}
-	if m.tokens <= float64(-m.config.Budget) { // up to a second's budget may be overdrawn: a table is of little use without its records
+	if m.tokens <= float64(-m.config.GossipBytesPerSecond) { // up to a second's budget may be overdrawn: a table is of little use without its records
 		return
 	}
 	m.tokens -= float64(r.size() + headerBytes/2)
 	msg := Message{Kind: Gossip, To: toLife, From: m.self.Life, Inc: m.self.Inc, Digest: m.digest, Records: []Record{r}}
-	m.sends = append(m.sends, Send{to, msg})
+	m.sends = append(m.sends, Outgoing{to, msg})
 }
--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -11,26 +11,26 @@
 func TestMadeUpNames(t *testing.T) {
 	m := New(testConfig(0, 3, 1), 0, nil)
 	real := testConfig(1, 3, 1).Self
-	m.Hear(time.Millisecond, real.Addr, &Message{Kind: Ping, From: real.Life, Seq: 1, Records: []Record{real}})
+	m.Receive(time.Millisecond, real.Addr, &Message{Kind: Ping, From: real.Life, Seq: 1, Records: []Record{real}})
 	for i := range 1_000_000 {
-		r := Record{Life: Life(1<<40 + i), Name: fmt.Sprint("made-up-", i), Addr: testAddr(9)}
+		r := Record{Life: ProcessID(1<<40 + i), Name: fmt.Sprint("made-up-", i), Addr: testAddr(9)}
 		at := time.Duration(i) * time.Microsecond
-		m.Hear(at, r.Addr, &Message{Kind: Gossip, From: real.Life, Records: []Record{r}, Rumours: []Rumour{{Life: r.Life + 1<<50, State: Suspected}}})
+		m.Receive(at, r.Addr, &Message{Kind: Gossip, From: real.Life, Records: []Record{r}, Updates: []StateUpdate{{Life: r.Life + 1<<50, State: Suspected}}})
 		if i%1000 == 0 {
 			m.Tick(at)
 		}
-		m.Out()
+		m.TakeOutput()
 	}
-	if len(m.peers) > m.config.Most || len(m.gossipQueue) > m.config.Most+1 || len(m.recordRequestedAt) > maxRecordRequests || len(m.byName) > m.config.Most {
+	if len(m.peers) > m.config.MaxMembers || len(m.gossipQueue) > m.config.MaxMembers+1 || len(m.recordRequestedAt) > maxRecordRequests || len(m.byName) > m.config.MaxMembers {
 		t.Errorf("%d peers, %d queued updates, %d requested records, %d names", len(m.peers), len(m.gossipQueue), len(m.recordRequestedAt), len(m.byName))
 	}
-	if !m.Holds(real.Life) {
+	if !m.IsPresent(real.Life) {
 		t.Error("a member that was present is no longer in the view")
 	}
 }
 
 // Whatever messages arrive in whatever order, the lists stay within their bounds and the digest matches the view.
-func FuzzHear(f *testing.F) {
+func FuzzReceive(f *testing.F) {
 	f.Add([]byte("\x01\x02\x03\x04\x05\x06\x07\x08\x09abcdefghijklmnopqrstuvwxyz0123456789"))
 	f.Add(make([]byte, 400))
 	f.Fuzz(func(t *testing.T, input []byte) {
@@ -42,39 +42,39 @@
 			}
 			return b
 		}
-		life := func() Life {
+		life := func() ProcessID {
 			if b := next(); b < 4 {
 				return testConfig(int(b), 3, 1).Self.Life
 			} else if b < 200 {
-				return Life(b)
+				return ProcessID(b)
 			}
 			var raw [8]byte
 			for i := range raw {
 				raw[i] = next()
 			}
-			return Life(binary.BigEndian.Uint64(raw[:]))
+			return ProcessID(binary.BigEndian.Uint64(raw[:]))
 		}
 		for len(input) > 0 {
 			at += time.Duration(next()) * 3 * time.Millisecond
-			msg := &Message{Kind: Kind(next() % 12), From: life(), To: life(), Inc: Inc(next()), Seq: uint32(next()), Target: life(), Digest: uint64(next()),
-				Back: next()&1 == 1, Full: next()&1 == 1, Mask: uint64(life())}
+			msg := &Message{Kind: Kind(next() % 12), From: life(), To: life(), Inc: Incarnation(next()), Seq: uint32(next()), Target: life(), Digest: uint64(next()),
+				WantTable: next()&1 == 1, WantRecords: next()&1 == 1, WantedBuckets: uint64(life())}
 			for range next() % 4 {
-				msg.Rumours = append(msg.Rumours, Rumour{life(), Inc(next()) << (next() % 32), State(next() % 7), life()})
+				msg.Updates = append(msg.Updates, StateUpdate{life(), Incarnation(next()) << (next() % 32), State(next() % 7), life()})
 			}
 			for range next() % 3 {
-				msg.Records = append(msg.Records, Record{life(), Inc(next()), fmt.Sprint("n", next()%8), "", testAddr(int(next() % 8))})
+				msg.Records = append(msg.Records, Record{life(), Incarnation(next()), fmt.Sprint("n", next()%8), "", testAddr(int(next() % 8))})
 			}
 			for range next() % 3 {
-				msg.Wants, msg.Sums = append(msg.Wants, life()), append(msg.Sums, uint32(next()))
+				msg.RecordRequests, msg.BucketDigests = append(msg.RecordRequests, life()), append(msg.BucketDigests, uint32(next()))
 			}
-			m.Hear(at, testAddr(int(next()%8)), msg)
+			m.Receive(at, testAddr(int(next()%8)), msg)
 			if next()%4 == 0 {
 				at = max(at, m.Due())
 				m.Tick(at)
 			}
-			sends, _ := m.Out()
+			sends, _ := m.TakeOutput()
 			for _, s := range sends {
-				if s.Msg.Size() > MostDatagram {
+				if s.Msg.Size() > MaxDatagramBytes {
 					t.Fatalf("a datagram of %d bytes", s.Msg.Size())
 				}
 			}
@@ -82,7 +82,7 @@
 			for _, p := range m.present {
 				digest ^= p.Life.hash()
 			}
-			if digest != m.digest || m.peers[m.self.Life] != nil || len(m.peers) > m.config.Most || len(m.probes) > maxPendingProbes ||
+			if digest != m.digest || m.peers[m.self.Life] != nil || len(m.peers) > m.config.MaxMembers || len(m.probes) > maxPendingProbes ||
 				len(m.relayedProbes) > maxPendingProbes || len(m.urgentProbes) > maxPendingProbes || len(m.peers) != len(m.present)+len(m.absent) {
 				t.Fatalf("a list exceeds its bound or the digest does not match the view: %+v", m.View())
 			}
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if p := m.peers[r.Life]; p != nil {
-		m.receiveUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Alive}, false)
+		m.receiveUpdate(StateUpdate{Life: r.Life, Inc: r.Inc, State: Alive}, false)
 		return
 	}
 	old := m.byName[r.Name]
@@ -34,8 +34,8 @@
 	if old != nil {
 		cause = "started again"
 	}
-	m.emit(Event{What: "state", Name: p.Name, Life: p.Life, From: Left, To: Alive, Cause: cause})
-	m.enqueueUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Alive})
+	m.emit(Event{Kind: "state", Name: p.Name, Life: p.Life, From: Left, To: Alive, Cause: cause})
+	m.enqueueUpdate(StateUpdate{Life: r.Life, Inc: r.Inc, State: Alive})
 }
 
 // addPeer adds a process as alive, in place of an older one of its name. It returns nil where the view is full or holds a newer
@@ -47,7 +47,7 @@
 		}
 		m.forgetPeer(old)
 	}
-	if len(m.peers) >= m.config.Most && !m.evictOldestAbsent() {
+	if len(m.peers) >= m.config.MaxMembers && !m.evictOldestAbsent() {
 		return nil
 	}
 	p := &peer{Record: r, state: Alive, since: m.now}
@@ -96,8 +96,8 @@
 	if m.byName[p.Name] == p {
 		delete(m.byName, p.Name)
 	}
-	if it := m.gossipByLife[p.Life]; it != nil {
-		delete(m.gossipByLife, p.Life)
+	if it := m.gossipByID[p.Life]; it != nil {
+		delete(m.gossipByID, p.Life)
 		m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(o *gossipItem) bool { return o == it })
 	}
 	m.version++
@@ -138,8 +138,8 @@
 
 // receiveUpdate processes an update. A reported death that came in a table, or that concerns a member heard recently, leads to a
 // probe and to a query to the member itself: the side that reports it may just have been cut off.
-func (m *Machine) receiveUpdate(r Rumour, fromTable bool) {
-	if r.State > Asked || r.Life == 0 {
+func (m *Machine) receiveUpdate(r StateUpdate, fromTable bool) {
+	if r.State > Queried || r.Life == 0 {
 		return
 	}
 	if r.Life == m.self.Life {
@@ -159,60 +159,60 @@
 	switch {
 	case r.State == Left:
 		m.setState(p, r, Left, "left gracefully")
-	case r.State == Asked:
+	case r.State == Queried:
 		if r.Inc >= p.Inc && p.state.isPresent() && m.queryIsNew(r) {
-			m.enqueueUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Asked})
+			m.enqueueUpdate(StateUpdate{Life: r.Life, Inc: r.Inc, State: Queried})
 		}
 	case (fromTable || m.heardRecently(p)) && r.State == Dead && p.state.isPresent():
 		if r.Inc >= p.Inc {
-			p.reportedDead = p.reportedDead || m.now-p.lastHeard > m.config.Suspect
+			p.reportedDead = p.reportedDead || m.now-p.lastHeard > m.config.SuspicionTimeout
 			m.probeSoon(p.Life)
 			if m.queryIsNew(r) {
-				m.enqueueUpdate(Rumour{Life: r.Life, Inc: r.Inc, State: Asked})
+				m.enqueueUpdate(StateUpdate{Life: r.Life, Inc: r.Inc, State: Queried})
 			}
 		}
 	case fromTable && r.State == Suspected:
 	case r.Inc > p.Inc, r.Inc == p.Inc && r.State > p.state:
 		m.setState(p, r, r.State, "")
-	case r.Inc == p.Inc && r.State == Suspected && p.state == Suspected && m.confirmSuspicion(p, r.By): // one more member confirms the suspicion
+	case r.Inc == p.Inc && r.State == Suspected && p.state == Suspected && m.confirmSuspicion(p, r.Suspector): // one more member confirms the suspicion
 		m.enqueueUpdate(r)
 	default:
-		if it := m.gossipByLife[r.Life]; it != nil && it.Inc == r.Inc && it.State == r.State { // it is already being spread
+		if it := m.gossipByID[r.Life]; it != nil && it.Inc == r.Inc && it.State == r.State { // it is already being spread
 			it.transmissions++
 		}
 	}
 }
 
-// heardRecently reports whether a message came from the process itself not long ago. Within Suspect a report of its death cannot
+// heardRecently reports whether a message came from the process itself not long ago. Within SuspicionTimeout a report of its death cannot
 // concern its present state and comes from a side that was cut off; within twice that time an own probe decides.
 func (m *Machine) heardRecently(p *peer) bool {
-	return p.lastHeard > 0 && m.now-p.lastHeard < 2*m.config.Suspect
+	return p.lastHeard > 0 && m.now-p.lastHeard < 2*m.config.SuspicionTimeout
 }
 
 // queryIsNew reports whether no query to a process, and nothing stronger, is being spread at this incarnation yet.
-func (m *Machine) queryIsNew(r Rumour) bool {
-	it := m.gossipByLife[r.Life]
+func (m *Machine) queryIsNew(r StateUpdate) bool {
+	it := m.gossipByID[r.Life]
 	return it == nil || it.Inc < r.Inc || it.Inc == r.Inc && it.State == Alive
 }
 
 // refute contradicts a suspicion or death reported of this process.
-func (m *Machine) refute(r Rumour) {
+func (m *Machine) refute(r StateUpdate) {
 	if r.State == Alive || r.Inc < m.self.Inc || m.nameTaken {
 		return
 	}
 	if r.State == Left { // only this process itself could have sent this, and it is still running
 		return
 	}
-	if r.Inc >= MostInc { // no refutation can exceed it: a fault, which must not exclude this process for good
-		m.renewLife(m.self.Life)
+	if r.Inc >= MaxIncarnation { // no refutation can exceed it: a fault, which must not exclude this process for good
+		m.renewID(m.self.Life)
 		return
 	}
 	m.self.Inc = r.Inc + 1
-	m.emit(Event{What: "refuted", Name: m.self.Name, Life: m.self.Life, From: r.State, To: Alive, Cause: "reported " + r.State.String() + " by " + m.nameOf(r.By)})
-	m.enqueueUpdate(Rumour{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
+	m.emit(Event{Kind: "refuted", Name: m.self.Name, Life: m.self.Life, From: r.State, To: Alive, Cause: "reported " + r.State.String() + " by " + m.nameOf(r.Suspector)})
+	m.enqueueUpdate(StateUpdate{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
 }
 
-func (m *Machine) nameOf(id Life) string {
+func (m *Machine) nameOf(id ProcessID) string {
 	if id == m.self.Life {
 		return m.self.Name
 	}
@@ -223,13 +223,13 @@
 }
 
 // setState changes the state held of a process and spreads it.
-func (m *Machine) setState(p *peer, r Rumour, to State, cause string) {
+func (m *Machine) setState(p *peer, r StateUpdate, to State, cause string) {
 	from := p.state
 	if cause == "" {
 		cause = "reported by others"
 		switch {
-		case r.By != 0:
-			cause = "no answer to " + m.nameOf(r.By)
+		case r.Suspector != 0:
+			cause = "no answer to " + m.nameOf(r.Suspector)
 		case to == Alive && from != Alive:
 			cause = "it says so"
 		}
@@ -248,21 +248,21 @@
 	m.clearSuspicion(p)
 	p.reportedDead = false
 	if to == Suspected {
-		m.confirmSuspicion(p, r.By)
+		m.confirmSuspicion(p, r.Suspector)
 		p.startedAt, p.nextProbeAt = m.now, m.now
 		m.suspected = append(m.suspected, p)
 		// Some of the members that learn of a suspicion probe for themselves: this comes sooner than their turn and makes the
 		// process refute it.
-		if r.By != m.self.Life && m.rng.IntN(len(m.present)) < fullConfirmations {
+		if r.Suspector != m.self.Life && m.rng.IntN(len(m.present)) < fullConfirmations {
 			m.probeSoon(p.Life)
 		}
 	}
 	if from != to {
 		p.since = m.now
 		m.version++
-		m.emit(Event{What: "state", Name: p.Name, Life: p.Life, From: from, To: to, Cause: cause})
+		m.emit(Event{Kind: "state", Name: p.Name, Life: p.Life, From: from, To: to, Cause: cause})
 	}
-	m.enqueueUpdate(Rumour{Life: p.Life, Inc: p.Inc, State: to, By: r.By})
+	m.enqueueUpdate(StateUpdate{Life: p.Life, Inc: p.Inc, State: to, Suspector: r.Suspector})
 }
 
 // Leave announces to some members, which spread it, that this process is ending gracefully.
@@ -273,42 +273,42 @@
 		return
 	}
 	for _, p := range m.randomAlive(2*fullConfirmations, 0) {
-		m.send(m.addressOf(p.Record), Message{Kind: Gossip, To: p.Life, Rumours: []Rumour{{Life: m.self.Life, Inc: m.self.Inc, State: Left}}})
+		m.send(m.addressOf(p.Record), Message{Kind: Gossip, To: p.Life, Updates: []StateUpdate{{Life: m.self.Life, Inc: m.self.Inc, State: Left}}})
 	}
 }
 
 // Member is what a view holds of one process.
 type Member struct {
 	Record
-	State      State
-	Since      Moment
-	Heard      Moment // directly; 0 means never
-	RoundTrip  time.Duration
-	Suspecting []string
+	State        State
+	Since        Moment
+	LastReceived Moment // directly; 0 means never
+	RoundTrip    time.Duration
+	SuspectedBy  []string
 }
 
 // View is a snapshot of the membership. It always lags behind the true state.
 type View struct {
-	Self      Record
-	Situation Situation
-	Expected  int
-	Seen      int // members alive and suspected, including this one
-	Version   uint64
-	Digest    uint64
-	Rival     Record // another process under this one's name, if any
-	Now       Moment
-	Members   []Member // all others, including dead ones
+	Self            Record
+	Situation       Situation
+	ExpectedMembers int
+	PresentCount    int // members alive and suspected, including this one
+	Version         uint64
+	Digest          uint64
+	NameConflict    Record // another process under this one's name, if any
+	Now             Moment
+	Members         []Member // all others, including dead ones
 }
 
 // View returns the present view; the situation is that of the last input.
 func (m *Machine) View() View {
-	v := View{Self: m.self, Situation: m.situation, Expected: m.config.Expected, Seen: len(m.present) + 1, Version: m.version,
-		Digest: m.digest, Rival: m.nameConflict, Now: m.now}
+	v := View{Self: m.self, Situation: m.situation, ExpectedMembers: m.config.ExpectedMembers, PresentCount: len(m.present) + 1, Version: m.version,
+		Digest: m.digest, NameConflict: m.nameConflict, Now: m.now}
 	for _, list := range [][]*peer{m.present, m.absent} {
 		for _, p := range list {
-			member := Member{Record: p.Record, State: p.state, Since: p.since, Heard: p.lastHeard, RoundTrip: p.rtt}
+			member := Member{Record: p.Record, State: p.state, Since: p.since, LastReceived: p.lastHeard, RoundTrip: p.rtt}
 			for _, w := range p.suspectedBy {
-				member.Suspecting = append(member.Suspecting, m.nameOf(w))
+				member.SuspectedBy = append(member.SuspectedBy, m.nameOf(w))
 			}
 			v.Members = append(v.Members, member)
 		}
@@ -317,26 +317,26 @@
 	return v
 }
 
-// Holds reports whether a process is present in this view.
-func (m *Machine) Holds(id Life) bool {
+// IsPresent reports whether a process is present in this view.
+func (m *Machine) IsPresent(id ProcessID) bool {
 	p := m.peers[id]
 	return id == m.self.Life || p != nil && p.state.isPresent()
 }
 
-// Seen returns how many members are present, including this one, and their digest.
-func (m *Machine) Seen() (n int, digest uint64) { return len(m.present) + 1, m.digest }
+// PresentCount returns how many members are present, including this one, and their digest.
+func (m *Machine) PresentCount() (n int, digest uint64) { return len(m.present) + 1, m.digest }
 
-// Letter returns the address and header for another package's message to a member, and false where the member is not present.
-func (m *Machine) Letter(to Life) (Send, bool) {
+// Envelope returns the address and header for another package's message to a member, and false where the member is not present.
+func (m *Machine) Envelope(to ProcessID) (Outgoing, bool) {
 	p := m.peers[to]
 	if p == nil || !p.state.isPresent() || m.nameTaken {
-		return Send{}, false
+		return Outgoing{}, false
 	}
-	return Send{m.addressOf(p.Record), Message{Kind: Gossip, From: m.self.Life, To: to, Inc: m.self.Inc, Digest: m.digest}}, true
+	return Outgoing{m.addressOf(p.Record), Message{Kind: Gossip, From: m.self.Life, To: to, Inc: m.self.Inc, Digest: m.digest}}, true
 }
 
-// Members returns the processes that are alive in this view, without this one, and the situation.
-func (m *Machine) Members() (all []Life, s Situation) {
+// AliveMembers returns the processes that are alive in this view, without this one, and the situation.
+func (m *Machine) AliveMembers() (all []ProcessID, s Situation) {
 	for _, p := range m.present {
 		if p.state == Alive {
 			all = append(all, p.Life)
--- a/internal/fleet/order/explore_test.go
+++ b/internal/fleet/order/explore_test.go
@@ -17,8 +17,8 @@
 // model is three balancers and the messages in flight between them.
 type model struct {
 	balancers [3]*Machine
-	ids       [3]member.Life
-	lastID    member.Life
+	ids       [3]member.ProcessID
+	lastID    member.ProcessID
 	inFlight  []packet
 	confirmed []Order
 	failure   string
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -27,8 +27,8 @@
 
 // ID identifies an order among those on the same host.
 type ID struct {
-	Count uint64      // one more than that of the order it replaces
-	By    member.Life // the process that took the order from the operator
+	Count uint64           // one more than that of the order it replaces
+	By    member.ProcessID // the process that took the order from the operator
 }
 
 // Order excludes a host from use, or includes it again.
@@ -96,7 +96,7 @@
 
 // Terms is the configuration of a Machine; it does not change during the life of a process.
 type Terms struct {
-	Self member.Life
+	Self member.ProcessID
 	Name string  // of this balancer
 	Part float64 // fraction of the hosts that may be excluded without force
 	Kept []Order // orders read from this balancer's file
@@ -112,7 +112,7 @@
 
 // Send is a message and the member it goes to.
 type Send struct {
-	To  member.Life
+	To  member.ProcessID
 	Msg Message
 }
 
@@ -121,7 +121,7 @@
 
 // peer is what this balancer knows of the orders that another balancer holds.
 type peer struct {
-	id         member.Life
+	id         member.ProcessID
 	reported   bool // it has sent a message, so digest is valid
 	digest     uint64
 	lastSent   Moment // when the last message was sent to it
@@ -146,7 +146,7 @@
 // notice that balancer might never learn of the conflict, because the winning order reaches all others before the losing one can
 // reach it.
 type lossNotice struct {
-	to        member.Life
+	to        member.ProcessID
 	lost      Order
 	remaining int // how many more times to send it
 }
@@ -230,7 +230,7 @@
 		m.conflicts = m.conflicts[1:]
 	}
 	m.conflicts = append(m.conflicts, Conflict{won, lost})
-	for _, giver := range []member.Life{won.By, lost.By} {
+	for _, giver := range []member.ProcessID{won.By, lost.By} {
 		if giver != m.config.Self && len(m.notices) < 2*maxConflicts {
 			m.notices = append(m.notices, lossNotice{giver, lost, noticeRepeats})
 		}
@@ -291,7 +291,7 @@
 }
 
 // Hear processes a member's message and queues a reply where one is needed.
-func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
+func (m *Machine) Hear(now Moment, from member.ProcessID, msg *Message) {
 	for _, o := range msg.Orders {
 		if o.Usable() {
 			m.apply(o)
@@ -314,8 +314,8 @@
 }
 
 // peer returns the state of a member, or nil.
-func (m *Machine) peer(id member.Life) *peer {
-	if i, ok := slices.BinarySearchFunc(m.peers, id, func(p peer, id member.Life) int { return cmp.Compare(p.id, id) }); ok {
+func (m *Machine) peer(id member.ProcessID) *peer {
+	if i, ok := slices.BinarySearchFunc(m.peers, id, func(p peer, id member.ProcessID) int { return cmp.Compare(p.id, id) }); ok {
 		return &m.peers[i]
 	}
 	return nil
@@ -343,7 +343,7 @@
 
 // Tick takes the present members and queues messages to some of those whose digest differs or is unknown. recentOrder says that this
 // balancer has recently taken an order from an operator, and makes it contact more of them.
-func (m *Machine) Tick(now Moment, members []member.Life, recentOrder bool) {
+func (m *Machine) Tick(now Moment, members []member.ProcessID, recentOrder bool) {
 	peers := make([]peer, 0, len(members))
 	for _, id := range slices.Sorted(slices.Values(members)) {
 		if id == m.config.Self {
@@ -396,7 +396,7 @@
 func (m *Machine) Conflicts() []Conflict { return slices.Clone(m.conflicts) }
 
 // Confirmed returns the members whose last reported digest equals this balancer's: they hold exactly the same orders.
-func (m *Machine) Confirmed() (confirmed []member.Life) {
+func (m *Machine) Confirmed() (confirmed []member.ProcessID) {
 	for _, p := range m.peers {
 		if p.reported && p.digest == m.digest {
 			confirmed = append(confirmed, p.id)
--- a/internal/fleet/order/order_test.go
+++ b/internal/fleet/order/order_test.go
@@ -18,14 +18,14 @@
 // testBalancer is one balancer of a simulation: its process, nil while killed, and the file that outlives it.
 type testBalancer struct {
 	*Machine
-	id          member.Life
+	id          member.ProcessID
 	file        []Order
 	pausedUntil time.Duration
 }
 
 type packet struct {
 	arrival  time.Duration
-	from, to member.Life
+	from, to member.ProcessID
 	receiver int
 	msg      Message
 }
@@ -58,7 +58,7 @@
 func (p *simulation) start(i int) {
 	p.lastID++
 	m := p.balancers[i]
-	m.id, m.pausedUntil = member.Life(p.lastID), 0
+	m.id, m.pausedUntil = member.ProcessID(p.lastID), 0
 	m.Machine = New(Terms{Self: m.id, Name: fmt.Sprint("b", i), Part: 0.5, Kept: m.file, Seed: p.rng.Uint64()})
 	p.flush(i)
 }
@@ -96,7 +96,7 @@
 			}
 		}
 	}
-	var ids []member.Life
+	var ids []member.ProcessID
 	for _, m := range p.balancers {
 		if m.Machine != nil {
 			ids = append(ids, m.id)
--- a/internal/fleet/share/explore_test.go
+++ b/internal/fleet/share/explore_test.go
@@ -34,7 +34,7 @@
 type model struct {
 	now       time.Duration
 	balancers []*Machine
-	ids       []member.Life
+	ids       []member.ProcessID
 	lastID    int
 	inFlight  []modelPacket
 	tamper    func(t *model, i int) // introduces a deliberate fault
@@ -42,8 +42,8 @@
 }
 
 type modelPacket struct {
-	to   member.Life
-	from member.Life
+	to   member.ProcessID
+	from member.ProcessID
 	msg  Message
 }
 
@@ -58,12 +58,12 @@
 
 func (t *model) start(i int) {
 	t.lastID++
-	t.ids[i] = member.Life(t.lastID)
+	t.ids[i] = member.ProcessID(t.lastID)
 	t.balancers[i] = New(Terms{Self: t.ids[i], Among: len(t.balancers), Names: []string{"a"}, Bound: []float64{100}, Floor: []float64{0}, Lease: exploreLease, First: uint64(t.lastID) * 100}, t.clock(i))
 }
 
 func newModel(n int, tamper func(*model, int)) *model {
-	t := &model{balancers: make([]*Machine, n), ids: make([]member.Life, n), tamper: tamper}
+	t := &model{balancers: make([]*Machine, n), ids: make([]member.ProcessID, n), tamper: tamper}
 	for i := range n {
 		t.start(i)
 	}
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -28,7 +28,7 @@
 
 // Terms is the configuration of a Machine; it does not change during the life of a process.
 type Terms struct {
-	Self  member.Life
+	Self  member.ProcessID
 	Among int       // number of balancers according to the settings
 	Names []string  // of the limits
 	Bound []float64 // value of each limit, in its own unit
@@ -112,7 +112,7 @@
 
 // Send is a message and the member it goes to.
 type Send struct {
-	To  member.Life
+	To  member.ProcessID
 	Msg Message
 }
 
@@ -120,9 +120,9 @@
 // replaces older ones: the borrower uses only the newest one that it has, and the lender assumes that the largest unexpired one is in
 // use.
 type lease struct {
-	limit   int         // index of the limit
-	peer    member.Life // the other balancer
-	askID   uint64      // number of the borrower's Ask
+	limit   int              // index of the limit
+	peer    member.ProcessID // the other balancer
+	askID   uint64           // number of the borrower's Ask
 	part    Part
 	expires Moment
 }
@@ -159,7 +159,7 @@
 
 // asker is a member that recently asked for a part.
 type asker struct {
-	id      member.Life
+	id      member.ProcessID
 	wanted  Part
 	askedAt Moment
 }
@@ -167,7 +167,7 @@
 // pendingAsk is an Ask that has not been answered yet.
 type pendingAsk struct {
 	id     uint64
-	to     member.Life
+	to     member.ProcessID
 	sentAt Moment
 }
 
@@ -297,7 +297,7 @@
 }
 
 // totalLent sums what is lent of a limit to all members but one. For each borrower, the largest unexpired lease counts.
-func (m *Machine) totalLent(index int, except member.Life) (sum Part) {
+func (m *Machine) totalLent(index int, except member.ProcessID) (sum Part) {
 	for i, l := range m.lent {
 		if l.limit != index || l.peer == except {
 			continue
@@ -362,7 +362,7 @@
 }
 
 // Tick asks members for parts that are missing and returns borrowed parts that are not needed. During an upgrade it returns all.
-func (m *Machine) Tick(now Moment, members []member.Life) {
+func (m *Machine) Tick(now Moment, members []member.ProcessID) {
 	m.advance(now)
 	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return m.now-a.sentAt > m.config.Lease/2 })
 	if m.halved {
@@ -390,14 +390,14 @@
 }
 
 // askMembers asks randomly chosen members for parts that are missing, and lenders to renew leases that expire soon.
-func (m *Machine) askMembers(members []member.Life) {
-	others := slices.DeleteFunc(slices.Clone(members), func(l member.Life) bool {
+func (m *Machine) askMembers(members []member.ProcessID) {
+	others := slices.DeleteFunc(slices.Clone(members), func(l member.ProcessID) bool {
 		return l == m.config.Self || slices.ContainsFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l && m.now-a.sentAt < m.config.Lease/4 })
 	})
 	if len(others) == 0 {
 		return
 	}
-	renew := map[member.Life]bool{}
+	renew := map[member.ProcessID]bool{}
 	for _, l := range m.borrowed {
 		if l.expires-m.now < m.config.Lease*2/3 { // early enough for three attempts to renew it
 			renew[l.peer] = true
@@ -426,7 +426,7 @@
 }
 
 // askMember asks a member for the parts it lends now plus what is missing.
-func (m *Machine) askMember(to member.Life) {
+func (m *Machine) askMember(to member.ProcessID) {
 	m.lastAskID++
 	msg := Message{Kind: Ask, N: m.lastAskID}
 	for i := range m.limits {
@@ -449,13 +449,13 @@
 }
 
 // send queues a message to a member.
-func (m *Machine) send(to member.Life, msg Message) {
+func (m *Machine) send(to member.ProcessID, msg Message) {
 	msg.Among, msg.Sum = m.config.Among, m.namesHash
 	m.sends = append(m.sends, Send{to, msg})
 }
 
 // Hear processes a message from a member.
-func (m *Machine) Hear(now Moment, from member.Life, msg *Message) {
+func (m *Machine) Hear(now Moment, from member.ProcessID, msg *Message) {
 	m.advance(now)
 	if msg.Sum != m.namesHash || from == m.config.Self || msg.Among < 1 {
 		return
@@ -483,7 +483,7 @@
 
 // grant answers an Ask with what can be spared, shared max-min fairly among the members that asked recently. This may be less than
 // the member has borrowed before, or nothing.
-func (m *Machine) grant(to member.Life, msg *Message) {
+func (m *Machine) grant(to member.ProcessID, msg *Message) {
 	answer := Message{Kind: Grant, N: msg.N}
 	for _, w := range msg.Wants {
 		lim, index := &m.limits[w.Name], int(w.Name)
@@ -505,7 +505,7 @@
 }
 
 // recordAsk records how much a member wants, and removes outdated entries.
-func (lim *limit) recordAsk(id member.Life, wanted Part, now Moment, keep time.Duration) {
+func (lim *limit) recordAsk(id member.ProcessID, wanted Part, now Moment, keep time.Duration) {
 	lim.askers = slices.DeleteFunc(lim.askers, func(a asker) bool { return a.id == id || now-a.askedAt > keep })
 	if len(lim.askers) < maxAskers {
 		lim.askers = append(lim.askers, asker{id, max(0, wanted), now})
@@ -513,12 +513,12 @@
 }
 
 // removeAsker removes a member that wants nothing any more.
-func (lim *limit) removeAsker(id member.Life) {
+func (lim *limit) removeAsker(id member.ProcessID) {
 	lim.askers = slices.DeleteFunc(lim.askers, func(a asker) bool { return a.id == id })
 }
 
 // fairPart is one asker's max-min fair share of what can be spared: all get the same, but none more than it wants.
-func (lim *limit) fairPart(id member.Life, spare Part) Part {
+func (lim *limit) fairPart(id member.ProcessID, spare Part) Part {
 	sorted := slices.SortedFunc(slices.Values(lim.askers), func(x, y asker) int { return cmp.Compare(x.wanted, y.wanted) })
 	for i, a := range sorted {
 		each := spare / Part(len(sorted)-i)
@@ -533,7 +533,7 @@
 
 // acceptGrant records the parts that a member has lent. The lease counts from the time of the ask, which is before the time from which
 // the lender counts.
-func (m *Machine) acceptGrant(from member.Life, msg *Message) {
+func (m *Machine) acceptGrant(from member.ProcessID, msg *Message) {
 	i := slices.IndexFunc(m.pendingAsks, func(a pendingAsk) bool { return a.id == msg.N && a.to == from })
 	if i < 0 {
 		return // a duplicate, or too late
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -57,7 +57,7 @@
 
 type testBalancer struct {
 	*Machine
-	id          member.Life
+	id          member.ProcessID
 	clockRate   float64 // rate of its clock relative to true time
 	clockZero   time.Duration
 	pausedUntil time.Duration // true time until which the process is paused
@@ -66,8 +66,8 @@
 
 type packet struct {
 	arrival  time.Duration
-	to       member.Life
-	from     member.Life
+	to       member.ProcessID
+	from     member.ProcessID
 	msg      Message
 	receiver int // index of the receiving balancer
 }
@@ -86,7 +86,7 @@
 
 func (p *simulation) start(i int) {
 	p.lastID++
-	m := &testBalancer{id: member.Life(p.lastID), clockRate: 1 + maxClockSkew*(2*p.rng.Float64()-1), clockZero: p.now - time.Duration(p.rng.IntN(1e9)), nextTick: p.now}
+	m := &testBalancer{id: member.ProcessID(p.lastID), clockRate: 1 + maxClockSkew*(2*p.rng.Float64()-1), clockZero: p.now - time.Duration(p.rng.IntN(1e9)), nextTick: p.now}
 	m.Machine = New(Terms{Self: m.id, Among: len(p.balancers), Names: []string{"a", "b"}, Bound: []float64{100, 50}, Floor: []float64{0, 0.5}, Lease: testLease,
 		First: uint64(p.now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, m.clock(p.now))
 	p.balancers[i] = m
@@ -97,7 +97,7 @@
 	return Moment(float64(now-m.clockZero) * m.clockRate)
 }
 
-func (p *simulation) members() (ids []member.Life) {
+func (p *simulation) members() (ids []member.ProcessID) {
 	for _, m := range p.balancers {
 		if m != nil {
 			ids = append(ids, m.id)
@@ -284,11 +284,11 @@
 
 // A late grant for an ask is not accepted once a later ask was answered with nothing: by then the lender uses that part again.
 func TestLateAnswer(t *testing.T) {
-	const self, lender = member.Life(8), member.Life(16)
+	const self, lender = member.ProcessID(8), member.ProcessID(16)
 	m := New(Terms{Self: self, Among: 4, Names: []string{"a"}, Bound: []float64{100}, Floor: []float64{0}, Lease: 2 * time.Second, First: 1, Seed: 1}, 0)
 	ask := func(now Moment) uint64 {
 		m.Need(now, 0, 100)
-		m.Tick(now, []member.Life{self, lender})
+		m.Tick(now, []member.ProcessID{self, lender})
 		for _, s := range m.Out() {
 			if s.Msg.Kind == Ask {
 				return s.Msg.N
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -60,8 +60,8 @@
 	const section = "fleet."
 	f.Period, f.Suspect, f.Budget = cmp.Or(f.Period, defaultPeriod), cmp.Or(f.Suspect, defaultSuspect), cmp.Or(f.Budget, defaultBudget)
 	f.Lease, f.OrdersPart = cmp.Or(f.Lease, defaultLease), cmp.Or(f.OrdersPart, defaultOrdersPart)
-	if f.Name == "" || len(f.Name) > member.MostName {
-		s.Bad(section+"name", "expected the fleet's name, of 1 to %d bytes, got %q", member.MostName, f.Name)
+	if f.Name == "" || len(f.Name) > member.MaxNameBytes {
+		s.Bad(section+"name", "expected the fleet's name, of 1 to %d bytes, got %q", member.MaxNameBytes, f.Name)
 	}
 	f.addr = parseAddress(s, section+"address", f.Address)
 	if len(f.Peers) > maxPeers {
@@ -103,7 +103,7 @@
 // parseAddress parses an IP:port at which a balancer can be reached, and reports an unusable one as a fault of the key.
 func parseAddress(s *strict.File, key, text string) netip.AddrPort {
 	a, err := netip.ParseAddrPort(text)
-	if err != nil || !member.Usable(a) {
+	if err != nil || !member.IsUsableAddr(a) {
 		requirement := "a port of 1 to 65535 and an address that others can reach, no wildcard"
 		s.Bad(key, "expected IP:port with %s, got %q", requirement, text)
 		return netip.AddrPort{}
@@ -112,8 +112,8 @@
 }
 
 // Terms returns the configuration of the transport and of the membership for one process of a balancer.
-func (f *Fleet) Terms(self member.Record, expected int, seed uint64) (carry.Terms, member.Terms) {
+func (f *Fleet) Terms(self member.Record, expected int, seed uint64) (carry.Terms, member.Config) {
 	self.Addr = f.addr
-	return carry.Terms{Fleet: f.Name, Key: f.key}, member.Terms{Self: self, Expected: expected, Seeds: f.peers, Via: f.via,
-		Period: f.Period.D(), Suspect: f.Suspect.D(), Budget: f.Budget, Most: max(minMemberCapacity, 4*expected), Seed: seed}
+	return carry.Terms{Fleet: f.Name, Key: f.key}, member.Config{Self: self, ExpectedMembers: expected, Seeds: f.peers, AddressOverrides: f.via,
+		ProbeInterval: f.Period.D(), SuspicionTimeout: f.Suspect.D(), GossipBytesPerSecond: f.Budget, MaxMembers: max(minMemberCapacity, 4*expected), Seed: seed}
 }
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -118,7 +118,7 @@
 
 func (d *Day) at(at time.Duration, do func()) { d.moments = append(d.moments, moment{at, do}) }
 
-func lifeName(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
+func lifeName(l member.ProcessID) string { return fmt.Sprintf("%016x", uint64(l)) }
 
 func (d *Day) start(i int) {
 	if d.Mates[i].Machine != nil {
@@ -128,7 +128,7 @@
 	d.Start(i)
 	d.lost = false
 	d.life[i] = len(d.rec.Mates)
-	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: lifeName(d.Mates[i].Life()), From: d.Now})
+	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: lifeName(d.Mates[i].ProcessID()), From: d.Now})
 }
 
 func (d *Day) end(i int, leave bool) {
@@ -164,8 +164,8 @@
 			continue
 		}
 		v := m.View()
-		to := record.View{Balancer: i, At: d.Now, Life: lifeName(v.Self.Life), Situation: v.Situation.String(), Digest: lifeName(member.Life(v.Digest)),
-			Rival: v.Rival.Life != 0}
+		to := record.View{Balancer: i, At: d.Now, Life: lifeName(v.Self.Life), Situation: v.Situation.String(), Digest: lifeName(member.ProcessID(v.Digest)),
+			Rival: v.NameConflict.Life != 0}
 		for _, o := range v.Members {
 			to.Mates = append(to.Mates, record.Mate{Name: o.Name, Life: lifeName(o.Life), State: o.State.String()})
 		}
--- a/internal/rehearsal/gather/gather_test.go
+++ b/internal/rehearsal/gather/gather_test.go
@@ -66,11 +66,11 @@
 	p.Start(5)
 	p.Run(p.Now + 5*time.Second)
 	older, newer := p.Mates[0].View(), p.Mates[5].View()
-	if older.Situation != member.Unsure || older.Rival.Addr != addr(5) || newer.Rival.Addr != addr(0) {
-		t.Errorf("older %v %v, newer %v %v", older.Situation, older.Rival, newer.Situation, newer.Rival)
+	if older.Situation != member.Unsure || older.NameConflict.Addr != addr(5) || newer.NameConflict.Addr != addr(0) {
+		t.Errorf("older %v %v, newer %v %v", older.Situation, older.NameConflict, newer.Situation, newer.NameConflict)
 	}
 	for i := 1; i < 5; i++ {
-		if p.Mates[i].Holds(p.Mates[0].Life()) || !p.Mates[i].Holds(p.Mates[5].Life()) {
+		if p.Mates[i].IsPresent(p.Mates[0].ProcessID()) || !p.Mates[i].IsPresent(p.Mates[5].ProcessID()) {
 			t.Errorf("%s does not hold the newer one alone", record.MateName(i))
 		}
 	}
@@ -82,7 +82,7 @@
 	p.Whole(time.Minute)
 	told := make([]int, 6)
 	p.On = func(mate int, e member.Event) {
-		if e.What == "verdict" {
+		if e.Kind == "verdict" {
 			told[mate]++
 		}
 	}
--- a/internal/rehearsal/gather/measure.go
+++ b/internal/rehearsal/gather/measure.go
@@ -24,7 +24,7 @@
 const Never = time.Hour
 
 // holds tells whether a mate's view has another present.
-func (p *Play) holds(of int, l member.Life) bool { return p.Mates[of].Holds(l) }
+func (p *Play) holds(of int, l member.ProcessID) bool { return p.Mates[of].IsPresent(l) }
 
 // Whole starts a fleet and lets it find itself. It tells whether all see all then.
 func (p *Play) Whole(within time.Duration) bool {
@@ -65,7 +65,7 @@
 		if m == nil {
 			continue
 		}
-		seen, d := m.Seen()
+		seen, d := m.PresentCount()
 		if seen != n || !first && d != digest {
 			return false
 		}
@@ -82,7 +82,7 @@
 	}
 	p.Run(p.Now + 5*time.Second)
 	i := p.dice.IntN(t.Mates)
-	l := p.Mates[i].Life()
+	l := p.Mates[i].ProcessID()
 	p.Kill(i)
 	at := p.Now
 	first = Never
@@ -158,9 +158,9 @@
 	}
 	p.On = func(_ int, e member.Event) {
 		switch {
-		case e.What == "verdict":
+		case e.Kind == "verdict":
 			c.Deaths++
-		case e.What == "state" && e.To == member.Suspected:
+		case e.Kind == "state" && e.To == member.Suspected:
 			c.Suspicions++
 		}
 	}
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -105,13 +105,13 @@
 	}
 	m.Starts++
 	p.lives++
-	t := member.Terms{Expected: p.terms.Mates, Period: p.terms.Period, Suspect: p.terms.Suspect, Budget: p.terms.Budget,
-		Most: 4*p.terms.Mates + 64, Seed: p.dice.Uint64()}
+	t := member.Config{ExpectedMembers: p.terms.Mates, ProbeInterval: p.terms.Period, SuspicionTimeout: p.terms.Suspect, GossipBytesPerSecond: p.terms.Budget,
+		MaxMembers: 4*p.terms.Mates + 64, Seed: p.dice.Uint64()}
 	name := record.MateName(i)
 	if other, ok := p.names[i]; ok {
 		name = record.MateName(other)
 	}
-	t.Self = member.Record{Life: member.NewLife(p.Now.Milliseconds()+1, p.lives), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
+	t.Self = member.Record{Life: member.NewProcessID(p.Now.Milliseconds()+1, p.lives), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
 	for s := range min(p.terms.Seeds, p.terms.Mates) {
 		if p.lost {
 			s += p.terms.Mates
@@ -123,7 +123,7 @@
 	m.Stalled, m.held, m.armed = 0, nil, 0
 	p.take(i)
 	if s := p.Shares; s != nil {
-		m.Share = share.New(share.Terms{Self: m.Machine.Life(), Among: p.terms.Mates, Names: s.Names, Bound: s.Bound, Grain: s.Grain, Floor: s.Floor, Lease: s.Lease,
+		m.Share = share.New(share.Terms{Self: m.Machine.ProcessID(), Among: p.terms.Mates, Names: s.Names, Bound: s.Bound, Grain: s.Grain, Floor: s.Floor, Lease: s.Lease,
 			First: uint64(p.Now/time.Microsecond) + 1, Seed: p.dice.Uint64()}, p.Now)
 		p.push(event{at: p.Now + time.Duration(p.dice.Int64N(int64(share.Turn))), kind: turn, to: int32(i), gen: m.gen})
 	}
@@ -135,7 +135,7 @@
 	for name := range p.Shares.Names {
 		m.Share.Need(p.Now, name, p.Shares.Need(i, name, p.Now))
 	}
-	lives, _ := m.Machine.Members()
+	lives, _ := m.Machine.AliveMembers()
 	m.Share.Tick(p.Now, lives)
 	p.takeShare(i)
 	if p.Wrong != nil {
@@ -151,7 +151,7 @@
 func (p *Play) takeShare(i int) {
 	m := p.Mates[i]
 	for _, s := range m.Share.Out() {
-		at, ok := m.Machine.Letter(s.To)
+		at, ok := m.Machine.Envelope(s.To)
 		if !ok {
 			continue
 		}
@@ -165,7 +165,7 @@
 		if own := p.ways[[2]int{i, to}]; own != nil {
 			w = own
 		}
-		l := &parcel{m.Machine.Life(), s.To, s.Msg}
+		l := &parcel{m.Machine.ProcessID(), s.To, s.Msg}
 		for _, d := range w.Pass(p.Now, n) {
 			if !d.Spoilt {
 				p.push(event{at: d.At, kind: letter, to: int32(to), from: int32(i), share: l})
@@ -176,7 +176,7 @@
 
 // parcel is a letter about parts on its way.
 type parcel struct {
-	from, to member.Life
+	from, to member.ProcessID
 	msg      share.Message
 }
 
@@ -249,11 +249,11 @@
 	case deliver:
 		if p.Twist != nil {
 			msg := *e.msg
-			msg.Rumours, msg.Records = slices.Clone(msg.Rumours), slices.Clone(msg.Records)
+			msg.Updates, msg.Records = slices.Clone(msg.Updates), slices.Clone(msg.Records)
 			p.Twist(int(e.to), true, &msg)
 			e.msg = &msg
 		}
-		m.Machine.Hear(p.Now, addr(int(e.from)), e.msg)
+		m.Machine.Receive(p.Now, addr(int(e.from)), e.msg)
 	case tick:
 		if m.armed != e.at { // another has taken its place
 			return
@@ -279,7 +279,7 @@
 				p.hearShare(int(e.to), h.share)
 				continue
 			}
-			m.Machine.Hear(p.Now, addr(int(h.from)), h.msg)
+			m.Machine.Receive(p.Now, addr(int(h.from)), h.msg)
 			p.take(int(e.to))
 		}
 		m.Machine.Tick(p.Now)
@@ -289,7 +289,7 @@
 
 func (p *Play) hearShare(i int, l *parcel) {
 	m := p.Mates[i]
-	if m.Share != nil && l.to == m.Machine.Life() && m.Machine.Holds(l.from) {
+	if m.Share != nil && l.to == m.Machine.ProcessID() && m.Machine.IsPresent(l.from) {
 		m.Share.Hear(p.Now, l.from, &l.msg)
 		p.takeShare(i)
 	}
@@ -298,7 +298,7 @@
 // take moves what a machine sends and tells, and arms its next turn.
 func (p *Play) take(i int) {
 	m := p.Mates[i]
-	sends, events := m.Machine.Out()
+	sends, events := m.Machine.TakeOutput()
 	for k := range sends {
 		s := &sends[k]
 		if p.Twist != nil {
--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -38,8 +38,8 @@
 		t.Fatal(err)
 	}
 	const wrong = 1
-	named := func(p *Play, l member.Life) int { // whose life it is
-		return slices.IndexFunc(p.Mates, func(m *Mate) bool { return m.Machine != nil && m.Life() == l })
+	named := func(p *Play, l member.ProcessID) int { // whose life it is
+		return slices.IndexFunc(p.Mates, func(m *Mate) bool { return m.Machine != nil && m.ProcessID() == l })
 	}
 	for name, row := range map[string]struct {
 		twist func(p *Play, mate int, in bool, msg *member.Message)
@@ -47,39 +47,39 @@
 	}{
 		"right": {func(*Play, int, bool, *member.Message) {}, nil},
 		"does not hear of newcomers": {func(p *Play, mate int, in bool, msg *member.Message) {
-			old := func(l member.Life) bool { return p.Now > 4*time.Second && named(p, l) == 3 }
+			old := func(l member.ProcessID) bool { return p.Now > 4*time.Second && named(p, l) == 3 }
 			if mate != wrong || !in {
 				return
 			}
 			msg.Records = slices.DeleteFunc(msg.Records, func(r member.Record) bool { return old(r.Life) })
-			msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return old(r.Life) })
+			msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return old(r.Life) })
 		}, []judge.Rule{judge.MatesKnown}},
 		"declares one dead without cause": {func(p *Play, mate int, in bool, msg *member.Message) {
 			if mate == wrong && in && p.Now > 15*time.Second && p.Mates[2].Machine != nil {
-				l := p.Mates[2].Life()
-				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.Life == l })
-				msg.Rumours = append(msg.Rumours, member.Rumour{Life: l, Inc: member.MostInc - 1, State: member.Dead})
+				l := p.Mates[2].ProcessID()
+				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.Life == l })
+				msg.Updates = append(msg.Updates, member.StateUpdate{Life: l, Inc: member.MaxIncarnation - 1, State: member.Dead})
 				if msg.From == l {
 					msg.From = 0 // nor does it hear the one itself
 				}
 			} else if mate == wrong && !in {
-				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.State == member.Dead })
+				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.State == member.Dead })
 			}
 		}, []judge.Rule{judge.MatesAlive}},
 		"never gives up the dead": {func(p *Play, mate int, in bool, msg *member.Message) {
 			if mate != wrong || !in {
 				return
 			}
-			msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.State != member.Alive })
+			msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.State != member.Alive })
 			if msg.Kind == member.Nack {
 				msg.Kind = member.Ack // what others could not reach it takes for reached
 			}
 		}, []judge.Rule{judge.MatesDead}},
 		"sees one that nobody else sees": {func(p *Play, mate int, in bool, msg *member.Message) {
 			if mate == wrong && in && p.Now > 10*time.Second {
-				msg.Records = append(msg.Records, member.Record{Life: 1<<40 + member.Life(p.Now/time.Second)<<2, Name: "ghost", Addr: addr(2)})
+				msg.Records = append(msg.Records, member.Record{Life: 1<<40 + member.ProcessID(p.Now/time.Second)<<2, Name: "ghost", Addr: addr(2)})
 			} else if mate == wrong {
-				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return named(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
+				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return named(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
 			}
 		}, []judge.Rule{judge.MatesSame}},
 		"talks without end": {func(p *Play, mate int, in bool, msg *member.Message) {
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -38,8 +38,8 @@
 }
 
 // life is a mark for a process of a balancer in these letters.
-func (e *evidenceOf) life(i int) member.Life {
-	return member.Life(uint64(e.d.balancers[i].lives)<<32 | uint64(i+1))
+func (e *evidenceOf) life(i int) member.ProcessID {
+	return member.ProcessID(uint64(e.d.balancers[i].lives)<<32 | uint64(i+1))
 }
 
 func (e *evidenceOf) zone(i int) string { return e.d.Fleet.Zones[e.d.balancers[i].zone] }
