--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -17,7 +17,7 @@
 
 	mu        sync.Mutex
 	machine   *evidence.Machine
-	transport *carry.Carrier
+	transport *carry.Transport
 	stop      chan struct{}
 	delivered []evidence.Word // what the policy has been given last
 }
@@ -30,7 +30,7 @@
 }
 
 // startObservations starts to send and receive observations over a transport.
-func (b *Balancer) startObservations(transport *carry.Carrier) {
+func (b *Balancer) startObservations(transport *carry.Transport) {
 	o := b.observations
 	if o == nil {
 		return
@@ -40,8 +40,8 @@
 	o.transport, o.stop = transport, stop
 	o.machine = evidence.New(evidence.Terms{Self: transport.Self(), Zone: transport.View().Self.Zone})
 	o.mu.Unlock()
-	transport.On(carry.TopicEvidence, func(from member.ProcessID, body []byte) {
-		if m, ok := carry.DecodeEvidence(body); ok {
+	transport.Handle(carry.TopicObservations, func(from member.ProcessID, body []byte) {
+		if m, ok := carry.DecodeObservations(body); ok {
 			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Hear(now, from, m) })
 		}
 	})
@@ -69,7 +69,7 @@
 }
 
 // exchangeObservations sends this balancer's observations to the others and passes theirs on to the policy.
-func (b *Balancer) exchangeObservations(transport *carry.Carrier) {
+func (b *Balancer) exchangeObservations(transport *carry.Transport) {
 	var peers []evidence.Peer
 	for _, m := range transport.View().Members {
 		if m.State == member.Alive || m.State == member.Suspected {
@@ -86,7 +86,7 @@
 	}
 	o.machine.Tick(time.Since(o.epoch), peers, listed)
 	for _, send := range o.machine.Out() {
-		o.transport.Tell(send.To, carry.TopicEvidence, carry.EncodeEvidence(&send.Msg))
+		o.transport.Send(send.To, carry.TopicObservations, carry.EncodeObservations(&send.Msg))
 	}
 	b.deliverObservations(o.machine.Words())
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -18,7 +18,7 @@
 type fleetMembership struct {
 	settings   *operator.Fleet
 	mu         sync.Mutex
-	transport  *carry.Carrier
+	transport  *carry.Transport
 	savedState *member.HandoverState // the state at the time when this process handed the membership over
 }
 
@@ -57,7 +57,7 @@
 	if f.transport == nil {
 		return nil
 	}
-	encoded, _ := json.Marshal(f.transport.Keep())
+	encoded, _ := json.Marshal(f.transport.HandoverState())
 	return encoded
 }
 
@@ -83,7 +83,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.transport != nil {
-		saved := f.transport.Keep()
+		saved := f.transport.HandoverState()
 		f.transport.Close()
 		f.transport, f.savedState = nil, &saved
 	}
@@ -125,7 +125,7 @@
 }
 
 // fleetTransport returns the transport, or an error with the reason if there is none.
-func (b *Balancer) fleetTransport() (*carry.Carrier, error) {
+func (b *Balancer) fleetTransport() (*carry.Transport, error) {
 	f := &b.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -173,7 +173,7 @@
 	}
 	view, counts := transport.View(), transport.Counts()
 	stats := &admin.Fleet{Situation: view.Situation.String(), Expected: view.ExpectedMembers, States: map[string]int{member.Alive.String(): 1},
-		Sent: counts.Sent, SentBytes: counts.SentBytes, Heard: counts.Heard, HeardBytes: counts.HeardBytes, Dropped: counts.Dropped}
+		Sent: counts.Sent, SentBytes: counts.SentBytes, Heard: counts.Received, HeardBytes: counts.ReceivedBytes, Dropped: counts.Dropped}
 	for _, m := range view.Members {
 		stats.States[m.State.String()]++
 	}
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -30,7 +30,7 @@
 	mu             sync.Mutex
 	epoch          time.Time
 	machine        *share.Machine
-	transport      *carry.Carrier
+	transport      *carry.Transport
 	recentArrivals [][share.NeedTurns]int64 // requests of each customer in the last periods
 	slot           int                      // of the present period in recentArrivals
 	stop           chan struct{}
@@ -63,7 +63,7 @@
 func (l *limitShares) now() share.Moment { return time.Since(l.epoch) }
 
 // startSharing starts to borrow and lend shares over a transport.
-func (b *Balancer) startSharing(transport *carry.Carrier) {
+func (b *Balancer) startSharing(transport *carry.Transport) {
 	l := b.limitShares
 	if l == nil {
 		return
@@ -77,7 +77,7 @@
 	l.machine.Beside(b.upgrade.older != nil)
 	l.mu.Unlock()
 	b.upgrade.mu.Unlock()
-	transport.On(carry.TopicShares, func(from member.ProcessID, body []byte) {
+	transport.Handle(carry.TopicShares, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeShares(body); ok {
 			b.updateShares(func(machine *share.Machine, now share.Moment) { machine.Hear(now, from, m) })
 		}
@@ -114,7 +114,7 @@
 }
 
 // runSharing measures the need for each limit and adjusts the shares in every period, until it is stopped.
-func (b *Balancer) runSharing(transport *carry.Carrier, stop <-chan struct{}) {
+func (b *Balancer) runSharing(transport *carry.Transport, stop <-chan struct{}) {
 	l := b.limitShares
 	t := time.NewTicker(share.Turn)
 	defer t.Stop()
@@ -124,7 +124,7 @@
 		case <-stop:
 			return
 		}
-		members, _ := transport.Members()
+		members, _ := transport.AliveMembers()
 		b.updateShares(func(machine *share.Machine, now share.Moment) {
 			l.slot = (l.slot + 1) % share.NeedTurns
 			for i := range l.arrivals {
@@ -155,7 +155,7 @@
 	sends := l.machine.Out()
 	b.applyShares() // first, so that a lent share is no longer used here when the borrower receives it
 	for i := range sends {
-		l.transport.Tell(sends[i].To, carry.TopicShares, carry.EncodeShares(&sends[i].Msg))
+		l.transport.Send(sends[i].To, carry.TopicShares, carry.EncodeShares(&sends[i].Msg))
 	}
 }
 
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -28,7 +28,7 @@
 
 	mu          sync.Mutex // serializes inputs; taken before upgrade.mu
 	machine     *fleetorder.Machine
-	transport   *carry.Carrier
+	transport   *carry.Transport
 	stop        chan struct{}
 	lastOrderAt time.Time // when the admin API of this balancer was given the last order
 	unsaved     bool      // the file lacks some of the orders held here, so nothing is sent to other balancers
@@ -43,7 +43,7 @@
 }
 
 // startExclusionOrders loads the saved orders and starts to exchange orders over a transport.
-func (b *Balancer) startExclusionOrders(transport *carry.Carrier) {
+func (b *Balancer) startExclusionOrders(transport *carry.Transport) {
 	o := b.fleetOrders
 	if o == nil {
 		return
@@ -58,7 +58,7 @@
 	o.transport, o.stop = transport, stop
 	o.machine = fleetorder.New(fleetorder.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
-	transport.On(carry.TopicOrders, func(from member.ProcessID, body []byte) {
+	transport.Handle(carry.TopicOrders, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
 			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Hear(now, from, m) })
 		}
@@ -67,7 +67,7 @@
 		t := time.NewTicker(fleetorder.Turn)
 		defer t.Stop()
 		for {
-			members, _ := transport.Members()
+			members, _ := transport.AliveMembers()
 			b.updateExclusionOrders(true, func(machine *fleetorder.Machine, now fleetorder.Moment) {
 				machine.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
 			})
@@ -127,7 +127,7 @@
 		return saveErr
 	}
 	for i := range sends {
-		o.transport.Tell(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
+		o.transport.Send(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
 	}
 	return nil
 }
@@ -168,7 +168,7 @@
 	_, err = o.machine.Give(id, exclude, options.Force, listed)
 	if err == nil {
 		o.lastOrderAt = time.Now()
-		members, _ := o.transport.Members()
+		members, _ := o.transport.AliveMembers()
 		o.machine.Tick(time.Since(o.epoch), members, true)
 		err = b.processOrders(false)
 	}
--- a/internal/fleet/carry/carry.go
+++ b/internal/fleet/carry/carry.go
@@ -13,14 +13,14 @@
 	"streamrail/internal/fleet/member"
 )
 
-// Terms is the operator's configuration of the transport.
-type Terms struct {
+// Config is the operator's configuration of the transport.
+type Config struct {
 	Fleet string
 	Key   []byte // may be empty
 }
 
-// Carrier is one balancer's UDP transport to the other members of its fleet, together with its membership state.
-type Carrier struct {
+// Transport is one balancer's UDP transport to the other members of its fleet, together with its membership state.
+type Transport struct {
 	log         zerolog.Logger
 	conn        *net.UDPConn
 	epoch       time.Time
@@ -39,8 +39,8 @@
 
 // Counts has the numbers of datagrams since the start.
 type Counts struct {
-	Sent, SentBytes, Heard, HeardBytes int64
-	Dropped                            map[string]int64 // by reason
+	Sent, SentBytes, Received, ReceivedBytes int64
+	Dropped                                  map[string]int64 // by reason
 }
 
 // counterHeadroom exceeds the number of datagrams that an older process sends between handing over its state and ending. It is
@@ -53,8 +53,8 @@
 const bindTimeout = 2 * time.Second
 
 // Open binds the address and starts to take part in the membership protocol. kept is the state handed over by an older process.
-func Open(t Terms, m member.Config, kept *member.HandoverState, log zerolog.Logger) (*Carrier, error) {
-	c := &Carrier{log: log, epoch: time.Now(), rescheduled: make(chan struct{}, 1), ended: make(chan struct{}), codec: newCodec(t.Fleet, t.Key)}
+func Open(t Config, m member.Config, kept *member.HandoverState, log zerolog.Logger) (*Transport, error) {
+	c := &Transport{log: log, epoch: time.Now(), rescheduled: make(chan struct{}, 1), ended: make(chan struct{}), codec: newCodec(t.Fleet, t.Key)}
 	c.counts.Dropped, c.handlers = map[string]int64{}, map[uint8]func(member.ProcessID, []byte){}
 	until := time.Now().Add(bindTimeout)
 	for {
@@ -77,10 +77,10 @@
 	return c, nil
 }
 
-func (c *Carrier) now() member.Moment { return time.Since(c.epoch) }
+func (c *Transport) now() member.Moment { return time.Since(c.epoch) }
 
 // apply passes an input to the membership machine and sends the resulting messages.
-func (c *Carrier) apply(input func(m *member.Machine, now member.Moment)) {
+func (c *Transport) apply(input func(m *member.Machine, now member.Moment)) {
 	type datagram struct {
 		to   netip.AddrPort
 		data []byte
@@ -115,7 +115,7 @@
 }
 
 // logEvent logs a membership event.
-func (c *Carrier) logEvent(e member.Event) {
+func (c *Transport) logEvent(e member.Event) {
 	line := c.log.Info()
 	if e.Kind == "name-taken" || e.Kind == "name-shared" || e.Kind == "stalled" {
 		line = c.log.Warn()
@@ -128,7 +128,7 @@
 }
 
 // receiveLoop reads datagrams until the socket is closed.
-func (c *Carrier) receiveLoop() {
+func (c *Transport) receiveLoop() {
 	defer c.done.Done()
 	buf := make([]byte, member.MaxDatagramBytes+1) // one byte more, to detect datagrams that are too long
 	for {
@@ -144,8 +144,8 @@
 		var sender member.ProcessID
 		var handler func(member.ProcessID, []byte)
 		c.apply(func(m *member.Machine, now member.Moment) {
-			c.counts.Heard++
-			c.counts.HeardBytes += int64(n)
+			c.counts.Received++
+			c.counts.ReceivedBytes += int64(n)
 			msg, got, err := c.codec.decode(buf[:n], m.ProcessID(), time.Now())
 			if err != nil {
 				c.counts.Dropped[err.Error()]++
@@ -162,15 +162,15 @@
 	}
 }
 
-// On registers the handler for messages on a topic that members send with Tell.
-func (c *Carrier) On(topic uint8, handler func(from member.ProcessID, body []byte)) {
+// Handle registers the handler for messages on a topic that members send with Tell.
+func (c *Transport) Handle(topic uint8, handler func(from member.ProcessID, body []byte)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.handlers[topic] = handler
 }
 
-// Tell sends a message on a topic to a member. It may be lost.
-func (c *Carrier) Tell(to member.ProcessID, topic uint8, body []byte) {
+// Send sends a message on a topic to a member. It may be lost.
+func (c *Transport) Send(to member.ProcessID, topic uint8, body []byte) {
 	c.mu.Lock()
 	s, ok := c.machine.Envelope(to)
 	var data []byte
@@ -190,22 +190,22 @@
 	}
 }
 
-// Members returns the processes alive in the view, without this one, and the situation.
-func (c *Carrier) Members() ([]member.ProcessID, member.Situation) {
+// AliveMembers returns the processes alive in the view, without this one, and the situation.
+func (c *Transport) AliveMembers() ([]member.ProcessID, member.Situation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.AliveMembers()
 }
 
 // Self returns this process's identifier. It can change, when another process at this address turns out to have had a greater one.
-func (c *Carrier) Self() member.ProcessID {
+func (c *Transport) Self() member.ProcessID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machine.ProcessID()
 }
 
 // tickLoop calls the machine's Tick when it is due.
-func (c *Carrier) tickLoop() {
+func (c *Transport) tickLoop() {
 	defer c.done.Done()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -225,7 +225,7 @@
 }
 
 // View returns the present view.
-func (c *Carrier) View() member.View {
+func (c *Transport) View() member.View {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	v := c.machine.View()
@@ -234,7 +234,7 @@
 }
 
 // Counts returns the numbers since the start.
-func (c *Carrier) Counts() Counts {
+func (c *Transport) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := c.counts
@@ -242,8 +242,8 @@
 	return n
 }
 
-// Keep returns the state that a newer process of this member takes over.
-func (c *Carrier) Keep() member.HandoverState {
+// HandoverState returns the state that a newer process of this member takes over.
+func (c *Transport) HandoverState() member.HandoverState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	k := c.machine.HandoverState()
@@ -252,7 +252,7 @@
 }
 
 // Leave announces that this balancer is ending, twice as a datagram may be lost, and closes the transport.
-func (c *Carrier) Leave() {
+func (c *Transport) Leave() {
 	for range 2 {
 		c.apply(func(m *member.Machine, now member.Moment) { m.Leave(now) })
 	}
@@ -260,7 +260,7 @@
 }
 
 // Close stops the transport without announcing it.
-func (c *Carrier) Close() {
+func (c *Transport) Close() {
 	c.once.Do(func() {
 		close(c.ended)
 		c.conn.Close()
--- a/internal/fleet/carry/evidence.go
+++ b/internal/fleet/carry/evidence.go
@@ -6,8 +6,8 @@
 	"streamrail/internal/fleet/evidence"
 )
 
-// TopicEvidence is the topic of the messages of package evidence: the outcomes of attempts at cache hosts.
-const TopicEvidence = 3
+// TopicObservations is the topic of the messages of package evidence: the outcomes of attempts at cache hosts.
+const TopicObservations = 3
 
 // observations is the encoded form of evidence.Message.
 type observations struct {
@@ -22,8 +22,8 @@
 	Good, Bad uint32
 }
 
-// EncodeEvidence encodes a message of package evidence.
-func EncodeEvidence(m *evidence.Message) []byte {
+// EncodeObservations encodes a message of package evidence.
+func EncodeObservations(m *evidence.Message) []byte {
 	out := observations{N: m.N, At: int64(m.At)}
 	for _, r := range m.Rows {
 		out.Rows = append(out.Rows, observationRow{Host: r.Host, Good: uint32(r.Good), Bad: uint32(r.Bad)})
@@ -32,8 +32,8 @@
 	return data
 }
 
-// DecodeEvidence decodes a message of package evidence. It returns false where the data is not a valid one.
-func DecodeEvidence(data []byte) (*evidence.Message, bool) {
+// DecodeObservations decodes a message of package evidence. It returns false where the data is not a valid one.
+func DecodeObservations(data []byte) (*evidence.Message, bool) {
 	var s observations
 	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
