--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -56,15 +56,15 @@
 	stop := make(chan struct{})
 	o.mu.Lock()
 	o.transport, o.stop = transport, stop
-	o.machine = fleetorder.New(fleetorder.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
+	o.machine = fleetorder.New(fleetorder.Config{Self: transport.Self(), Name: b.deployment.Name, MaxExcludedFraction: o.maxExcludedShare, StoredOrders: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
 	transport.Handle(carry.TopicOrders, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
-			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Hear(now, from, m) })
+			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Receive(now, from, m) })
 		}
 	})
 	go func() {
-		t := time.NewTicker(fleetorder.Turn)
+		t := time.NewTicker(fleetorder.TickInterval)
 		defer t.Stop()
 		for {
 			members, _ := transport.AliveMembers()
@@ -110,7 +110,7 @@
 // processOrders carries out the results of an input. The caller holds fleetOrders.mu.
 func (b *Balancer) processOrders(periodic bool) (saveErr error) {
 	o := b.fleetOrders
-	sends, newOrders := o.machine.Out(), o.machine.News()
+	sends, newOrders := o.machine.TakeOutput(), o.machine.TakeChanges()
 	if len(newOrders) > 0 || o.unsaved {
 		if saveErr = handover.Save(o.file, o.machine.All()); saveErr != nil && !o.unsaved {
 			b.log.Warn().Err(saveErr).Str("file", o.file).Msg("the exclusion orders of the fleet cannot be saved, not confirming them to other balancers")
@@ -165,7 +165,7 @@
 		o.mu.Unlock()
 		return "", admin.ErrHanded
 	}
-	_, err = o.machine.Give(id, exclude, options.Force, listed)
+	_, err = o.machine.Submit(id, exclude, options.Force, listed)
 	if err == nil {
 		o.lastOrderAt = time.Now()
 		members, _ := o.transport.AliveMembers()
@@ -174,7 +174,7 @@
 	}
 	o.mu.Unlock()
 	switch {
-	case errors.Is(err, fleetorder.ErrTooMany), errors.Is(err, fleetorder.ErrFull):
+	case errors.Is(err, fleetorder.ErrTooManyExcluded), errors.Is(err, fleetorder.ErrTooManyOrders):
 		return "", err // nothing has changed
 	case err != nil:
 		return "", fmt.Errorf("in force here, not kept and not told to others: %w", err)
@@ -233,7 +233,7 @@
 	if o.machine == nil {
 		return shown, admin.ErrHanded
 	}
-	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
+	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Digest()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
 		Conflicts: []admin.Conflict{}}
 	wanted := o.machine.Excluded(listed)
 	show := func(order fleetorder.Order) admin.Order {
--- a/internal/fleet/carry/carry.go
+++ b/internal/fleet/carry/carry.go
@@ -162,7 +162,7 @@
 	}
 }
 
-// Handle registers the handler for messages on a topic that members send with Tell.
+// Handle registers the handler for messages on a topic that members send with Send.
 func (c *Transport) Handle(topic uint8, handler func(from member.ProcessID, body []byte)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/carry/codec_test.go
+++ b/internal/fleet/carry/codec_test.go
@@ -180,7 +180,7 @@
 // exceeded the decoder's limit.
 func TestOrdersComeThrough(t *testing.T) {
 	o := order.Order{Host: "h", ID: order.ID{Count: 7, By: 9}, Out: true, Force: true, Door: "n0", Past: []order.ID{{Count: 6, By: 1 << 60}, {Count: 5, By: 2}}}
-	m := &order.Message{Sum: 1 << 63, Answer: true, Orders: []order.Order{o, o}}
+	m := &order.Message{Digest: 1 << 63, IsReply: true, Orders: []order.Order{o, o}}
 	if got, ok := DecodeOrders(EncodeOrders(m)); !ok || !reflect.DeepEqual(got, m) {
 		t.Errorf("%+v %v, expected %+v", got, ok, m)
 	}
--- a/internal/fleet/carry/orders.go
+++ b/internal/fleet/carry/orders.go
@@ -30,7 +30,7 @@
 
 // EncodeOrders encodes a message of package order.
 func EncodeOrders(m *order.Message) []byte {
-	out := orderMessage{Sum: m.Sum, Answer: m.Answer}
+	out := orderMessage{Sum: m.Digest, Answer: m.IsReply}
 	for _, o := range m.Orders {
 		row := exclusionOrder{Host: o.Host, Count: o.Count, By: uint64(o.By), Out: o.Out, Force: o.Force, Door: o.Door}
 		for _, p := range o.Past {
@@ -48,13 +48,13 @@
 	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
 	}
-	m := &order.Message{Sum: s.Sum, Answer: s.Answer}
+	m := &order.Message{Digest: s.Sum, IsReply: s.Answer}
 	for _, row := range s.Orders {
 		o := order.Order{Host: row.Host, ID: order.ID{Count: row.Count, By: member.ProcessID(row.By)}, Out: row.Out, Force: row.Force, Door: row.Door}
 		for k := 1; k < len(row.Past); k += 2 {
 			o.Past = append(o.Past, order.ID{Count: row.Past[k-1], By: member.ProcessID(row.Past[k])})
 		}
-		if !o.Usable() || len(row.Past)%2 != 0 {
+		if !o.IsValid() || len(row.Past)%2 != 0 {
 			return nil, false
 		}
 		m.Orders = append(m.Orders, o)
--- a/internal/fleet/order/explore_test.go
+++ b/internal/fleet/order/explore_test.go
@@ -40,13 +40,13 @@
 func (w *model) start(i int, stored []Order) {
 	w.lastID++
 	w.ids[i] = w.lastID
-	w.balancers[i] = New(Terms{Self: w.lastID, Part: 1, Kept: stored})
+	w.balancers[i] = New(Config{Self: w.lastID, MaxExcludedFraction: 1, StoredOrders: stored})
 	w.flush(i)
 }
 
 func (w *model) flush(i int) {
-	w.balancers[i].News()
-	for _, s := range w.balancers[i].Out() {
+	w.balancers[i].TakeChanges()
+	for _, s := range w.balancers[i].TakeOutput() {
 		for k := range w.balancers {
 			if w.ids[k] == s.To && len(w.inFlight) < 4 {
 				w.inFlight = append(w.inFlight, packet{from: w.ids[i], to: s.To, receiver: k, msg: s.Msg})
@@ -67,7 +67,7 @@
 	l := w.inFlight[k]
 	w.inFlight = slices.Delete(w.inFlight, k, k+1)
 	if w.ids[l.receiver] == l.to {
-		w.balancers[l.receiver].Hear(0, l.from, &l.msg)
+		w.balancers[l.receiver].Receive(0, l.from, &l.msg)
 		w.flush(l.receiver)
 	}
 }
@@ -102,7 +102,7 @@
 	if len(w.confirmed) < 2 {
 		for i := range 2 {
 			do(func(c *model) {
-				o, _ := c.balancers[i].Give("h", i == 0, true, 4)
+				o, _ := c.balancers[i].Submit("h", i == 0, true, 4)
 				c.flush(i)
 				c.confirmed = append(c.confirmed, o)
 			})
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -19,10 +19,10 @@
 // Moment is a time on this process's own monotonic clock.
 type Moment = time.Duration
 
-// Errors that Give returns when it rejects an order.
+// Errors that Submit returns when it rejects an order.
 var (
-	ErrTooMany = errors.New("with this order more cache hosts would be out than the part that is allowed; force it if that is meant")
-	ErrFull    = errors.New("too many orders are held already")
+	ErrTooManyExcluded = errors.New("with this order more cache hosts would be out than the part that is allowed; force it if that is meant")
+	ErrTooManyOrders   = errors.New("too many orders are held already")
 )
 
 // ID identifies an order among those on the same host.
@@ -89,29 +89,29 @@
 	return h.Sum64()
 }
 
-// Usable reports whether an order from a file or another balancer has valid field values.
-func (o *Order) Usable() bool {
+// IsValid reports whether an order from a file or another balancer has valid field values.
+func (o *Order) IsValid() bool {
 	return o.Host != "" && len(o.Host) <= maxHostBytes && len(o.Door) <= maxBalancerNameBytes && o.Count > 0 && o.Count < 1<<48 && o.By != 0 && len(o.Past) <= maxPast
 }
 
-// Terms is the configuration of a Machine; it does not change during the life of a process.
-type Terms struct {
-	Self member.ProcessID
-	Name string  // of this balancer
-	Part float64 // fraction of the hosts that may be excluded without force
-	Kept []Order // orders read from this balancer's file
-	Seed uint64  // of the random choice of peers
+// Config is the configuration of a Machine; it does not change during the life of a process.
+type Config struct {
+	Self                member.ProcessID
+	Name                string  // of this balancer
+	MaxExcludedFraction float64 // fraction of the hosts that may be excluded without force
+	StoredOrders        []Order // orders read from this balancer's file
+	Seed                uint64  // of the random choice of peers
 }
 
 // Message is what one balancer sends another: a digest of all orders it holds, and some of these orders.
 type Message struct {
-	Sum    uint64 // digest of all orders that the sender holds
-	Answer bool   // true for replies and notices: the receiver replies only if the digests differ and it has orders left to send
-	Orders []Order
+	Digest  uint64 // digest of all orders that the sender holds
+	IsReply bool   // true for replies and notices: the receiver replies only if the digests differ and it has orders left to send
+	Orders  []Order
 }
 
-// Send is a message and the member it goes to.
-type Send struct {
+// Outgoing is a message and the member it goes to.
+type Outgoing struct {
 	To  member.ProcessID
 	Msg Message
 }
@@ -130,16 +130,16 @@
 
 // Machine holds a balancer's orders.
 type Machine struct {
-	config      Terms
+	config      Config
 	rng         *rand.Rand
 	orders      []Order  // sorted by host
 	recentHosts []string // hosts of all orders, most recently changed first
 	digest      uint64   // XOR of the digests of all orders
 	peers       []peer   // the other members, sorted by id
-	changes     []Order  // orders adopted since the last call of News
+	changes     []Order  // orders adopted since the last call of TakeChanges
 	conflicts   []Conflict
 	notices     []lossNotice
-	sends       []Send
+	sends       []Outgoing
 }
 
 // lossNotice is an order that lost a conflict, to be sent to one of the two balancers that took the conflicting orders. Without the
@@ -154,8 +154,8 @@
 // noticeRepeats is how often a lossNotice is sent, because datagrams may be lost.
 const noticeRepeats = 3
 
-// Turn is the interval at which Tick is to be called.
-const Turn = 200 * time.Millisecond
+// TickInterval is the interval at which Tick is to be called.
+const TickInterval = 200 * time.Millisecond
 
 const (
 	// peersPerTick is how many peers with a different or unknown digest get a message per tick. The number of balancers that have an
@@ -165,18 +165,18 @@
 	// fleet gets it in the first tick.
 	extraPeersPerTick = 32
 	// resendAfter is the time until a peer that has not answered is sent another message.
-	resendAfter = 2 * Turn
+	resendAfter = 2 * TickInterval
 	// ticksPerIdleSync is the mean number of ticks between messages to a randomly chosen peer that are sent even if no difference is
 	// known, so that an unnoticed difference is found.
 	ticksPerIdleSync = 5
 )
 
-// New returns a Machine that holds the usable orders of Terms.Kept.
-func New(config Terms) *Machine {
+// New returns a Machine that holds the valid orders of Config.StoredOrders.
+func New(config Config) *Machine {
 	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self)))}
-	for i := range config.Kept {
-		if config.Kept[i].Usable() {
-			m.apply(config.Kept[i])
+	for i := range config.StoredOrders {
+		if config.StoredOrders[i].IsValid() {
+			m.apply(config.StoredOrders[i])
 		}
 	}
 	return m
@@ -237,9 +237,9 @@
 	}
 }
 
-// Give takes an operator's order; hosts is the number of cache hosts this balancer knows. An order that repeats the current state
+// Submit takes an operator's order; hosts is the number of cache hosts this balancer knows. An order that repeats the current state
 // still counts as a new one: giving the same order at two balancers is no conflict, and the most recent order takes precedence.
-func (m *Machine) Give(host string, out, force bool, hosts int) (Order, error) {
+func (m *Machine) Submit(host string, out, force bool, hosts int) (Order, error) {
 	o := Order{Host: host, ID: ID{1, m.config.Self}, Out: out, Force: force, Door: m.config.Name}
 	i, held := m.find(host)
 	if held {
@@ -248,10 +248,10 @@
 		o.Past = append([]ID{current.ID}, current.Past...)
 		o.Past = o.Past[:min(len(o.Past), maxPast)]
 	} else if len(m.orders) >= maxOrders {
-		return o, ErrFull
+		return o, ErrTooManyOrders
 	}
 	if n := len(m.unforced()); out && !force && !(held && m.orders[i].Out) && n+1 > m.maxUnforced(hosts) {
-		return o, ErrTooMany
+		return o, ErrTooManyExcluded
 	}
 	m.apply(o)
 	for i := range m.peers {
@@ -261,7 +261,9 @@
 }
 
 // maxUnforced is how many hosts may be excluded without force.
-func (m *Machine) maxUnforced(hosts int) int { return max(1, int(m.config.Part*float64(hosts))) }
+func (m *Machine) maxUnforced(hosts int) int {
+	return max(1, int(m.config.MaxExcludedFraction*float64(hosts)))
+}
 
 // unforced returns the orders that exclude a host without force, in the order in which they count towards maxUnforced.
 func (m *Machine) unforced() (orders []Order) {
@@ -290,10 +292,10 @@
 	return out
 }
 
-// Hear processes a member's message and queues a reply where one is needed.
-func (m *Machine) Hear(now Moment, from member.ProcessID, msg *Message) {
+// Receive processes a member's message and queues a reply where one is needed.
+func (m *Machine) Receive(now Moment, from member.ProcessID, msg *Message) {
 	for _, o := range msg.Orders {
-		if o.Usable() {
+		if o.IsValid() {
 			m.apply(o)
 		}
 	}
@@ -301,12 +303,12 @@
 	if p == nil {
 		return // no longer a member, or not yet one: a member sends again
 	}
-	p.reported, p.digest = true, msg.Sum
+	p.reported, p.digest = true, msg.Digest
 	if p.digest == m.digest {
 		p.sentOrders = 0
 	}
 	switch {
-	case !msg.Answer:
+	case !msg.IsReply:
 		m.sendTo(now, p, true)
 	case p.digest != m.digest && p.sentOrders < len(m.recentHosts): // the peer responds, and has not been sent all orders yet
 		m.sendTo(now, p, false)
@@ -324,7 +326,7 @@
 // sendTo queues a message with this balancer's digest. If the peer's digest differs, the message also carries as many orders as fit,
 // the most recent first; successive messages continue through the list.
 func (m *Machine) sendTo(now Moment, p *peer, answer bool) {
-	msg := Message{Sum: m.digest, Answer: answer}
+	msg := Message{Digest: m.digest, IsReply: answer}
 	if p.digest != m.digest {
 		if p.sentOrders >= len(m.recentHosts) {
 			p.sentOrders = 0
@@ -338,7 +340,7 @@
 		}
 	}
 	p.lastSent = now
-	m.sends = append(m.sends, Send{p.id, msg})
+	m.sends = append(m.sends, Outgoing{p.id, msg})
 }
 
 // Tick takes the present members and queues messages to some of those whose digest differs or is unknown. recentOrder says that this
@@ -363,7 +365,7 @@
 		n := &m.notices[i]
 		n.remaining--
 		if m.peer(n.to) != nil {
-			m.sends = append(m.sends, Send{n.to, Message{Sum: m.digest, Answer: true, Orders: []Order{n.lost}}})
+			m.sends = append(m.sends, Outgoing{n.to, Message{Digest: m.digest, IsReply: true, Orders: []Order{n.lost}}})
 		}
 	}
 	remaining := peersPerTick
@@ -383,11 +385,14 @@
 	}
 }
 
-// Out returns the messages queued since the last call. The orders that News returns must be stored before any of them is sent.
-func (m *Machine) Out() (sends []Send) { sends, m.sends = m.sends, nil; return sends }
+// TakeOutput returns the messages queued since the last call. The orders that TakeChanges returns must be stored before any of them is sent.
+func (m *Machine) TakeOutput() (sends []Outgoing) { sends, m.sends = m.sends, nil; return sends }
 
-// News returns the orders adopted since the last call.
-func (m *Machine) News() (changes []Order) { changes, m.changes = m.changes, nil; return changes }
+// TakeChanges returns the orders adopted since the last call.
+func (m *Machine) TakeChanges() (changes []Order) {
+	changes, m.changes = m.changes, nil
+	return changes
+}
 
 // All returns the orders held, sorted by host.
 func (m *Machine) All() []Order { return slices.Clone(m.orders) }
@@ -405,5 +410,5 @@
 	return confirmed
 }
 
-// Sum returns a digest of all orders held.
-func (m *Machine) Sum() uint64 { return m.digest }
+// Digest returns a digest of all orders held.
+func (m *Machine) Digest() uint64 { return m.digest }
--- a/internal/fleet/order/order_test.go
+++ b/internal/fleet/order/order_test.go
@@ -59,17 +59,17 @@
 	p.lastID++
 	m := p.balancers[i]
 	m.id, m.pausedUntil = member.ProcessID(p.lastID), 0
-	m.Machine = New(Terms{Self: m.id, Name: fmt.Sprint("b", i), Part: 0.5, Kept: m.file, Seed: p.rng.Uint64()})
+	m.Machine = New(Config{Self: m.id, Name: fmt.Sprint("b", i), MaxExcludedFraction: 0.5, StoredOrders: m.file, Seed: p.rng.Uint64()})
 	p.flush(i)
 }
 
 // flush stores newly adopted orders, then sends.
 func (p *simulation) flush(i int) {
 	m := p.balancers[i]
-	if len(m.News()) > 0 {
+	if len(m.TakeChanges()) > 0 {
 		m.file = m.All()
 	}
-	for _, s := range m.Out() {
+	for _, s := range m.TakeOutput() {
 		for k, o := range p.balancers {
 			if o.Machine == nil || o.id != s.To || p.blocked[i][k] || p.rng.Float64() < p.lossRate {
 				continue
@@ -91,7 +91,7 @@
 		}
 		p.inFlight = slices.Delete(p.inFlight, k, k+1)
 		if m := p.balancers[l.receiver]; m.Machine != nil && m.id == l.to && m.pausedUntil <= p.now {
-			if err := p.applyChecked(l.receiver, func() { m.Hear(p.now, l.from, &l.msg) }); err != nil {
+			if err := p.applyChecked(l.receiver, func() { m.Receive(p.now, l.from, &l.msg) }); err != nil {
 				return err
 			}
 		}
@@ -131,7 +131,7 @@
 func (p *simulation) submit(i int, host string, out bool) {
 	m := p.balancers[i]
 	if m.Machine != nil && m.pausedUntil <= p.now {
-		if o, err := m.Give(host, out, true, 10); err == nil {
+		if o, err := m.Submit(host, out, true, 10); err == nil {
 			p.flush(i)
 			p.confirmed = append(p.confirmed, o)
 		}
@@ -155,7 +155,7 @@
 		}
 	}
 	for i, m := range p.balancers {
-		if m.Sum() != p.balancers[0].Sum() || !slices.Equal(m.Excluded(10), p.balancers[0].Excluded(10)) {
+		if m.Digest() != p.balancers[0].Digest() || !slices.Equal(m.Excluded(10), p.balancers[0].Excluded(10)) {
 			return fmt.Errorf("balancer %d holds %+v, balancer 0 %+v", i, m.All(), p.balancers[0].All())
 		}
 	}
@@ -249,7 +249,7 @@
 	b := Order{Host: "h", ID: ID{1, 9}}
 	c := Order{Host: "h", ID: ID{2, 9}, Past: []ID{b.ID}}
 	for _, row := range [][]Order{{a, b, c}, {a, c, b}, {b, a, c}, {b, c, a}, {c, a, b}, {c, b, a}} {
-		m := New(Terms{Self: 1})
+		m := New(Config{Self: 1})
 		for _, o := range row {
 			m.apply(o)
 		}
@@ -268,15 +268,15 @@
 // Excluding more than the allowed part of the hosts is refused without force. Where two balancers that do not know of each other's
 // orders exceed it together, both settle on the same excluded hosts.
 func TestTooMany(t *testing.T) {
-	a, b := New(Terms{Self: 1, Part: 0.5}), New(Terms{Self: 2, Part: 0.5})
+	a, b := New(Config{Self: 1, MaxExcludedFraction: 0.5}), New(Config{Self: 2, MaxExcludedFraction: 0.5})
 	for i := range 2 {
 		for m, host := range map[*Machine]string{a: fmt.Sprint("a", i), b: fmt.Sprint("b", i)} {
-			if _, err := m.Give(host, true, false, 4); err != nil {
+			if _, err := m.Submit(host, true, false, 4); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if _, err := a.Give("a3", true, false, 4); err != ErrTooMany {
+	if _, err := a.Submit("a3", true, false, 4); err != ErrTooManyExcluded {
 		t.Errorf("excluding a third host of four: %v, want ErrTooMany", err)
 	}
 	for _, o := range b.All() {
@@ -288,7 +288,7 @@
 	if x, y := a.Excluded(4), b.Excluded(4); !slices.Equal(x, y) || len(x) != 2 {
 		t.Errorf("the balancers exclude %v and %v of four hosts, want the same two", x, y)
 	}
-	if _, err := b.Give("b3", true, true, 4); err != nil || len(b.Excluded(4)) != 3 {
+	if _, err := b.Submit("b3", true, true, 4); err != nil || len(b.Excluded(4)) != 3 {
 		t.Errorf("with force: error %v, %v excluded, want three hosts", err, b.Excluded(4))
 	}
 }
@@ -299,12 +299,12 @@
 	for i := range 600 {
 		p.submit(0, fmt.Sprintf("host-%04d-%0200d", i, 0), true)
 	}
-	for p.now < 60*time.Second && p.balancers[0].Sum() != p.balancers[1].Sum() {
+	for p.now < 60*time.Second && p.balancers[0].Digest() != p.balancers[1].Digest() {
 		if err := p.step(5 * time.Millisecond); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if p.balancers[0].Sum() != p.balancers[1].Sum() {
+	if p.balancers[0].Digest() != p.balancers[1].Digest() {
 		t.Errorf("%d of %d orders arrived within a minute", len(p.balancers[1].All()), len(p.balancers[0].All()))
 	}
 	slices.SortFunc(p.confirmed, func(a, b Order) int { return cmp.Compare(a.size(), b.size()) })
