--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -31,7 +31,7 @@
 	epoch          time.Time
 	machine        *share.Machine
 	transport      *carry.Transport
-	recentArrivals [][share.NeedTurns]int64 // requests of each customer in the last periods
+	recentArrivals [][share.NeedTicks]int64 // requests of each customer in the last periods
 	slot           int                      // of the present period in recentArrivals
 	stop           chan struct{}
 }
@@ -42,11 +42,11 @@
 		return nil
 	}
 	n := len(b.deployment.Customers)
-	l := &limitShares{arrivals: make([]atomic.Int64, n), recentArrivals: make([][share.NeedTurns]int64, n), names: make([]string, n), bounds: make([]float64, n),
+	l := &limitShares{arrivals: make([]atomic.Int64, n), recentArrivals: make([][share.NeedTicks]int64, n), names: make([]string, n), bounds: make([]float64, n),
 		smallestParts: make([]float64, n), initialFloors: make([]float64, n), customerCount: n, epoch: time.Now()}
 	for _, name := range slices.Sorted(maps.Keys(b.deployment.Customers)) {
 		c := b.deployment.Customers[name]
-		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.Terms.Customers[c].QuotaPerSecond, 1/(share.NeedTurns*share.Turn.Seconds())
+		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.Terms.Customers[c].QuotaPerSecond, 1/(share.NeedTicks*share.TickInterval.Seconds())
 	}
 	if openings > 0 { // need and share are fractions of the limit, the same for every host
 		l.names, l.bounds, l.smallestParts = append(l.names, "openings"), append(l.bounds, 1), append(l.smallestParts, 1/openings)
@@ -72,14 +72,14 @@
 	b.upgrade.mu.Lock()
 	l.mu.Lock()
 	l.transport, l.stop = transport, stop
-	l.machine = share.New(share.Terms{Self: transport.Self(), Among: b.deployment.Terms.Balancers, Names: l.names, Bound: l.bounds, Grain: l.smallestParts, Floor: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
-		First: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
-	l.machine.Beside(b.upgrade.older != nil)
+	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.Terms.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.smallestParts, ReservedFraction: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
+		FirstAskNumber: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
+	l.machine.SetUpgrading(b.upgrade.older != nil)
 	l.mu.Unlock()
 	b.upgrade.mu.Unlock()
 	transport.Handle(carry.TopicShares, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeShares(body); ok {
-			b.updateShares(func(machine *share.Machine, now share.Moment) { machine.Hear(now, from, m) })
+			b.updateShares(func(machine *share.Machine, now share.Moment) { machine.Receive(now, from, m) })
 		}
 	})
 	b.updateShares(func(*share.Machine, share.Moment) {})
@@ -94,7 +94,7 @@
 		return
 	}
 	b.updateShares(func(machine *share.Machine, now share.Moment) {
-		machine.Beside(true)
+		machine.SetUpgrading(true)
 		machine.Tick(now, nil)
 	})
 	l.mu.Lock()
@@ -109,14 +109,14 @@
 // setSharesUpgrading halves the shares while another process of an upgrade runs, and restores them when it has ended.
 func (b *Balancer) setSharesUpgrading(on bool) {
 	if b.limitShares != nil {
-		b.updateShares(func(machine *share.Machine, _ share.Moment) { machine.Beside(on) })
+		b.updateShares(func(machine *share.Machine, _ share.Moment) { machine.SetUpgrading(on) })
 	}
 }
 
 // runSharing measures the need for each limit and adjusts the shares in every period, until it is stopped.
 func (b *Balancer) runSharing(transport *carry.Transport, stop <-chan struct{}) {
 	l := b.limitShares
-	t := time.NewTicker(share.Turn)
+	t := time.NewTicker(share.TickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -126,17 +126,17 @@
 		}
 		members, _ := transport.AliveMembers()
 		b.updateShares(func(machine *share.Machine, now share.Moment) {
-			l.slot = (l.slot + 1) % share.NeedTurns
+			l.slot = (l.slot + 1) % share.NeedTicks
 			for i := range l.arrivals {
 				l.recentArrivals[i][l.slot] = l.arrivals[i].Swap(0)
 				sum := int64(0)
 				for _, n := range l.recentArrivals[i] {
 					sum += n
 				}
-				machine.Need(now, i, float64(sum)/(share.NeedTurns*share.Turn.Seconds()))
+				machine.SetNeed(now, i, float64(sum)/(share.NeedTicks*share.TickInterval.Seconds()))
 			}
 			if l.customerCount < len(l.bounds) {
-				machine.Need(now, l.customerCount, b.hosts.OpeningsNeed(share.Turn))
+				machine.SetNeed(now, l.customerCount, b.hosts.OpeningsNeed(share.TickInterval))
 			}
 			machine.Tick(now, members)
 		})
@@ -152,7 +152,7 @@
 		return
 	}
 	input(l.machine, l.now())
-	sends := l.machine.Out()
+	sends := l.machine.TakeOutput()
 	b.applyShares() // first, so that a lent share is no longer used here when the borrower receives it
 	for i := range sends {
 		l.transport.Send(sends[i].To, carry.TopicShares, carry.EncodeShares(&sends[i].Msg))
@@ -166,10 +166,10 @@
 	now := l.now()
 	for i := range shares {
 		if l.bounds[i] > 0 {
-			shares[i] = l.machine.Part(now, i).Of(l.machine.Bound(i)) / l.bounds[i]
+			shares[i] = l.machine.Part(now, i).Of(l.machine.Limit(i)) / l.bounds[i]
 		}
 	}
-	l.nextExpiry.Store(int64(l.machine.Ends()))
+	l.nextExpiry.Store(int64(l.machine.NextExpiry()))
 	for i := range shares {
 		shares[i] = max(shares[i], math.SmallestNonzeroFloat64) // 0 would mean that no share is set
 	}
@@ -215,9 +215,9 @@
 	now := l.now()
 	for i, name := range l.names {
 		s := l.machine.State(now, i)
-		shown.Limits = append(shown.Limits, admin.Limit{Name: name, Bound: l.machine.Bound(i), Part: float64(s.Part) / float64(share.All),
-			Lent: float64(s.Lent) / float64(share.All), Borrowed: float64(s.Borrowed) / float64(share.All), Need: s.Need,
-			Leases: s.Leases, EndsMs: s.Ends.Milliseconds(), Newborn: s.Fresh})
+		shown.Limits = append(shown.Limits, admin.Limit{Name: name, Bound: l.machine.Limit(i), Part: float64(s.Part) / float64(share.WholeLimit),
+			Lent: float64(s.Lent) / float64(share.WholeLimit), Borrowed: float64(s.Borrowed) / float64(share.WholeLimit), Need: s.Need,
+			Leases: s.Leases, EndsMs: s.NextExpiry.Milliseconds(), Newborn: s.RecentlyStarted})
 	}
 	return shown, nil
 }
--- a/internal/fleet/carry/shares.go
+++ b/internal/fleet/carry/shares.go
@@ -27,9 +27,9 @@
 
 // EncodeShares encodes a message of package share.
 func EncodeShares(m *share.Message) []byte {
-	out := shareMessage{Kind: uint8(m.Kind), N: m.N, Among: m.Among, Sum: m.Sum}
-	for _, w := range m.Wants {
-		out.Wants = append(out.Wants, shareDemand{Name: w.Name, Part: int64(w.Part), Bound: w.Bound})
+	out := shareMessage{Kind: uint8(m.Kind), N: m.AskNumber, Among: m.Balancers, Sum: m.NamesHash}
+	for _, w := range m.Entries {
+		out.Wants = append(out.Wants, shareDemand{Name: w.Index, Part: int64(w.Part), Bound: w.Limit})
 	}
 	data, _ := cbor.Marshal(&out) // cannot fail for numbers
 	return data
@@ -38,15 +38,15 @@
 // DecodeShares decodes a message of package share. It returns false where the data is not a valid one.
 func DecodeShares(data []byte) (*share.Message, bool) {
 	var s shareMessage
-	if decodeMode.Unmarshal(data, &s) != nil || s.Kind < uint8(share.Ask) || s.Kind > uint8(share.Back) {
+	if decodeMode.Unmarshal(data, &s) != nil || s.Kind < uint8(share.Ask) || s.Kind > uint8(share.Return) {
 		return nil, false
 	}
-	m := &share.Message{Kind: share.Kind(s.Kind), N: s.N, Among: s.Among, Sum: s.Sum}
+	m := &share.Message{Kind: share.Kind(s.Kind), AskNumber: s.N, Balancers: s.Among, NamesHash: s.Sum}
 	for _, w := range s.Wants {
-		if w.Part < 0 || w.Part > int64(share.All) || !(w.Bound >= 0) {
+		if w.Part < 0 || w.Part > int64(share.WholeLimit) || !(w.Bound >= 0) {
 			return nil, false
 		}
-		m.Wants = append(m.Wants, share.Want{Name: w.Name, Part: share.Part(w.Part), Bound: w.Bound})
+		m.Entries = append(m.Entries, share.LimitEntry{Index: w.Name, Part: share.Part(w.Part), Limit: w.Bound})
 	}
 	return m, true
 }
--- a/internal/fleet/share/explore_test.go
+++ b/internal/fleet/share/explore_test.go
@@ -16,7 +16,7 @@
 // exploreDepth is the length of the explored sequences of steps: 6 takes a second, 8 some minutes.
 var exploreDepth = flag.Int("explore", 6, "steps to explore")
 
-const exploreLease = 4 * Turn
+const exploreLease = 4 * TickInterval
 
 // clone returns a deep copy without queued messages.
 func (m *Machine) clone() *Machine {
@@ -59,7 +59,7 @@
 func (t *model) start(i int) {
 	t.lastID++
 	t.ids[i] = member.ProcessID(t.lastID)
-	t.balancers[i] = New(Terms{Self: t.ids[i], Among: len(t.balancers), Names: []string{"a"}, Bound: []float64{100}, Floor: []float64{0}, Lease: exploreLease, First: uint64(t.lastID) * 100}, t.clock(i))
+	t.balancers[i] = New(Config{Self: t.ids[i], Balancers: len(t.balancers), Names: []string{"a"}, Limits: []float64{100}, ReservedFraction: []float64{0}, Lease: exploreLease, FirstAskNumber: uint64(t.lastID) * 100}, t.clock(i))
 }
 
 func newModel(n int, tamper func(*model, int)) *model {
@@ -69,7 +69,7 @@
 	}
 	t.now = 2 * exploreLease // no balancer counts as recently started
 	for i := 1; i < n; i++ {
-		t.balancers[i].Need(t.clock(i), 0, 100)
+		t.balancers[i].SetNeed(t.clock(i), 0, 100)
 	}
 	return t
 }
@@ -90,7 +90,7 @@
 
 // flush puts the queued messages of a balancer in flight and checks the sum of all parts.
 func (t *model) flush(i int) {
-	for _, s := range t.balancers[i].Out() {
+	for _, s := range t.balancers[i].TakeOutput() {
 		if slices.Contains(t.ids, s.To) {
 			t.inFlight = append(t.inFlight, modelPacket{s.To, t.ids[i], s.Msg})
 		}
@@ -107,8 +107,8 @@
 			sum += m.clone().Part(t.clock(k), 0)
 		}
 	}
-	if sum > All && t.failure == "" {
-		t.failure = fmt.Sprintf("at %v the parts add up to %.3f of the limit", t.now, float64(sum)/float64(All))
+	if sum > WholeLimit && t.failure == "" {
+		t.failure = fmt.Sprintf("at %v the parts add up to %.3f of the limit", t.now, float64(sum)/float64(WholeLimit))
 	}
 }
 
@@ -136,7 +136,7 @@
 	for k := range t.inFlight {
 		all = append(all, func(t *model) { t.deliver(k, false) }, func(t *model) { t.deliver(k, true) })
 	}
-	for _, by := range []time.Duration{Turn, exploreLease - Turn} {
+	for _, by := range []time.Duration{TickInterval, exploreLease - TickInterval} {
 		all = append(all, func(t *model) {
 			t.now += by
 			for i, m := range t.balancers {
@@ -155,7 +155,7 @@
 		t.inFlight = slices.Delete(t.inFlight, k, k+1)
 	}
 	if i := slices.Index(t.ids, p.to); i >= 0 && t.balancers[i] != nil {
-		t.balancers[i].Hear(t.clock(i), p.from, &p.msg)
+		t.balancers[i].Receive(t.clock(i), p.from, &p.msg)
 		t.flush(i)
 	}
 }
@@ -182,7 +182,7 @@
 		}
 	}
 	for _, p := range t.inFlight {
-		fmt.Fprint(&h, ">", p.to, p.from, p.msg.Kind, p.msg.N, p.msg.Wants)
+		fmt.Fprint(&h, ">", p.to, p.from, p.msg.Kind, p.msg.AskNumber, p.msg.Entries)
 	}
 	return h.Sum64()
 }
--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -20,25 +20,25 @@
 // Part is a part of a limit, in billionths. It is an integer so that lending and returning lose nothing to rounding.
 type Part int64
 
-// All is the whole of a limit.
-const All Part = 1e9
+// WholeLimit is the whole of a limit.
+const WholeLimit Part = 1e9
 
 // Of returns this part of a limit's value.
-func (p Part) Of(bound float64) float64 { return bound * float64(p) / float64(All) }
-
-// Terms is the configuration of a Machine; it does not change during the life of a process.
-type Terms struct {
-	Self  member.ProcessID
-	Among int       // number of balancers according to the settings
-	Names []string  // of the limits
-	Bound []float64 // value of each limit, in its own unit
-	// Grain is what a single request or connection adds to the need for a limit. The random fluctuation of a need is estimated from it,
+func (p Part) Of(bound float64) float64 { return bound * float64(p) / float64(WholeLimit) }
+
+// Config is the configuration of a Machine; it does not change during the life of a process.
+type Config struct {
+	Self      member.ProcessID
+	Balancers int       // number of balancers according to the settings
+	Names     []string  // of the limits
+	Limits    []float64 // value of each limit, in its own unit
+	// NeedPerItem is what a single request or connection adds to the need for a limit. The random fluctuation of a need is estimated from it,
 	// as the square root of the number counted.
-	Grain []float64
-	Floor []float64     // fraction of the home part of each limit that is never lent; at least LeastFloor
-	Lease time.Duration // how long a part is lent
-	First uint64        // asks are numbered from here; must exceed the numbers used by earlier processes with the same Self
-	Seed  uint64        // of the random choice of members to ask
+	NeedPerItem      []float64
+	ReservedFraction []float64     // fraction of the home part of each limit that is never lent; at least MinReservedFraction
+	Lease            time.Duration // how long a part is lent
+	FirstAskNumber   uint64        // asks are numbered from here; must exceed the numbers used by earlier processes with the same Self
+	Seed             uint64        // of the random choice of members to ask
 }
 
 const (
@@ -68,50 +68,50 @@
 	// apply, so that one wrong setting cannot starve the whole fleet.
 	maxSettingsRatio = 2
 	// minPart is the smallest part worth a message.
-	minPart = All / 10000
+	minPart = WholeLimit / 10000
 	// demandHalfLife is how fast an earlier need is forgotten after the second over which it was measured. With a half-life of 1 s a
 	// quota took 4.5 s to follow its requests to another balancer.
 	demandHalfLife = 100 * time.Millisecond
 )
 
-// LeastFloor is the minimum fraction of a home part that is never lent. A process that restarts without state may use it at once,
+// MinReservedFraction is the minimum fraction of a home part that is never lent. A process that restarts without state may use it at once,
 // whatever its predecessor has lent, and borrows more from then on. With a larger fraction one balancer could not obtain nine tenths
 // of a limit.
-const LeastFloor = 0.08
+const MinReservedFraction = 0.08
 
-// Turn is the interval at which Tick is to be called: several times within the second in which parts should follow demand.
-const Turn = 200 * time.Millisecond
+// TickInterval is the interval at which Tick is to be called: several times within the second in which parts should follow demand.
+const TickInterval = 200 * time.Millisecond
 
-// NeedTurns is the number of ticks over which a need is measured, one second: the number of requests in a single tick varies too much.
-const NeedTurns = 5
+// NeedTicks is the number of ticks over which a need is measured, one second: the number of requests in a single tick varies too much.
+const NeedTicks = 5
 
 // Kind is the purpose of a message.
 type Kind uint8
 
 const (
-	Ask   Kind = 1 + iota // the sender wants to borrow parts
-	Grant                 // answers an Ask: the parts lent, for the duration of Lease from the time of the Ask
-	Back                  // the sender no longer uses the parts of these limits that it was lent for asks up to number N
+	Ask    Kind = 1 + iota // the sender wants to borrow parts
+	Grant                  // answers an Ask: the parts lent, for the duration of Lease from the time of the Ask
+	Return                 // the sender no longer uses the parts of these limits that it was lent for asks up to AskNumber
 )
 
-// Want is the entry of a message for one limit.
-type Want struct {
-	Name  uint16  // index of the limit in Terms.Names, which must be the same at both balancers
+// LimitEntry is the entry of a message for one limit.
+type LimitEntry struct {
+	Index uint16  // index of the limit in Config.Names, which must be the same at both balancers
 	Part  Part    // wanted in an Ask, lent in a Grant
-	Bound float64 // the limit's value according to the sender
+	Limit float64 // the limit's value according to the sender
 }
 
 // Message is what one balancer sends another.
 type Message struct {
-	Kind  Kind
-	N     uint64 // number of the Ask, greater for each
-	Among int    // number of balancers according to the sender's settings
-	Sum   uint64 // hash of Terms.Names; a message from a balancer with other names is ignored
-	Wants []Want
+	Kind      Kind
+	AskNumber uint64 // number of the Ask, greater for each
+	Balancers int    // number of balancers according to the sender's settings
+	NamesHash uint64 // hash of Config.Names; a message from a balancer with other names is ignored
+	Entries   []LimitEntry
 }
 
-// Send is a message and the member it goes to.
-type Send struct {
+// Outgoing is a message and the member it goes to.
+type Outgoing struct {
 	To  member.ProcessID
 	Msg Message
 }
@@ -129,7 +129,7 @@
 
 // Machine manages one balancer's parts of all limits.
 type Machine struct {
-	config    Terms
+	config    Config
 	rng       *rand.Rand
 	now       Moment
 	startedAt Moment
@@ -142,13 +142,13 @@
 	namesHash      uint64 // hash of the limits' names
 	halved         bool   // during an upgrade, another process of this balancer uses the other half
 	fruitlessTicks int    // consecutive ticks that asked and got nothing
-	sends          []Send
+	sends          []Outgoing
 }
 
 // limit is the state of one fleet-wide limit.
 type limit struct {
 	value         float64 // the smallest that any balancer's settings name
-	needPerItem   float64 // see Terms.Grain
+	needPerItem   float64 // see Config.NeedPerItem
 	asking        bool    // this balancer is asking for more
 	need          float64 // this balancer's need, in the limit's unit
 	needUpdatedAt Moment
@@ -173,13 +173,13 @@
 
 // New returns a Machine with no leases. It does not know what an earlier process of this balancer has lent, so for one lease it uses
 // only its reserved part and what it borrows.
-func New(config Terms, now Moment) *Machine {
-	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self))), now: now, startedAt: now, fleetSize: max(1, config.Among),
-		lastAskID: config.First}
+func New(config Config, now Moment) *Machine {
+	m := &Machine{config: config, rng: rand.New(rand.NewPCG(config.Seed, uint64(config.Self))), now: now, startedAt: now, fleetSize: max(1, config.Balancers),
+		lastAskID: config.FirstAskNumber}
 	for i, name := range config.Names {
-		lim := limit{value: config.Bound[i]}
-		if config.Grain != nil {
-			lim.needPerItem = config.Grain[i]
+		lim := limit{value: config.Limits[i]}
+		if config.NeedPerItem != nil {
+			lim.needPerItem = config.NeedPerItem[i]
 		}
 		m.limits = append(m.limits, lim)
 		for _, c := range []byte(name) {
@@ -192,7 +192,7 @@
 
 // homePart is this balancer's own part of every limit, whether lent or not.
 func (m *Machine) homePart() Part {
-	h := All / Part(m.fleetSize)
+	h := WholeLimit / Part(m.fleetSize)
 	if m.halved {
 		h /= 2
 	}
@@ -201,7 +201,7 @@
 
 // reservedPart is what of the home part is never lent.
 func (m *Machine) reservedPart(index int) Part {
-	return Part(min(1, max(LeastFloor, m.config.Floor[index])) * float64(m.homePart()))
+	return Part(min(1, max(MinReservedFraction, m.config.ReservedFraction[index])) * float64(m.homePart()))
 }
 
 // lenderDuration is how long a lender waits before it uses again what it lends now for a duration d: even if its clock is fast and
@@ -233,19 +233,19 @@
 	Part, Lent, Borrowed Part
 	Need                 float64
 	Leases               int    // lent and borrowed
-	Ends                 Moment // time until the first of the leases expires; 0 if there is none
-	Fresh                bool   // recently started: of its home part this process uses only the reserved part
+	NextExpiry           Moment // time until the first of the leases expires; 0 if there is none
+	RecentlyStarted      bool   // recently started: of its home part this process uses only the reserved part
 }
 
 // State returns the current state of a limit.
 func (m *Machine) State(now Moment, index int) State {
-	s := State{Part: m.Part(now, index), Lent: m.limits[index].lent, Borrowed: m.limits[index].borrowed, Need: m.currentNeed(&m.limits[index]), Fresh: m.recentlyStarted()}
+	s := State{Part: m.Part(now, index), Lent: m.limits[index].lent, Borrowed: m.limits[index].borrowed, Need: m.currentNeed(&m.limits[index]), RecentlyStarted: m.recentlyStarted()}
 	for _, list := range [][]lease{m.lent, m.borrowed} {
 		for _, l := range list {
 			if l.limit == index {
 				s.Leases++
-				if left := l.expires - m.now; s.Ends == 0 || left < s.Ends {
-					s.Ends = left
+				if left := l.expires - m.now; s.NextExpiry == 0 || left < s.NextExpiry {
+					s.NextExpiry = left
 				}
 			}
 		}
@@ -253,11 +253,11 @@
 	return s
 }
 
-// Bound returns the value of a limit: the smallest that any balancer names.
-func (m *Machine) Bound(index int) float64 { return m.limits[index].value }
+// Limit returns the value of a limit: the smallest that any balancer names.
+func (m *Machine) Limit(index int) float64 { return m.limits[index].value }
 
-// Ends returns when the next borrowed part expires. From then on, results of Part are out of date.
-func (m *Machine) Ends() Moment {
+// NextExpiry returns when the next borrowed part expires. From then on, results of Part are out of date.
+func (m *Machine) NextExpiry() Moment {
 	ends := Moment(math.MaxInt64)
 	for i := range m.borrowed {
 		ends = min(ends, m.borrowed[i].expires)
@@ -265,8 +265,8 @@
 	return ends
 }
 
-// Out returns the messages queued since the last call.
-func (m *Machine) Out() (sends []Send) {
+// TakeOutput returns the messages queued since the last call.
+func (m *Machine) TakeOutput() (sends []Outgoing) {
 	sends, m.sends = m.sends, nil
 	return sends
 }
@@ -311,11 +311,11 @@
 	return sum
 }
 
-// Beside sets whether another process of an upgrade runs at the same time; while it does, each of the two has half the home part.
-func (m *Machine) Beside(on bool) { m.halved = on }
+// SetUpgrading sets whether another process of an upgrade runs at the same time; while it does, each of the two has half the home part.
+func (m *Machine) SetUpgrading(on bool) { m.halved = on }
 
-// Need reports the recent demand for a limit, in the limit's unit.
-func (m *Machine) Need(now Moment, index int, need float64) {
+// SetNeed reports the recent demand for a limit, in the limit's unit.
+func (m *Machine) SetNeed(now Moment, index int, need float64) {
 	m.advance(now)
 	lim := &m.limits[index]
 	lim.need, lim.needUpdatedAt = max(need, lim.need*decay(m.now-lim.needUpdatedAt)), m.now
@@ -323,7 +323,7 @@
 
 // currentNeed is the last reported need, which decays once the next report is overdue.
 func (m *Machine) currentNeed(lim *limit) float64 {
-	return lim.need * decay(m.now-lim.needUpdatedAt-Turn)
+	return lim.need * decay(m.now-lim.needUpdatedAt-TickInterval)
 }
 
 // decay is the factor by which a need of this age is reduced.
@@ -358,7 +358,7 @@
 	if lim.value <= 0 {
 		return 0
 	}
-	return Part(max(0, min(1, x/lim.value)) * float64(All))
+	return Part(max(0, min(1, x/lim.value)) * float64(WholeLimit))
 }
 
 // Tick asks members for parts that are missing and returns borrowed parts that are not needed. During an upgrade it returns all.
@@ -384,7 +384,7 @@
 		}
 		lim.borrowed -= l.part
 		m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l.peer && a.id <= l.askID }) // a grant that arrives late is returned too
-		m.send(l.peer, Message{Kind: Back, N: l.askID, Wants: []Want{{Name: uint16(l.limit)}}})
+		m.send(l.peer, Message{Kind: Return, AskNumber: l.askID, Entries: []LimitEntry{{Index: uint16(l.limit)}}})
 		return true
 	})
 }
@@ -428,7 +428,7 @@
 // askMember asks a member for the parts it lends now plus what is missing.
 func (m *Machine) askMember(to member.ProcessID) {
 	m.lastAskID++
-	msg := Message{Kind: Ask, N: m.lastAskID}
+	msg := Message{Kind: Ask, AskNumber: m.lastAskID}
 	for i := range m.limits {
 		lim := &m.limits[i]
 		want := m.wantedPart(lim) - m.currentPart(i)
@@ -437,11 +437,11 @@
 				want += l.part
 			}
 		}
-		if want > minPart && len(msg.Wants) < maxWants {
-			msg.Wants = append(msg.Wants, Want{Name: uint16(i), Part: min(want, All), Bound: m.config.Bound[i]})
+		if want > minPart && len(msg.Entries) < maxWants {
+			msg.Entries = append(msg.Entries, LimitEntry{Index: uint16(i), Part: min(want, WholeLimit), Limit: m.config.Limits[i]})
 		}
 	}
-	if len(msg.Wants) == 0 {
+	if len(msg.Entries) == 0 {
 		return
 	}
 	m.pendingAsks = append(m.pendingAsks, pendingAsk{m.lastAskID, to, m.now})
@@ -450,19 +450,19 @@
 
 // send queues a message to a member.
 func (m *Machine) send(to member.ProcessID, msg Message) {
-	msg.Among, msg.Sum = m.config.Among, m.namesHash
-	m.sends = append(m.sends, Send{to, msg})
+	msg.Balancers, msg.NamesHash = m.config.Balancers, m.namesHash
+	m.sends = append(m.sends, Outgoing{to, msg})
 }
 
-// Hear processes a message from a member.
-func (m *Machine) Hear(now Moment, from member.ProcessID, msg *Message) {
+// Receive processes a message from a member.
+func (m *Machine) Receive(now Moment, from member.ProcessID, msg *Message) {
 	m.advance(now)
-	if msg.Sum != m.namesHash || from == m.config.Self || msg.Among < 1 {
+	if msg.NamesHash != m.namesHash || from == m.config.Self || msg.Balancers < 1 {
 		return
 	}
-	m.fleetSize = max(m.fleetSize, min(msg.Among, maxSettingsRatio*m.config.Among)) // the larger number gives the smaller home part
-	for _, w := range msg.Wants {
-		if int(w.Name) >= len(m.limits) {
+	m.fleetSize = max(m.fleetSize, min(msg.Balancers, maxSettingsRatio*m.config.Balancers)) // the larger number gives the smaller home part
+	for _, w := range msg.Entries {
+		if int(w.Index) >= len(m.limits) {
 			return
 		}
 	}
@@ -471,11 +471,11 @@
 		m.grant(from, msg)
 	case Grant:
 		m.acceptGrant(from, msg)
-	case Back:
-		for _, w := range msg.Wants {
-			m.removeLent(func(l lease) bool { return l.peer == from && l.limit == int(w.Name) && l.askID <= msg.N })
-			if !slices.ContainsFunc(m.lent, func(l lease) bool { return l.peer == from && l.limit == int(w.Name) }) {
-				m.limits[w.Name].removeAsker(from) // otherwise its earlier ask would reduce other members' parts until that expires
+	case Return:
+		for _, w := range msg.Entries {
+			m.removeLent(func(l lease) bool { return l.peer == from && l.limit == int(w.Index) && l.askID <= msg.AskNumber })
+			if !slices.ContainsFunc(m.lent, func(l lease) bool { return l.peer == from && l.limit == int(w.Index) }) {
+				m.limits[w.Index].removeAsker(from) // otherwise its earlier ask would reduce other members' parts until that expires
 			}
 		}
 	}
@@ -484,10 +484,10 @@
 // grant answers an Ask with what can be spared, shared max-min fairly among the members that asked recently. This may be less than
 // the member has borrowed before, or nothing.
 func (m *Machine) grant(to member.ProcessID, msg *Message) {
-	answer := Message{Kind: Grant, N: msg.N}
-	for _, w := range msg.Wants {
-		lim, index := &m.limits[w.Name], int(w.Name)
-		lim.value = min(lim.value, max(w.Bound, m.config.Bound[w.Name]/maxSettingsRatio))
+	answer := Message{Kind: Grant, AskNumber: msg.AskNumber}
+	for _, w := range msg.Entries {
+		lim, index := &m.limits[w.Index], int(w.Index)
+		lim.value = min(lim.value, max(w.Limit, m.config.Limits[w.Index]/maxSettingsRatio))
 		lim.recordAsk(to, w.Part, m.now, m.config.Lease)
 		granted := Part(0)
 		if !m.recentlyStarted() && !m.halved && len(m.lent) < maxLeases {
@@ -496,10 +496,10 @@
 			granted = max(0, min(w.Part, lim.fairPart(to, spare), spare-m.totalLent(index, to)))
 		}
 		if granted > 0 {
-			m.lent = append(m.lent, lease{index, to, msg.N, granted, m.now + m.lenderDuration(m.config.Lease)})
+			m.lent = append(m.lent, lease{index, to, msg.AskNumber, granted, m.now + m.lenderDuration(m.config.Lease)})
 			lim.lent = m.totalLent(index, 0)
 		}
-		answer.Wants = append(answer.Wants, Want{Name: w.Name, Part: granted, Bound: lim.value})
+		answer.Entries = append(answer.Entries, LimitEntry{Index: w.Index, Part: granted, Limit: lim.value})
 	}
 	m.send(to, answer)
 }
@@ -534,17 +534,17 @@
 // acceptGrant records the parts that a member has lent. The lease counts from the time of the ask, which is before the time from which
 // the lender counts.
 func (m *Machine) acceptGrant(from member.ProcessID, msg *Message) {
-	i := slices.IndexFunc(m.pendingAsks, func(a pendingAsk) bool { return a.id == msg.N && a.to == from })
+	i := slices.IndexFunc(m.pendingAsks, func(a pendingAsk) bool { return a.id == msg.AskNumber && a.to == from })
 	if i < 0 {
 		return // a duplicate, or too late
 	}
 	askedAt := m.pendingAsks[i].sentAt
-	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == from && a.id <= msg.N }) // this also answers earlier asks
+	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == from && a.id <= msg.AskNumber }) // this also answers earlier asks
 	until := askedAt + time.Duration(float64(m.config.Lease)*(1-maxClockSkew))
-	for _, w := range msg.Wants {
-		lim, index := &m.limits[w.Name], int(w.Name)
-		lim.value = min(lim.value, max(w.Bound, m.config.Bound[w.Name]/maxSettingsRatio))
-		if w.Part < 0 || w.Part > All || slices.ContainsFunc(m.borrowed, func(l lease) bool { return l.peer == from && l.limit == index && l.askID > msg.N }) {
+	for _, w := range msg.Entries {
+		lim, index := &m.limits[w.Index], int(w.Index)
+		lim.value = min(lim.value, max(w.Limit, m.config.Limits[w.Index]/maxSettingsRatio))
+		if w.Part < 0 || w.Part > WholeLimit || slices.ContainsFunc(m.borrowed, func(l lease) bool { return l.peer == from && l.limit == index && l.askID > msg.AskNumber }) {
 			continue
 		}
 		previous := Part(0)
@@ -555,7 +555,7 @@
 				previous += l.part
 			}
 			if replaced && l.part > w.Part { // otherwise the lender counts the larger one as in use until it expires
-				m.send(from, Message{Kind: Back, N: l.askID, Wants: []Want{{Name: w.Name}}})
+				m.send(from, Message{Kind: Return, AskNumber: l.askID, Entries: []LimitEntry{{Index: w.Index}}})
 			}
 			return replaced
 		})
@@ -563,7 +563,7 @@
 			m.fruitlessTicks = 0
 		}
 		if w.Part > 0 && until > m.now && len(m.borrowed) < maxLeases {
-			m.borrowed = append(m.borrowed, lease{index, from, msg.N, w.Part, until})
+			m.borrowed = append(m.borrowed, lease{index, from, msg.AskNumber, w.Part, until})
 			lim.borrowed += w.Part
 		}
 	}
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -43,7 +43,7 @@
 // upgrade has a newer process take over from a balancer's process, with the same id.
 func (p *simulation) upgrade(i int, duration time.Duration) {
 	m := p.balancers[i]
-	m.Beside(true)
+	m.SetUpgrading(true)
 	m.Tick(m.clock(p.now), nil)
 	p.flush(i)
 	now := m.clock(p.now)
@@ -52,7 +52,7 @@
 	p.start(i)
 	p.balancers[i].id = id
 	p.balancers[i].config.Self = id
-	p.balancers[i].Beside(true)
+	p.balancers[i].SetUpgrading(true)
 }
 
 type testBalancer struct {
@@ -87,8 +87,8 @@
 func (p *simulation) start(i int) {
 	p.lastID++
 	m := &testBalancer{id: member.ProcessID(p.lastID), clockRate: 1 + maxClockSkew*(2*p.rng.Float64()-1), clockZero: p.now - time.Duration(p.rng.IntN(1e9)), nextTick: p.now}
-	m.Machine = New(Terms{Self: m.id, Among: len(p.balancers), Names: []string{"a", "b"}, Bound: []float64{100, 50}, Floor: []float64{0, 0.5}, Lease: testLease,
-		First: uint64(p.now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, m.clock(p.now))
+	m.Machine = New(Config{Self: m.id, Balancers: len(p.balancers), Names: []string{"a", "b"}, Limits: []float64{100, 50}, ReservedFraction: []float64{0, 0.5}, Lease: testLease,
+		FirstAskNumber: uint64(p.now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, m.clock(p.now))
 	p.balancers[i] = m
 }
 
@@ -117,14 +117,14 @@
 		}
 		p.inFlight = slices.Delete(p.inFlight, k, k+1)
 		if m := p.balancers[l.receiver]; m != nil && m.id == l.to && m.pausedUntil <= p.now {
-			m.Hear(m.clock(p.now), l.from, &l.msg)
+			m.Receive(m.clock(p.now), l.from, &l.msg)
 			p.flush(l.receiver)
 		}
 	}
 	p.olderProcesses = slices.DeleteFunc(p.olderProcesses, func(o olderProcess) bool {
 		over := p.now >= o.endsAt
 		if m := p.balancers[o.balancer]; over && m != nil {
-			m.Beside(false)
+			m.SetUpgrading(false)
 		}
 		return over
 	})
@@ -133,7 +133,7 @@
 			continue
 		}
 		m.Tick(m.clock(p.now), p.members())
-		m.nextTick = p.now + Turn
+		m.nextTick = p.now + TickInterval
 		p.flush(i)
 		if p.tamper != nil {
 			p.tamper(p, i)
@@ -144,7 +144,7 @@
 
 func (p *simulation) flush(i int) {
 	m := p.balancers[i]
-	for _, s := range m.Out() {
+	for _, s := range m.TakeOutput() {
 		for to, o := range p.balancers {
 			if o == nil || o.id != s.To || p.blocked[i][to] || p.rng.Float64() < p.lossRate {
 				continue
@@ -172,8 +172,8 @@
 			}
 		}
 		p.largestSum = max(p.largestSum, sum)
-		if sum > All {
-			return fmt.Errorf("at %v: parts of limit %d add up to %.4f of it", p.now, name, float64(sum)/float64(All))
+		if sum > WholeLimit {
+			return fmt.Errorf("at %v: parts of limit %d add up to %.4f of it", p.now, name, float64(sum)/float64(WholeLimit))
 		}
 	}
 	return nil
@@ -218,11 +218,11 @@
 			p.lossRate = rng.Float64() / 2
 		case 8:
 			if m := p.balancers[i]; m != nil && m.pausedUntil <= p.now {
-				m.Need(m.clock(p.now), rng.IntN(2), rng.Float64()*float64(1+seed%2*149))
+				m.SetNeed(m.clock(p.now), rng.IntN(2), rng.Float64()*float64(1+seed%2*149))
 			}
 		}
 		if m := p.balancers[int(p.now/(7*time.Second))%n]; m != nil && m.pausedUntil <= p.now { // demand for limit 0 moves from balancer to balancer
-			m.Need(m.clock(p.now), 0, 60)
+			m.SetNeed(m.clock(p.now), 0, 60)
 		}
 		if err := p.step(20 * time.Millisecond); err != nil {
 			return p.largestSum, fmt.Errorf("seed %d, %w", seed, err)
@@ -241,8 +241,8 @@
 		}
 		largestSum = max(largestSum, sum)
 	}
-	t.Logf("the largest sum was %.4f of the limit", float64(largestSum)/float64(All))
-	if largestSum < All*9/10 {
+	t.Logf("the largest sum was %.4f of the limit", float64(largestSum)/float64(WholeLimit))
+	if largestSum < WholeLimit*9/10 {
 		t.Error("the sum of the parts never comes near the limit, so the scenarios show nothing")
 	}
 }
@@ -255,7 +255,7 @@
 		run := func(d time.Duration, wants ...int) {
 			for until := p.now + d; p.now < until; {
 				for _, i := range wants {
-					p.balancers[i].Need(p.balancers[i].clock(p.now), 0, 100)
+					p.balancers[i].SetNeed(p.balancers[i].clock(p.now), 0, 100)
 				}
 				if err := p.step(20 * time.Millisecond); err != nil {
 					t.Fatal(err)
@@ -265,19 +265,19 @@
 		run(4 * time.Second)
 		for _, i := range []int{0, n - 1} {
 			run(2*time.Second, i)
-			if got := p.balancers[i].Part(p.balancers[i].clock(p.now), 0); got < All*9/10 {
-				t.Errorf("%d balancers: %.3f of the quota at the one that gets the requests, two seconds after the move", n, float64(got)/float64(All))
+			if got := p.balancers[i].Part(p.balancers[i].clock(p.now), 0); got < WholeLimit*9/10 {
+				t.Errorf("%d balancers: %.3f of the quota at the one that gets the requests, two seconds after the move", n, float64(got)/float64(WholeLimit))
 			}
 			run(6*time.Second, i) // long enough for leases to be renewed several times
-			if got := p.balancers[i].Part(p.balancers[i].clock(p.now), 0); got < All*9/10 {
-				t.Errorf("%d balancers: %.3f of the quota some seconds later", n, float64(got)/float64(All))
+			if got := p.balancers[i].Part(p.balancers[i].clock(p.now), 0); got < WholeLimit*9/10 {
+				t.Errorf("%d balancers: %.3f of the quota some seconds later", n, float64(got)/float64(WholeLimit))
 			}
 			run(time.Second)
 		}
 		run(12*time.Second, 0, n-1)
 		a, b := p.balancers[0].Part(p.balancers[0].clock(p.now), 0), p.balancers[n-1].Part(p.balancers[n-1].clock(p.now), 0)
-		if min(a, b) < All*35/100 {
-			t.Errorf("%d balancers: %.3f and %.3f of the quota at two that both want all of it", n, float64(a)/float64(All), float64(b)/float64(All))
+		if min(a, b) < WholeLimit*35/100 {
+			t.Errorf("%d balancers: %.3f and %.3f of the quota at two that both want all of it", n, float64(a)/float64(WholeLimit), float64(b)/float64(WholeLimit))
 		}
 	}
 }
@@ -285,31 +285,31 @@
 // A late grant for an ask is not accepted once a later ask was answered with nothing: by then the lender uses that part again.
 func TestLateAnswer(t *testing.T) {
 	const self, lender = member.ProcessID(8), member.ProcessID(16)
-	m := New(Terms{Self: self, Among: 4, Names: []string{"a"}, Bound: []float64{100}, Floor: []float64{0}, Lease: 2 * time.Second, First: 1, Seed: 1}, 0)
+	m := New(Config{Self: self, Balancers: 4, Names: []string{"a"}, Limits: []float64{100}, ReservedFraction: []float64{0}, Lease: 2 * time.Second, FirstAskNumber: 1, Seed: 1}, 0)
 	ask := func(now Moment) uint64 {
-		m.Need(now, 0, 100)
+		m.SetNeed(now, 0, 100)
 		m.Tick(now, []member.ProcessID{self, lender})
-		for _, s := range m.Out() {
+		for _, s := range m.TakeOutput() {
 			if s.Msg.Kind == Ask {
-				return s.Msg.N
+				return s.Msg.AskNumber
 			}
 		}
 		t.Fatalf("no Ask sent at %v", now)
 		return 0
 	}
 	receive := func(now Moment, n uint64, part Part) {
-		m.Hear(now, lender, &Message{Kind: Grant, N: n, Among: 4, Sum: m.namesHash, Wants: []Want{{Part: part, Bound: 100}}})
+		m.Receive(now, lender, &Message{Kind: Grant, AskNumber: n, Balancers: 4, NamesHash: m.namesHash, Entries: []LimitEntry{{Part: part, Limit: 100}}})
 	}
 	first := ask(0)
 	second := ask(600 * time.Millisecond)
-	receive(650*time.Millisecond, second, All/10)
+	receive(650*time.Millisecond, second, WholeLimit/10)
 	third := ask(700 * time.Millisecond)
 	receive(750*time.Millisecond, third, 0)
-	returned := m.Out()
-	if len(returned) != 1 || returned[0].Msg.Kind != Back || returned[0].Msg.N != second {
+	returned := m.TakeOutput()
+	if len(returned) != 1 || returned[0].Msg.Kind != Return || returned[0].Msg.AskNumber != second {
 		t.Errorf("sent %+v after the lender stopped lending, want one Back for the earlier grant", returned)
 	}
-	receive(800*time.Millisecond, first, All/10)
+	receive(800*time.Millisecond, first, WholeLimit/10)
 	if got := m.limits[0].borrowed; got != 0 {
 		t.Errorf("borrowed %d from a late grant, want 0", got)
 	}
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -32,11 +32,11 @@
 // arrivals are the calls of the last turns.
 type arrivals struct {
 	turn int
-	n    [share.NeedTurns + 1]int // by turn; the one that goes on among them
+	n    [share.NeedTicks + 1]int // by turn; the one that goes on among them
 }
 
 func (a *arrivals) to(now time.Duration) {
-	turn := int(now / share.Turn)
+	turn := int(now / share.TickInterval)
 	for k := a.turn + 1; k <= min(turn, a.turn+len(a.n)); k++ {
 		a.n[k%len(a.n)] = 0
 	}
@@ -50,7 +50,7 @@
 	for _, n := range a.n {
 		sum += n
 	}
-	return float64(sum) / (share.NeedTurns * share.Turn.Seconds())
+	return float64(sum) / (share.NeedTicks * share.TickInterval.Seconds())
 }
 
 // lookEvery is how often the views are noted, as at the doors of a day on sockets.
@@ -112,7 +112,7 @@
 		return
 	}
 	for t, bound := range d.Shares.Bound {
-		tell(t, m.Share.Part(d.Now, t).Of(m.Share.Bound(t))/bound)
+		tell(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/bound)
 	}
 }
 
@@ -175,8 +175,8 @@
 				break
 			}
 			st := m.Share.State(d.Now, name)
-			d.rec.Parts = append(d.rec.Parts, record.Part{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Part: float64(st.Part) / float64(share.All),
-				Need: st.Need, Bound: m.Share.Bound(name), Exact: true})
+			d.rec.Parts = append(d.rec.Parts, record.Part{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Part: float64(st.Part) / float64(share.WholeLimit),
+				Need: st.Need, Bound: m.Share.Limit(name), Exact: true})
 		}
 		d.rec.Talks = append(d.rec.Talks, record.Talk{Balancer: i, At: d.Now, Bytes: m.Bytes})
 	}
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -123,9 +123,9 @@
 	m.Stalled, m.held, m.armed = 0, nil, 0
 	p.take(i)
 	if s := p.Shares; s != nil {
-		m.Share = share.New(share.Terms{Self: m.Machine.ProcessID(), Among: p.terms.Mates, Names: s.Names, Bound: s.Bound, Grain: s.Grain, Floor: s.Floor, Lease: s.Lease,
-			First: uint64(p.Now/time.Microsecond) + 1, Seed: p.dice.Uint64()}, p.Now)
-		p.push(event{at: p.Now + time.Duration(p.dice.Int64N(int64(share.Turn))), kind: turn, to: int32(i), gen: m.gen})
+		m.Share = share.New(share.Config{Self: m.Machine.ProcessID(), Balancers: p.terms.Mates, Names: s.Names, Limits: s.Bound, NeedPerItem: s.Grain, ReservedFraction: s.Floor, Lease: s.Lease,
+			FirstAskNumber: uint64(p.Now/time.Microsecond) + 1, Seed: p.dice.Uint64()}, p.Now)
+		p.push(event{at: p.Now + time.Duration(p.dice.Int64N(int64(share.TickInterval))), kind: turn, to: int32(i), gen: m.gen})
 	}
 }
 
@@ -133,7 +133,7 @@
 func (p *Play) shareTurn(i int) {
 	m := p.Mates[i]
 	for name := range p.Shares.Names {
-		m.Share.Need(p.Now, name, p.Shares.Need(i, name, p.Now))
+		m.Share.SetNeed(p.Now, name, p.Shares.Need(i, name, p.Now))
 	}
 	lives, _ := m.Machine.AliveMembers()
 	m.Share.Tick(p.Now, lives)
@@ -141,7 +141,7 @@
 	if p.Wrong != nil {
 		p.Wrong(i, m.Share)
 	}
-	p.push(event{at: p.Now + share.Turn, kind: turn, to: int32(i), gen: m.gen})
+	p.push(event{at: p.Now + share.TickInterval, kind: turn, to: int32(i), gen: m.gen})
 }
 
 // letterBytes bounds a letter about so many bounds.
@@ -150,12 +150,12 @@
 // takeShare moves the letters of a mate's parts.
 func (p *Play) takeShare(i int) {
 	m := p.Mates[i]
-	for _, s := range m.Share.Out() {
+	for _, s := range m.Share.TakeOutput() {
 		at, ok := m.Machine.Envelope(s.To)
 		if !ok {
 			continue
 		}
-		to, n := index(at.To), letterBytes(len(s.Msg.Wants))
+		to, n := index(at.To), letterBytes(len(s.Msg.Entries))
 		m.Bytes += int64(n)
 		m.Sent++
 		if to >= len(p.Mates) || p.cut != nil && p.cut(i, to) {
@@ -290,7 +290,7 @@
 func (p *Play) hearShare(i int, l *parcel) {
 	m := p.Mates[i]
 	if m.Share != nil && l.to == m.Machine.ProcessID() && m.Machine.IsPresent(l.from) {
-		m.Share.Hear(p.Now, l.from, &l.msg)
+		m.Share.Receive(p.Now, l.from, &l.msg)
 		p.takeShare(i)
 	}
 }
