--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -19,7 +19,7 @@
 	machine   *evidence.Machine
 	transport *carry.Transport
 	stop      chan struct{}
-	delivered []evidence.Word // what the policy has been given last
+	delivered []evidence.HostSummary // what the policy has been given last
 }
 
 func (b *Balancer) newObservationExchange() *observationExchange {
@@ -38,15 +38,15 @@
 	stop := make(chan struct{})
 	o.mu.Lock()
 	o.transport, o.stop = transport, stop
-	o.machine = evidence.New(evidence.Terms{Self: transport.Self(), Zone: transport.View().Self.Zone})
+	o.machine = evidence.New(evidence.Config{Self: transport.Self(), Zone: transport.View().Self.Zone})
 	o.mu.Unlock()
 	transport.Handle(carry.TopicObservations, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeObservations(body); ok {
-			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Hear(now, from, m) })
+			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Receive(now, from, m) })
 		}
 	})
 	go func() {
-		t := time.NewTicker(evidence.Turn)
+		t := time.NewTicker(evidence.TickInterval)
 		defer t.Stop()
 		for {
 			select {
@@ -85,26 +85,26 @@
 		return
 	}
 	o.machine.Tick(time.Since(o.epoch), peers, listed)
-	for _, send := range o.machine.Out() {
+	for _, send := range o.machine.TakeOutput() {
 		o.transport.Send(send.To, carry.TopicObservations, carry.EncodeObservations(&send.Msg))
 	}
-	b.deliverObservations(o.machine.Words())
+	b.deliverObservations(o.machine.Summaries())
 }
 
 // deliverObservations gives the policy the observations that now hold, withdraws those that no longer do, and logs each
 // change. The caller holds observations.mu.
-func (b *Balancer) deliverObservations(observations []evidence.Word) {
+func (b *Balancer) deliverObservations(observations []evidence.HostSummary) {
 	o := b.observations
 	for _, one := range observations {
-		if !evidence.Has(o.delivered, one.Host) {
-			b.log.Info().Str("host", one.Host).Int("witnesses", one.Witnesses).Float64("good", one.Good).Float64("bad", one.Bad).Msg("other balancers call this host bad")
+		if !evidence.Contains(o.delivered, one.Host) {
+			b.log.Info().Str("host", one.Host).Int("witnesses", one.BadReporters).Float64("good", one.Good).Float64("bad", one.Bad).Msg("other balancers call this host bad")
 		}
 	}
 	b.callPolicy(func() {
-		evidence.Tell(o.delivered, observations, func(host string, good, bad float64) { b.policy.SetObservations(policy.HostID(host), good, bad) })
+		evidence.NotifyChanges(o.delivered, observations, func(host string, good, bad float64) { b.policy.SetObservations(policy.HostID(host), good, bad) })
 	})
 	for _, one := range o.delivered {
-		if !evidence.Has(observations, one.Host) {
+		if !evidence.Contains(observations, one.Host) {
 			b.log.Info().Str("host", one.Host).Msg("other balancers do not call this host bad any more")
 		}
 	}
@@ -128,8 +128,10 @@
 // observeAttempt records how an attempt ended, if that says anything about the host.
 func (b *Balancer) observeAttempt(c *clientRequest, e attemptResult) {
 	if o := b.observations; o != nil {
-		if good, conclusive := evidence.Proves(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); conclusive {
-			o.update(func(m *evidence.Machine, now evidence.Moment) { m.Ended(now, string(c.attempts[e.attempt].To), good) })
+		if good, conclusive := evidence.Classify(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); conclusive {
+			o.update(func(m *evidence.Machine, now evidence.Moment) {
+				m.RecordAttempt(now, string(c.attempts[e.attempt].To), good)
+			})
 		}
 	}
 }
@@ -148,9 +150,9 @@
 	if o.machine == nil {
 		return shown, admin.ErrHanded
 	}
-	shown = admin.Evidence{Witnesses: o.machine.Heard(), Hosts: []admin.Said{}}
+	shown = admin.Evidence{Witnesses: o.machine.ActiveReporters(), Hosts: []admin.Said{}}
 	for _, one := range o.delivered {
-		shown.Hosts = append(shown.Hosts, admin.Said{Host: one.Host, Good: one.Good, Bad: one.Bad, Witnesses: one.Witnesses})
+		shown.Hosts = append(shown.Hosts, admin.Said{Host: one.Host, Good: one.Good, Bad: one.Bad, Witnesses: one.BadReporters})
 	}
 	return shown, nil
 }
--- a/internal/fleet/carry/evidence.go
+++ b/internal/fleet/carry/evidence.go
@@ -24,8 +24,8 @@
 
 // EncodeObservations encodes a message of package evidence.
 func EncodeObservations(m *evidence.Message) []byte {
-	out := observations{N: m.N, At: int64(m.At)}
-	for _, r := range m.Rows {
+	out := observations{N: m.Sequence, At: int64(m.SentAt)}
+	for _, r := range m.Hosts {
 		out.Rows = append(out.Rows, observationRow{Host: r.Host, Good: uint32(r.Good), Bad: uint32(r.Bad)})
 	}
 	data, _ := cbor.Marshal(&out) // cannot fail for numbers and strings
@@ -38,12 +38,12 @@
 	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
 	}
-	m := &evidence.Message{N: s.N, At: evidence.Moment(s.At)}
+	m := &evidence.Message{Sequence: s.N, SentAt: evidence.Moment(s.At)}
 	for _, r := range s.Rows {
-		if r.Host == "" || len(r.Host) > evidence.MostName || r.Good > 1<<30 || r.Bad > 1<<30 {
+		if r.Host == "" || len(r.Host) > evidence.MaxHostNameBytes || r.Good > 1<<30 || r.Bad > 1<<30 {
 			return nil, false
 		}
-		m.Rows = append(m.Rows, evidence.Row{Host: r.Host, Good: int(r.Good), Bad: int(r.Bad)})
+		m.Hosts = append(m.Hosts, evidence.HostOutcomes{Host: r.Host, Good: int(r.Good), Bad: int(r.Bad)})
 	}
 	return m, true
 }
--- a/internal/fleet/evidence/evidence.go
+++ b/internal/fleet/evidence/evidence.go
@@ -19,8 +19,8 @@
 // Moment is a time on this process's own monotonic clock.
 type Moment = time.Duration
 
-// Row counts how one balancer's recent attempts at one host ended.
-type Row struct {
+// HostOutcomes counts how one balancer's recent attempts at one host ended.
+type HostOutcomes struct {
 	Host      string
 	Good, Bad int
 }
@@ -28,13 +28,13 @@
 // Message holds all recent observations of one balancer, as far as they fit. Each message is complete in itself and replaces the
 // sender's earlier ones, so that a lost, late or repeated message makes nothing count twice.
 type Message struct {
-	N    uint64 // sequence number of the sender's messages
-	At   Moment // when it was sent, by the sender's clock
-	Rows []Row
+	Sequence uint64 // sequence number of the sender's messages
+	SentAt   Moment // when it was sent, by the sender's clock
+	Hosts    []HostOutcomes
 }
 
-// Send is a message and the member it goes to.
-type Send struct {
+// Outgoing is a message and the member it goes to.
+type Outgoing struct {
 	To  member.ProcessID
 	Msg Message
 }
@@ -45,25 +45,25 @@
 	Zone string
 }
 
-// Word summarises what the other balancers report of a host. Good and Bad are the weight of their reports, in attempts, to be added to
+// HostSummary summarises what the other balancers report of a host. Good and Bad are the weight of their reports, in attempts, to be added to
 // the balancer's own observations; both are 0 if there is no longer anything to report.
-type Word struct {
-	Host      string
-	Good, Bad float64
-	Witnesses int // how many balancers report more bad attempts than good ones
+type HostSummary struct {
+	Host         string
+	Good, Bad    float64
+	BadReporters int // how many balancers report more bad attempts than good ones
 }
 
-// Has reports whether summaries, which are sorted by host, contain one of this host.
-func Has(summaries []Word, host string) bool {
-	_, has := slices.BinarySearchFunc(summaries, host, func(w Word, h string) int { return cmp.Compare(w.Host, h) })
+// Contains reports whether summaries, which are sorted by host, contain one of this host.
+func Contains(summaries []HostSummary, host string) bool {
+	_, has := slices.BinarySearchFunc(summaries, host, func(w HostSummary, h string) int { return cmp.Compare(w.Host, h) })
 	return has
 }
 
-// Tell calls notify for each host that has a summary now, and with zeros for each host that had one before and has none now. It
+// NotifyChanges calls notify for each host that has a summary now, and with zeros for each host that had one before and has none now. It
 // repeats unchanged summaries, because the policy treats a restarted host as a new one that has none yet.
-func Tell(before, after []Word, notify func(host string, good, bad float64)) {
+func NotifyChanges(before, after []HostSummary, notify func(host string, good, bad float64)) {
 	for _, w := range before {
-		if !Has(after, w.Host) {
+		if !Contains(after, w.Host) {
 			notify(w.Host, 0, 0)
 		}
 	}
@@ -72,17 +72,17 @@
 	}
 }
 
-// Terms is the configuration of a Machine; it does not change during the life of a process.
-type Terms struct {
+// Config is the configuration of a Machine; it does not change during the life of a process.
+type Config struct {
 	Self member.ProcessID
 	Zone string
 }
 
 const (
-	// Turn is the interval at which Tick is to be called. With 1 s instead, 80 balancers sent 515 attempts to failing hosts, where
+	// TickInterval is the interval at which Tick is to be called. With 1 s instead, 80 balancers sent 515 attempts to failing hosts, where
 	// they sent 460 with 0.5 s and 724 without any exchange of observations.
-	Turn        = 500 * time.Millisecond
-	windowTicks = 12 // ticks whose attempts are reported
+	TickInterval = 500 * time.Millisecond
+	windowTicks  = 12 // ticks whose attempts are reported
 	// reportTTL is how long a balancer's report counts after its last message, long enough for two messages in a row to be lost.
 	reportTTL = 9 * time.Second
 	// maxDelay is how much longer than the sender's fastest message a message may take. One that waited in a socket while this process
@@ -101,7 +101,7 @@
 	maxReporters       = 4096
 	maxMessageRowBytes = 900 // all rows of a message
 	rowOverheadBytes   = 8   // a row without the host's name
-	MostName           = 256 // MostName is the maximum length of a host's name
+	MaxHostNameBytes   = 256 // MaxHostNameBytes is the maximum length of a host's name
 )
 
 const (
@@ -119,7 +119,7 @@
 
 // Machine holds one balancer's observations and the reports of the others.
 type Machine struct {
-	config       Terms
+	config       Config
 	now          Moment
 	tick         int
 	ownCounts    map[string]*attemptCounts
@@ -129,8 +129,8 @@
 	partnerIndex int    // of the partner that got the last message
 	lastSequence uint64 // of the messages sent
 	hostCount    int    // number of hosts in the host list
-	sends        []Send
-	summaries    []Word
+	sends        []Outgoing
+	summaries    []HostSummary
 }
 
 // attemptCounts counts this balancer's attempts at one host for each tick of the window, as ring buffers.
@@ -145,19 +145,19 @@
 	lastReceived Moment // when the last accepted message arrived
 	minOffset    Moment // arrival time by the own clock minus sending time by the sender's, for its fastest message
 	minOffsetAt  Moment // when that message arrived
-	rows         map[string]Row
+	rows         map[string]HostOutcomes
 	biased       bool // see biasedBadRatio
 }
 
 // New returns a Machine without any observations.
-func New(config Terms) *Machine {
+func New(config Config) *Machine {
 	return &Machine{config: config, ownCounts: map[string]*attemptCounts{}, reporters: map[member.ProcessID]*reporter{}, zones: map[member.ProcessID]string{}}
 }
 
-// Proves reports whether the outcome of an attempt is evidence about its host (proves), and whether it is good. An answer within the
+// Classify reports whether the outcome of an attempt is evidence about its host (conclusive), and whether it is good. An answer within the
 // latency SLO is good; a later answer, no answer by then, and a failure are bad. An attempt that was rejected, never sent or cancelled
 // before the SLO elapsed is no evidence.
-func Proves(outcome policy.Outcome, took, slo policy.Nanos) (good, proves bool) {
+func Classify(outcome policy.Outcome, took, slo policy.Nanos) (good, conclusive bool) {
 	switch outcome {
 	case policy.Fulfilled, policy.CacheMiss:
 		return took <= slo, true
@@ -169,12 +169,12 @@
 	return false, false
 }
 
-// Ended counts the result of one of this balancer's own attempts.
-func (m *Machine) Ended(now Moment, host string, good bool) {
+// RecordAttempt counts the result of one of this balancer's own attempts.
+func (m *Machine) RecordAttempt(now Moment, host string, good bool) {
 	m.advance(now)
 	o := m.ownCounts[host]
 	if o == nil {
-		if len(m.ownCounts) >= maxHosts || len(host) > MostName || host == "" {
+		if len(m.ownCounts) >= maxHosts || len(host) > MaxHostNameBytes || host == "" {
 			return
 		}
 		o = &attemptCounts{tick: m.tick}
@@ -191,7 +191,7 @@
 // advance sets the current time.
 func (m *Machine) advance(now Moment) {
 	m.now = now
-	m.tick = int(now / Turn)
+	m.tick = int(now / TickInterval)
 }
 
 // advance moves to the given tick and clears the counts of ticks that have left the window.
@@ -210,7 +210,7 @@
 	return good, bad
 }
 
-// Tick queues messages to the next partners and updates the summaries. It is to be called once per Turn, with the members present and
+// Tick queues messages to the next partners and updates the summaries. It is to be called once per TickInterval, with the members present and
 // the number of hosts in the host list.
 func (m *Machine) Tick(now Moment, members []Peer, hosts int) {
 	m.advance(now)
@@ -228,7 +228,7 @@
 	for range min(partnersPerTick, len(m.partners)) {
 		m.partnerIndex = (m.partnerIndex + 1) % len(m.partners)
 		m.lastSequence++
-		m.sends = append(m.sends, Send{m.partners[m.partnerIndex], Message{N: m.lastSequence, At: now, Rows: rows}})
+		m.sends = append(m.sends, Outgoing{m.partners[m.partnerIndex], Message{Sequence: m.lastSequence, SentAt: now, Hosts: rows}})
 	}
 	m.summarize()
 }
@@ -269,8 +269,8 @@
 
 // rows returns this balancer's observations, as many as a message holds. Hosts with bad attempts here or with a summary come first,
 // sorted by the number of bad attempts, then the other hosts, by the number of good attempts.
-func (m *Machine) rows() []Row {
-	var rows []Row
+func (m *Machine) rows() []HostOutcomes {
+	var rows []HostOutcomes
 	for host, o := range m.ownCounts {
 		o.advance(m.tick)
 		good, bad := o.total()
@@ -278,15 +278,15 @@
 			delete(m.ownCounts, host)
 			continue
 		}
-		rows = append(rows, Row{host, good, bad})
+		rows = append(rows, HostOutcomes{host, good, bad})
 	}
-	priority := func(r Row) int {
-		if Has(m.summaries, r.Host) || r.Bad > 0 {
+	priority := func(r HostOutcomes) int {
+		if Contains(m.summaries, r.Host) || r.Bad > 0 {
 			return 1
 		}
 		return 0
 	}
-	slices.SortFunc(rows, func(a, b Row) int {
+	slices.SortFunc(rows, func(a, b HostOutcomes) int {
 		return cmp.Or(cmp.Compare(priority(b), priority(a)), cmp.Compare(b.Bad, a.Bad), cmp.Compare(b.Good, a.Good), cmp.Compare(a.Host, b.Host))
 	})
 	remaining := maxMessageRowBytes
@@ -298,13 +298,13 @@
 	return rows
 }
 
-// Hear processes a member's message.
-func (m *Machine) Hear(now Moment, from member.ProcessID, msg *Message) {
+// Receive processes a member's message.
+func (m *Machine) Receive(now Moment, from member.ProcessID, msg *Message) {
 	m.advance(now)
 	if _, present := m.zones[from]; !present && len(m.zones) > 0 || from == m.config.Self {
 		return
 	}
-	w, offset := m.reporters[from], now-msg.At
+	w, offset := m.reporters[from], now-msg.SentAt
 	if w == nil {
 		if len(m.reporters) >= maxReporters {
 			return
@@ -312,7 +312,7 @@
 		w = &reporter{minOffset: offset, minOffsetAt: now}
 		m.reporters[from] = w
 	}
-	if msg.N <= w.lastSequence {
+	if msg.Sequence <= w.lastSequence {
 		return
 	}
 	expected := w.minOffset + Moment(offsetDriftRatio*float64(now-w.minOffsetAt))
@@ -322,9 +322,9 @@
 	if offset < expected {
 		w.minOffset, w.minOffsetAt = offset, now
 	}
-	w.lastSequence, w.lastReceived, w.rows = msg.N, now, make(map[string]Row, len(msg.Rows))
+	w.lastSequence, w.lastReceived, w.rows = msg.Sequence, now, make(map[string]HostOutcomes, len(msg.Hosts))
 	good, bad := 0, 0
-	for _, r := range msg.Rows {
+	for _, r := range msg.Hosts {
 		if r.Good >= 0 && r.Bad >= 0 && r.Good+r.Bad > 0 {
 			w.rows[r.Host] = r
 			good, bad = good+min(r.Good, 1), bad+min(r.Bad, 1)
@@ -360,7 +360,7 @@
 			otherZones[host][zone] = votes{v.good + 1 - badRatio, v.bad + badRatio}
 		}
 	}
-	summaries := []Word{}
+	summaries := []HostSummary{}
 	for host := range badReporters {
 		v := sameZone[host]
 		for _, zoneVotes := range otherZones[host] { // another zone's failures may be due to its network paths: together it weighs at most one
@@ -369,22 +369,22 @@
 		}
 		if v.bad >= minBadWeight && v.bad > v.good {
 			scale := min(1, maxTotalWeight/(v.good+v.bad))
-			summaries = append(summaries, Word{host, v.good * scale, v.bad * scale, badReporters[host]})
+			summaries = append(summaries, HostSummary{host, v.good * scale, v.bad * scale, badReporters[host]})
 		}
 	}
-	slices.SortFunc(summaries, func(a, b Word) int {
-		return cmp.Or(cmp.Compare(b.Bad/(b.Good+b.Bad), a.Bad/(a.Good+a.Bad)), cmp.Compare(b.Witnesses, a.Witnesses), cmp.Compare(a.Host, b.Host))
+	slices.SortFunc(summaries, func(a, b HostSummary) int {
+		return cmp.Or(cmp.Compare(b.Bad/(b.Good+b.Bad), a.Bad/(a.Good+a.Bad)), cmp.Compare(b.BadReporters, a.BadReporters), cmp.Compare(a.Host, b.Host))
 	})
 	summaries = summaries[:min(len(summaries), int(math.Floor(maxFlaggedRatio*float64(m.hostCount))))]
-	slices.SortFunc(summaries, func(a, b Word) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(summaries, func(a, b HostSummary) int { return cmp.Compare(a.Host, b.Host) })
 	m.summaries = summaries
 }
 
-// Words returns the current summaries of the others' reports, sorted by host.
-func (m *Machine) Words() []Word { return slices.Clone(m.summaries) }
+// Summaries returns the current summaries of the others' reports, sorted by host.
+func (m *Machine) Summaries() []HostSummary { return slices.Clone(m.summaries) }
 
-// Heard returns the number of balancers whose reports count now.
-func (m *Machine) Heard() (n int) {
+// ActiveReporters returns the number of balancers whose reports count now.
+func (m *Machine) ActiveReporters() (n int) {
 	for _, w := range m.reporters {
 		if m.now-w.lastReceived <= reportTTL && !w.biased {
 			n++
@@ -393,8 +393,8 @@
 	return n
 }
 
-// Out returns the messages queued since the last call.
-func (m *Machine) Out() []Send {
+// TakeOutput returns the messages queued since the last call.
+func (m *Machine) TakeOutput() []Outgoing {
 	s := m.sends
 	m.sends = nil
 	return s
--- a/internal/fleet/evidence/evidence_test.go
+++ b/internal/fleet/evidence/evidence_test.go
@@ -11,7 +11,7 @@
 )
 
 func newMachineWithPeers(zones ...string) (*Machine, []Peer) {
-	m := New(Terms{Self: 1, Zone: "a"})
+	m := New(Config{Self: 1, Zone: "a"})
 	peers := []Peer{{1, "a"}}
 	for i, z := range zones {
 		peers = append(peers, Peer{member.ProcessID(i + 2), z})
@@ -20,10 +20,10 @@
 	return m, peers
 }
 
-func singleRow(host string, good, bad int) []Row { return []Row{{host, good, bad}} }
+func singleRow(host string, good, bad int) []HostOutcomes { return []HostOutcomes{{host, good, bad}} }
 
 func formatSummaries(m *Machine) (text string) {
-	for _, w := range m.Words() {
+	for _, w := range m.Summaries() {
 		text += fmt.Sprintf("%s %.1f:%.1f ", w.Host, w.Good, w.Bad)
 	}
 	return text
@@ -32,33 +32,33 @@
 // Which reports lead to a summary, and of what weight: a single reporter, a single other zone, or a reporter that finds most hosts bad
 // does not suffice. A summary weighs no more than a few attempts, exists for at most a quarter of the hosts, and expires by itself.
 func TestSummaries(t *testing.T) {
-	mostlyBad := []Row{{"p", 0, 2}, {"q", 0, 2}, {"r", 0, 2}, {"s", 1, 0}}
+	mostlyBad := []HostOutcomes{{"p", 0, 2}, {"q", 0, 2}, {"r", 0, 2}, {"s", 1, 0}}
 	for name, row := range map[string]struct {
 		zones []string
-		rows  [][]Row
+		rows  [][]HostOutcomes
 		want  string
 	}{
-		"one":               {[]string{"a"}, [][]Row{singleRow("h", 0, 900)}, ""},
-		"two":               {[]string{"a", "a"}, [][]Row{singleRow("h", 0, 9), singleRow("h", 0, 1)}, "h 0.0:2.0 "},
-		"outvoted":          {[]string{"a", "a", "a", "a"}, [][]Row{singleRow("h", 0, 9), singleRow("h", 0, 9), singleRow("h", 1, 0), singleRow("h", 1, 0)}, ""},
-		"most":              {[]string{"a", "a", "a"}, [][]Row{singleRow("h", 0, 9), singleRow("h", 0, 9), singleRow("h", 7, 0)}, "h 1.0:2.0 "},
-		"eight weigh four":  {[]string{"a", "a", "a", "a", "a", "a", "a", "a"}, slices.Repeat([][]Row{singleRow("h", 0, 9)}, 8), "h 0.0:4.0 "},
-		"another zone":      {[]string{"b", "b", "b", "b"}, slices.Repeat([][]Row{singleRow("h", 0, 9)}, 4), ""},
-		"two other zones":   {[]string{"b", "b", "c", "c"}, slices.Repeat([][]Row{singleRow("h", 0, 9)}, 4), "h 0.0:2.0 "},
-		"finds all bad":     {[]string{"a", "a", "a"}, [][]Row{mostlyBad, mostlyBad, singleRow("p", 0, 1)}, ""},
-		"a quarter of them": {[]string{"a", "a"}, slices.Repeat([][]Row{{{"p", 0, 2}, {"q", 1, 2}, {"r", 0, 2}, {"s", 8, 0}, {"t", 8, 0}, {"u", 8, 0}, {"v", 8, 0}}}, 2), "p 0.0:2.0 r 0.0:2.0 "},
-		"nonsense":          {[]string{"a", "a"}, slices.Repeat([][]Row{{{"p", -3, 5}, {"", 0, 0}}}, 2), ""},
+		"one":               {[]string{"a"}, [][]HostOutcomes{singleRow("h", 0, 900)}, ""},
+		"two":               {[]string{"a", "a"}, [][]HostOutcomes{singleRow("h", 0, 9), singleRow("h", 0, 1)}, "h 0.0:2.0 "},
+		"outvoted":          {[]string{"a", "a", "a", "a"}, [][]HostOutcomes{singleRow("h", 0, 9), singleRow("h", 0, 9), singleRow("h", 1, 0), singleRow("h", 1, 0)}, ""},
+		"most":              {[]string{"a", "a", "a"}, [][]HostOutcomes{singleRow("h", 0, 9), singleRow("h", 0, 9), singleRow("h", 7, 0)}, "h 1.0:2.0 "},
+		"eight weigh four":  {[]string{"a", "a", "a", "a", "a", "a", "a", "a"}, slices.Repeat([][]HostOutcomes{singleRow("h", 0, 9)}, 8), "h 0.0:4.0 "},
+		"another zone":      {[]string{"b", "b", "b", "b"}, slices.Repeat([][]HostOutcomes{singleRow("h", 0, 9)}, 4), ""},
+		"two other zones":   {[]string{"b", "b", "c", "c"}, slices.Repeat([][]HostOutcomes{singleRow("h", 0, 9)}, 4), "h 0.0:2.0 "},
+		"finds all bad":     {[]string{"a", "a", "a"}, [][]HostOutcomes{mostlyBad, mostlyBad, singleRow("p", 0, 1)}, ""},
+		"a quarter of them": {[]string{"a", "a"}, slices.Repeat([][]HostOutcomes{{{"p", 0, 2}, {"q", 1, 2}, {"r", 0, 2}, {"s", 8, 0}, {"t", 8, 0}, {"u", 8, 0}, {"v", 8, 0}}}, 2), "p 0.0:2.0 r 0.0:2.0 "},
+		"nonsense":          {[]string{"a", "a"}, slices.Repeat([][]HostOutcomes{{{"p", -3, 5}, {"", 0, 0}}}, 2), ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			m, peers := newMachineWithPeers(row.zones...)
 			for i, rows := range row.rows {
-				m.Hear(0, peers[i+1].Life, &Message{N: 1, Rows: rows})
+				m.Receive(0, peers[i+1].Life, &Message{Sequence: 1, Hosts: rows})
 			}
-			m.Tick(Turn, peers, 8)
+			m.Tick(TickInterval, peers, 8)
 			if got := formatSummaries(m); got != row.want {
 				t.Errorf("summaries %q, expected %q", got, row.want)
 			}
-			if m.Tick(2*Turn+reportTTL, peers, 8); formatSummaries(m) != "" {
+			if m.Tick(2*TickInterval+reportTTL, peers, 8); formatSummaries(m) != "" {
 				t.Errorf("summaries not expired: %q", formatSummaries(m))
 			}
 		})
@@ -75,15 +75,15 @@
 		last := map[int]int{}
 		for k, rest := 0, n; k < 5; k, rest = k+1, rest/6 {
 			sender, message := rest%6/2, rest%6%2
-			m.Hear(0, peers[sender+1].Life, &Message{N: uint64(message + 1), Rows: singleRow("h", message, message*sender)})
+			m.Receive(0, peers[sender+1].Life, &Message{Sequence: uint64(message + 1), Hosts: singleRow("h", message, message*sender)})
 			last[sender] = max(last[sender], message+1)
 		}
 		for sender, message := range last {
-			want.Hear(0, wantPeers[sender+1].Life, &Message{N: uint64(message), Rows: singleRow("h", message-1, (message-1)*sender)})
+			want.Receive(0, wantPeers[sender+1].Life, &Message{Sequence: uint64(message), Hosts: singleRow("h", message-1, (message-1)*sender)})
 		}
-		m.Tick(Turn, peers, 8)
-		want.Tick(Turn, wantPeers, 8)
-		if sequences++; formatSummaries(m) != formatSummaries(want) || m.Heard() != want.Heard() {
+		m.Tick(TickInterval, peers, 8)
+		want.Tick(TickInterval, wantPeers, 8)
+		if sequences++; formatSummaries(m) != formatSummaries(want) || m.ActiveReporters() != want.ActiveReporters() {
 			t.Fatalf("sequence %d: summaries %q, expected %q", n, formatSummaries(m), formatSummaries(want))
 		}
 	}
@@ -98,7 +98,7 @@
 	m, peers := newMachineWithPeers("a", "a")
 	receive := func(now, at Moment, n uint64) {
 		for _, p := range peers[1:] {
-			m.Hear(now, p.Life, &Message{N: n, At: at, Rows: singleRow("h", 0, 9)})
+			m.Receive(now, p.Life, &Message{Sequence: n, SentAt: at, Hosts: singleRow("h", 0, 9)})
 		}
 		m.Tick(now, peers, 8)
 	}
@@ -114,15 +114,15 @@
 	if formatSummaries(m) == "" {
 		t.Error("no summary from messages that are in time again")
 	}
-	sender := New(Terms{Self: 9, Zone: "a"})
-	sender.Ended(0, "h", false)
+	sender := New(Config{Self: 9, Zone: "a"})
+	sender.RecordAttempt(0, "h", false)
 	sender.Tick(time.Second, peers, 8)
-	if out := sender.Out(); len(out) != 3 || len(out[0].Msg.Rows) != 1 {
+	if out := sender.TakeOutput(); len(out) != 3 || len(out[0].Msg.Hosts) != 1 {
 		t.Fatalf("sent %+v, want three messages with one row", out)
 	}
 	sender.Tick(11*time.Second, peers, 8)
-	if out := sender.Out(); len(out[0].Msg.Rows) != 0 {
-		t.Errorf("rows reported ten seconds later: %+v", out[0].Msg.Rows)
+	if out := sender.TakeOutput(); len(out[0].Msg.Hosts) != 0 {
+		t.Errorf("rows reported ten seconds later: %+v", out[0].Msg.Hosts)
 	}
 }
 
@@ -135,11 +135,11 @@
 	var peers []Peer
 	for i := range n {
 		peers = append(peers, Peer{member.ProcessID(i + 1), []string{"a", "b"}[i%2]})
-		all = append(all, New(Terms{Self: member.ProcessID(i + 1), Zone: []string{"a", "b"}[i%2]}))
+		all = append(all, New(Config{Self: member.ProcessID(i + 1), Zone: []string{"a", "b"}[i%2]}))
 	}
 	countSummaries := func() (bad, good int) {
 		for _, m := range all {
-			for _, w := range m.Words() {
+			for _, w := range m.Summaries() {
 				if w.Host == "h0" {
 					bad++
 				} else {
@@ -150,16 +150,16 @@
 		return bad, good
 	}
 	tick := func(s int, failing bool) {
-		now := time.Duration(s) * Turn
+		now := time.Duration(s) * TickInterval
 		for _, m := range all {
 			for range hosts / 4 {
 				h := r.IntN(hosts)
-				m.Ended(now, fmt.Sprint("h", h), !(failing && h == 0) && r.IntN(50) > 0)
+				m.RecordAttempt(now, fmt.Sprint("h", h), !(failing && h == 0) && r.IntN(50) > 0)
 			}
 			m.Tick(now, peers, hosts)
-			for _, s := range m.Out() {
+			for _, s := range m.TakeOutput() {
 				if r.IntN(10) > 0 {
-					all[s.To-1].Hear(now, m.config.Self, &s.Msg)
+					all[s.To-1].Receive(now, m.config.Self, &s.Msg)
 				}
 			}
 		}
@@ -171,7 +171,7 @@
 	if bad < n*9/10 || good > n/50 {
 		t.Errorf("after 8 s %d of %d balancers have a summary of the failing host; %d summaries of good ones", bad, n, good)
 	}
-	for s := 16; s < 16+windowTicks+int(reportTTL/Turn)+2; s++ {
+	for s := 16; s < 16+windowTicks+int(reportTTL/TickInterval)+2; s++ {
 		tick(s, false)
 	}
 	if bad, good = countSummaries(); bad > 0 || good > n/50 {
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -67,13 +67,13 @@
 	{name: "a fifth of the nodes fail, two groups by turns", faults: byTurns("fail", 1)},
 	{name: "a fifth hang, two groups by turns", faults: byTurns("stall", 0)},
 	{name: "all nodes are well"},
-	{name: "all are well, three in eight balancers call a quarter of the nodes bad", lie: lying(func(i int, r *evidence.Row) {
+	{name: "all are well, three in eight balancers call a quarter of the nodes bad", lie: lying(func(i int, r *evidence.HostOutcomes) {
 		if i%4 == 0 {
 			r.Good, r.Bad = 0, 9
 		}
 	})},
-	{name: "all are well, three in eight call all nodes bad", lie: lying(func(_ int, r *evidence.Row) { r.Good, r.Bad = 0, 9 })},
-	{name: "a fifth fail by turns, three in eight call all nodes well", faults: byTurns("fail", 1), lie: lying(func(_ int, r *evidence.Row) { r.Good, r.Bad = 9, 0 })},
+	{name: "all are well, three in eight call all nodes bad", lie: lying(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 0, 9 })},
+	{name: "a fifth fail by turns, three in eight call all nodes well", faults: byTurns("fail", 1), lie: lying(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 9, 0 })},
 }
 
 // byTurns has a tenth of the nodes, then another tenth, be bad for a while.
@@ -91,8 +91,8 @@
 }
 
 // lying has three balancers in eight change what they tell.
-func lying(change func(i int, r *evidence.Row)) virtual.Liars {
-	return func(b int, rows []evidence.Row) []evidence.Row {
+func lying(change func(i int, r *evidence.HostOutcomes)) virtual.Liars {
+	return func(b int, rows []evidence.HostOutcomes) []evidence.HostOutcomes {
 		if b%8 >= 3 {
 			return rows
 		}
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -26,9 +26,9 @@
 	life  record.Life
 	dealt bool // the front holds it for alive
 	round int
-	until time.Duration     // it stands still until then
-	seen  *evidence.Machine // nil: none yet
-	words []evidence.Word   // that the module has heard
+	until time.Duration          // it stands still until then
+	seen  *evidence.Machine      // nil: none yet
+	words []evidence.HostSummary // that the module has heard
 }
 
 // awake lets the process that runs now do something: at once, or when it goes on after it stood still. Where it has ended by
@@ -420,8 +420,8 @@
 	}
 	if b.seen != nil && s.to != nil {
 		slo := policy.Nanos(b.d.Products[c.rec.Product].LatencySLO)
-		if good, proves := evidence.Proves(o, policy.Nanos(b.d.now-s.sent), slo); proves {
-			b.seen.Ended(b.d.now, s.to.id, good)
+		if good, proves := evidence.Classify(o, policy.Nanos(b.d.now-s.sent), slo); proves {
+			b.seen.RecordAttempt(b.d.now, s.to.id, good)
 		}
 	}
 	b.mod.AttemptEnded(policy.AttemptResult{RequestID: policy.RequestID(c.id), Attempt: s.n, Final: c.settled, Outcome: o, Duration: policy.Nanos(b.d.now - s.sent),
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -13,7 +13,7 @@
 )
 
 // Liars is what balancers tell in place of what they saw; nil tells it as it is.
-type Liars func(balancer int, rows []evidence.Row) []evidence.Row
+type Liars func(balancer int, rows []evidence.HostOutcomes) []evidence.HostOutcomes
 
 // PlayLying plays a day on which some balancers tell others something else of nodes than they saw.
 func PlayLying(s *scenario.Day, lie Liars) (*runner.Result, error) {
@@ -33,7 +33,7 @@
 	e := &evidenceOf{d: d, chance: model.Stream(d.Seed, "evidence"), lie: lie}
 	d.evidence = e
 	for i := range d.balancers {
-		d.at(time.Duration(e.chance.Int64N(int64(evidence.Turn))), func() { e.turn(i) })
+		d.at(time.Duration(e.chance.Int64N(int64(evidence.TickInterval))), func() { e.turn(i) })
 	}
 }
 
@@ -47,13 +47,13 @@
 func (e *evidenceOf) turn(i int) {
 	d, b := e.d, e.d.balancers[i]
 	if d.now < d.Length.D() {
-		d.after(evidence.Turn, func() { e.turn(i) })
+		d.after(evidence.TickInterval, func() { e.turn(i) })
 	}
 	if b.mod == nil || b.until > d.now {
 		return
 	}
 	if b.seen == nil {
-		b.seen = evidence.New(evidence.Terms{Self: e.life(i), Zone: e.zone(i)})
+		b.seen = evidence.New(evidence.Config{Self: e.life(i), Zone: e.zone(i)})
 	}
 	var peers []evidence.Peer
 	for k, o := range d.balancers {
@@ -63,23 +63,23 @@
 	}
 	listed, _ := b.mod.HostCounts()
 	b.seen.Tick(d.now, peers, listed)
-	for _, s := range b.seen.Out() {
+	for _, s := range b.seen.TakeOutput() {
 		e.Sent++
 		to, msg, from := int(uint32(s.To))-1, s.Msg, e.life(i)
 		if e.lie != nil {
-			msg.Rows = e.lie(i, msg.Rows)
+			msg.Hosts = e.lie(i, msg.Hosts)
 		}
 		if e.chance.Float64() < d.Mates.Loss || d.apart(i, to) {
 			continue
 		}
 		d.after(d.Mates.Delay.D()+time.Duration(e.chance.Int64N(int64(d.Mates.Jitter)+1)), func() {
 			if o := d.balancers[to]; o.seen != nil && o.mod != nil {
-				o.awake(func() { o.seen.Hear(d.now, from, &msg) }, nil)
+				o.awake(func() { o.seen.Receive(d.now, from, &msg) }, nil)
 			}
 		})
 	}
-	words := b.seen.Words()
-	evidence.Tell(b.words, words, func(host string, good, bad float64) { b.mod.SetObservations(policy.HostID(host), good, bad) })
+	words := b.seen.Summaries()
+	evidence.NotifyChanges(b.words, words, func(host string, good, bad float64) { b.mod.SetObservations(policy.HostID(host), good, bad) })
 	b.words = words
 }
 
