--- a/internal/fleet/member/explore_test.go
+++ b/internal/fleet/member/explore_test.go
@@ -291,7 +291,7 @@
 
 // exploreOrders goes through every order of steps from a state and returns the number of states and the first violation.
 func exploreOrders(w *fleetState, depth int) (states int, wrong string) {
-	return explore.Orders(w, depth, (*fleetState).clone, (*fleetState).steps, (*fleetState).key, func(w *fleetState) string { return w.violation })
+	return explore.Sequences(w, depth, (*fleetState).clone, (*fleetState).steps, (*fleetState).key, func(w *fleetState) string { return w.violation })
 }
 
 // settledFleet returns a fleet in which all members know each other and the last one has received nothing for some periods, so
--- a/internal/fleet/order/explore_test.go
+++ b/internal/fleet/order/explore_test.go
@@ -163,7 +163,7 @@
 	for i := range first.balancers {
 		first.start(i, nil)
 	}
-	states, failure := explore.Orders(first, *exploreDepth, (*model).clone, (*model).steps, (*model).key, func(w *model) string { return w.failure })
+	states, failure := explore.Sequences(first, *exploreDepth, (*model).clone, (*model).steps, (*model).key, func(w *model) string { return w.failure })
 	t.Logf("%d states to depth %d", states, *exploreDepth)
 	if failure != "" {
 		t.Error(failure)
--- a/internal/fleet/share/explore_test.go
+++ b/internal/fleet/share/explore_test.go
@@ -187,9 +187,9 @@
 	return h.Sum64()
 }
 
-// exploreAll explores every sequence of steps from a model; see explore.Orders for the results.
+// exploreAll explores every sequence of steps from a model; see explore.Sequences for the results.
 func exploreAll(t *model, depth int) (states int, failure string) {
-	return explore.Orders(t, depth, (*model).clone, (*model).steps, (*model).key, func(t *model) string { return t.failure })
+	return explore.Sequences(t, depth, (*model).clone, (*model).steps, (*model).key, func(t *model) string { return t.failure })
 }
 
 // In no sequence of ticks, deliveries, duplicates, losses, kills, restarts and expiries of leases do the parts add up to more than the
