--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -273,7 +273,7 @@
 			OriginKind: 1, CacheAside: !faults.cachesTakeWrites, MayCancel: true, MaxAttempts: 6, TimerGranularity: policy.Millisecond}}
 	f.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
-	list := discovery.List{Whole: true}
+	list := discovery.List{Snapshot: true}
 	for i := range 5 {
 		name := "cache-" + strconv.Itoa(i)
 		names[f.cacheHost(t, name, faults.answers)] = name
--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -126,7 +126,7 @@
 func TestLongListInShortSteps(t *testing.T) {
 	const hosts, tries, part = 3200, 3, 20
 	list := func(from int) (l discovery.List) {
-		l.Whole = true
+		l.Snapshot = true
 		for i := range hosts {
 			l.Hosts = append(l.Hosts, discovery.Host{Addr: "127.0.0.1:1", HostEntry: policy.HostEntry{HostID: policy.HostID(fmt.Sprint("s-", from+i)), Size: 1}})
 		}
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -48,7 +48,7 @@
 		Terms:    policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms, read}, OriginKind: -1, MayCancel: true, MaxAttempts: 4, TimerGranularity: policy.Millisecond}}
 	x.Balancer = New(told, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
-	l := discovery.List{Whole: true}
+	l := discovery.List{Snapshot: true}
 	for name, answer := range answers {
 		at, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -44,8 +44,8 @@
 	return time.Duration(float64(wait) * (0.5 + rand.Float64()/2))
 }
 
-func (b *Balancer) discoveryNames() discovery.Names {
-	return discovery.Names{Zones: b.deployment.Zones, Kinds: b.deployment.Kinds, Pause: b.pause}
+func (b *Balancer) discoveryNames() discovery.NameIndexes {
+	return discovery.NameIndexes{Zones: b.deployment.Zones, Kinds: b.deployment.Kinds, Yield: b.pause}
 }
 
 // startWatch starts to follow the host list at the source's address, beginning with the whole list, and stops the previous watch.
@@ -59,10 +59,10 @@
 	}
 	ctx, stop := context.WithCancel(b.ctx)
 	b.listSource.stop = stop
-	watch := &discovery.Watch{Addr: b.listSource.addr, Names: b.discoveryNames(), Pace: b.pace, Dial: b.listSource.dial}
-	watch.Has = len(b.listSource.hosts) > 0
+	watch := &discovery.Watch{Addr: b.listSource.addr, Names: b.discoveryNames(), Timeouts: b.pace, Dial: b.listSource.dial}
+	watch.HasList = len(b.listSource.hosts) > 0
 	if b.listSource.resumeFrom != nil {
-		watch.From(*b.listSource.resumeFrom)
+		watch.ResumeFrom(*b.listSource.resumeFrom)
 		b.listSource.resumeFrom = nil // valid only for the first address
 	}
 	go b.followDiscovery(ctx, watch, subscribed)
@@ -86,7 +86,7 @@
 // that must apply soon.
 func (b *Balancer) followDiscovery(ctx context.Context, watch *discovery.Watch, subscribed bool) {
 	defer watch.Close()
-	backoff := b.pace.First
+	backoff := b.pace.FirstRetryDelay
 	for {
 		if !subscribed {
 			select {
@@ -98,7 +98,7 @@
 		}
 		list, err := watch.Next(ctx)
 		if err == nil {
-			backoff = b.pace.First
+			backoff = b.pace.FirstRetryDelay
 			b.acceptHostList(ctx, list)
 			continue
 		}
@@ -106,7 +106,7 @@
 			return
 		}
 		b.log.Warn().Err(err).Str("discovery", watch.Addr).Msg("discovery")
-		if errors.Is(err, discovery.ErrAgain) {
+		if errors.Is(err, discovery.ErrRetryNow) {
 			continue
 		}
 		if b.deployment.Terms.MustSubscribe {
@@ -115,7 +115,7 @@
 			continue
 		}
 		wait := jitter(backoff)
-		backoff = min(2*backoff, b.pace.Last)
+		backoff = min(2*backoff, b.pace.MaxRetryDelay)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -132,13 +132,13 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if unreadable := len(list.Unread); unreadable > 0 {
-		b.log.Warn().Err(list.Unread[0].Why).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the host list cannot be read, their hosts stay unchanged")
+	if unreadable := len(list.Unusable); unreadable > 0 {
+		b.log.Warn().Err(list.Unusable[0].Err).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the host list cannot be read, their hosts stay unchanged")
 	}
-	if !list.Stands(b.listSource.generation) {
-		list = list.Over(b.listSource.snapshot())
+	if !list.IsSelfContained(b.listSource.generation) {
+		list = list.CompleteFrom(b.listSource.snapshot())
 	}
-	if list.Whole {
+	if list.Snapshot {
 		b.applyHostList(policy.ListReplace, list)
 	} else {
 		b.applyHostList(policy.ListUpdate, list)
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -236,11 +236,11 @@
 // calls each in 10 s (askEvery), and a watch without an answer must be reopened within six seconds.
 func TestDiscoveryCallRate(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
-		p := discovery.PaceOf(grace*9/10, false)
-		if sum := p.Wait + p.Answer + p.Connect; sum > 6*time.Second {
+		p := discovery.NewTimeouts(grace*9/10, false)
+		if sum := p.LongPoll + p.ResponseGrace + p.Connect; sum > 6*time.Second {
 			t.Errorf("grace %v: a watch without an answer is reopened after %v", grace, sum)
 		}
-		if least := p.Wait * 7 / 8; 300/least.Seconds() > 300*3/10.0 {
+		if least := p.LongPoll * 7 / 8; 300/least.Seconds() > 300*3/10.0 {
 			t.Errorf("grace %v: 300 balancers call %.0f times a second", grace, 300/least.Seconds())
 		}
 	}
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -36,13 +36,13 @@
 	all := entriesOf(list.Hosts)
 	b.callPolicy(func() { b.policy.BeginList(kind, all) })
 	for batch := range slices.Chunk(changes, hostsPerBatch) {
-		b.applyBatch(discovery.List{Hosts: batch, At: list.At})
+		b.applyBatch(discovery.List{Hosts: batch, ReceivedAt: list.ReceivedAt})
 		b.pause()
 	}
 	if len(list.Hosts) > 0 || kind != policy.ListRestored {
 		b.hasHostList.Store(true)
 	}
-	b.log.Info().Int64("version", list.Generation).Bool("whole", list.Whole).Int("hosts", len(list.Hosts)).Int("changes", len(changes)).
+	b.log.Info().Int64("version", list.Generation).Bool("whole", list.Snapshot).Int("hosts", len(list.Hosts)).Int("changes", len(changes)).
 		Float64("took_ms", milliseconds(time.Since(began))).Msg("list applied")
 }
 
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -86,7 +86,7 @@
 		host := discovery.Host{Addr: "127.0.0.1:1", HostEntry: policy.HostEntry{HostID: "h", Size: 1}}
 		cold := host
 		cold.HostID, cold.ListedStart = "cold", b.now
-		b.applyHostList(policy.ListRestored, discovery.List{Whole: true, Hosts: []discovery.Host{host, cold}})
+		b.applyHostList(policy.ListRestored, discovery.List{Snapshot: true, Hosts: []discovery.Host{host, cold}})
 		for i := range 50 {
 			b.callPolicy(func() {
 				for p := range deployed.Terms.Products {
--- a/internal/balancer/source.go
+++ b/internal/balancer/source.go
@@ -28,7 +28,7 @@
 // include hosts that a whole list no longer names, as gone. The caller holds mu, unless no watch has been started yet.
 func (s *listSource) update(list discovery.List) (changes []discovery.Host) {
 	s.generation = list.Generation
-	if list.Whole {
+	if list.Snapshot {
 		changes = s.removeUnlisted(list)
 	}
 	for _, h := range list.Hosts {
@@ -65,7 +65,7 @@
 
 // snapshot returns the whole host list as it is known now. The caller holds mu.
 func (s *listSource) snapshot() discovery.List {
-	list := discovery.List{Generation: s.generation, Whole: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
+	list := discovery.List{Generation: s.generation, Snapshot: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
 	for _, h := range s.hosts {
 		list.Hosts = append(list.Hosts, h)
 	}
--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -12,16 +12,16 @@
 	"streamrail/policy"
 )
 
-// Names maps the zone and machine type names that discovery uses to their indexes in the settings' lists.
-type Names struct {
+// NameIndexes maps the zone and machine type names that discovery uses to their indexes in the settings' lists.
+type NameIndexes struct {
 	Zones map[string]policy.Zone
 	Kinds map[string]policy.MachineKind
-	// Pause is called by Parse after every entriesPerPause entries, so that parsing a long list does not block other work.
+	// Yield is called by Parse after every entriesPerPause entries, so that parsing a long list does not block other work.
 	// It may be nil.
-	Pause func()
+	Yield func()
 }
 
-// entriesPerPause is how many entries Parse reads between two calls of Pause; they take about 0.25 ms.
+// entriesPerPause is how many entries Parse reads between two calls of Yield; they take about 0.25 ms.
 const entriesPerPause = 32
 
 var conditions = map[string]policy.Condition{
@@ -46,10 +46,10 @@
 	StartedAtMs int64    `json:"startedAtMs"`
 }
 
-// Parse reads the body of a response. Entries that cannot be used are returned in List.Unread instead of failing the whole
+// Parse reads the body of a response. Entries that cannot be used are returned in List.Unusable instead of failing the whole
 // response: otherwise this balancer would keep sending to the other hosts that are leaving for as long as discovery
 // returned the faulty entry.
-func (n Names) Parse(text []byte) (l List, err error) {
+func (n NameIndexes) Parse(text []byte) (l List, err error) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	first, err := d.Token()
 	if err != nil {
@@ -71,7 +71,7 @@
 }
 
 // parseFields reads the fields of the response object up to its closing brace.
-func (n Names) parseFields(d *json.Decoder, l *List) error {
+func (n NameIndexes) parseFields(d *json.Decoder, l *List) error {
 	for d.More() {
 		token, err := d.Token()
 		if err != nil {
@@ -82,7 +82,7 @@
 		case strings.EqualFold(name, "generation"):
 			err = d.Decode(&l.Generation)
 		case strings.EqualFold(name, "reset"):
-			err = d.Decode(&l.Whole)
+			err = d.Decode(&l.Snapshot)
 		case strings.EqualFold(name, "instances"):
 			err = n.parseInstances(d, l)
 		default:
@@ -97,8 +97,8 @@
 }
 
 // parseInstances reads the array of entries one entry at a time.
-func (n Names) parseInstances(d *json.Decoder, l *List) error {
-	l.Hosts, l.Unread = nil, nil
+func (n NameIndexes) parseInstances(d *json.Decoder, l *List) error {
+	l.Hosts, l.Unusable = nil, nil
 	first, err := d.Token()
 	if err != nil || first == nil {
 		return err
@@ -114,12 +114,12 @@
 		}
 		h, err := n.parseHost(&entry, err)
 		if err != nil {
-			l.Unread = append(l.Unread, Unread{h.HostID, h.Condition, err})
+			l.Unusable = append(l.Unusable, UnusableEntry{h.HostID, h.Condition, err})
 		} else {
 			l.Hosts = append(l.Hosts, h)
 		}
-		if count%entriesPerPause == 0 && n.Pause != nil {
-			n.Pause()
+		if count%entriesPerPause == 0 && n.Yield != nil {
+			n.Yield()
 		}
 	}
 	_, err = d.Token()
@@ -127,7 +127,7 @@
 }
 
 // parseHost converts an entry to a host. If the entry is unusable, it returns an error and the fields that could be read.
-func (n Names) parseHost(entry *instance, decodeErr error) (h Host, err error) {
+func (n NameIndexes) parseHost(entry *instance, decodeErr error) (h Host, err error) {
 	h = Host{Addr: entry.HostPort, HostEntry: policy.HostEntry{HostID: policy.HostID(entry.InstanceID),
 		Cell: policy.Cell(entry.Cell), Size: 1, ListedStart: policy.Nanos(entry.StartedAtMs) * policy.Millisecond}}
 	var ok bool
@@ -157,8 +157,8 @@
 }
 
 // Format encodes a list in the form that Parse reads.
-func (n Names) Format(l List) []byte {
-	body := listResponse{Generation: l.Generation, Reset: l.Whole, Instances: []instance{}}
+func (n NameIndexes) Format(l List) []byte {
+	body := listResponse{Generation: l.Generation, Reset: l.Snapshot, Instances: []instance{}}
 	for _, h := range l.Hosts {
 		body.Instances = append(body.Instances, instance{string(h.HostID), h.Addr, nameOf(n.Zones, h.Zone), nameOf(n.Kinds, h.Kind),
 			int(h.Cell), nameOf(conditions, h.Condition), &h.Size, int64(h.ListedStart / policy.Millisecond)})
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -26,34 +26,34 @@
 // List is one response from discovery: a snapshot of all hosts, or the changes since an earlier generation.
 type List struct {
 	Generation int64
-	Whole      bool // a snapshot, not changes
+	Snapshot   bool // a snapshot, not changes
 	Hosts      []Host
-	Unread     []Unread
-	At         time.Time // when its first byte arrived, from which on the list applies; zero if unknown
+	Unusable   []UnusableEntry
+	ReceivedAt time.Time // when its first byte arrived, from which on the list applies; zero if unknown
 }
 
-// Unread is an entry that cannot be used, with its id (empty if missing) and the condition as far as it could be read.
-type Unread struct {
-	Cache     policy.HostID
+// UnusableEntry is an entry that cannot be used, with its id (empty if missing) and the condition as far as it could be read.
+type UnusableEntry struct {
+	HostID    policy.HostID
 	Condition policy.Condition // Up if none was given
-	Why       error
+	Err       error
 }
 
 // olderThan reports whether the list is a snapshot of a generation before the known one.
-func (l List) olderThan(known int64) bool { return l.Whole && l.Generation < known }
+func (l List) olderThan(known int64) bool { return l.Snapshot && l.Generation < known }
 
-// Stands reports whether the list needs nothing from the list known before, so that Over would return it unchanged. This holds
+// IsSelfContained reports whether the list needs nothing from the list known before, so that CompleteFrom would return it unchanged. This holds
 // for nearly all responses.
-func (l List) Stands(known int64) bool { return !l.olderThan(known) && len(l.Unread) == 0 }
+func (l List) IsSelfContained(known int64) bool { return !l.olderThan(known) && len(l.Unusable) == 0 }
 
-// Over fills the gaps of the list from the list known before:
+// CompleteFrom fills the gaps of the list from the list known before:
 //   - A known host whose entry cannot be read keeps its earlier entry, except that the unread entry may mark it as leaving or
 //     gone. If an entry of a snapshot lacks even its id, it may belong to any host that the snapshot does not name, so all
 //     those hosts are kept.
 //   - A snapshot of a generation before the known one is an earlier state or comes from another discovery server. It cannot
 //     revoke that a host process is leaving; a later change can.
-func (l List) Over(known List) List {
-	if l.Stands(known.Generation) {
+func (l List) CompleteFrom(known List) List {
+	if l.IsSelfContained(known.Generation) {
 		return l
 	}
 	outdated := l.olderThan(known.Generation)
@@ -69,16 +69,16 @@
 		}
 	}
 	unidentified, unreadConditions := false, map[policy.HostID]policy.Condition{}
-	for _, u := range l.Unread {
-		unidentified = unidentified || u.Cache == ""
-		unreadConditions[u.Cache] = max(unreadConditions[u.Cache], u.Condition)
+	for _, u := range l.Unusable {
+		unidentified = unidentified || u.HostID == ""
+		unreadConditions[u.HostID] = max(unreadConditions[u.HostID], u.Condition)
 	}
 	for _, h := range l.Hosts {
 		delete(knownByID, h.HostID)
 	}
 	for _, h := range known.Hosts {
 		condition, unread := unreadConditions[h.HostID]
-		if _, absent := knownByID[h.HostID]; absent && (unread || l.Whole && unidentified) {
+		if _, absent := knownByID[h.HostID]; absent && (unread || l.Snapshot && unidentified) {
 			h.Condition = max(h.Condition, condition)
 			l.Hosts = append(l.Hosts, h)
 		}
@@ -88,16 +88,16 @@
 
 const maxListBytes = 8 << 20 // room for about ten thousand hosts
 
-// ErrAgain marks a failed call of Next that is to be repeated at once, because changes that the current list lacks must take
+// ErrRetryNow marks a failed call of Next that is to be repeated at once, because changes that the current list lacks must take
 // effect soon. Either no complete response arrived in time, or the response was unusable and the one before was not.
-var ErrAgain = errors.New("asked anew at once")
+var ErrRetryNow = errors.New("asked anew at once")
 
 // Watch requests the host list and then, by long polling, its changes.
 type Watch struct {
 	Addr         string
-	Names        Names
-	Pace         Pace
-	Has          bool                                                              // a list is known, from discovery or another source
+	Names        NameIndexes
+	Timeouts     Timeouts
+	HasList      bool                                                              // a list is known, from discovery or another source
 	Dial         func(ctx context.Context, network, addr string) (net.Conn, error) // nil means net.Dialer
 	conn         net.Conn
 	reader       *bufio.Reader
@@ -107,8 +107,10 @@
 	lastUnusable bool // the last response could not be used
 }
 
-// From makes the watch poll for changes after a generation that is already known.
-func (w *Watch) From(generation int64) { w.watching, w.Has, w.generation = true, true, generation }
+// ResumeFrom makes the watch poll for changes after a generation that is already known.
+func (w *Watch) ResumeFrom(generation int64) {
+	w.watching, w.HasList, w.generation = true, true, generation
+}
 
 // unusableError marks a response that arrived but cannot be used.
 type unusableError struct{ error }
@@ -125,17 +127,17 @@
 			retryNow, w.watching, w.lastUnusable = !w.lastUnusable, false, true
 		}
 		switch {
-		case !w.Has || !retryNow:
+		case !w.HasList || !retryNow:
 		case w.lastUnusable:
-			err = fmt.Errorf("%w: %w", ErrAgain, err)
+			err = fmt.Errorf("%w: %w", ErrRetryNow, err)
 		default:
-			err = fmt.Errorf("no complete response in time, %w: %w", ErrAgain, err)
+			err = fmt.Errorf("no complete response in time, %w: %w", ErrRetryNow, err)
 		}
 		return List{}, err
 	}
-	w.From(l.Generation)
+	w.ResumeFrom(l.Generation)
 	w.lastUnusable = false
-	if !l.Whole && slices.ContainsFunc(l.Unread, func(u Unread) bool { return u.Cache == "" }) {
+	if !l.Snapshot && slices.ContainsFunc(l.Unusable, func(u UnusableEntry) bool { return u.HostID == "" }) {
 		w.watching = false // a change of an unidentified host; a snapshot may name it
 	}
 	return l, nil
@@ -171,7 +173,7 @@
 }
 
 func (w *Watch) dial(ctx context.Context) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, w.Pace.Connect)
+	ctx, cancel := context.WithTimeout(ctx, w.Timeouts.Connect)
 	defer cancel()
 	if w.Dial != nil {
 		return w.Dial(ctx, "tcp", w.Addr)
@@ -180,11 +182,11 @@
 }
 
 func (w *Watch) poll(ctx context.Context) (l List, err error) {
-	target, timeout := "/api/targets", w.Pace.Whole
+	target, timeout := "/api/targets", w.Timeouts.SnapshotResponse
 	if w.watching {
-		pollWait := w.Pace.drawPollWait(rand.Float64())
+		pollWait := w.Timeouts.drawPollWait(rand.Float64())
 		target += "?after=" + strconv.FormatInt(w.generation, 10) + "&wait_ms=" + strconv.FormatInt(pollWait.Milliseconds(), 10)
-		timeout = pollWait + w.Pace.Answer
+		timeout = pollWait + w.Timeouts.ResponseGrace
 	}
 	if w.conn == nil {
 		if w.conn, err = w.dial(ctx); err != nil {
@@ -204,7 +206,7 @@
 		return l, fmt.Errorf("no response within %v: %w", timeout, err)
 	}
 	firstByteAt := time.Now()
-	timed.bodyDeadline, timed.readTimeout = firstByteAt.Add(w.Pace.Pieces), w.Pace.Piece // a long list may arrive in many parts
+	timed.bodyDeadline, timed.readTimeout = firstByteAt.Add(w.Timeouts.Body), w.Timeouts.Read // a long list may arrive in many parts
 	timed.extendDeadline()
 	response, err := httpwire.Read(w.reader, maxListBytes, maxListBytes, func(int) bool { return true })
 	if err != nil {
@@ -219,9 +221,9 @@
 	if l, err = w.Names.Parse(response.Body); err != nil {
 		return l, unusableError{err}
 	}
-	l.At = firstByteAt
+	l.ReceivedAt = firstByteAt
 	switch {
-	case l.Whole:
+	case l.Snapshot:
 	case !w.watching:
 		return l, unusableError{errors.New("got changes, expected a snapshot")}
 	case l.Generation < w.generation: // another discovery server, or one that lost its state
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -48,10 +48,10 @@
 				io.WriteString(w, answer)
 			}))
 			defer s.Close()
-			w := &Watch{Addr: strings.TrimPrefix(s.URL, "http://"), Names: Names{Kinds: map[string]policy.MachineKind{}}, Pace: PaceOf(time.Second, true)}
+			w := &Watch{Addr: strings.TrimPrefix(s.URL, "http://"), Names: NameIndexes{Kinds: map[string]policy.MachineKind{}}, Timeouts: NewTimeouts(time.Second, true)}
 			defer w.Close()
 			if row.from > 0 {
-				w.From(row.from)
+				w.ResumeFrom(row.from)
 			}
 			for range row.answers {
 				w.Next(context.Background())
@@ -65,7 +65,7 @@
 
 // TestBadLists checks that a faulty response neither makes a leaving host usable again nor empties the known list.
 func TestBadLists(t *testing.T) {
-	names := Names{Zones: map[string]policy.Zone{"z": 0}, Kinds: map[string]policy.MachineKind{"k": 0}}
+	names := NameIndexes{Zones: map[string]policy.Zone{"z": 0}, Kinds: map[string]policy.MachineKind{"k": 0}}
 	entry := func(id, state, more string) string {
 		return `{"instanceId":"` + id + `","hostPort":"127.0.0.1:1","zone":"z","machineType":"k","startedAtMs":5,"lifecycle":"` + state + `"` + more + `}`
 	}
@@ -107,7 +107,7 @@
 				}
 				return
 			}
-			l = l.Over(previous)
+			l = l.CompleteFrom(previous)
 			got := strconv.FormatInt(l.Generation, 10)
 			for _, h := range l.Hosts {
 				got += " " + string(h.HostID) + ":" + [...]string{"up", "draining", "gone"}[h.Condition]
@@ -125,7 +125,7 @@
 	for i := range 5000 {
 		l.Hosts = append(l.Hosts, Host{Addr: "127.0.0.1:1", HostEntry: policy.HostEntry{HostID: policy.HostID(strings.Repeat("x", 200) + strconv.Itoa(i)), Size: 1}})
 	}
-	names := Names{Kinds: map[string]policy.MachineKind{"k": 0}, Zones: map[string]policy.Zone{"z": 0}}
+	names := NameIndexes{Kinds: map[string]policy.MachineKind{"k": 0}, Zones: map[string]policy.Zone{"z": 0}}
 	text := names.Format(l)
 	got, err := names.Parse(text)
 	if err != nil || len(got.Hosts) != 5000 || len(text) > maxListBytes {
@@ -141,7 +141,7 @@
 			for i := range n {
 				l.Hosts = append(l.Hosts, Host{Addr: "10.1.0.18:11211", HostEntry: policy.HostEntry{HostID: policy.HostID("s-5be2a07c-" + strconv.Itoa(i)), Size: 1}})
 			}
-			names := Names{Kinds: map[string]policy.MachineKind{"cache": 0}, Zones: map[string]policy.Zone{"here": 0}}
+			names := NameIndexes{Kinds: map[string]policy.MachineKind{"cache": 0}, Zones: map[string]policy.Zone{"here": 0}}
 			text := names.Format(l)
 			b.ReportAllocs()
 			for b.Loop() {
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -7,45 +7,45 @@
 // watch is open, unresponsive or absent.
 const maxNotificationDelay = 6 * time.Second
 
-// Pace holds the timeouts and delays of a Watch. Together they have to fit one budget: a watch that stops responding must be
+// Timeouts holds the timeouts and delays of a Watch. Together they have to fit one budget: a watch that stops responding must be
 // detected and polled again, and the response be applied, before the missed change has to take effect. See
 // docs/notes/drain.md.
-type Pace struct {
-	Wait    time.Duration // how long one call may wait for changes; drawn from 7/8 of it up, so that balancers do not poll in step
-	Answer  time.Duration // beyond Wait, until a response begins; after that the watch counts as unresponsive
-	Whole   time.Duration // until the response to a request for a snapshot begins
-	Piece   time.Duration // of one read, once a response has begun
-	Pieces  time.Duration // of the whole response, once it has begun
-	Connect time.Duration // to open the connection
-	First   time.Duration // delay after a failed call; doubled with each further failure, up to Last
-	Last    time.Duration // upper bound of that delay
+type Timeouts struct {
+	LongPoll         time.Duration // how long one call may wait for changes; drawn from 7/8 of it up, so that balancers do not poll in step
+	ResponseGrace    time.Duration // beyond LongPoll, until a response begins; after that the watch counts as unresponsive
+	SnapshotResponse time.Duration // until the response to a request for a snapshot begins
+	Read             time.Duration // of one read, once a response has begun
+	Body             time.Duration // of the whole response, once it has begun
+	Connect          time.Duration // to open the connection
+	FirstRetryDelay  time.Duration // delay after a failed call; doubled with each further failure, up to MaxRetryDelay
+	MaxRetryDelay    time.Duration // upper bound of that delay
 }
 
 const (
-	maxRetryDelay = 2 * time.Second // caps Pace.Last however long the grace
+	maxRetryDelay = 2 * time.Second // caps Timeouts.MaxRetryDelay however long the grace
 	minWait       = 10 * time.Millisecond
 )
 
-// PaceOf returns the pace for a drain grace, the time within which sends to a leaving host must end. Where lists are pushed to
+// NewTimeouts returns the timeouts for a drain grace, the time within which sends to a leaving host must end. Where lists are pushed to
 // a local agent, calls to it do not load discovery, and the balancer counts as notified of what the agent has whether or not
 // a watch is open.
-func PaceOf(grace time.Duration, pushed bool) Pace {
-	p := Pace{Answer: maxNotificationDelay / 6, Whole: maxNotificationDelay / 2, Piece: maxNotificationDelay / 4, Pieces: maxNotificationDelay * 5 / 6}
+func NewTimeouts(grace time.Duration, pushed bool) Timeouts {
+	p := Timeouts{ResponseGrace: maxNotificationDelay / 6, SnapshotResponse: maxNotificationDelay / 2, Read: maxNotificationDelay / 4, Body: maxNotificationDelay * 5 / 6}
 	if pushed { // two watches in a row may get no response; the grace is left for the third
-		p.Wait = maxNotificationDelay / 3
+		p.LongPoll = maxNotificationDelay / 3
 		p.Connect = grace / 4
-		p.Last = max(minWait, min(grace/4, maxRetryDelay))
+		p.MaxRetryDelay = max(minWait, min(grace/4, maxRetryDelay))
 	} else { // each call loads discovery, so poll as rarely as leaves 1/6 and the grace for the call after an unresponsive one
-		p.Wait = maxNotificationDelay * 2 / 3
+		p.LongPoll = maxNotificationDelay * 2 / 3
 		p.Connect = (maxNotificationDelay/6 + grace) / 4
-		p.Last = maxRetryDelay
+		p.MaxRetryDelay = maxRetryDelay
 	}
 	p.Connect = max(minWait, min(p.Connect, time.Second)) // the agent is on this machine
-	p.First = min(100*time.Millisecond, p.Last)
+	p.FirstRetryDelay = min(100*time.Millisecond, p.MaxRetryDelay)
 	return p
 }
 
 // drawPollWait returns how long the next call may wait for changes; fraction is a random number in [0, 1).
-func (p Pace) drawPollWait(fraction float64) time.Duration {
-	return (p.Wait - time.Duration(fraction*float64(p.Wait/8))).Truncate(time.Millisecond)
+func (p Timeouts) drawPollWait(fraction float64) time.Duration {
+	return (p.LongPoll - time.Duration(fraction*float64(p.LongPoll/8))).Truncate(time.Millisecond)
 }
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -73,10 +73,10 @@
 			d.at(to, func() { d.register.Silence(b, false); d.balancers[b].hear(false) })
 		}
 	case "watch-silent": // noticed and opened anew as on sockets
-		pace := discovery.PaceOf(d.Rules.DrainGrace.D()*9/10, true)
+		pace := discovery.NewTimeouts(d.Rules.DrainGrace.D()*9/10, true)
 		for _, b := range d.HitBalancers(i) {
 			d.at(from, func() { d.register.Silence(b, true) })
-			d.at(from+pace.Wait+pace.Answer, func() { d.register.Silence(b, false); d.balancers[b].hear(false) })
+			d.at(from+pace.LongPoll+pace.ResponseGrace, func() { d.register.Silence(b, false); d.balancers[b].hear(false) })
 		}
 	case "register-rewind":
 		for _, b := range d.HitBalancers(i) {
--- a/internal/upstream/told_test.go
+++ b/internal/upstream/told_test.go
@@ -23,7 +23,7 @@
 	}{{0, false}, {grace / 2, false}, {grace + time.Millisecond, true}} {
 		hs.ApplyList(discovery.List{Hosts: entry(policy.Up)})
 		h := hs.byID["h"]
-		hs.ApplyList(discovery.List{Hosts: entry(policy.Draining), At: time.Now().Add(-c.delay)})
+		hs.ApplyList(discovery.List{Hosts: entry(policy.Draining), ReceivedAt: time.Now().Add(-c.delay)})
 		if got := hs.graceExpired(h); got != c.tooLate {
 			t.Errorf("list applied %v after its arrival: grace expired is %v", c.delay, got)
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -153,7 +153,7 @@
 func (hs *Hosts) ApplyList(l discovery.List) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	at := l.At
+	at := l.ReceivedAt
 	if at.IsZero() {
 		at = time.Now()
 	}
