--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -70,7 +70,7 @@
 	c.admitted = time.Now()
 	due := c.deadline.Earlier(answerTravelReserve)
 	if c.upload != nil { // its timeout starts at the last byte, which has not arrived yet
-		due = deadline.After(c.arrived, c.Left+maxUploadTime)
+		due = deadline.After(c.arrived, c.Timeout+maxUploadTime)
 	}
 	if due.Passed() { // the deadline passed while it waited behind other requests; nothing ran
 		c.answerRateLimited(action{})
@@ -85,7 +85,7 @@
 	b.post(func() {
 		b.requests[c.id] = c
 		b.policy.RequestArrived(policy.Request{ID: c.id, Customer: c.customer, Product: c.product, Key: policy.Key(c.Key),
-			Write: c.Write, ClientRetry: c.Repeat, Deadline: b.toNanos(due)})
+			Write: c.Write, ClientRetry: c.ClientRetry, Deadline: b.toNanos(due)})
 	})
 	gone := c.client.gone
 	for {
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -55,7 +55,7 @@
 	c := &clientConn{conn: conn, receiver: newReceiver(conn, stalls, emptyAt), openedAt: time.Now(), gone: make(chan struct{}), lastAnswered: make(chan struct{}), inFlight: make(chan struct{}, maxInFlightPerConn)}
 	close(c.lastAnswered)
 	c.noteIdle(c.openedAt)
-	c.reader = bufio.NewReaderSize(c, memcache.MostLine)
+	c.reader = bufio.NewReaderSize(c, memcache.MaxLineBytes)
 	return c
 }
 
@@ -214,7 +214,7 @@
 	line, err := c.reader.ReadSlice('\n')
 	switch {
 	case err == bufio.ErrBufferFull:
-		return nil, nil, c.replyAndStop(memcache.TooLong.Line())
+		return nil, nil, c.replyAndStop(memcache.LineTooLong.Line())
 	case err != nil:
 		return nil, nil, c.connectionLost(err)
 	}
@@ -224,10 +224,10 @@
 	switch {
 	case fault == memcache.Quit:
 		return nil, nil, c.stopCommands()
-	case fault != nil && fault.Lost:
+	case fault != nil && fault.OutOfSync:
 		return nil, nil, c.replyAndStop(fault.Line())
 	case req.Noop && b.currentPhase() == Serving && b.hasHostList.Load(): // a front sends to who says so
-		return nil, nil, c.writeReply(memcache.Alive)
+		return nil, nil, c.writeReply(memcache.NoopAnswer)
 	case req.Noop:
 		return nil, nil, c.writeReply(memcache.NotServing)
 	}
@@ -281,7 +281,7 @@
 		fault = b.resolveNames(req)
 	}
 	if fault == nil && admitted && !long && !b.claimID(req) {
-		fault = memcache.IDInHand
+		fault = memcache.IDInUse
 	}
 	if fault != nil {
 		return c.writeReply(fault.Line())
@@ -296,7 +296,7 @@
 	}
 	started = true
 	if !long { // its deadline follows from its last byte
-		req.deadline = deadline.After(req.arrived, req.Left)
+		req.deadline = deadline.After(req.arrived, req.Timeout)
 	}
 	b.answerStats.unanswered.Add(1)
 	req.previousAnswered, req.answered = c.lastAnswered, make(chan struct{})
@@ -322,8 +322,8 @@
 	if c.customer, known = b.deployment.Customers[string(c.Customer)]; !known && len(b.deployment.Customers) > 0 {
 		return memcache.UnknownCustomer
 	}
-	if c.Write && len(c.Mark) == 0 && b.deployment.Terms.Products[c.product].Effect == policy.Deduplicated {
-		return memcache.NoMark // a host could not tell its repeat
+	if c.Write && len(c.DedupToken) == 0 && b.deployment.Terms.Products[c.product].Effect == policy.Deduplicated {
+		return memcache.NoDedupToken // a host could not tell its repeat
 	}
 	return nil
 }
--- a/internal/balancer/reply.go
+++ b/internal/balancer/reply.go
@@ -26,7 +26,7 @@
 
 func (c *clientRequest) answerErrored(action) {
 	c.b.traffic.errored.Add(1)
-	c.writeAnswer(errored, []byte(memcache.NoAnswer))
+	c.writeAnswer(errored, []byte(memcache.ErroredAnswer))
 }
 
 // writeAnswer writes the final answer in its turn.
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -89,7 +89,7 @@
 func newUpload(c *clientRequest) *upload {
 	u := &upload{call: c, remaining: c.Length, wanted: make(chan struct{}), connFree: make(chan struct{})}
 	u.Length, u.Reader, u.Done = c.Length, u, make(chan struct{})
-	u.ClientTimeout = c.Left - answerTravelReserve
+	u.ClientTimeout = c.Timeout - answerTravelReserve
 	return u
 }
 
@@ -120,7 +120,7 @@
 	}
 	p[0] = end[0]
 	b := u.call.b
-	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Left).Earlier(answerTravelReserve)
+	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Timeout).Earlier(answerTravelReserve)
 	u.call.armDeadlineTimer(u.Deadline)
 	b.post(func() { b.policy.WriteReceived(u.call.id, b.toNanos(u.Deadline)) })
 	if u.TooLate() {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -47,7 +47,7 @@
 func (l List) IsSelfContained(known int64) bool { return !l.olderThan(known) && len(l.Unusable) == 0 }
 
 // CompleteFrom fills the gaps of the list from the list known before:
-//   - A known host whose entry cannot be read keeps its earlier entry, except that the unread entry may mark it as leaving or
+//   - A known host whose entry cannot be read keeps its earlier entry, except that the unusable entry may mark it as leaving or
 //     gone. If an entry of a snapshot lacks even its id, it may belong to any host that the snapshot does not name, so all
 //     those hosts are kept.
 //   - A snapshot of a generation before the known one is an earlier state or comes from another discovery server. It cannot
--- a/internal/memcache/memcache.go
+++ b/internal/memcache/memcache.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	MostLine    = 2048    // bytes of a command's or an answer's line; a key takes at most 250 of them
-	MostValue   = 4 << 20 // bytes of a value; the largest that operators store
-	maxKeyBytes = 250
+	MaxLineBytes  = 2048    // bytes of a command's or an answer's line; a key takes at most 250 of them
+	MaxValueBytes = 4 << 20 // bytes of a value; the largest that operators store
+	maxKeyBytes   = 250
 )
 
 var crlf = []byte("\r\n")
@@ -23,19 +23,19 @@
 	Line              []byte // as received, without its line end
 	Key, ID, Attrs    []byte
 	Product, Customer []byte
-	Mark              []byte        // deduplication token of a write
-	Left              time.Duration // how long the client waits, from when it sent the command
+	DedupToken        []byte        // deduplication token of a write
+	Timeout           time.Duration // how long the client waits, from when it sent the command
 	Length            int           // of the value that follows the line of a write
 	Write, Noop       bool
-	Repeat            bool   // a client retry
-	timeoutDigits     [2]int // start and end of Left's digits in Line
+	ClientRetry       bool   // a client retry
+	timeoutDigits     [2]int // start and end of Timeout's digits in Line
 	attrsStart        int    // start of Attrs in Line
 }
 
 // Fault is the error reply to a faulty command.
 type Fault struct {
-	Text string
-	Lost bool // the start of the next command is unknown, so the connection cannot go on
+	Text      string
+	OutOfSync bool // the start of the next command is unknown, so the connection cannot go on
 }
 
 // Line returns the line that the client is sent.
@@ -46,12 +46,12 @@
 	Quit            = &Fault{Text: "quit"}
 	unknownCommand  = &Fault{Text: "ERROR"}
 	duplicateFlag   = clientError("given twice", false)
-	TooLong         = clientError("line too long", true)
+	LineTooLong     = clientError("line too long", true)
 	BadChunk        = clientError("bad data chunk", true)
 	UnknownProduct  = clientError("unknown product", false)
 	UnknownCustomer = clientError("unknown customer", false)
-	NoMark          = clientError("no mark against repeats", false)
-	IDInHand        = clientError("id is in hand", false)
+	NoDedupToken    = clientError("no mark against repeats", false)
+	IDInUse         = clientError("id is in hand", false)
 )
 
 func clientError(text string, lost bool) *Fault { return &Fault{"CLIENT_ERROR " + text, lost} }
@@ -117,7 +117,7 @@
 			return c, BadChunk
 		}
 		c.Length = int(n)
-		if c.Length > MostValue {
+		if c.Length > MaxValueBytes {
 			return c, clientError("value too large", true)
 		}
 	}
@@ -159,17 +159,17 @@
 			duplicate = duplicate || c.Customer != nil
 			c.Customer = value
 		case "k":
-			duplicate = duplicate || c.Mark != nil
-			c.Mark = value
+			duplicate = duplicate || c.DedupToken != nil
+			c.DedupToken = value
 		case "r":
-			c.Repeat = string(value) == "1"
+			c.ClientRetry = string(value) == "1"
 		case "d":
 			n, ok := parseNumber(value)
-			duplicate = duplicate || c.Left != 0
+			duplicate = duplicate || c.Timeout != 0
 			if !ok || n == 0 {
 				return clientError("bad time to wait", false)
 			}
-			c.Left = time.Duration(n) * time.Millisecond
+			c.Timeout = time.Duration(n) * time.Millisecond
 			// value is a subslice of Line, so the difference of the capacities is its offset.
 			start := cap(c.Line) - cap(value)
 			c.timeoutDigits = [2]int{start, start + len(value)}
@@ -179,7 +179,7 @@
 	if duplicate {
 		return duplicateFlag
 	}
-	if c.Left == 0 {
+	if c.Timeout == 0 {
 		return clientError("no time to wait", false)
 	}
 	if len(c.Product) == 0 {
@@ -201,13 +201,13 @@
 	return n, true
 }
 
-// AppendOnward appends the command's line as received, with the client's timeout replaced by the remaining time in whole
+// AppendForwarded appends the command's line as received, with the client's timeout replaced by the remaining time in whole
 // milliseconds, rounded down.
-func (c *Command) AppendOnward(to []byte, remaining time.Duration) []byte {
+func (c *Command) AppendForwarded(to []byte, remaining time.Duration) []byte {
 	return append(c.appendWithTimeout(to, 0, len(c.Line), remaining), crlf...)
 }
 
-// AppendAttrs appends the list of attributes as received, with the client's timeout replaced as in AppendOnward.
+// AppendAttrs appends the list of attributes as received, with the client's timeout replaced as in AppendForwarded.
 func (c *Command) AppendAttrs(to []byte, remaining time.Duration) []byte {
 	return c.appendWithTimeout(to, c.attrsStart, c.attrsStart+len(c.Attrs), remaining)
 }
@@ -227,7 +227,7 @@
 	Value Reply = iota
 	Receipt
 	Miss
-	TurnedAway
+	Rejected
 	Errored
 )
 
@@ -250,7 +250,7 @@
 		var digits []byte
 		digits, rest = nextWord(rest)
 		n, ok := parseNumber(digits)
-		if !ok || n > MostValue {
+		if !ok || n > MaxValueBytes {
 			return a, errMalformedAnswer
 		}
 		a.Length = int(n)
@@ -266,7 +266,7 @@
 		}
 		switch string(text) {
 		case "busy":
-			a.Reply = TurnedAway
+			a.Reply = Rejected
 		case "failed":
 			a.Reply = Errored
 		default:
@@ -324,9 +324,9 @@
 
 // Other answers to clients.
 const (
-	Alive      = "MN\r\n"
-	NotServing = "SERVER_ERROR draining\r\n"
-	NoAnswer   = "SERVER_ERROR failed\r\n" // final answer errored: promises nothing
+	NoopAnswer    = "MN\r\n"
+	NotServing    = "SERVER_ERROR draining\r\n"
+	ErroredAnswer = "SERVER_ERROR failed\r\n" // final answer errored: promises nothing
 )
 
 // AppendRateLimited appends the rate-limited answer, after which a client retry is harmless. If retryAfter is at least a
--- a/internal/memcache/memcache_test.go
+++ b/internal/memcache/memcache_test.go
@@ -19,15 +19,15 @@
 		if fault != nil || c.Noop {
 			return
 		}
-		if len(c.ID) == 0 || len(c.Product) == 0 || c.Left <= 0 || c.Length < 0 || c.Length > MostValue {
+		if len(c.ID) == 0 || len(c.Product) == 0 || c.Timeout <= 0 || c.Length < 0 || c.Length > MaxValueBytes {
 			t.Fatalf("accepted: %+v", c)
 		}
-		forwarded := c.AppendOnward(nil, 7*time.Millisecond)
+		forwarded := c.AppendForwarded(nil, 7*time.Millisecond)
 		reparsed, fault := Parse(bytes.TrimSuffix(forwarded, crlf))
-		if fault != nil || reparsed.Left != 7*time.Millisecond {
+		if fault != nil || reparsed.Timeout != 7*time.Millisecond {
 			t.Fatalf("%q is forwarded as %q: %v", line, forwarded, fault)
 		}
-		if restored := reparsed.AppendOnward(nil, c.Left); !bytes.Equal(bytes.TrimSuffix(restored, crlf), canonicalLine(line, c)) {
+		if restored := reparsed.AppendForwarded(nil, c.Timeout); !bytes.Equal(bytes.TrimSuffix(restored, crlf), canonicalLine(line, c)) {
 			t.Fatalf("%q with its own timeout restored is %q", line, restored)
 		}
 	})
@@ -35,7 +35,7 @@
 
 // canonicalLine returns the line with its timeout written without leading zeros.
 func canonicalLine(line []byte, c Command) []byte {
-	return bytes.TrimSuffix(c.AppendOnward(nil, c.Left), crlf)
+	return bytes.TrimSuffix(c.AppendForwarded(nil, c.Timeout), crlf)
 }
 
 func FuzzParseAnswer(f *testing.F) {
@@ -45,7 +45,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, line []byte) {
-		if a, err := ParseAnswer(line); err == nil && (a.Length < 0 || a.Length > MostValue) {
+		if a, err := ParseAnswer(line); err == nil && (a.Length < 0 || a.Length > MaxValueBytes) {
 			t.Fatalf("%q: %+v", line, a)
 		}
 	})
--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -24,7 +24,9 @@
 	last string // the id of the call that it carried last
 }
 
-func newConn(n net.Conn) *conn { return &conn{net: n, in: bufio.NewReaderSize(n, 2*memcache.MostLine)} }
+func newConn(n net.Conn) *conn {
+	return &conn{net: n, in: bufio.NewReaderSize(n, 2*memcache.MaxLineBytes)}
+}
 
 // reply is one answer of a balancer.
 type reply struct {
--- a/internal/rehearsal/runner/wrong_test.go
+++ b/internal/rehearsal/runner/wrong_test.go
@@ -183,7 +183,7 @@
 			continue
 		}
 		if cmd.Noop {
-			fmt.Fprint(c, memcache.Alive)
+			fmt.Fprint(c, memcache.NoopAnswer)
 			continue
 		}
 		var value []byte
@@ -194,7 +194,7 @@
 			}
 			value = value[:cmd.Length]
 		}
-		answer := b.live(&cmd, value, time.Now().Add(cmd.Left-20*time.Millisecond))
+		answer := b.live(&cmd, value, time.Now().Add(cmd.Timeout-20*time.Millisecond))
 		// An answer that names no request would be taken for the next one's, whose rules it may break besides.
 		names := !strings.HasPrefix(answer, "SERVER_ERROR")
 		if b.what == "twice" && names && b.every(20) {
@@ -278,7 +278,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(until)
-	c.Write(cmd.AppendOnward(nil, b.left(until)))
+	c.Write(cmd.AppendForwarded(nil, b.left(until)))
 	in := bufio.NewReader(c)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
--- a/internal/rehearsal/standin/echo.go
+++ b/internal/rehearsal/standin/echo.go
@@ -30,7 +30,7 @@
 }
 
 func echo(c net.Conn, size int) {
-	in := bufio.NewReaderSize(c, memcache.MostLine)
+	in := bufio.NewReaderSize(c, memcache.MaxLineBytes)
 	value := bytes.Repeat([]byte("."), size)
 	value = append(value, "\r\n"...)
 	out := make([]byte, 0, size+256)
@@ -41,7 +41,7 @@
 		}
 		at := bytes.Index(line, []byte(" O"))
 		if at < 0 {
-			c.Write([]byte(memcache.Alive))
+			c.Write([]byte(memcache.NoopAnswer))
 			continue
 		}
 		id, _, _ := bytes.Cut(line[at+2:], []byte(" "))
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -142,7 +142,7 @@
 			return
 		}
 		c.SetReadDeadline(time.Now().Add(fillWait))
-		buf := make([]byte, 4*memcache.MostLine)
+		buf := make([]byte, 4*memcache.MaxLineBytes)
 		n, _ := io.ReadFull(c, buf)
 		c.SetLinger(0)
 		c.Close()
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -70,7 +70,7 @@
 		defer answered.Done()
 		n.answers(l, conn, queue, gone, &begun)
 	}()
-	in := bufio.NewReaderSize(conn, memcache.MostLine)
+	in := bufio.NewReaderSize(conn, memcache.MaxLineBytes)
 	for {
 		conn.SetReadDeadline(time.Now().Add(n.Group.Idle.D()))
 		if _, err := in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && begun.Load() > 0 {
@@ -137,7 +137,7 @@
 	if cmd.Noop {
 		return s, nil
 	}
-	s.id, s.key, s.mark, s.write, s.told = string(cmd.ID), string(cmd.Key), string(cmd.Mark), cmd.Write, cmd.Left
+	s.id, s.key, s.mark, s.write, s.told = string(cmd.ID), string(cmd.Key), string(cmd.DedupToken), cmd.Write, cmd.Timeout
 	if cmd.Write {
 		if _, err = in.Discard(cmd.Length + 2); err != nil {
 			return nil, err
@@ -161,7 +161,7 @@
 	}
 	n.advance(n.w.Now())
 	n.m.Offer(n.w.Now(), model.Job{Work: n.Group.ProbeWork.D()})
-	text := memcache.Alive
+	text := memcache.NoopAnswer
 	if s.key == "stats" {
 		l := n.m.Load()
 		text = fmt.Sprintf("STAT inflight %d\r\nSTAT queue %d\r\nSTAT util %.2f\r\nEND\r\n", l.InFlight, l.Queue, l.Util)
@@ -308,5 +308,5 @@
 	func(text []byte) []byte { return bytes.Replace(text, []byte(" O"), []byte(" Ox"), 1) },
 	func([]byte) []byte { return []byte("VA 3000000000 O1\r\n") },
 	func([]byte) []byte { return []byte("VA -5 O1\r\nabc\r\n") },
-	func([]byte) []byte { return bytes.Repeat([]byte("x"), 3*memcache.MostLine) },
+	func([]byte) []byte { return bytes.Repeat([]byte("x"), 3*memcache.MaxLineBytes) },
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -175,7 +175,7 @@
 		c.writeBuffer = httpwire.AppendRequest(c.writeBuffer, method, string(path), c.addr, length,
 			httpwire.ID, string(cmd.ID), httpwire.Attrs, string(cmd.AppendAttrs(nil, announced)))
 	} else {
-		c.writeBuffer = cmd.AppendOnward(c.writeBuffer, announced)
+		c.writeBuffer = cmd.AppendForwarded(c.writeBuffer, announced)
 		if cmd.Write {
 			parts = append(parts, a.Value, []byte("\r\n"))
 		}
@@ -218,7 +218,7 @@
 	if err != nil {
 		return r, false, err
 	}
-	if len(line) < 2 || line[len(line)-2] != '\r' || len(line) > memcache.MostLine {
+	if len(line) < 2 || line[len(line)-2] != '\r' || len(line) > memcache.MaxLineBytes {
 		return r, false, errInvalidAnswer
 	}
 	answer, err := memcache.ParseAnswer(line[:len(line)-2])
@@ -229,7 +229,7 @@
 		r.Load = loadreport.Parse(string(answer.Report), "=")
 	}
 	switch answer.Reply {
-	case memcache.TurnedAway:
+	case memcache.Rejected:
 		r.Outcome = policy.Rejected
 		return r, true, nil
 	case memcache.Errored:
@@ -279,9 +279,9 @@
 func (c *conn) readOrigin(a *Attempt) (r Result, keep bool, err error) {
 	maxBuffered := MaxBufferedBytes
 	if a.Command.Write {
-		maxBuffered = memcache.MostValue // the body is a receipt or an error text
+		maxBuffered = memcache.MaxValueBytes // the body is a receipt or an error text
 	}
-	resp, err := httpwire.Read(c.reader, memcache.MostValue, maxBuffered, a.ReserveMemory)
+	resp, err := httpwire.Read(c.reader, memcache.MaxValueBytes, maxBuffered, a.ReserveMemory)
 	if err != nil {
 		return r, false, err
 	}
@@ -327,4 +327,6 @@
 	return nil
 }
 
-func newReader(from io.Reader) *bufio.Reader { return bufio.NewReaderSize(from, 2*memcache.MostLine) }
+func newReader(from io.Reader) *bufio.Reader {
+	return bufio.NewReaderSize(from, 2*memcache.MaxLineBytes)
+}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -118,7 +118,7 @@
 	const line, value = "ms k 5 O1 Pc=pay,d=900", "hello"
 	var whole bytes.Buffer
 	a, _ := newAttempt(t, line, value, time.Minute)
-	whole.Write(a.Command.AppendOnward(nil, a.Deadline.Remaining()))
+	whole.Write(a.Command.AppendForwarded(nil, a.Deadline.Remaining()))
 	total := whole.Len() + len(value) + 2
 	for room, want := range map[int]policy.Outcome{0: policy.ConnectFailed, total - 1: policy.ConnectFailed, total: policy.Reset} {
 		a, _ := newAttempt(t, line, value, time.Minute)
