--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -15,7 +15,7 @@
 	NotProcessed bool // the server declares that the request never ran
 	Close        bool // the connection cannot be reused
 	Body         []byte
-	Coming       int // length of a long body, which the caller has to read; Body is empty
+	UnreadLength int // length of a long body, which the caller has to read; Body is empty
 }
 
 var (
@@ -30,8 +30,8 @@
 
 // Header fields of requests to the origin and of its responses.
 const (
-	ID                 = "X-Request-ID"
-	Attrs              = "X-Attrs"
+	HeaderRequestID    = "X-Request-ID"
+	HeaderAttrs        = "X-Attrs"
 	notProcessedHeader = "X-Not-Processed"
 )
 
@@ -93,7 +93,7 @@
 		case chunked:
 			r.Body, err = readChunks(in, maxBytes, reserve)
 		case r.Status == 200 && length > maxBuffered && length <= maxBytes:
-			r.Coming = length
+			r.UnreadLength = length
 		case length > maxBytes || length > 0 && !reserve(length):
 			return r, ErrTooLarge
 		case length >= 0:
--- a/internal/httpwire/httpwire_test.go
+++ b/internal/httpwire/httpwire_test.go
@@ -89,7 +89,7 @@
 			return
 		case err != nil:
 			t.Fatal(err)
-		case length > 100 && r.Coming != length || length <= 100 && (r.Coming != 0 || string(r.Body) != body):
+		case length > 100 && r.UnreadLength != length || length <= 100 && (r.UnreadLength != 0 || string(r.Body) != body):
 			t.Fatalf("%+v", r)
 		}
 		rest, _ := io.ReadAll(in)
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -173,7 +173,7 @@
 		}
 		path := httpwire.AppendPath(nil, cmd.Key)
 		c.writeBuffer = httpwire.AppendRequest(c.writeBuffer, method, string(path), c.addr, length,
-			httpwire.ID, string(cmd.ID), httpwire.Attrs, string(cmd.AppendAttrs(nil, announced)))
+			httpwire.HeaderRequestID, string(cmd.ID), httpwire.HeaderAttrs, string(cmd.AppendAttrs(nil, announced)))
 	} else {
 		c.writeBuffer = cmd.AppendForwarded(c.writeBuffer, announced)
 		if cmd.Write {
@@ -285,8 +285,8 @@
 	if err != nil {
 		return r, false, err
 	}
-	if resp.Coming > 0 {
-		r, keep, err = c.streamValue(a, r, resp.Coming, func() error { return nil })
+	if resp.UnreadLength > 0 {
+		r, keep, err = c.streamValue(a, r, resp.UnreadLength, func() error { return nil })
 		return r, keep && !resp.Close, err
 	}
 	switch {
