--- a/internal/balancer/accept_queue.go
+++ b/internal/balancer/accept_queue.go
@@ -59,7 +59,7 @@
 		waited = ended.Sub(q.acceptBegan) >= maxImmediateRead
 	}
 	if waited {
-		q.emptyAt = q.stalls.Earliest(q.acceptBegan, ended)
+		q.emptyAt = q.stalls.EarliestEvent(q.acceptBegan, ended)
 	}
 	return q.emptyAt
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -127,12 +127,12 @@
 
 // runStallTicker tells the stall detector that the process runs.
 func (b *Balancer) runStallTicker() {
-	t := time.NewTicker(stall.Period)
+	t := time.NewTicker(stall.TickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			b.stalls.Beat(time.Now())
+			b.stalls.Tick(time.Now())
 		case <-b.ctx.Done():
 			return
 		}
--- a/internal/balancer/receiver.go
+++ b/internal/balancer/receiver.go
@@ -144,7 +144,7 @@
 		r.settleTime = 0
 	}
 	if r.settleTime == 0 {
-		r.arrivedAfter = r.stalls.Earliest(r.arrivedAfter, r.lastSyscallAt)
+		r.arrivedAfter = r.stalls.EarliestEvent(r.arrivedAfter, r.lastSyscallAt)
 	}
 	return r.arrivedAfter
 }
@@ -209,7 +209,7 @@
 	n, err = r.conn.Read(p)
 	ended := time.Now()
 	if ended.Sub(began) >= maxImmediateRead {
-		r.arrivedAfter = r.stalls.Earliest(began, ended)
+		r.arrivedAfter = r.stalls.EarliestEvent(began, ended)
 	}
 	arrived = r.arrivedAfter
 	r.lastByteAt = arrived
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// Period is the interval at which Beat is to be called.
-	Period = 30 * time.Millisecond
-	// stallThreshold is the time between two calls of Beat above which the process counts as stalled.
-	stallThreshold = 2 * Period
+	// TickInterval is the interval at which Tick is to be called.
+	TickInterval = 30 * time.Millisecond
+	// stallThreshold is the time between two calls of Tick above which the process counts as stalled.
+	stallThreshold = 2 * TickInterval
 	// delayedReadWindow is how long after a stall reads may still return data that arrived during it.
-	delayedReadWindow = 2 * Period
+	delayedReadWindow = 2 * TickInterval
 )
 
-// Detector detects stalls from the time between calls of Beat. It reads no clock itself and is safe for concurrent use.
+// Detector detects stalls from the time between calls of Tick. It reads no clock itself and is safe for concurrent use.
 type Detector struct {
 	mu         sync.Mutex
 	lastTick   time.Time
@@ -27,8 +27,8 @@
 // New returns a detector whose first tick is now.
 func New(now time.Time) *Detector { return &Detector{lastTick: now} }
 
-// Beat records that the process is running now.
-func (d *Detector) Beat(now time.Time) {
+// Tick records that the process is running now.
+func (d *Detector) Tick(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now.Sub(d.lastTick) > stallThreshold {
@@ -37,9 +37,9 @@
 	d.lastTick = now
 }
 
-// Earliest returns the earliest instant at which the event that ended a wait may have happened. If the process was running,
+// EarliestEvent returns the earliest instant at which the event that ended a wait may have happened. If the process was running,
 // this is the end of the wait; after a stall it is the start of the stall, but not before the wait began.
-func (d *Detector) Earliest(began, ended time.Time) time.Time {
+func (d *Detector) EarliestEvent(began, ended time.Time) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	earliest := ended
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -27,9 +27,9 @@
 	} {
 		d := New(start)
 		for _, ms := range c.ticks {
-			d.Beat(at(ms))
+			d.Tick(at(ms))
 		}
-		if got := d.Earliest(at(c.began), at(c.ended)); got != at(c.want) {
+		if got := d.EarliestEvent(at(c.began), at(c.ended)); got != at(c.want) {
 			t.Errorf("%s: %v after the start, expected %d ms", c.name, got.Sub(start), c.want)
 		}
 	}
