--- a/cmd/streamrail/main.go
+++ b/cmd/streamrail/main.go
@@ -53,7 +53,7 @@
 	}()
 	go func() {
 		for range again {
-			if told, err := deployment.Again(os.Getenv); err != nil {
+			if told, err := deployment.Reread(os.Getenv); err != nil {
 				log.Error().Err(err).Msg("faulty configuration, nothing changed")
 			} else {
 				b.Reload(told)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -75,7 +75,7 @@
 // New makes a balancer in the phase starting, of what the platform tells it and what the operator sets.
 func New(deployed *deployment.Deployment, operatorFile *operator.File, log zerolog.Logger) *Balancer {
 	grace := usableGrace(deployed.DrainGrace)
-	sockets := deployed.Sockets - reservedSockets
+	sockets := deployed.MaxSockets - reservedSockets
 	if deployed.Admin != "" {
 		sockets -= admin.Descriptors + handover.Descriptors
 	}
@@ -89,16 +89,16 @@
 		subscribeRequested: make(chan struct{}, 1), requests: map[policy.RequestID]*clientRequest{}, requestIDs: idSet{inUse: map[string]struct{}{}},
 		traffic:     trafficStats{hosts: map[policy.HostID]*[2]int64{}},
 		answerStats: newAnswerStats(deployed),
-		clients:     newClientConns(deployed.Sockets / 4),
-		hosts: upstream.New(upstream.Config{Pool: operatorFile.Connections.Terms(pool.Config{Balancers: deployed.Terms.Balancers,
-			MaxConnections: upstreamSockets, IdleTimeout: policy.Nanos(deployed.IdleLimit)}), OriginMaxConnections: maxAttemptsToOrigin, ConnectTimeout: deployed.ConnectTimeout, LoadReports: deployed.Reports,
-			Grace: grace, Now: epochNanos}, deployed.Terms.OriginKind)}
+		clients:     newClientConns(deployed.MaxSockets / 4),
+		hosts: upstream.New(upstream.Config{Pool: operatorFile.Connections.Terms(pool.Config{Balancers: deployed.PolicyConfig.Balancers,
+			MaxConnections: upstreamSockets, IdleTimeout: policy.Nanos(deployed.IdleTimeout)}), OriginMaxConnections: maxAttemptsToOrigin, ConnectTimeout: deployed.ConnectTimeout, LoadReports: deployed.LoadReports,
+			Grace: grace, Now: epochNanos}, deployed.PolicyConfig.OriginKind)}
 	b.mu.handle = b.handleEvent
 	b.startTimes = newStartTimes(time.Now)
 	b.exclusions.save = handover.Save
-	b.pace = discovery.NewTimeouts(grace, !deployed.Terms.MustSubscribe)
+	b.pace = discovery.NewTimeouts(grace, !deployed.PolicyConfig.MustSubscribe)
 	b.fleet.settings = operatorFile.Fleet
-	b.capacity = resourceLimits{clients: int64(sockets - upstreamSockets), upstream: int64(upstreamSockets), requests: min(int64(deployed.MostOpen), int64(deployed.MemoryMB)<<20/memoryDivisor/bytesPerRequest),
+	b.capacity = resourceLimits{clients: int64(sockets - upstreamSockets), upstream: int64(upstreamSockets), requests: min(int64(deployed.MaxRequests), int64(deployed.MemoryMB)<<20/memoryDivisor/bytesPerRequest),
 		bytes: int64(deployed.MemoryMB) << 20 / memoryDivisor}
 	b.setLimits(b.capacity)
 	debug.SetMemoryLimit(b.memoryLimit())
@@ -112,7 +112,7 @@
 	b.limitShares = b.newLimitShares(operatorFile.Connections.Openings)
 	b.fleetOrders = b.newExclusionOrders()
 	b.observations = b.newObservationExchange()
-	b.callPolicy(func() { b.policy = policy.New(policyEnvironment{b}, deployed.Terms, deployed.Seed) })
+	b.callPolicy(func() { b.policy = policy.New(policyEnvironment{b}, deployed.PolicyConfig, deployed.Seed) })
 	return b
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -22,7 +22,7 @@
 			t.Errorf("grace %v: %v of it are used", grace, usable)
 		}
 	}
-	told := &deployment.Deployment{Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
+	told := &deployment.Deployment{MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
 	b := New(told, &operator.File{}, zerolog.Nop())
 	defer b.cancel()
 	defer b.hosts.Close()
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -266,10 +266,10 @@
 	terms := func(effect policy.Effect) policy.ProductConfig {
 		return policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: policy.Nanos(dedupWindow)}
 	}
-	deployed := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: time.Second, IdleLimit: time.Minute,
-		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0, "origin": 1},
+	deployed := &deployment.Deployment{Name: "n", MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: time.Second, IdleTimeout: time.Minute,
+		ClientTimeout: 3 * time.Second, MaxRequests: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0, "origin": 1},
 		Products: map[string]policy.Product{"marked": 0, "read": 1, "pay": 2},
-		Terms: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
+		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
 			OriginKind: 1, CacheAside: !faults.cachesTakeWrites, MayCancel: true, MaxAttempts: 6, TimerGranularity: policy.Millisecond}}
 	f.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -76,7 +76,7 @@
 		c.answerRateLimited(action{})
 		return
 	}
-	c.attemptResults = make(chan attemptResult, b.deployment.Terms.MaxAttempts+1)
+	c.attemptResults = make(chan attemptResult, b.deployment.PolicyConfig.MaxAttempts+1)
 	c.notify = make(chan struct{}, 1)
 	b.countArrival(c.customer)
 	c.id = policy.RequestID(strconv.FormatUint(b.requestCount.Add(1), 36))
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -42,10 +42,10 @@
 	terms := policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: window}
 	read := terms
 	read.Effect = policy.Idempotent
-	told := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleLimit: time.Minute,
-		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0},
-		Products: map[string]policy.Product{"pay": 0, "read": 1},
-		Terms:    policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms, read}, OriginKind: -1, MayCancel: true, MaxAttempts: 4, TimerGranularity: policy.Millisecond}}
+	told := &deployment.Deployment{Name: "n", MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleTimeout: time.Minute,
+		ClientTimeout: 3 * time.Second, MaxRequests: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0},
+		Products:     map[string]policy.Product{"pay": 0, "read": 1},
+		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms, read}, OriginKind: -1, MayCancel: true, MaxAttempts: 4, TimerGranularity: policy.Millisecond}}
 	x.Balancer = New(told, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
 	l := discovery.List{Snapshot: true}
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -128,7 +128,7 @@
 // observeAttempt records how an attempt ended, if that says anything about the host.
 func (b *Balancer) observeAttempt(c *clientRequest, e attemptResult) {
 	if o := b.observations; o != nil {
-		if good, conclusive := evidence.Classify(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); conclusive {
+		if good, conclusive := evidence.Classify(e.Outcome, policy.Nanos(e.took), b.deployment.PolicyConfig.Products[c.product].LatencySLO); conclusive {
 			o.update(func(m *evidence.Machine, now evidence.Moment) {
 				m.RecordAttempt(now, string(c.attempts[e.attempt].To), good)
 			})
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -30,12 +30,12 @@
 	}
 	zone := ""
 	for name, z := range b.deployment.Zones {
-		if z == b.deployment.Terms.Zone {
+		if z == b.deployment.PolicyConfig.Zone {
 			zone = name
 		}
 	}
 	self := member.Record{Life: member.NewProcessID(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
-	transportTerms, memberTerms := f.settings.Terms(self, b.deployment.Terms.Balancers, rand.Uint64())
+	transportTerms, memberTerms := f.settings.Terms(self, b.deployment.PolicyConfig.Balancers, rand.Uint64())
 	transport, err := carry.Open(transportTerms, memberTerms, saved, b.log)
 	if err != nil {
 		return fmt.Errorf("fleet.address: %w", err)
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -16,7 +16,7 @@
 // of the configuration.
 func (b *Balancer) restoreHostList(handedOver *handover.State) {
 	var list discovery.List
-	saved := b.deployment.Known
+	saved := b.deployment.KnownList
 	if handedOver != nil {
 		saved = handedOver.List
 	}
@@ -31,10 +31,10 @@
 	if len(list.Hosts) == 0 {
 		return
 	}
-	if b.deployment.Terms.MustSubscribe { // each call loads discovery, so ask only for what has changed since
+	if b.deployment.PolicyConfig.MustSubscribe { // each call loads discovery, so ask only for what has changed since
 		b.listSource.resumeFrom = &list.Generation
 	}
-	if handedOver != nil || b.deployment.Terms.MustSubscribe { // the list is current, or the policy decides when to ask for it
+	if handedOver != nil || b.deployment.PolicyConfig.MustSubscribe { // the list is current, or the policy decides when to ask for it
 		b.listSource.readyOnce.Do(func() { close(b.listSource.ready) })
 	}
 }
@@ -52,7 +52,7 @@
 func (b *Balancer) startWatch() {
 	b.listSource.mu.Lock()
 	defer b.listSource.mu.Unlock()
-	subscribed := !b.deployment.Terms.MustSubscribe
+	subscribed := !b.deployment.PolicyConfig.MustSubscribe
 	if b.listSource.stop != nil {
 		b.listSource.stop()
 		subscribed = true // the policy has subscribed at its start
@@ -71,7 +71,7 @@
 // Reload applies a new, checked configuration to the running balancer: it follows the host list at the new discovery address. The
 // settings that take effect only at a restart are logged.
 func (b *Balancer) Reload(deployed *deployment.Deployment) {
-	b.log.Info().Str("discovery", deployed.Discovery).Strs("kept_until_restart", b.deployment.Fixed(deployed)).Msg("configuration reloaded")
+	b.log.Info().Str("discovery", deployed.Discovery).Strs("kept_until_restart", b.deployment.RestartOnlyChanges(deployed)).Msg("configuration reloaded")
 	b.listSource.mu.Lock()
 	sameAddress, watching := deployed.Discovery == b.listSource.addr, b.listSource.stop != nil
 	b.listSource.addr = deployed.Discovery
@@ -109,7 +109,7 @@
 		if errors.Is(err, discovery.ErrRetryNow) {
 			continue
 		}
-		if b.deployment.Terms.MustSubscribe {
+		if b.deployment.PolicyConfig.MustSubscribe {
 			subscribed = false
 			b.callPolicy(func() { b.policy.ApplyList(policy.ListUnavailable, nil) })
 			continue
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -46,7 +46,7 @@
 		smallestParts: make([]float64, n), initialFloors: make([]float64, n), customerCount: n, epoch: time.Now()}
 	for _, name := range slices.Sorted(maps.Keys(b.deployment.Customers)) {
 		c := b.deployment.Customers[name]
-		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.Terms.Customers[c].QuotaPerSecond, 1/(share.NeedTicks*share.TickInterval.Seconds())
+		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.PolicyConfig.Customers[c].QuotaPerSecond, 1/(share.NeedTicks*share.TickInterval.Seconds())
 	}
 	if openings > 0 { // need and share are fractions of the limit, the same for every host
 		l.names, l.bounds, l.smallestParts = append(l.names, "openings"), append(l.bounds, 1), append(l.smallestParts, 1/openings)
@@ -72,7 +72,7 @@
 	b.upgrade.mu.Lock()
 	l.mu.Lock()
 	l.transport, l.stop = transport, stop
-	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.Terms.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.smallestParts, ReservedFraction: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
+	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.PolicyConfig.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.smallestParts, ReservedFraction: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
 		FirstAskNumber: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
 	l.machine.SetUpgrading(b.upgrade.older != nil)
 	l.mu.Unlock()
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -322,7 +322,7 @@
 	if c.customer, known = b.deployment.Customers[string(c.Customer)]; !known && len(b.deployment.Customers) > 0 {
 		return memcache.UnknownCustomer
 	}
-	if c.Write && len(c.DedupToken) == 0 && b.deployment.Terms.Products[c.product].Effect == policy.Deduplicated {
+	if c.Write && len(c.DedupToken) == 0 && b.deployment.PolicyConfig.Products[c.product].Effect == policy.Deduplicated {
 		return memcache.NoDedupToken // a host could not tell its repeat
 	}
 	return nil
--- a/internal/balancer/read_test.go
+++ b/internal/balancer/read_test.go
@@ -30,7 +30,7 @@
 	}
 	t.Cleanup(func() { conn.Close() })
 	b := &Balancer{deployment: &deployment.Deployment{Products: map[string]policy.Product{"pay": 0},
-		Terms: policy.Config{Products: make([]policy.ProductConfig, 1)}}, clients: newClientConns(1)}
+		PolicyConfig: policy.Config{Products: make([]policy.ProductConfig, 1)}}, clients: newClientConns(1)}
 	b.answerStats = newAnswerStats(b.deployment)
 	b.clients.setLimits(1, 1)
 	b.hasHostList.Store(true)
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -89,16 +89,16 @@
 		b.applyHostList(policy.ListRestored, discovery.List{Snapshot: true, Hosts: []discovery.Host{host, cold}})
 		for i := range 50 {
 			b.callPolicy(func() {
-				for p := range deployed.Terms.Products {
+				for p := range deployed.PolicyConfig.Products {
 					b.policy.RequestArrived(policy.Request{ID: policy.RequestID(fmt.Sprint(i, "-", p)), Key: policy.Key(fmt.Sprint(i)), Product: policy.Product(p),
 						Write: p > 0, Deadline: b.now + policy.Second})
 				}
 				b.policy.TimerFired("beat")
 			})
 		}
-		if deployed.ConnectTimeout <= 0 || deployed.ClientTimeout <= 0 || deployed.IdleLimit < 0 || deployed.DrainGrace < 0 || deployed.MostOpen <= 0 ||
-			deployed.Terms.MaxAttempts < 1 || deployed.Terms.SubscribeInterval <= 0 {
-			t.Errorf("%s = %v: accepted as %+v", key, value, deployed.Terms)
+		if deployed.ConnectTimeout <= 0 || deployed.ClientTimeout <= 0 || deployed.IdleTimeout < 0 || deployed.DrainGrace < 0 || deployed.MaxRequests <= 0 ||
+			deployed.PolicyConfig.MaxAttempts < 1 || deployed.PolicyConfig.SubscribeInterval <= 0 {
+			t.Errorf("%s = %v: accepted as %+v", key, value, deployed.PolicyConfig)
 		}
 	}
 	try("settings", "as they are")
--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -128,7 +128,7 @@
 			pairs[path] = v
 		}
 	}
-	t, err := deployment.TermsOf(pairs)
+	t, err := deployment.ParsePolicyConfig(pairs)
 	if f.err == nil {
 		f.err = err
 	}
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -21,19 +21,19 @@
 	Name, Listen, Discovery string
 	Admin                   string // address of the admin API; empty if there is none
 	Seed                    uint64
-	MemoryMB, Sockets       int
-	Known                   json.RawMessage // host list that the balancer last had; may be absent
+	MemoryMB, MaxSockets    int
+	KnownList               json.RawMessage // host list that the balancer last had; may be absent
 
-	Terms     policy.Config
-	Products  map[string]policy.Product
-	Customers map[string]policy.Customer
-	Zones     map[string]policy.Zone
-	Kinds     map[string]policy.MachineKind
+	PolicyConfig policy.Config
+	Products     map[string]policy.Product
+	Customers    map[string]policy.Customer
+	Zones        map[string]policy.Zone
+	Kinds        map[string]policy.MachineKind
 
-	ConnectTimeout, IdleLimit, DrainGrace time.Duration
-	ClientTimeout                         time.Duration // the longest of all products' timeouts
-	MostOpen                              int           // limit of requests being processed at a time
-	Reports                               bool          // answers of hosts contain load reports
+	ConnectTimeout, IdleTimeout, DrainGrace time.Duration
+	ClientTimeout                           time.Duration // the longest of all products' timeouts
+	MaxRequests                             int           // limit of requests being processed at a time
+	LoadReports                             bool          // answers of hosts contain load reports
 
 	settings any // as decoded from the file, to detect changes
 }
@@ -43,20 +43,20 @@
 	return readFile(getenv, false)
 }
 
-// Again reads the file again while the balancer runs. Here the file overrides the environment variables, because they are as
+// Reread reads the file again while the balancer runs. Here the file overrides the environment variables, because they are as
 // old as the process.
-func Again(getenv func(string) string) (*Deployment, error) {
+func Reread(getenv func(string) string) (*Deployment, error) {
 	return readFile(getenv, true)
 }
 
-// Fixed returns those keys in which the other deployment differs that only a restart can change.
-func (d *Deployment) Fixed(other *Deployment) (keys []string) {
+// RestartOnlyChanges returns those keys in which the other deployment differs that only a restart can change.
+func (d *Deployment) RestartOnlyChanges(other *Deployment) (keys []string) {
 	for _, v := range []struct {
 		key    string
 		differ bool
 	}{
 		{"name", d.Name != other.Name}, {"listen", d.Listen != other.Listen}, {"admin_addr", d.Admin != other.Admin}, {"seed", d.Seed != other.Seed},
-		{"limits.memory_mb", d.MemoryMB != other.MemoryMB}, {"limits.sockets", d.Sockets != other.Sockets},
+		{"limits.memory_mb", d.MemoryMB != other.MemoryMB}, {"limits.sockets", d.MaxSockets != other.MaxSockets},
 		{"settings", !reflect.DeepEqual(d.settings, other.settings)},
 	} {
 		if v.differ {
@@ -93,8 +93,8 @@
 	if err := json.Unmarshal(text, &file); err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: not the JSON expected: %w", err)
 	}
-	d := &Deployment{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, Known: file.Known,
-		MemoryMB: int(file.Limits.MemoryMB), Sockets: int(file.Limits.Sockets)}
+	d := &Deployment{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Admin: file.Admin, KnownList: file.Known,
+		MemoryMB: int(file.Limits.MemoryMB), MaxSockets: int(file.Limits.Sockets)}
 	for _, v := range []struct {
 		name string
 		to   *string
@@ -119,14 +119,14 @@
 	if d.MemoryMB == 0 {
 		d.MemoryMB = 192
 	}
-	if d.Sockets == 0 {
-		d.Sockets = 1024
+	if d.MaxSockets == 0 {
+		d.MaxSockets = 1024
 	}
 	if d.MemoryMB < 16 {
 		return nil, fmt.Errorf("limits.memory_mb: expected at least 16, got %d", d.MemoryMB)
 	}
-	if d.Sockets < 64 { // the balancer's own sockets and a few for clients and for cache hosts
-		return nil, fmt.Errorf("limits.sockets: expected at least 64, got %d", d.Sockets)
+	if d.MaxSockets < 64 { // the balancer's own sockets and a few for clients and for cache hosts
+		return nil, fmt.Errorf("limits.sockets: expected at least 64, got %d", d.MaxSockets)
 	}
 	return d, d.applySettings(file.Settings)
 }
@@ -143,10 +143,10 @@
 	pairs := Pairs{}
 	flatten(pairs, "", tree)
 	var err error
-	if d.Terms, err = TermsOf(pairs); err != nil {
+	if d.PolicyConfig, err = ParsePolicyConfig(pairs); err != nil {
 		return err
 	}
-	if len(d.Terms.Products) == 0 {
+	if len(d.PolicyConfig.Products) == 0 {
 		return errors.New("settings.products: expected at least one")
 	}
 	if d.Products, err = indexNames[policy.Product](pairs, "products", ".name"); err != nil {
@@ -163,16 +163,16 @@
 	}
 	r := &settingsReader{pairs: pairs}
 	d.ConnectTimeout = time.Duration(r.numberWithin("caps.connectTimeoutNs", float64(250*time.Millisecond), float64(time.Millisecond), float64(time.Hour)))
-	d.IdleLimit = time.Duration(r.duration("caps.keepaliveNs"))
+	d.IdleTimeout = time.Duration(r.duration("caps.keepaliveNs"))
 	if _, given := pairs["caps.keepaliveNs"]; !given {
-		d.IdleLimit = 10 * time.Second
+		d.IdleTimeout = 10 * time.Second
 	}
 	d.DrainGrace = time.Duration(r.numberWithin("rules.drainGraceNs", float64(time.Second), 0, float64(time.Hour)))
-	for i := range d.Terms.Products {
+	for i := range d.PolicyConfig.Products {
 		d.ClientTimeout = max(d.ClientTimeout, time.Duration(r.numberWithin(fmt.Sprintf("products.%d.clientTimeoutNs", i), 3e9, 1, float64(maxDuration))))
 	}
-	d.MostOpen = int(r.numberWithin("caps.maxOpen", 1024, 1, 1<<30))
-	d.Reports = reportSources[pairs["report.source"]]
+	d.MaxRequests = int(r.numberWithin("caps.maxOpen", 1024, 1, 1<<30))
+	d.LoadReports = reportSources[pairs["report.source"]]
 	return r.err
 }
 
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -22,7 +22,7 @@
 		path, v, _ := strings.Cut(p, "=")
 		pairs[path] = v
 	}
-	want, err := TermsOf(pairs)
+	want, err := ParsePolicyConfig(pairs)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,8 +39,8 @@
 		"customers":[{"name":"x","allowancePerS":66.5},{"name":"y","allowancePerS":0}],"hostTypes":["s","m","origin"]}`)); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(d.Terms, want) {
-		t.Errorf("from JSON %+v, from pairs %+v", d.Terms, want)
+	if !reflect.DeepEqual(d.PolicyConfig, want) {
+		t.Errorf("from JSON %+v, from pairs %+v", d.PolicyConfig, want)
 	}
 	if d.Zones["b"] != 1 || d.Kinds["origin"] != 2 || d.Customers["y"] != 1 || d.Products["p"] != 0 {
 		t.Errorf("names: %v %v %v %v", d.Zones, d.Kinds, d.Customers, d.Products)
@@ -62,7 +62,7 @@
 	if err != nil || other.Admin != "b:4" {
 		t.Fatalf("%v %v", other, err)
 	}
-	if keys := d.Fixed(other); !reflect.DeepEqual(keys, []string{"admin_addr"}) {
+	if keys := d.RestartOnlyChanges(other); !reflect.DeepEqual(keys, []string{"admin_addr"}) {
 		t.Errorf("keys that need a restart: %q, expected admin_addr", keys)
 	}
 	env["GW_ADMIN_ADDR"] = "nowhere"
@@ -99,8 +99,8 @@
 			if err == nil || !strings.Contains(err.Error(), row.key) {
 				t.Errorf("%s: %v", row.settings, err)
 			}
-		} else if err != nil || d.Reports != row.reports || d.Terms.CrossZoneCost != row.cross || d.Terms.OriginFetchCost != row.fetch {
-			t.Errorf("%s: %v, %+v", row.settings, err, d.Terms)
+		} else if err != nil || d.LoadReports != row.reports || d.PolicyConfig.CrossZoneCost != row.cross || d.PolicyConfig.OriginFetchCost != row.fetch {
+			t.Errorf("%s: %v, %+v", row.settings, err, d.PolicyConfig)
 		}
 	}
 }
--- a/internal/deployment/terms.go
+++ b/internal/deployment/terms.go
@@ -88,8 +88,8 @@
 	return t
 }
 
-// TermsOf decodes the part of the settings that the policy uses and ignores unknown keys.
-func TermsOf(pairs Pairs) (policy.Config, error) {
+// ParsePolicyConfig decodes the part of the settings that the policy uses and ignores unknown keys.
+func ParsePolicyConfig(pairs Pairs) (policy.Config, error) {
 	r := &settingsReader{pairs: pairs}
 	t := policy.Config{
 		Balancers: max(1, int(r.numberWithin("balancers", 1, 0, maxListLength))), Zone: policy.Zone(r.numberWithin("locality", 0, -1, maxListLength)),
