--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -90,7 +90,7 @@
 		traffic:     trafficStats{hosts: map[policy.HostID]*[2]int64{}},
 		answerStats: newAnswerStats(deployed),
 		clients:     newClientConns(deployed.MaxSockets / 4),
-		hosts: upstream.New(upstream.Config{Pool: operatorFile.Connections.Terms(pool.Config{Balancers: deployed.PolicyConfig.Balancers,
+		hosts: upstream.New(upstream.Config{Pool: operatorFile.Connections.PoolConfig(pool.Config{Balancers: deployed.PolicyConfig.Balancers,
 			MaxConnections: upstreamSockets, IdleTimeout: policy.Nanos(deployed.IdleTimeout)}), OriginMaxConnections: maxAttemptsToOrigin, ConnectTimeout: deployed.ConnectTimeout, LoadReports: deployed.LoadReports,
 			Grace: grace, Now: epochNanos}, deployed.PolicyConfig.OriginKind)}
 	b.mu.handle = b.handleEvent
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -35,7 +35,7 @@
 		}
 	}
 	self := member.Record{Life: member.NewProcessID(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
-	transportTerms, memberTerms := f.settings.Terms(self, b.deployment.PolicyConfig.Balancers, rand.Uint64())
+	transportTerms, memberTerms := f.settings.Configs(self, b.deployment.PolicyConfig.Balancers, rand.Uint64())
 	transport, err := carry.Open(transportTerms, memberTerms, saved, b.log)
 	if err != nil {
 		return fmt.Errorf("fleet.address: %w", err)
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -111,8 +111,8 @@
 	return a
 }
 
-// Terms returns the configuration of the transport and of the membership for one process of a balancer.
-func (f *Fleet) Terms(self member.Record, expected int, seed uint64) (carry.Config, member.Config) {
+// Configs returns the configuration of the transport and of the membership for one process of a balancer.
+func (f *Fleet) Configs(self member.Record, expected int, seed uint64) (carry.Config, member.Config) {
 	self.Addr = f.addr
 	return carry.Config{Fleet: f.Name, Key: f.key}, member.Config{Self: self, ExpectedMembers: expected, Seeds: f.peers, AddressOverrides: f.via,
 		ProbeInterval: f.Period.D(), SuspicionTimeout: f.Suspect.D(), GossipBytesPerSecond: f.Budget, MaxMembers: max(minMemberCapacity, 4*expected), Seed: seed}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// Terms returns the connection pool's configuration. base holds what the platform sets: the number of balancers, the limit of
+// PoolConfig returns the connection pool's configuration. base holds what the platform sets: the number of balancers, the limit of
 // all connections and the idle limit.
-func (c *Connections) Terms(base pool.Config) pool.Config {
+func (c *Connections) PoolConfig(base pool.Config) pool.Config {
 	base.HostMaxConnections, base.OpeningsPerSecond, base.ColdOpeningsPerSecond = c.HostMost, c.Openings, c.ColdOpenings
 	base.ColdFor, base.MaxAge, base.ShrinkInterval = policy.Nanos(c.ColdFor), policy.Nanos(c.Age), policy.Nanos(c.Shrink)
 	base.Reuse, base.MaxWaitFraction, base.AheadDeviations = reuseOrders[c.Reuse], c.Wait, c.Ahead
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -56,11 +56,11 @@
 		t.Fatal(err)
 	}
 	base := pool.Config{Balancers: 3, MaxConnections: 500, IdleTimeout: 9}
-	got := f.Connections.Terms(base)
+	got := f.Connections.PoolConfig(base)
 	if got.OpeningsPerSecond != 40 || got.ColdOpeningsPerSecond != 20 || got.ColdFor != 20*policy.Second || got.MaxConnections != 500 || got.HostMaxConnections != 1200 {
 		t.Errorf("%+v", got)
 	}
-	if got := (&Connections{}).Terms(base); got != base {
+	if got := (&Connections{}).PoolConfig(base); got != base {
 		t.Errorf("an empty file gives %+v, expected %+v", got, base)
 	}
 }
