--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-20s %4.0fs  %s\n", name, d.Length.D().Seconds(), d.About)
+		fmt.Printf("%-20s %4.0fs  %s\n", name, d.Length.Duration().Seconds(), d.About)
 	}
 	fmt.Println("\nkinds of faults")
 	for _, k := range scenario.Kinds() {
@@ -209,10 +209,10 @@
 
 // progress shows on a terminal how a day goes.
 func progress(s *runner.Stage) {
-	for now := s.W.Now(); now < s.W.Day.Length.D(); now = s.W.Now() {
+	for now := s.W.Now(); now < s.W.Day.Length.Duration(); now = s.W.Now() {
 		t := s.Callers.Tally()
 		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d calls: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
-			s.W.Day.Length.D().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
+			s.W.Day.Length.Duration().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
 		time.Sleep(time.Second / 2)
 	}
 	fmt.Fprintln(os.Stderr)
@@ -385,7 +385,7 @@
 	end := time.Now().Add(c.Budget)
 	played := make([]*report.Report, len(days))
 	err = measure.SideBySide(len(days), lanes, func(i int) (err error) {
-		if !time.Now().Add(days[i].Length.D()).After(end) {
+		if !time.Now().Add(days[i].Length.Duration()).After(end) {
 			played[i], err = c.one(ctx, days[i], program, nil)
 		}
 		return err
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -72,7 +72,7 @@
 	b.upgrade.mu.Lock()
 	l.mu.Lock()
 	l.transport, l.stop = transport, stop
-	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.PolicyConfig.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.smallestParts, ReservedFraction: l.initialFloors, Lease: b.fleet.settings.Lease.D(),
+	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.PolicyConfig.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.smallestParts, ReservedFraction: l.initialFloors, Lease: b.fleet.settings.Lease.Duration(),
 		FirstAskNumber: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
 	l.machine.SetUpgrading(b.upgrade.older != nil)
 	l.mu.Unlock()
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -61,42 +61,42 @@
 	f.Period, f.Suspect, f.Budget = cmp.Or(f.Period, defaultPeriod), cmp.Or(f.Suspect, defaultSuspect), cmp.Or(f.Budget, defaultBudget)
 	f.Lease, f.OrdersPart = cmp.Or(f.Lease, defaultLease), cmp.Or(f.OrdersPart, defaultOrdersPart)
 	if f.Name == "" || len(f.Name) > member.MaxNameBytes {
-		s.Bad(section+"name", "expected the fleet's name, of 1 to %d bytes, got %q", member.MaxNameBytes, f.Name)
+		s.AddFault(section+"name", "expected the fleet's name, of 1 to %d bytes, got %q", member.MaxNameBytes, f.Name)
 	}
 	f.addr = parseAddress(s, section+"address", f.Address)
 	if len(f.Peers) > maxPeers {
-		s.Bad(section+"peers", "expected %d at most, got %d", maxPeers, len(f.Peers))
+		s.AddFault(section+"peers", "expected %d at most, got %d", maxPeers, len(f.Peers))
 	}
 	for i, p := range f.Peers {
 		if a := parseAddress(s, section+"peers", p); a != f.addr {
 			f.peers = append(f.peers, a)
 		} else if a.IsValid() && len(f.Peers) == 1 {
-			s.Bad(section+"peers", "entry %d is this balancer's own address, and there is no other", i+1)
+			s.AddFault(section+"peers", "entry %d is this balancer's own address, and there is no other", i+1)
 		}
 	}
 	f.via = map[string]netip.AddrPort{}
 	for name, p := range f.Via {
 		f.via[name] = parseAddress(s, section+"via", p)
 	}
-	strict.Within(s, section+"period", f.Period, strict.Span(50*time.Millisecond), strict.Span(time.Minute))
-	strict.Within(s, section+"suspect", f.Suspect, 2*f.Period, strict.Span(10*time.Minute))
-	strict.Within(s, section+"budget", f.Budget, 500, 1<<20)
-	strict.Within(s, section+"orders_part", f.OrdersPart, 0.01, 1)
-	strict.Within(s, section+"lease", f.Lease, strict.Span(time.Second), strict.Span(time.Minute))
+	strict.CheckRange(s, section+"period", f.Period, strict.Span(50*time.Millisecond), strict.Span(time.Minute))
+	strict.CheckRange(s, section+"suspect", f.Suspect, 2*f.Period, strict.Span(10*time.Minute))
+	strict.CheckRange(s, section+"budget", f.Budget, 500, 1<<20)
+	strict.CheckRange(s, section+"orders_part", f.OrdersPart, 0.01, 1)
+	strict.CheckRange(s, section+"lease", f.Lease, strict.Span(time.Second), strict.Span(time.Minute))
 	if f.KeyFile == "" {
-		if s.Given(section + "key_file") {
-			s.Bad(section+"key_file", "expected a path; leave the key out for no key")
+		if s.IsSet(section + "key_file") {
+			s.AddFault(section+"key_file", "expected a path; leave the key out for no key")
 		}
 		return
 	}
 	text, err := os.ReadFile(f.KeyFile)
 	if err != nil {
-		s.Bad(section+"key_file", "%v", err)
+		s.AddFault(section+"key_file", "%v", err)
 		return
 	}
 	f.key = bytes.TrimSpace(text)
 	if len(f.key) < minKeyBytes || len(f.key) > maxKeyBytes {
-		s.Bad(section+"key_file", "expected a key of %d to %d bytes in %s, got %d", minKeyBytes, maxKeyBytes, f.KeyFile, len(f.key))
+		s.AddFault(section+"key_file", "expected a key of %d to %d bytes in %s, got %d", minKeyBytes, maxKeyBytes, f.KeyFile, len(f.key))
 	}
 }
 
@@ -105,7 +105,7 @@
 	a, err := netip.ParseAddrPort(text)
 	if err != nil || !member.IsUsableAddr(a) {
 		requirement := "a port of 1 to 65535 and an address that others can reach, no wildcard"
-		s.Bad(key, "expected IP:port with %s, got %q", requirement, text)
+		s.AddFault(key, "expected IP:port with %s, got %q", requirement, text)
 		return netip.AddrPort{}
 	}
 	return a
@@ -115,5 +115,5 @@
 func (f *Fleet) Configs(self member.Record, expected int, seed uint64) (carry.Config, member.Config) {
 	self.Addr = f.addr
 	return carry.Config{Fleet: f.Name, Key: f.key}, member.Config{Self: self, ExpectedMembers: expected, Seeds: f.peers, AddressOverrides: f.via,
-		ProbeInterval: f.Period.D(), SuspicionTimeout: f.Suspect.D(), GossipBytesPerSecond: f.Budget, MaxMembers: max(minMemberCapacity, 4*expected), Seed: seed}
+		ProbeInterval: f.Period.Duration(), SuspicionTimeout: f.Suspect.Duration(), GossipBytesPerSecond: f.Budget, MaxMembers: max(minMemberCapacity, 4*expected), Seed: seed}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -51,7 +51,7 @@
 func Parse(name string, text []byte) (*File, error) {
 	f := &File{}
 	s := strict.Decode(name, text, f)
-	if s.Sound() {
+	if s.Valid() {
 		f.Connections.check(s)
 		if f.Fleet != nil {
 			f.Fleet.check(s)
@@ -68,31 +68,31 @@
 func (c *Connections) check(s *strict.File) {
 	const section = "connections."
 	day := strict.Span(24 * time.Hour)
-	strict.Within(s, section+"host_most", c.HostMost, 0, 1<<20)
-	strict.Within(s, section+"openings", c.Openings, 0, 1e6)
-	strict.Within(s, section+"cold_openings", c.ColdOpenings, 0, 1e6)
-	strict.Within(s, section+"cold_for", c.ColdFor, 0, day)
-	strict.Within(s, section+"age", c.Age, 0, 30*day)
-	strict.Within(s, section+"wait", c.Wait, 0, 1)
-	strict.Within(s, section+"ahead", c.Ahead, 0, 10)
-	strict.Within(s, section+"shrink", c.Shrink, 0, day)
+	strict.CheckRange(s, section+"host_most", c.HostMost, 0, 1<<20)
+	strict.CheckRange(s, section+"openings", c.Openings, 0, 1e6)
+	strict.CheckRange(s, section+"cold_openings", c.ColdOpenings, 0, 1e6)
+	strict.CheckRange(s, section+"cold_for", c.ColdFor, 0, day)
+	strict.CheckRange(s, section+"age", c.Age, 0, 30*day)
+	strict.CheckRange(s, section+"wait", c.Wait, 0, 1)
+	strict.CheckRange(s, section+"ahead", c.Ahead, 0, 10)
+	strict.CheckRange(s, section+"shrink", c.Shrink, 0, day)
 	if _, known := reuseOrders[c.Reuse]; !known {
-		s.Bad(section+"reuse", "expected longest or last, got %q", c.Reuse)
+		s.AddFault(section+"reuse", "expected longest or last, got %q", c.Reuse)
 	}
-	if s.Given(section+"host_most") && c.HostMost == 0 {
-		s.Bad(section+"host_most", "no connection at all; leave the key out for no bound")
+	if s.IsSet(section+"host_most") && c.HostMost == 0 {
+		s.AddFault(section+"host_most", "no connection at all; leave the key out for no bound")
 	}
 	if c.ColdOpenings > 0 && c.Openings == 0 {
-		s.Bad(section+"cold_openings", "it needs openings too")
+		s.AddFault(section+"cold_openings", "it needs openings too")
 	}
 	if c.ColdOpenings > c.Openings {
-		s.Bad(section+"cold_openings", "a cold host does not bear more than a warm one (openings, %v), got %v", c.Openings, c.ColdOpenings)
+		s.AddFault(section+"cold_openings", "a cold host does not bear more than a warm one (openings, %v), got %v", c.Openings, c.ColdOpenings)
 	}
 	if (c.ColdOpenings > 0) != (c.ColdFor > 0) && c.Ahead == 0 {
-		s.Bad(section+"cold_for", "it and cold_openings need each other")
+		s.AddFault(section+"cold_for", "it and cold_openings need each other")
 	}
 	if c.Age > 0 && c.Age < strict.Span(time.Second) {
-		s.Bad(section+"age", "expected a second at least, got %v", c.Age)
+		s.AddFault(section+"age", "expected a second at least, got %v", c.Age)
 	}
 }
 
--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -100,14 +100,14 @@
 // span does one thing to nodes at a fault's begin and another at its end.
 func (t *Timeline) span(f *scenario.Fault, places []string, begin, end func(n *standin.Node)) {
 	for _, p := range places {
-		t.at(f.At.D(), func() { begin(t.node(p)) })
-		t.at((f.At + f.For).D(), func() { end(t.node(p)) })
+		t.at(f.At.Duration(), func() { begin(t.node(p)) })
+		t.at((f.At + f.For).Duration(), func() { end(t.node(p)) })
 	}
 }
 
 func (t *Timeline) lay(i int) {
 	f := &t.w.Day.Faults[i]
-	from, to := f.At.D(), (f.At + f.For).D()
+	from, to := f.At.Duration(), (f.At + f.For).Duration()
 	places, balancers := t.w.Day.Hit(i), t.w.Day.HitBalancers(i)
 	about := f.Do
 	switch f.Do {
@@ -130,7 +130,7 @@
 	case "link-delay":
 		t.links(f, places, balancers, func(n *standin.Node, b int, on bool) {
 			if on {
-				n.Delay(b, f.Delay.D())
+				n.Delay(b, f.Delay.Duration())
 			} else {
 				n.Delay(b, 0)
 			}
@@ -163,7 +163,7 @@
 		t.at(to, func() { t.w.Gateway.Fail(0) })
 	case "balancer-kill":
 		for _, b := range balancers {
-			t.at(from, func() { t.b.Kill(b, f.For.D()) })
+			t.at(from, func() { t.b.Kill(b, f.For.Duration()) })
 		}
 	case "balancer-restart":
 		for _, b := range balancers {
@@ -186,17 +186,17 @@
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
-			t.at(from, func() { t.b.Stall(b, f.For.D()) })
+			t.at(from, func() { t.b.Stall(b, f.For.Duration()) })
 		}
 	case "balancer-astray":
 		for _, b := range balancers {
 			t.at(from, func() { t.b.Astray(b) })
 		}
 	case "balancer-twin":
-		t.at(from, func() { t.b.Twin(f.Balancers[0]-1, f.To[0]-1, f.For.D()) })
+		t.at(from, func() { t.b.Twin(f.Balancers[0]-1, f.To[0]-1, f.For.Duration()) })
 	case "upgrade-kill":
 		for _, b := range balancers {
-			t.at(from, func() { t.wait.Go(func() { t.back(t.b.UpgradeKill(b, f.For.D())) }) })
+			t.at(from, func() { t.wait.Go(func() { t.back(t.b.UpgradeKill(b, f.For.Duration())) }) })
 		}
 	case "upgrade":
 		for _, b := range balancers {
@@ -208,7 +208,7 @@
 			play = t.b.Stray
 		}
 		for n := range f.Count {
-			t.at(from+f.For.D()*time.Duration(n)/time.Duration(f.Count), func() { t.wait.Go(func() { play(n) }) })
+			t.at(from+f.For.Duration()*time.Duration(n)/time.Duration(f.Count), func() { t.wait.Go(func() { play(n) }) })
 		}
 	}
 	if strings.HasPrefix(f.Do, "mate-") {
@@ -224,7 +224,7 @@
 
 // mates lays a fault of the ways between balancers.
 func (t *Timeline) mates(i int, f *scenario.Fault) {
-	from, to, ways := f.At.D(), (f.At + f.For).D(), t.w.Day.Ways(i)
+	from, to, ways := f.At.Duration(), (f.At + f.For).Duration(), t.w.Day.Ways(i)
 	change := func(end bool) {
 		for _, w := range ways {
 			t.b.Ways().Change(w[0], w[1], t.w.Day.Harm(i, end))
@@ -232,7 +232,7 @@
 	}
 	if f.Do == "mate-flap" {
 		on := false
-		for at := from; at < to; at += f.Delay.D() {
+		for at := from; at < to; at += f.Delay.Duration() {
 			on = !on
 			t.at(at, func(end bool) func() { return func() { change(end) } }(!on))
 		}
@@ -249,7 +249,7 @@
 		return nil
 	}
 	for _, w := range ways {
-		cuts = append(cuts, record.MateCut{From: w[0], To: w[1], Begin: f.At.D(), End: (f.At + f.For).D()})
+		cuts = append(cuts, record.MateCut{From: w[0], To: w[1], Begin: f.At.Duration(), End: (f.At + f.For).Duration()})
 	}
 	return cuts
 }
@@ -276,8 +276,8 @@
 func (t *Timeline) deploy(f *scenario.Fault, places []string) {
 	waves := (len(places) + f.AtOnce - 1) / f.AtOnce
 	for i, p := range places {
-		at := f.At.D() + f.For.D()*time.Duration(i/f.AtOnce)/time.Duration(waves)
-		leaves := t.w.Day.Register.Late[1].D() + f.Drain.D()
+		at := f.At.Duration() + f.For.Duration()*time.Duration(i/f.AtOnce)/time.Duration(waves)
+		leaves := t.w.Day.Register.Late[1].Duration() + f.Drain.Duration()
 		var old, next *standin.Node
 		t.at(at, func() {
 			old = t.node(p)
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -62,7 +62,7 @@
 // NewDay lays out what the balancers of a day will say to each other, which is noted. Before may change the play, for tests.
 func NewDay(day *scenario.Day, rec *record.Record, before func(*Play)) *Day {
 	m := day.Mates
-	d := &Day{day: day, rec: rec, astray: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.D(), Suspect: m.Suspect.D(),
+	d := &Day{day: day, rec: rec, astray: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.Duration(), Suspect: m.Suspect.Duration(),
 		Budget: m.Budget, Seed: day.Seed, Ways: m.Way()})}
 	d.names = map[int]int{}
 	if m.Limits {
@@ -78,7 +78,7 @@
 	for i := range day.Faults {
 		d.fault(i)
 	}
-	for at := lookEvery; at <= day.Length.D(); at += lookEvery {
+	for at := lookEvery; at <= day.Length.Duration(); at += lookEvery {
 		d.at(at, d.look)
 	}
 	slices.SortStableFunc(d.moments, func(a, b moment) int { return int(a.at - b.at) })
@@ -146,7 +146,7 @@
 // shares are the tenants' allowances, with needs as the day's calls came in.
 func (d *Day) shares() *Shares {
 	n := len(d.day.Tenants)
-	s := &Shares{Lease: d.day.Mates.Lease.D(), Floor: make([]float64, n)}
+	s := &Shares{Lease: d.day.Mates.Lease.Duration(), Floor: make([]float64, n)}
 	for t := range n {
 		s.Names, s.Bound, s.Grain = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Bound, d.day.Allowance(t)), append(s.Grain, 1)
 	}
@@ -185,7 +185,7 @@
 // fault lays one of the day's faults on the clock; those that are not about balancers do nothing here.
 func (d *Day) fault(i int) {
 	f := &d.day.Faults[i]
-	from, to, hit := f.At.D(), (f.At + f.For).D(), d.day.HitBalancers(i)
+	from, to, hit := f.At.Duration(), (f.At + f.For).Duration(), d.day.HitBalancers(i)
 	switch f.Do {
 	case "balancer-kill":
 		for _, b := range hit {
@@ -198,12 +198,12 @@
 		}
 	case "balancer-restart":
 		for _, b := range hit {
-			d.at(min(from+RestartAfter, d.day.Length.D()), func() { d.end(b, true); d.start(b) })
+			d.at(min(from+RestartAfter, d.day.Length.Duration()), func() { d.end(b, true); d.start(b) })
 		}
 	case "balancer-stall":
 		for _, b := range hit {
 			d.at(from, func() {
-				d.Stall(b, f.For.D())
+				d.Stall(b, f.For.Duration())
 				d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to})
 			})
 		}
@@ -224,7 +224,7 @@
 		})
 	case "mate-flap":
 		on := false
-		for at := from; at < to; at += f.Delay.D() {
+		for at := from; at < to; at += f.Delay.Duration() {
 			on = !on
 			end := !on
 			d.at(at, func() { d.harm(i, end) })
--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -91,7 +91,7 @@
 		rec := record.New()
 		NewDay(day, rec, func(p *Play) {
 			p.Twist = func(mate int, in bool, msg *member.Message) { row.twist(p, mate, in, msg) }
-		}).To(day.Length.D())
+		}).To(day.Length.Duration())
 		v := judge.Judge(rec, runner.Terms(day))
 		if got := v.BrokenRules(); !slices.Equal(got, row.want) {
 			t.Errorf("%s: named for %q, expected %q", name, got, row.want)
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -87,7 +87,7 @@
 	f.ending = true
 	f.round++
 	round := f.round
-	time.AfterFunc(c.w.Day.Clients.Notice.D(), func() {
+	time.AfterFunc(c.w.Day.Clients.Notice.Duration(), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if f.ending && f.round == round {
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -131,7 +131,7 @@
 					p.Vain++
 				}
 				for _, f := range kind.faults {
-					if slices.Contains(f.Nodes, s.Server) && s.Came >= f.At.D() && s.Came < (f.At+f.For).D() {
+					if slices.Contains(f.Nodes, s.Server) && s.Came >= f.At.Duration() && s.Came < (f.At+f.For).Duration() {
 						p.AtBad++
 					}
 				}
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -124,7 +124,7 @@
 	}
 	for _, t := range res.Record.Talks {
 		if t.Balancer == 0 {
-			p.bytes = max(p.bytes, float64(t.Bytes)/day.Length.D().Seconds())
+			p.bytes = max(p.bytes, float64(t.Bytes)/day.Length.Duration().Seconds())
 		}
 	}
 	return p, nil
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -121,10 +121,10 @@
 // Of makes the report of a rehearsal.
 func Of(res *runner.Result) *Report {
 	d := res.Day
-	r := &Report{Version: Version, Name: d.Name, About: d.About, Seed: d.Seed, Length: d.Length.D(), Took: res.Took, Simulated: true,
+	r := &Report{Version: Version, Name: d.Name, About: d.About, Seed: d.Seed, Length: d.Length.Duration(), Took: res.Took, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
 		Tries: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Bands,
-		Seconds: make([]Second, int(d.Length.D()/time.Second)+1)}
+		Seconds: make([]Second, int(d.Length.Duration()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
 		r.Outcome = Broken
@@ -173,7 +173,7 @@
 		a := by[k.Base]
 		if k.Reply == record.Fulfilled && a.first != nil {
 			took := k.Answered - a.first.Due
-			a.good = a.good || took <= d.Products[k.Product].LatencySLO.D()
+			a.good = a.good || took <= d.Products[k.Product].LatencySLO.Duration()
 			sec := int(a.first.Due / time.Second)
 			latencies[sec] = append(latencies[sec], took)
 		}
--- a/internal/rehearsal/runner/config.go
+++ b/internal/rehearsal/runner/config.go
@@ -40,7 +40,7 @@
 	}
 	coldFrom, warmFor, idle := 1.0, time.Duration(0), time.Hour
 	for _, n := range d.Nodes {
-		coldFrom, warmFor, idle = min(coldFrom, n.ColdFrom), max(warmFor, n.WarmFor.D()), min(idle, n.Told())
+		coldFrom, warmFor, idle = min(coldFrom, n.ColdFrom), max(warmFor, n.WarmFor.Duration()), min(idle, n.Told())
 	}
 	settings := m{
 		"balancers": d.Fleet.Balancers, "areas": d.Fleet.Zones, "locality": zone, "hostTypes": []string{"cache", "origin"},
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -181,7 +181,7 @@
 	from := s.W.Now()
 	p.Pause(true)
 	s.Rec.Add(func() {
-		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length + s.W.Day.Rules.Slack.D()})
+		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length + s.W.Day.Rules.Slack.Duration()})
 	})
 	s.looks.Go(func() {
 		select {
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -427,18 +427,18 @@
 func Terms(d *scenario.Day) judge.Terms {
 	var mates judge.Mates
 	if m := d.Mates; m.On {
-		mates = judge.Mates{Count: d.Fleet.Balancers, Period: m.Period.D(), Suspect: m.Suspect.D(), Budget: m.Budget, Loss: m.Loss, Lease: m.Lease.D()}
+		mates = judge.Mates{Count: d.Fleet.Balancers, Period: m.Period.Duration(), Suspect: m.Suspect.Duration(), Budget: m.Budget, Loss: m.Loss, Lease: m.Lease.Duration()}
 	}
 	own, err := operator.Parse("operator", []byte(d.Operator))
 	if err != nil {
 		own = &operator.File{} // the balancers say what is wrong with it
 	}
-	t := judge.Terms{Mates: mates, Openings: own.Connections.Openings, Attempts: d.Fleet.Attempts, DrainGrace: d.Rules.DrainGrace.D(), Slack: d.Rules.Slack.D(), Prompt: d.Rules.Prompt.D(),
-		ColdBlame: d.Rules.ColdBlame, FallFor: d.Rules.FallFor.D(), Connect: connectTimeout}
+	t := judge.Terms{Mates: mates, Openings: own.Connections.Openings, Attempts: d.Fleet.Attempts, DrainGrace: d.Rules.DrainGrace.Duration(), Slack: d.Rules.Slack.Duration(), Prompt: d.Rules.Prompt.Duration(),
+		ColdBlame: d.Rules.ColdBlame, FallFor: d.Rules.FallFor.Duration(), Connect: connectTimeout}
 	kinds := map[string]judge.Effect{scenario.Idempotent: judge.Idempotent, scenario.Deduplicated: judge.Deduplicated,
 		scenario.NonIdempotent: judge.NonIdempotent}
 	for _, p := range d.Products {
-		t.Products = append(t.Products, judge.Product{Name: p.Name, Effect: kinds[p.Effect], Window: p.Window.D(), Write: p.Write})
+		t.Products = append(t.Products, judge.Product{Name: p.Name, Effect: kinds[p.Effect], Window: p.Window.Duration(), Write: p.Write})
 	}
 	return t
 }
--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -51,12 +51,12 @@
 func Parse(file string, text []byte) (*Day, error) {
 	d := defaults()
 	f := strict.Decode(file, text, &d)
-	if !f.Sound() {
+	if !f.Valid() {
 		return nil, f.Err(ErrFaulty)
 	}
 	c := &checker{File: f, day: &d}
 	has := func(list string, i int) given {
-		return func(key string) bool { return f.Given(fmt.Sprintf("%s[%d].%s", list, i+1, key)) }
+		return func(key string) bool { return f.IsSet(fmt.Sprintf("%s[%d].%s", list, i+1, key)) }
 	}
 	if len(d.Nodes) == 0 {
 		d.Nodes = []Node{{Name: "node", Count: 4}}
@@ -102,7 +102,7 @@
 
 // within holds a figure to a range.
 func within[T int | float64 | Span](c *checker, key string, v, least, most T) {
-	strict.Within(c.File, key, v, least, most)
+	strict.CheckRange(c.File, key, v, least, most)
 }
 
 const (
@@ -122,10 +122,10 @@
 	within(c, "fleet.sockets", d.Fleet.Sockets, 64, 1<<16)
 	within(c, "fleet.shots", d.Fleet.Attempts, 1, 16)
 	if d.Fleet.Mode != Aside && d.Fleet.Mode != Through {
-		c.Bad("fleet.mode", "expected aside or through, got %q", d.Fleet.Mode)
+		c.AddFault("fleet.mode", "expected aside or through, got %q", d.Fleet.Mode)
 	}
 	if len(d.Fleet.Zones) == 0 {
-		c.Bad("fleet.zones", "expected at least one")
+		c.AddFault("fleet.zones", "expected at least one")
 	}
 	zones := unique(c, "fleet.zones", d.Fleet.Zones)
 	c.nodes(zones)
@@ -159,10 +159,10 @@
 	seen := map[string]bool{}
 	for _, n := range names {
 		if n == "" || strings.ContainsAny(n, " ,=\r\n\t") {
-			c.Bad(key, "expected a name without blanks, commas or =, got %q", n)
+			c.AddFault(key, "expected a name without blanks, commas or =, got %q", n)
 		}
 		if seen[n] {
-			c.Bad(key, "%q stands twice", n)
+			c.AddFault(key, "%q stands twice", n)
 		}
 		seen[n] = true
 	}
@@ -175,14 +175,14 @@
 	for i := range d.Nodes {
 		g, at := &d.Nodes[i], fmt.Sprintf("node[%d].", i+1)
 		if g.Name == "" || strings.ContainsAny(g.Name, " ,=*") || names[g.Name] {
-			c.Bad(at+"name", "expected a name of its own without blanks, got %q", g.Name)
+			c.AddFault(at+"name", "expected a name of its own without blanks, got %q", g.Name)
 		}
 		names[g.Name] = true
 		if g.Zone == "" && len(d.Fleet.Zones) > 0 {
 			g.Zone = d.Fleet.Zones[0]
 		}
 		if !zones[g.Zone] {
-			c.Bad(at+"zone", "no zone is called %q", g.Zone)
+			c.AddFault(at+"zone", "no zone is called %q", g.Zone)
 		}
 		within(c, at+"count", g.Count, 1, mostNodes)
 		within(c, at+"cores", g.Cores, 1, 1024)
@@ -203,7 +203,7 @@
 		n += g.Count
 	}
 	if n > mostNodes {
-		c.Bad("node", "expected at most %d nodes, got %d", mostNodes, n)
+		c.AddFault("node", "expected at most %d nodes, got %d", mostNodes, n)
 	}
 }
 
@@ -232,8 +232,8 @@
 	within(c, "load.value_size", d.Load.ValueSize, 64, 4<<20) // the key, the version and the id go into a value
 	within(c, "load.quota", d.Load.Quota, 0.01, 10)
 	within(c, "load.warm", d.Load.Warm, 0, 1)
-	if n := d.Load.PerS * d.Length.D().Seconds(); n > model.MostArrivals/4 {
-		c.Bad("load.per_s", "%.0f requests in %v are more than the kit plans (%d)", n, d.Length, model.MostArrivals/4)
+	if n := d.Load.PerS * d.Length.Duration().Seconds(); n > model.MostArrivals/4 {
+		c.AddFault("load.per_s", "%.0f requests in %v are more than the kit plans (%d)", n, d.Length, model.MostArrivals/4)
 	}
 	within(c, "client.tries", d.Clients.Tries, 0, 10)
 	within(c, "client.wait", d.Clients.Wait, Span(time.Millisecond), longest)
@@ -244,7 +244,7 @@
 	within(c, "client.give_up_at", g[0], 0.05, g[1])
 	within(c, "client.give_up_at", g[1], 0.05, 1)
 	if n := len(d.Clients.ZoneParts); n != 0 && n != len(d.Fleet.Zones) {
-		c.Bad("client.zone_parts", "expected a part for each of the %d zones, got %d", len(d.Fleet.Zones), n)
+		c.AddFault("client.zone_parts", "expected a part for each of the %d zones, got %d", len(d.Fleet.Zones), n)
 	}
 }
 
@@ -253,7 +253,7 @@
 	for i, p := range c.day.Products {
 		at := fmt.Sprintf("product[%d].", i+1)
 		if p.Name == "" || strings.ContainsAny(p.Name, " ,=") || names[p.Name] {
-			c.Bad(at+"name", "expected a name of its own without blanks, got %q", p.Name)
+			c.AddFault(at+"name", "expected a name of its own without blanks, got %q", p.Name)
 		}
 		names[p.Name] = true
 		within(c, at+"share", p.Share, 0.0001, 1e6)
@@ -261,24 +261,24 @@
 		within(c, at+"variation", p.Variation, 0.01, 10)
 		within(c, at+"latency_slo", p.LatencySLO, Span(time.Millisecond), longest)
 		if p.ClientTimeout < p.LatencySLO || p.ClientTimeout > longest {
-			c.Bad(at+"client_timeout", "expected the latency SLO (%v) to %v, got %v", p.LatencySLO, longest, p.ClientTimeout)
+			c.AddFault(at+"client_timeout", "expected the latency SLO (%v) to %v, got %v", p.LatencySLO, longest, p.ClientTimeout)
 		}
 		within(c, at+"billed_value", p.BilledValue, 0.0001, 1e9)
 		if p.Law != model.Exponential && p.Law != model.LogNormal && p.Law != model.Constant {
-			c.Bad(at+"law", "expected exponential, lognormal or constant, got %q", p.Law)
+			c.AddFault(at+"law", "expected exponential, lognormal or constant, got %q", p.Law)
 		}
 		switch p.Effect {
 		case Idempotent, NonIdempotent:
 			if p.Window != 0 {
-				c.Bad(at+"window", "only a deduplicated product has one")
+				c.AddFault(at+"window", "only a deduplicated product has one")
 			}
 		case Deduplicated:
 			within(c, at+"window", p.Window, Span(100*time.Millisecond), longest)
 		default:
-			c.Bad(at+"effect", "expected idempotent, deduplicated or non-idempotent, got %q", p.Effect)
+			c.AddFault(at+"effect", "expected idempotent, deduplicated or non-idempotent, got %q", p.Effect)
 		}
 		if p.Effect != Idempotent && !p.Write {
-			c.Bad(at+"write", "a product that may not run again is a write")
+			c.AddFault(at+"write", "a product that may not run again is a write")
 		}
 	}
 }
@@ -288,7 +288,7 @@
 	for i, t := range c.day.Tenants {
 		at := fmt.Sprintf("tenant[%d].", i+1)
 		if t.Name == "" || strings.ContainsAny(t.Name, " ,=") || names[t.Name] {
-			c.Bad(at+"name", "expected a name of its own without blanks, got %q", t.Name)
+			c.AddFault(at+"name", "expected a name of its own without blanks, got %q", t.Name)
 		}
 		names[t.Name] = true
 		within(c, at+"share", t.Share, 0.0001, 1)
@@ -304,24 +304,24 @@
 	f, at := &c.day.Faults[i], fmt.Sprintf("fault[%d].", i+1)
 	k, ok := kinds[f.Do]
 	if !ok {
-		c.Bad(at+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Do)
+		c.AddFault(at+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Do)
 		return
 	}
 	for _, key := range []string{"for", "nodes", "part", "by", "delay", "zone", "balancers", "tenant", "keys", "at_once", "drain",
 		"same_address", "count", "to", "one_way"} {
-		given := c.Given(at + key)
+		given := c.IsSet(at + key)
 		switch {
 		case slices.Contains(k.needs, key) && !given:
-			c.Bad(at+key, "%s needs it", f.Do)
+			c.AddFault(at+key, "%s needs it", f.Do)
 		case given && !slices.Contains(k.needs, key) && !slices.Contains(k.may, key):
-			c.Bad(at+key, "%s has no such key", f.Do)
+			c.AddFault(at+key, "%s has no such key", f.Do)
 		}
 	}
 	within(c, at+"at", f.At, 0, c.day.Length)
 	if f.For < 0 || f.At+f.For > c.day.Length {
-		c.Bad(at+"for", "the fault would end at %v, after the day (%v)", f.At+f.For, c.day.Length)
+		c.AddFault(at+"for", "the fault would end at %v, after the day (%v)", f.At+f.For, c.day.Length)
 	}
-	if c.Given(at + "part") {
+	if c.IsSet(at + "part") {
 		within(c, at+"part", f.Part, 0.001, 1)
 	}
 	if slices.Contains(k.needs, "by") {
@@ -337,10 +337,10 @@
 		within(c, at+"delay", f.Delay, Span(time.Millisecond), longest)
 	}
 	if ofMates := strings.HasPrefix(f.Do, "mate-"); (ofMates || f.Do == "balancer-astray" || f.Do == "balancer-twin") && !c.day.Mates.On {
-		c.Bad(at+"do", "%s needs balancers that speak with each other (mates.on)", f.Do)
+		c.AddFault(at+"do", "%s needs balancers that speak with each other (mates.on)", f.Do)
 	}
 	if f.Do == "balancer-twin" && (len(f.Balancers) != 1 || len(f.To) != 1 || f.Balancers[0] == f.To[0]) {
-		c.Bad(at+"to", "balancer-twin is of one balancer and another one")
+		c.AddFault(at+"to", "balancer-twin is of one balancer and another one")
 	}
 	if f.Do == "rude" {
 		within(c, at+"count", f.Count, 1, 20000)
@@ -353,24 +353,24 @@
 		within(c, at+"drain", f.Drain, Span(100*time.Millisecond), longest)
 	}
 	if f.Zone != "" && !zones[f.Zone] {
-		c.Bad(at+"zone", "no zone is called %q", f.Zone)
+		c.AddFault(at+"zone", "no zone is called %q", f.Zone)
 	}
 	if f.Tenant != "" && !tenants[f.Tenant] {
-		c.Bad(at+"tenant", "no tenant is called %q", f.Tenant)
+		c.AddFault(at+"tenant", "no tenant is called %q", f.Tenant)
 	}
 	for _, n := range f.Nodes {
 		if !slices.ContainsFunc(ids, func(id string) bool { return matches(n, id) }) {
-			c.Bad(at+"nodes", "no node is called %q", n)
+			c.AddFault(at+"nodes", "no node is called %q", n)
 		}
 	}
 	for _, b := range f.To {
 		if b < 1 || b > c.day.Fleet.Balancers {
-			c.Bad(at+"to", "expected 1 to %d, got %d", c.day.Fleet.Balancers, b)
+			c.AddFault(at+"to", "expected 1 to %d, got %d", c.day.Fleet.Balancers, b)
 		}
 	}
 	for _, b := range f.Balancers {
 		if b < 1 || b > c.day.Fleet.Balancers {
-			c.Bad(at+"balancers", "expected 1 to %d, got %d", c.day.Fleet.Balancers, b)
+			c.AddFault(at+"balancers", "expected 1 to %d, got %d", c.day.Fleet.Balancers, b)
 		}
 	}
 }
@@ -481,11 +481,11 @@
 		case "mate-loss":
 			w.Loss = max(usual.Loss, f.Part)
 		case "mate-delay":
-			w.Jitter = usual.Jitter + f.Delay.D()
+			w.Jitter = usual.Jitter + f.Delay.Duration()
 		case "mate-repeat":
 			w.Repeat = f.Part
 		case "mate-reorder":
-			w.Reorder, w.Late = f.Part, f.Delay.D()
+			w.Reorder, w.Late = f.Part, f.Delay.Duration()
 		case "mate-spoil":
 			w.Spoil = f.Part
 		case "mate-narrow":
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -167,7 +167,7 @@
 
 // Way is what the day has between any two balancers.
 func (m *Mates) Way() model.WayTerms {
-	return model.WayTerms{Loss: m.Loss, Delay: m.Delay.D(), Jitter: m.Jitter.D()}
+	return model.WayTerms{Loss: m.Loss, Delay: m.Delay.Duration(), Jitter: m.Jitter.Duration()}
 }
 
 // Fault is something that goes wrong.
@@ -325,7 +325,7 @@
 	t, since := &d.Tenants[tenant], Span(-1)
 	list := t.At
 	for i := range d.Faults {
-		if f := &d.Faults[i]; f.Do == "tenant-move" && f.Tenant == t.Name && f.At.D() <= at && f.At >= since {
+		if f := &d.Faults[i]; f.Do == "tenant-move" && f.Tenant == t.Name && f.At.Duration() <= at && f.At >= since {
 			list, since = f.Balancers, f.At
 		}
 	}
@@ -364,23 +364,23 @@
 		miss = 0
 	}
 	return model.NodeTerms{Cores: n.Cores, Speed: n.Speed, Queue: n.Queue, KeepBytes: int64(n.KeepMB * (1 << 20)),
-		ColdFrom: n.ColdFrom, WarmFor: n.WarmFor.D(), FallMultiple: r.FallMultiple, FallFor: r.FallFor.D(),
-		PauseEvery: n.PauseEvery.D(), PauseFor: n.PauseFor.D(), DropsGivenUp: n.DropsGivenUp, MissPart: miss}
+		ColdFrom: n.ColdFrom, WarmFor: n.WarmFor.Duration(), FallMultiple: r.FallMultiple, FallFor: r.FallFor.Duration(),
+		PauseEvery: n.PauseEvery.Duration(), PauseFor: n.PauseFor.Duration(), DropsGivenUp: n.DropsGivenUp, MissPart: miss}
 }
 
 // Told is after what rest balancers are told that the node closes a connection.
 func (n *Node) Told() time.Duration {
 	if n.IdleTold > 0 {
-		return n.IdleTold.D()
+		return n.IdleTold.Duration()
 	}
-	return n.Idle.D()
+	return n.Idle.Duration()
 }
 
 // Capacity is how many requests a second the nodes can do at the start.
 func (d *Day) Capacity() float64 {
 	work, shares, able := 0.0, 0.0, 0.0
 	for _, p := range d.Products {
-		work += p.Share * p.Work.D().Seconds()
+		work += p.Share * p.Work.Duration().Seconds()
 		shares += p.Share
 	}
 	for _, n := range d.Nodes {
@@ -391,17 +391,17 @@
 
 // GatewayTerms is what the gateway is to the model.
 func (d *Day) GatewayTerms() model.GatewayTerms {
-	t := model.GatewayTerms{Slots: d.Gateway.Slots, Time: d.Gateway.Time.D(), Queue: d.Gateway.Queue,
-		FallMultiple: d.Gateway.FallMultiple, FallFor: d.Gateway.FallFor.D(), StopFor: d.Gateway.StopFor.D()}
+	t := model.GatewayTerms{Slots: d.Gateway.Slots, Time: d.Gateway.Time.Duration(), Queue: d.Gateway.Queue,
+		FallMultiple: d.Gateway.FallMultiple, FallFor: d.Gateway.FallFor.Duration(), StopFor: d.Gateway.StopFor.Duration()}
 	for _, p := range d.Products {
-		t.Window = max(t.Window, p.Window.D())
+		t.Window = max(t.Window, p.Window.Duration())
 	}
 	return t
 }
 
 // LoadTerms is what the callers are to the model.
 func (d *Day) LoadTerms() model.LoadTerms {
-	t := model.LoadTerms{For: d.Length.D(), PerS: d.Load.PerS, Swing: d.Load.Swing, SwingFor: d.Load.SwingFor.D(),
+	t := model.LoadTerms{For: d.Length.Duration(), PerS: d.Load.PerS, Swing: d.Load.Swing, SwingFor: d.Load.SwingFor.Duration(),
 		Keys: d.Load.Keys, Zipf: d.Load.Zipf, GiveUpAt: d.Clients.GiveUpAt, Zones: d.Clients.ZoneParts}
 	if len(t.Zones) == 0 {
 		for range d.Fleet.Zones {
@@ -409,14 +409,14 @@
 		}
 	}
 	for _, p := range d.Products {
-		t.Products = append(t.Products, model.Product{Name: p.Name, Share: p.Share, LatencySLO: p.LatencySLO.D(),
-			ClientTimeout: p.ClientTimeout.D(), BilledValue: p.BilledValue, Write: p.Write, Marked: p.Effect == Deduplicated})
+		t.Products = append(t.Products, model.Product{Name: p.Name, Share: p.Share, LatencySLO: p.LatencySLO.Duration(),
+			ClientTimeout: p.ClientTimeout.Duration(), BilledValue: p.BilledValue, Write: p.Write, Marked: p.Effect == Deduplicated})
 	}
 	for _, x := range d.Tenants {
 		t.Tenants = append(t.Tenants, model.Tenant{Name: x.Name, Share: x.Share * x.Usage})
 	}
 	for _, f := range d.Faults {
-		from, to := f.At.D(), (f.At + f.For).D()
+		from, to := f.At.Duration(), (f.At + f.For).Duration()
 		switch f.Do {
 		case "surge":
 			t.Surges = append(t.Surges, model.Surge{From: from, To: to, Tenant: f.Tenant, Times: f.By})
@@ -443,7 +443,7 @@
 // Retry is what clients do after a try that was not fulfilled.
 func (d *Day) Retry() model.Retry {
 	c := d.Clients
-	return model.Retry{Tries: c.Tries, Wait: c.Wait.D(), Honour: c.Honour, HonourTo: c.ComeBack.D()}
+	return model.Retry{Tries: c.Tries, Wait: c.Wait.Duration(), Honour: c.Honour, HonourTo: c.ComeBack.Duration()}
 }
 
 // ErrFaulty is in all errors about a file's content.
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -132,7 +132,7 @@
 }
 
 func fault(r *rand.Rand, d *scenario.Day) scenario.Fault {
-	length := d.Length.D()
+	length := d.Length.Duration()
 	at := time.Duration(r.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
 	span := time.Duration(r.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
 	f := scenario.Fault{Do: drawn[r.IntN(len(drawn))], At: scenario.Span(at), For: scenario.Span(min(span, length-at))}
@@ -224,7 +224,7 @@
 	for _, f := range d.Faults {
 		last = max(last, f.At+f.For)
 	}
-	if shorter := max(last, d.Length*3/4).D().Truncate(time.Millisecond); scenario.Span(shorter) < d.Length && shorter >= time.Second {
+	if shorter := max(last, d.Length*3/4).Duration().Truncate(time.Millisecond); scenario.Span(shorter) < d.Length && shorter >= time.Second {
 		x := *d
 		x.Length = scenario.Span(shorter)
 		list = append(list, &x)
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -98,7 +98,7 @@
 
 // take sends a job to the model; done hears what came of it, outside of the gateway's lock.
 func (g *Gateway) take(j model.Job, done func(result)) {
-	j.Work = model.Work(g.w.Day.Seed, "gateway "+j.ID, model.Exponential, g.w.Day.Gateway.Time.D(), 1)
+	j.Work = model.Work(g.w.Day.Seed, "gateway "+j.ID, model.Exponential, g.w.Day.Gateway.Time.Duration(), 1)
 	j.Tag = done
 	g.mu.Lock()
 	now := g.w.Now()
@@ -165,7 +165,7 @@
 // serve answers one attempt of a balancer.
 func (g *Gateway) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
 	s := record.Attempt{Call: r.Header.Get(headID), Balancer: balancer, Server: record.Gateway, Began: g.w.Now(), Write: r.Method == http.MethodPut}
-	way := g.w.Day.Fleet.Same.D()
+	way := g.w.Day.Fleet.Same.Duration()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, mostBody))
 	if readErr != nil {
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -59,7 +59,7 @@
 	n.born, n.cold, n.fetch, n.attempts = 0, cold, map[string][]*attempt{}, map[*attempt]struct{}{}
 	if cold {
 		n.born = now
-		n.w.Rec.Add(func() { n.w.Rec.ColdLast[n.ID] = now + n.Group.WarmFor.D() })
+		n.w.Rec.Add(func() { n.w.Rec.ColdLast[n.ID] = now + n.Group.WarmFor.Duration() })
 	}
 	n.mu.Unlock()
 	for _, l := range n.links {
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -35,7 +35,7 @@
 
 // AddRegister makes the register.
 func (w *World) AddRegister() error {
-	late := [2]time.Duration{w.Day.Register.Late[0].D(), w.Day.Register.Late[1].D()}
+	late := [2]time.Duration{w.Day.Register.Late[0].Duration(), w.Day.Register.Late[1].Duration()}
 	r := &Register{w: w, m: model.NewRegister(w.Day.Fleet.Balancers, late, model.Stream(w.Day.Seed, "register"))}
 	for b := range w.Day.Fleet.Balancers {
 		a := &registerAgent{r: r, balancer: b, news: make(chan struct{}), broken: make(chan struct{}), up: map[string]bool{}}
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -54,7 +54,7 @@
 	up := n.m != nil
 	if up && n.Group.ConnectWork > 0 {
 		n.advance(now)
-		n.m.Offer(n.w.Now(), model.Job{Work: n.Group.ConnectWork.D()})
+		n.m.Offer(n.w.Now(), model.Job{Work: n.Group.ConnectWork.Duration()})
 	}
 	n.mu.Unlock()
 	defer func() { n.mu.Lock(); n.open--; n.mu.Unlock() }()
@@ -72,7 +72,7 @@
 	}()
 	in := bufio.NewReaderSize(conn, memcache.MaxLineBytes)
 	for {
-		conn.SetReadDeadline(time.Now().Add(n.Group.Idle.D()))
+		conn.SetReadDeadline(time.Now().Add(n.Group.Idle.Duration()))
 		if _, err := in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && begun.Load() > 0 {
 			continue
 		} else if err != nil {
@@ -160,7 +160,7 @@
 		return
 	}
 	n.advance(n.w.Now())
-	n.m.Offer(n.w.Now(), model.Job{Work: n.Group.ProbeWork.D()})
+	n.m.Offer(n.w.Now(), model.Job{Work: n.Group.ProbeWork.Duration()})
 	text := memcache.NoopAnswer
 	if s.key == "stats" {
 		l := n.m.Load()
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -132,7 +132,7 @@
 	w.mu.Lock()
 	p := w.Day.Products[w.calls[id].Product]
 	w.mu.Unlock()
-	return model.Work(w.Day.Seed, id, p.Law, p.Work.D(), p.Variation)
+	return model.Work(w.Day.Seed, id, p.Law, p.Work.Duration(), p.Variation)
 }
 
 // miss remembers a node that lacked a call's key.
@@ -189,9 +189,9 @@
 // way is how long bytes take from a balancer to a zone.
 func (w *World) way(balancer int, zone string) time.Duration {
 	if w.ZoneOf(balancer) == zone {
-		return w.Day.Fleet.Same.D()
+		return w.Day.Fleet.Same.Duration()
 	}
-	return w.Day.Fleet.Cross.D()
+	return w.Day.Fleet.Cross.Duration()
 }
 
 // Listen opens a listener on a loopback address of its own.
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -231,7 +231,7 @@
 func (c *call) settle(reply record.Reply, comeBack time.Duration) {
 	if !c.settled {
 		c.settled = true
-		c.b.d.after(c.b.d.Fleet.Same.D(), func() { c.answered(reply, comeBack) })
+		c.b.d.after(c.b.d.Fleet.Same.Duration(), func() { c.answered(reply, comeBack) })
 	}
 }
 
@@ -331,9 +331,9 @@
 func (s *attempt) usual() time.Duration {
 	d := s.b.d
 	if s.to == nil || s.to.group.Zone == d.Fleet.Zones[s.b.zone] {
-		return d.Fleet.Same.D()
+		return d.Fleet.Same.Duration()
 	}
-	return d.Fleet.Cross.D()
+	return d.Fleet.Cross.Duration()
 }
 
 // server is the name of an attempt's server.
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -67,7 +67,7 @@
 	}
 	d := &Day{Day: s, rec: record.New(), nodes: map[string]*node{}, place: map[string]*node{}, retry: s.Retry(),
 		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, wrong: w}
-	late := [2]time.Duration{s.Register.Late[0].D(), s.Register.Late[1].D()}
+	late := [2]time.Duration{s.Register.Late[0].Duration(), s.Register.Late[1].Duration()}
 	d.register = model.NewRegister(s.Fleet.Balancers, late, model.Stream(s.Seed, "register"))
 	d.gateway = &gateway{d: d, m: model.NewGateway(s.GatewayTerms(), 0), dueAt: idle, chance: model.Stream(s.Seed, "faults gateway")}
 	for b := range s.Fleet.Balancers {
@@ -101,9 +101,9 @@
 	d.next(arrivals, 0)
 	longest := time.Duration(0)
 	for _, p := range s.Products {
-		longest = max(longest, p.ClientTimeout.D())
+		longest = max(longest, p.ClientTimeout.Duration())
 	}
-	d.run(s.Length.D() + longest*time.Duration(1+s.Clients.Tries) + s.Clients.ComeBack.D())
+	d.run(s.Length.Duration() + longest*time.Duration(1+s.Clients.Tries) + s.Clients.ComeBack.Duration())
 	return d.result(began), nil
 }
 
@@ -148,7 +148,7 @@
 	}
 	d.note("call %s %s to %d until %v", k.ID, a.Key, b.index, k.Timeout)
 	c := &call{id: k.ID, key: a.Key, mark: a.Mark, write: d.Products[a.Product].Write, rec: k, answered: ends}
-	d.after(d.Fleet.Same.D(), func() {
+	d.after(d.Fleet.Same.Duration(), func() {
 		if b.mod == nil {
 			k.NotTaken = true
 			ends(record.None, 0)
@@ -197,7 +197,7 @@
 
 func (d *Day) work(c *call) time.Duration {
 	p := &d.Products[c.rec.Product]
-	return model.Work(d.Seed, c.id, p.Law, p.Work.D(), p.Variation)
+	return model.Work(d.Seed, c.id, p.Law, p.Work.Duration(), p.Variation)
 }
 
 // entry is a register's line as the module takes it.
@@ -275,7 +275,7 @@
 	}
 	res := &runner.Result{Day: d.Day, Record: d.rec, Latency: load.PercentilesOf(d.latency), Took: time.Since(began)}
 	if d.mates != nil {
-		d.mates.To(d.Length.D())
+		d.mates.To(d.Length.Duration())
 	}
 	res.Verdict = judge.Judge(d.rec, runner.Terms(d.Day))
 	return res
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -46,7 +46,7 @@
 
 func (e *evidenceOf) turn(i int) {
 	d, b := e.d, e.d.balancers[i]
-	if d.now < d.Length.D() {
+	if d.now < d.Length.Duration() {
 		d.after(evidence.TickInterval, func() { e.turn(i) })
 	}
 	if b.mod == nil || b.until > d.now {
@@ -72,7 +72,7 @@
 		if e.chance.Float64() < d.Mates.Loss || d.apart(i, to) {
 			continue
 		}
-		d.after(d.Mates.Delay.D()+time.Duration(e.chance.Int64N(int64(d.Mates.Jitter)+1)), func() {
+		d.after(d.Mates.Delay.Duration()+time.Duration(e.chance.Int64N(int64(d.Mates.Jitter)+1)), func() {
 			if o := d.balancers[to]; o.seen != nil && o.mod != nil {
 				o.awake(func() { o.seen.Receive(d.now, from, &msg) }, nil)
 			}
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -31,7 +31,7 @@
 // fault lays one of the day's faults on the clock.
 func (d *Day) fault(i int) {
 	f := &d.Faults[i]
-	from, to := f.At.D(), (f.At + f.For).D()
+	from, to := f.At.Duration(), (f.At + f.For).Duration()
 	span := func(begin, end func(n *node)) {
 		for _, p := range d.Hit(i) {
 			d.at(from, func() { begin(d.place[p]) })
@@ -59,7 +59,7 @@
 		span(func(n *node) { n.stop(true); d.list(n, model.Left) }, back)
 	case "link-delay":
 		for _, b := range d.HitBalancers(i) {
-			span(func(n *node) { n.links[b].more = f.Delay.D() }, func(n *node) { n.links[b].more = 0 })
+			span(func(n *node) { n.links[b].more = f.Delay.Duration() }, func(n *node) { n.links[b].more = 0 })
 		}
 	case "link-cut":
 		for _, b := range d.HitBalancers(i) {
@@ -73,7 +73,7 @@
 			d.at(to, func() { d.register.Silence(b, false); d.balancers[b].hear(false) })
 		}
 	case "watch-silent": // noticed and opened anew as on sockets
-		pace := discovery.NewTimeouts(d.Rules.DrainGrace.D()*9/10, true)
+		pace := discovery.NewTimeouts(d.Rules.DrainGrace.Duration()*9/10, true)
 		for _, b := range d.HitBalancers(i) {
 			d.at(from, func() { d.register.Silence(b, true) })
 			d.at(from+pace.LongPoll+pace.ResponseGrace, func() { d.register.Silence(b, false); d.balancers[b].hear(false) })
@@ -96,7 +96,7 @@
 		d.at(to, func() { d.gateway.fail = 0 })
 	case "balancer-kill":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.balancers[b].unnoticed(d.Clients.Notice.D()); d.balancers[b].stop() })
+			d.at(from, func() { d.balancers[b].unnoticed(d.Clients.Notice.Duration()); d.balancers[b].stop() })
 			d.at(to, d.balancers[b].start)
 		}
 	case "balancer-stall":
@@ -130,7 +130,7 @@
 func (d *Day) deploy(f *scenario.Fault, places []string) {
 	waves := (len(places) + f.AtOnce - 1) / f.AtOnce
 	for i, p := range places {
-		at := f.At.D() + f.For.D()*time.Duration(i/f.AtOnce)/time.Duration(waves)
+		at := f.At.Duration() + f.For.Duration()*time.Duration(i/f.AtOnce)/time.Duration(waves)
 		var old, next *node
 		successor := func() {
 			next = d.addNode(fmt.Sprintf("%s.%d", p, strings.Count(old.id, ".")+2), old.group, true)
@@ -143,7 +143,7 @@
 				successor()
 			}
 		})
-		d.at(at+d.Register.Late[1].D()+f.Drain.D(), func() {
+		d.at(at+d.Register.Late[1].Duration()+f.Drain.Duration(), func() {
 			old.stop(false)
 			d.list(old, model.Left)
 			if f.Same {
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -48,7 +48,7 @@
 	n.silent, n.cold, n.dueAt, n.born = false, cold, idle, 0
 	if cold {
 		n.born = n.d.now
-		n.d.rec.ColdLast[n.id] = n.d.now + n.group.WarmFor.D()
+		n.d.rec.ColdLast[n.id] = n.d.now + n.group.WarmFor.Duration()
 	}
 }
 
@@ -208,7 +208,7 @@
 // take sends a job; done hears what came of it.
 func (g *gateway) take(c *call, write bool, done func(fetched)) {
 	g.advance()
-	work := model.Work(g.d.Seed, "gateway "+c.id, model.Exponential, g.d.Gateway.Time.D(), 1)
+	work := model.Work(g.d.Seed, "gateway "+c.id, model.Exponential, g.d.Gateway.Time.Duration(), 1)
 	if !g.m.Offer(g.d.now, model.Job{ID: c.id, Key: c.key, Mark: c.mark, Write: write, Work: work, Tag: done}) {
 		g.d.after(0, func() { done(fetched{full: true}) })
 	}
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -31,8 +31,8 @@
 // MarshalText writes a span in the form that UnmarshalText reads.
 func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
 
-// D returns the span as a time.Duration.
-func (s Span) D() time.Duration { return time.Duration(s) }
+// Duration returns the span as a time.Duration.
+func (s Span) Duration() time.Duration { return time.Duration(s) }
 
 func (s Span) String() string { return time.Duration(s).String() }
 
@@ -43,7 +43,7 @@
 	faults []string
 }
 
-// Decode decodes a file's text into a value. If the text is malformed or has unknown keys, Sound returns false.
+// Decode decodes a file's text into a value. If the text is malformed or has unknown keys, Valid returns false.
 func Decode(name string, text []byte, into any) *File {
 	f := &File{name: name, lines: keyLines(text)}
 	dec := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
@@ -55,52 +55,52 @@
 	case errors.As(err, &unknown):
 		for _, e := range unknown.Errors {
 			line, _ := e.Position()
-			f.addFault(line, strings.Join(e.Key(), "."), "unknown key")
+			f.appendFault(line, strings.Join(e.Key(), "."), "unknown key")
 		}
 	case errors.As(err, &malformed):
 		line, _ := malformed.Position()
-		f.addFault(line, cmp.Or(strings.Join(malformed.Key(), "."), f.keyAt(line)), strings.TrimPrefix(malformed.Error(), "toml: "))
+		f.appendFault(line, cmp.Or(strings.Join(malformed.Key(), "."), f.keyAt(line)), strings.TrimPrefix(malformed.Error(), "toml: "))
 	default:
-		f.addFault(0, "", err.Error())
+		f.appendFault(0, "", err.Error())
 	}
 	return f
 }
 
-// Sound reports whether no fault was found so far.
-func (f *File) Sound() bool { return len(f.faults) == 0 }
+// Valid reports whether no fault was found so far.
+func (f *File) Valid() bool { return len(f.faults) == 0 }
 
 // Err returns an error that wraps sentinel and lists all faults, one per line, or nil if there are none.
 func (f *File) Err(sentinel error) error {
-	if f.Sound() {
+	if f.Valid() {
 		return nil
 	}
 	return fmt.Errorf("%w\n%s", sentinel, strings.Join(f.faults, "\n"))
 }
 
-// Given reports whether the file contains a key. Entries of arrays of tables are numbered from 1, as in fault[2].at.
-func (f *File) Given(key string) bool {
+// IsSet reports whether the file contains a key. Entries of arrays of tables are numbered from 1, as in fault[2].at.
+func (f *File) IsSet(key string) bool {
 	_, ok := f.lines[key]
 	return ok
 }
 
-// Bad records a fault of a key, at the key's line or, if the key is missing, at the line of its table.
-func (f *File) Bad(key, format string, args ...any) {
+// AddFault records a fault of a key, at the key's line or, if the key is missing, at the line of its table.
+func (f *File) AddFault(key, format string, args ...any) {
 	line, ok := f.lines[key]
 	for parent := key; !ok && parent != ""; {
 		parent = parent[:max(0, strings.LastIndexByte(parent, '.'))]
 		line, ok = f.lines[parent]
 	}
-	f.addFault(line, key, fmt.Sprintf(format, args...))
+	f.appendFault(line, key, fmt.Sprintf(format, args...))
 }
 
-// Within records a fault if a value is out of range.
-func Within[T int | float64 | Span](f *File, key string, v, lowest, highest T) {
+// CheckRange records a fault if a value is out of range.
+func CheckRange[T int | float64 | Span](f *File, key string, v, lowest, highest T) {
 	if v < lowest || v > highest {
-		f.Bad(key, "expected %v to %v, got %v", lowest, highest, v)
+		f.AddFault(key, "expected %v to %v, got %v", lowest, highest, v)
 	}
 }
 
-func (f *File) addFault(line int, key, text string) {
+func (f *File) appendFault(line int, key, text string) {
 	message := f.name
 	if line > 0 {
 		message += ":" + strconv.Itoa(line)
