--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,7 +22,7 @@
 // Balancer is what the door opens to.
 type Balancer interface {
 	Ready() bool
-	Figures() Figures
+	Telemetry() Figures
 	// Exclude takes a cache host out, Include puts it back. Each returns once it holds.
 	// Told is what it adds to the answer.
 	Exclude(member string, how How) (told string, err error)
@@ -31,10 +31,10 @@
 	Members() (Members, error)
 	// Limits are its parts of what holds for the whole fleet; an error says why there are none.
 	Limits() (Limits, error)
-	// Orders are those by hand for the whole fleet; an error says why there are none.
-	Orders() (Orders, error)
-	// Evidence is what other balancers say of hosts; an error says why nothing is heard.
-	Evidence() (Evidence, error)
+	// ExclusionOrders are those by hand for the whole fleet; an error says why there are none.
+	ExclusionOrders() (Orders, error)
+	// Observations is what other balancers say of hosts; an error says why nothing is heard.
+	Observations() (Evidence, error)
 }
 
 // What a call on a member may meet.
@@ -93,14 +93,14 @@
 			say(w, http.StatusOK, "ready")
 		}},
 		"/api/telemetry": {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) {
-			text := write(to.Figures())
+			text := write(to.Telemetry())
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 			w.Write(text)
 		}},
 		"/api/members":  {http.MethodGet, shows(to.Members)},
 		"/api/limits":   {http.MethodGet, shows(to.Limits)},
-		"/api/orders":   {http.MethodGet, shows(to.Orders)},
-		"/api/evidence": {http.MethodGet, shows(to.Evidence)},
+		"/api/orders":   {http.MethodGet, shows(to.ExclusionOrders)},
+		"/api/evidence": {http.MethodGet, shows(to.Observations)},
 		"/api/exclude":  {http.MethodPost, onMember(to.Exclude, "is out")},
 		"/api/include":  {http.MethodPost, onMember(to.Include, "is in")},
 	}
--- a/internal/balancer/accept_faults_test.go
+++ b/internal/balancer/accept_faults_test.go
@@ -14,12 +14,12 @@
 // faultyListener fails accepts until it is mended.
 type faultyListener struct {
 	net.Listener
-	fault  atomic.Uint32 // 0: none
+	errno  atomic.Uint32 // 0: none
 	failed atomic.Int64
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
-	if number := syscall.Errno(l.fault.Load()); number != 0 {
+	if number := syscall.Errno(l.errno.Load()); number != 0 {
 		l.failed.Add(1)
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", number)}
 	}
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			listener := &faultyListener{Listener: real}
-			listener.fault.Store(uint32(number))
+			listener.errno.Store(uint32(number))
 			b := x.Balancer
 			ended := make(chan struct{})
 			go func() {
@@ -57,7 +57,7 @@
 			if n := listener.failed.Load(); n < 3 || n > 32 {
 				t.Errorf("%d accepts failed in 0.3 s", n)
 			}
-			listener.fault.Store(0)
+			listener.errno.Store(0)
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" {
 				t.Errorf("got %q, %v", line, err)
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -24,7 +24,7 @@
 	if c.client.hasLeft() || c.isAnswerChosen() { // since this was decided
 		s.GiveUp()
 	}
-	c.b.hosts.Send(s)
+	c.balancer.hosts.Send(s)
 }
 
 // recentArrivalTime is how long after its arrival a request's client has not left for so long that it matters.
@@ -50,7 +50,7 @@
 
 // reserveMemory takes memory for a value until the request is left; false where there is no room for it.
 func (c *clientRequest) reserveMemory(bytes int) bool {
-	held := c.b.reserveMemory(bytes)
+	held := c.balancer.reserveMemory(bytes)
 	if held {
 		c.heldBytes.Add(int64(bytes))
 	}
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -39,7 +39,7 @@
 	cancel             context.CancelFunc // of running
 	listSource         listSource
 	hasHostList        atomic.Bool // a list: discovery's, or one of before with a host; without any nothing can be served
-	pace               discovery.Timeouts
+	discoveryTimeouts  discovery.Timeouts
 	subscribeRequested chan struct{}
 
 	// mu guards the module, which is not concurrent, and what its orders touch. Nothing is sent, written or
@@ -96,7 +96,7 @@
 	b.mu.handle = b.handleEvent
 	b.startTimes = newStartTimes(time.Now)
 	b.exclusions.save = handover.Save
-	b.pace = discovery.NewTimeouts(grace, !deployed.PolicyConfig.MustSubscribe)
+	b.discoveryTimeouts = discovery.NewTimeouts(grace, !deployed.PolicyConfig.MustSubscribe)
 	b.fleet.settings = operatorFile.Fleet
 	b.capacity = resourceLimits{clients: int64(sockets - upstreamSockets), upstream: int64(upstreamSockets), requests: min(int64(deployed.MaxRequests), int64(deployed.MemoryMB)<<20/memoryDivisor/bytesPerRequest),
 		bytes: int64(deployed.MemoryMB) << 20 / memoryDivisor}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -10,8 +10,8 @@
 	"streamrail/internal/operator"
 )
 
-// TestGraceCoversHoldUp holds that a write which is begun as late as it may be, and held up by 0.15 s, comes within the drain's grace.
-func TestGraceCoversHoldUp(t *testing.T) {
+// TestGraceCoversDelayedWrite holds that a write which is begun as late as it may be, and held up by 0.15 s, comes within the drain's grace.
+func TestGraceCoversDelayedWrite(t *testing.T) {
 	const holdUp = 150 * time.Millisecond
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
 		usable := usableGrace(grace)
--- a/internal/balancer/bans_test.go
+++ b/internal/balancer/bans_test.go
@@ -15,16 +15,16 @@
 type failingStore struct {
 	mu    sync.Mutex
 	err   error
-	tries int
-	kept  []string
+	saves int
+	saved []string
 }
 
 func (d *failingStore) save(_ string, what any) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.tries++
+	d.saves++
 	if d.err == nil {
-		d.kept = what.([]string)
+		d.saved = what.([]string)
 	}
 	return d.err
 }
@@ -50,14 +50,14 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			disk.mu.Lock()
-			if disk.tries < 4 || disk.tries > 12 { // two at once, then 50 to 100 ms, doubled
-				t.Errorf("%d tries in half a second", disk.tries)
+			if disk.saves < 4 || disk.saves > 12 { // two at once, then 50 to 100 ms, doubled
+				t.Errorf("%d tries in half a second", disk.saves)
 			}
 			disk.err = nil
 			disk.mu.Unlock()
 			for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 				disk.mu.Lock()
-				kept := disk.kept
+				kept := disk.saved
 				disk.mu.Unlock()
 				if slices.Equal(kept, []string{"a", "b"}) {
 					break
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -43,7 +43,7 @@
 	id          string
 	server      string
 	at          time.Time // when its last byte was handed to the connection
-	toldTimeout time.Duration
+	sentTimeout time.Duration
 	write       bool
 }
 
@@ -99,7 +99,7 @@
 			continue
 		}
 		deadline := request.sent.Add(request.timeout)
-		if by := a.at.Add(a.toldTimeout).Sub(deadline); by > slack {
+		if by := a.at.Add(a.sentTimeout).Sub(deadline); by > slack {
 			broken = append(broken, violation{a, "told more than the client has left", by})
 		}
 		if by := a.at.Sub(deadline); by > slack {
@@ -119,17 +119,17 @@
 // recordedConn is a connection to a server. It notes each attempt when its last byte is written, and may hold a write up.
 type recordedConn struct {
 	net.Conn
-	server     string
-	attemptLog *attemptLog
-	holdUp     func() time.Duration
-	pending    []byte
-	at         time.Time // of the write that is under way
+	server         string
+	attemptLog     *attemptLog
+	writeDelay     func() time.Duration
+	pending        []byte
+	writeStartedAt time.Time // of the write that is under way
 }
 
 func (c *recordedConn) Write(p []byte) (int, error) {
 	if len(c.pending) == 0 || isStreamed(c.pending) { // else it is of the write that is under way: a socket takes its buffers in one call
-		c.at = time.Now() // before the hold-up, which a busy machine makes longer: the slack is less by the most that it may be
-		time.Sleep(c.holdUp())
+		c.writeStartedAt = time.Now() // before the hold-up, which a busy machine makes longer: the slack is less by the most that it may be
+		time.Sleep(c.writeDelay())
 	}
 	n, err := c.Conn.Write(p)
 	c.pending = append(c.pending, p[:n]...)
@@ -139,7 +139,7 @@
 			return n, err
 		}
 		c.pending = c.pending[size:]
-		a.at, a.server = c.at, c.server
+		a.at, a.server = c.writeStartedAt, c.server
 		c.attemptLog.recordAttempt(a)
 	}
 }
@@ -181,7 +181,7 @@
 		case 'O':
 			a.id = word[1:]
 		case 'P':
-			a.toldTimeout = timeoutIn(word[1:])
+			a.sentTimeout = timeoutIn(word[1:])
 		}
 	}
 	return a, size
@@ -199,7 +199,7 @@
 		case "x-request-id":
 			a.id = value
 		case "x-attrs":
-			a.toldTimeout = timeoutIn(value)
+			a.sentTimeout = timeoutIn(value)
 		case "content-length":
 			length, _ := strconv.Atoi(value)
 			size += length
@@ -302,7 +302,7 @@
 			return nil, err
 		}
 		holdUp := func() time.Duration { return f.random.durationUpTo(faults.maxWriteDelay) }
-		return &recordedConn{Conn: conn, server: names[addr], attemptLog: f.attemptLog, holdUp: holdUp}, nil
+		return &recordedConn{Conn: conn, server: names[addr], attemptLog: f.attemptLog, writeDelay: holdUp}, nil
 	}
 	f.applyHostList(policy.ListRestored, list)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -314,14 +314,14 @@
 	go f.accept(listener)
 	over := make(chan struct{})
 	if faults.maxLockHold > 0 {
-		go f.holdUpDecisions(faults.maxLockHold, over)
+		go f.blockPolicy(faults.maxLockHold, over)
 	}
 	t.Cleanup(func() { close(over); listener.Close(); f.hosts.Close(); f.cancel() })
 	return f
 }
 
-// holdUpDecisions keeps the lock of the decisions now and then: who waits for it is held up.
-func (f *faultyHosts) holdUpDecisions(most time.Duration, over <-chan struct{}) {
+// blockPolicy keeps the lock of the decisions now and then: who waits for it is held up.
+func (f *faultyHosts) blockPolicy(most time.Duration, over <-chan struct{}) {
 	for {
 		select {
 		case <-over:
--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -15,7 +15,7 @@
 // clientRequest is one request from its admission to the end of its last attempt. Its goroutine runs handleRequest.
 type clientRequest struct {
 	memcache.Command
-	b                *Balancer
+	balancer         *Balancer
 	client           *clientConn
 	line             [256]byte // storage for the command's line, if it fits
 	value            []byte
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -136,8 +136,8 @@
 	}
 }
 
-// Evidence returns the observations received from other balancers.
-func (a adminAPI) Evidence() (shown admin.Evidence, err error) {
+// Observations returns the observations received from other balancers.
+func (a adminAPI) Observations() (shown admin.Evidence, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
 	}
--- a/internal/balancer/figures.go
+++ b/internal/balancer/figures.go
@@ -44,7 +44,7 @@
 	return a.b.upgrade.takesClients.Load() && a.b.hasHostList.Load() && (a.b.currentPhase() == Serving || a.b.currentPhase() == Leaving)
 }
 
-func (a adminAPI) Figures() admin.Figures {
+func (a adminAPI) Telemetry() admin.Figures {
 	stats := a.b.answerStats
 	figures := admin.Figures{Attempts: a.b.hosts.Sent(), InHand: stats.unanswered.Load(), Late: a.b.delays.lateAnswers.Load(),
 		LongestHeld: a.b.delays.handling.longest()}
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -59,7 +59,7 @@
 	}
 	ctx, stop := context.WithCancel(b.ctx)
 	b.listSource.stop = stop
-	watch := &discovery.Watch{Addr: b.listSource.addr, Names: b.discoveryNames(), Timeouts: b.pace, Dial: b.listSource.dial}
+	watch := &discovery.Watch{Addr: b.listSource.addr, Names: b.discoveryNames(), Timeouts: b.discoveryTimeouts, Dial: b.listSource.dial}
 	watch.HasList = len(b.listSource.hosts) > 0
 	if b.listSource.resumeFrom != nil {
 		watch.ResumeFrom(*b.listSource.resumeFrom)
@@ -86,7 +86,7 @@
 // that must apply soon.
 func (b *Balancer) followDiscovery(ctx context.Context, watch *discovery.Watch, subscribed bool) {
 	defer watch.Close()
-	backoff := b.pace.FirstRetryDelay
+	backoff := b.discoveryTimeouts.FirstRetryDelay
 	for {
 		if !subscribed {
 			select {
@@ -98,7 +98,7 @@
 		}
 		list, err := watch.Next(ctx)
 		if err == nil {
-			backoff = b.pace.FirstRetryDelay
+			backoff = b.discoveryTimeouts.FirstRetryDelay
 			b.acceptHostList(ctx, list)
 			continue
 		}
@@ -115,7 +115,7 @@
 			continue
 		}
 		wait := jitter(backoff)
-		backoff = min(2*backoff, b.pace.MaxRetryDelay)
+		backoff = min(2*backoff, b.discoveryTimeouts.MaxRetryDelay)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -19,13 +19,13 @@
 // limitShares are this balancer's shares of the fleet's limits: of the customers' quotas, followed by the rate of new connections
 // that a host can take. It is nil unless the operator's file lets shares move between balancers.
 type limitShares struct {
-	names         []string       // of the limits
-	bounds        []float64      // the whole fleet's limits
-	smallestParts []float64      // what a single arrival adds to the need
-	initialFloors []float64      // the fraction of this balancer's own share that is never lent
-	customerCount int            // the first so many limits are quotas of customers
-	arrivals      []atomic.Int64 // requests of each customer since the last period
-	nextExpiry    atomic.Int64   // on the clock of now: when a lease ends next and a share changes
+	names             []string       // of the limits
+	bounds            []float64      // the whole fleet's limits
+	needPerItem       []float64      // what a single arrival adds to the need
+	reservedFractions []float64      // the fraction of this balancer's own share that is never lent
+	customerCount     int            // the first so many limits are quotas of customers
+	arrivals          []atomic.Int64 // requests of each customer since the last period
+	nextExpiry        atomic.Int64   // on the clock of now: when a lease ends next and a share changes
 
 	mu             sync.Mutex
 	epoch          time.Time
@@ -43,22 +43,22 @@
 	}
 	n := len(b.deployment.Customers)
 	l := &limitShares{arrivals: make([]atomic.Int64, n), recentArrivals: make([][share.NeedTicks]int64, n), names: make([]string, n), bounds: make([]float64, n),
-		smallestParts: make([]float64, n), initialFloors: make([]float64, n), customerCount: n, epoch: time.Now()}
+		needPerItem: make([]float64, n), reservedFractions: make([]float64, n), customerCount: n, epoch: time.Now()}
 	for _, name := range slices.Sorted(maps.Keys(b.deployment.Customers)) {
 		c := b.deployment.Customers[name]
-		l.names[c], l.bounds[c], l.smallestParts[c] = "allowance of "+name, b.deployment.PolicyConfig.Customers[c].QuotaPerSecond, 1/(share.NeedTicks*share.TickInterval.Seconds())
+		l.names[c], l.bounds[c], l.needPerItem[c] = "allowance of "+name, b.deployment.PolicyConfig.Customers[c].QuotaPerSecond, 1/(share.NeedTicks*share.TickInterval.Seconds())
 	}
 	if openings > 0 { // need and share are fractions of the limit, the same for every host
-		l.names, l.bounds, l.smallestParts = append(l.names, "openings"), append(l.bounds, 1), append(l.smallestParts, 1/openings)
-		l.initialFloors = append(l.initialFloors, initialOpeningsShare)
+		l.names, l.bounds, l.needPerItem = append(l.names, "openings"), append(l.bounds, 1), append(l.needPerItem, 1/openings)
+		l.reservedFractions = append(l.reservedFractions, reservedOpeningsFraction)
 	}
 	l.nextExpiry.Store(math.MaxInt64)
 	return l
 }
 
-// initialOpeningsShare is the fraction of its own share of new connections that a process keeps from its start and never lends. If the
+// reservedOpeningsFraction is the fraction of its own share of new connections that a process keeps from its start and never lends. If the
 // whole fleet starts at once, all balancers open their connections within a second or two, before any of them can borrow.
-const initialOpeningsShare = 0.5
+const reservedOpeningsFraction = 0.5
 
 func (l *limitShares) now() share.Moment { return time.Since(l.epoch) }
 
@@ -72,7 +72,7 @@
 	b.upgrade.mu.Lock()
 	l.mu.Lock()
 	l.transport, l.stop = transport, stop
-	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.PolicyConfig.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.smallestParts, ReservedFraction: l.initialFloors, Lease: b.fleet.settings.Lease.Duration(),
+	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.PolicyConfig.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.needPerItem, ReservedFraction: l.reservedFractions, Lease: b.fleet.settings.Lease.Duration(),
 		FirstAskNumber: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
 	l.machine.SetUpgrading(b.upgrade.older != nil)
 	l.mu.Unlock()
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -32,7 +32,7 @@
 	if kind == policy.ListUpdate && len(changes) == 0 { // a long poll that ended without a change
 		return
 	}
-	b.startTimes.place(changes, b.toNanos(deadline.After(began, 0)))
+	b.startTimes.convert(changes, b.toNanos(deadline.After(began, 0)))
 	all := entriesOf(list.Hosts)
 	b.callPolicy(func() { b.policy.BeginList(kind, all) })
 	for batch := range slices.Chunk(changes, hostsPerBatch) {
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -216,8 +216,8 @@
 	return confirmed, missing
 }
 
-// Orders returns the fleet-wide exclusion orders and their conflicts.
-func (a adminAPI) Orders() (shown admin.Orders, err error) {
+// ExclusionOrders returns the fleet-wide exclusion orders and their conflicts.
+func (a adminAPI) ExclusionOrders() (shown admin.Orders, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
 	}
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -219,7 +219,7 @@
 		return nil, nil, c.connectionLost(err)
 	}
 	line = bytes.TrimSuffix(line[:len(line)-1], []byte("\r"))
-	req = &clientRequest{client: c, b: b, arrived: c.commandArrival()}
+	req = &clientRequest{client: c, balancer: b, arrived: c.commandArrival()}
 	req.Command, fault = memcache.Parse(append(req.line[:0], line...))
 	switch {
 	case fault == memcache.Quit:
--- a/internal/balancer/reply.go
+++ b/internal/balancer/reply.go
@@ -20,19 +20,19 @@
 }
 
 func (c *clientRequest) answerRateLimited(o action) {
-	c.b.traffic.rateLimited.Add(1)
+	c.balancer.traffic.rateLimited.Add(1)
 	c.writeAnswer(rateLimited, memcache.AppendRateLimited(nil, o.retryAfter))
 }
 
 func (c *clientRequest) answerErrored(action) {
-	c.b.traffic.errored.Add(1)
+	c.balancer.traffic.errored.Add(1)
 	c.writeAnswer(errored, []byte(memcache.ErroredAnswer))
 }
 
 // writeAnswer writes the final answer in its turn.
 func (c *clientRequest) writeAnswer(as finalAnswer, parts ...[]byte) {
 	defer close(c.answered)
-	defer c.b.answerStats.unanswered.Add(-1)
+	defer c.balancer.answerStats.unanswered.Add(-1)
 	select {
 	case <-c.previousAnswered:
 	case <-c.client.gone:
@@ -44,6 +44,6 @@
 		c.client.abortAnswer()
 		return
 	}
-	c.b.answerStats.countAnswer(c.product, as)
-	c.b.recordLateAnswer(c, as)
+	c.balancer.answerStats.countAnswer(c.product, as)
+	c.balancer.recordLateAnswer(c, as)
 }
--- a/internal/balancer/starts.go
+++ b/internal/balancer/starts.go
@@ -11,33 +11,33 @@
 // stepped at any time, so each start time is converted only once, by the host's age when that start time was first reported.
 type startTimes struct {
 	wallClock func() time.Time
-	placed    map[policy.HostID]placedStart
+	converted map[policy.HostID]convertedStart
 }
 
-// placedStart is the start of one host on both clocks.
-type placedStart struct {
+// convertedStart is the start of one host on both clocks.
+type convertedStart struct {
 	reported policy.Nanos // as discovery gives it, in Unix time
 	at       policy.Nanos // on the policy's clock
 }
 
 func newStartTimes(wallClock func() time.Time) *startTimes {
-	return &startTimes{wallClock: wallClock, placed: map[policy.HostID]placedStart{}}
+	return &startTimes{wallClock: wallClock, converted: map[policy.HostID]convertedStart{}}
 }
 
-// place sets the Started time of the hosts. A start time in the future becomes now; hosts that are gone are forgotten.
-func (s *startTimes) place(hosts []discovery.Host, now policy.Nanos) {
+// convert sets the LocalStart of the hosts. A start time in the future becomes now; hosts that are gone are forgotten.
+func (s *startTimes) convert(hosts []discovery.Host, now policy.Nanos) {
 	for i := range hosts {
 		h := &hosts[i]
 		if h.ListedStart <= 0 || h.Condition == policy.Gone {
-			delete(s.placed, h.HostID)
+			delete(s.converted, h.HostID)
 			continue
 		}
-		known, isKnown := s.placed[h.HostID]
+		known, isKnown := s.converted[h.HostID]
 		if !isKnown || known.reported != h.ListedStart {
 			age := policy.Nanos(s.wallClock().UnixNano()) - h.ListedStart
-			known = placedStart{reported: h.ListedStart, at: now - max(0, age)}
+			known = convertedStart{reported: h.ListedStart, at: now - max(0, age)}
 		}
-		s.placed[h.HostID] = known
+		s.converted[h.HostID] = known
 		h.LocalStart = known.at
 	}
 }
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -15,16 +15,16 @@
 // finished ends the client's connection short of its length, so that the client can tell.
 func (c *clientRequest) streamValue(v *upstream.Value) (whole bool) {
 	begun := false
-	c.b.callPolicy(func() {
+	c.balancer.callPolicy(func() {
 		if begun = c.startStream(); begun {
-			c.b.policy.AnswerStarted(c.id)
+			c.balancer.policy.AnswerStarted(c.id)
 		}
 	})
 	if !begun {
 		return false
 	}
 	defer close(c.answered)
-	defer c.b.answerStats.unanswered.Add(-1)
+	defer c.balancer.answerStats.unanswered.Add(-1)
 	select {
 	case <-c.previousAnswered:
 	case <-c.client.gone:
@@ -44,8 +44,8 @@
 		c.client.abortAnswer()
 		return false
 	}
-	c.b.traffic.fulfilled.Add(1)
-	c.b.answerStats.countAnswer(c.product, fulfilled)
+	c.balancer.traffic.fulfilled.Add(1)
+	c.balancer.answerStats.countAnswer(c.product, fulfilled)
 	return true
 }
 
@@ -119,7 +119,7 @@
 		return 0, u.err
 	}
 	p[0] = end[0]
-	b := u.call.b
+	b := u.call.balancer
 	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Timeout).Earlier(answerTravelReserve)
 	u.call.armDeadlineTimer(u.Deadline)
 	b.post(func() { b.policy.WriteReceived(u.call.id, b.toNanos(u.Deadline)) })
--- a/internal/deadline/wallclock_test.go
+++ b/internal/deadline/wallclock_test.go
@@ -21,7 +21,7 @@
 	reason string
 }{
 	"internal/balancer/balancer.go:New":        {1, "the start value of the policy's clock, which then advances by monotonic time"},
-	"internal/balancer/starts.go:place":        {1, "discovery gives start times by the wall clock; each is converted once, by its age"},
+	"internal/balancer/starts.go:convert":      {1, "discovery gives start times by the wall clock; each is converted once, by its age"},
 	"internal/balancer/ends.go:pastDeadline":   {1, "a constant in the past, which ends a wait"},
 	"internal/upstream/upstream.go:pastTime":   {1, "a constant in the past, which ends a wait"},
 	"internal/fleet/carry/codec.go:newCodec":   {1, "datagram numbers; known issue: after the clock is stepped back, a restarted process's numbers are not newer"},
