--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -32,7 +32,7 @@
 		if err != nil {
 			return err
 		}
-		fmt.Printf("%-20s %4.0fs  %s\n", name, d.Length.D().Seconds(), d.About)
+		fmt.Printf("%-20s %4.0fs  %s\n", name, d.Length.Duration().Seconds(), d.About)
 	}
 	fmt.Println("\nkinds of faults")
 	for _, k := range scenario.Kinds() {
@@ -215,10 +215,10 @@
 
 // showProgress shows the progress of a running scenario on a terminal.
 func showProgress(s *runner.Stage) {
-	for now := s.W.Now(); now < s.W.Day.Length.D(); now = s.W.Now() {
+	for now := s.W.Now(); now < s.W.Day.Length.Duration(); now = s.W.Now() {
 		t := s.Callers.Tally()
 		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d requests: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
-			s.W.Day.Length.D().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
+			s.W.Day.Length.Duration().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
 		time.Sleep(time.Second / 2)
 	}
 	fmt.Fprintln(os.Stderr)
@@ -394,7 +394,7 @@
 	deadline := time.Now().Add(c.Budget)
 	results := make([]*report.Report, len(scenarios))
 	err = measure.SideBySide(len(scenarios), lanes, func(i int) (err error) {
-		if !time.Now().Add(scenarios[i].Length.D()).After(deadline) {
+		if !time.Now().Add(scenarios[i].Length.Duration()).After(deadline) {
 			results[i], err = c.runOne(ctx, scenarios[i], program, nil)
 		}
 		return err
--- a/cmd/streamrail/main.go
+++ b/cmd/streamrail/main.go
@@ -53,7 +53,7 @@
 	}()
 	go func() {
 		for range reloadSignals {
-			if config, err := deployment.Again(os.Getenv); err != nil {
+			if config, err := deployment.Reread(os.Getenv); err != nil {
 				log.Error().Err(err).Msg("faulty configuration, nothing changed")
 			} else {
 				b.Reload(config)
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,7 +22,7 @@
 // Balancer is what the admin API reads from and acts on.
 type Balancer interface {
 	Ready() bool
-	Figures() Figures
+	Telemetry() Figures
 	// Exclude excludes a cache host, Include ends its exclusion. Each returns once the change is in effect.
 	// The note is appended to the response line.
 	Exclude(member string, how How) (note string, err error)
@@ -31,10 +31,10 @@
 	Members() (Members, error)
 	// Limits returns this balancer's shares of the fleet-wide limits, or an error that says why it has none.
 	Limits() (Limits, error)
-	// Orders returns the fleet-wide exclusion orders, or an error that says why there are none.
-	Orders() (Orders, error)
-	// Evidence returns the other balancers' observations of hosts, or an error that says why it receives none.
-	Evidence() (Evidence, error)
+	// ExclusionOrders returns the fleet-wide exclusion orders, or an error that says why there are none.
+	ExclusionOrders() (Orders, error)
+	// Observations returns the other balancers' observations of hosts, or an error that says why it receives none.
+	Observations() (Evidence, error)
 }
 
 // Errors of Balancer.Exclude and Balancer.Include.
@@ -95,14 +95,14 @@
 			writeLine(w, http.StatusOK, "ready")
 		}},
 		"/api/telemetry": {http.MethodGet, func(w http.ResponseWriter, _ *http.Request) {
-			text := formatMetrics(balancer.Figures())
+			text := formatMetrics(balancer.Telemetry())
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 			w.Write(text)
 		}},
 		"/api/members":  {http.MethodGet, jsonHandler(balancer.Members)},
 		"/api/limits":   {http.MethodGet, jsonHandler(balancer.Limits)},
-		"/api/orders":   {http.MethodGet, jsonHandler(balancer.Orders)},
-		"/api/evidence": {http.MethodGet, jsonHandler(balancer.Evidence)},
+		"/api/orders":   {http.MethodGet, jsonHandler(balancer.ExclusionOrders)},
+		"/api/evidence": {http.MethodGet, jsonHandler(balancer.Observations)},
 		"/api/exclude":  {http.MethodPost, memberHandler(balancer.Exclude, "is out")},
 		"/api/include":  {http.MethodPost, memberHandler(balancer.Include, "is in")},
 	}
--- a/internal/balancer/accept_faults_test.go
+++ b/internal/balancer/accept_faults_test.go
@@ -14,12 +14,12 @@
 // faultyListener fails every accept with an errno while one is set.
 type faultyListener struct {
 	net.Listener
-	fault  atomic.Uint32 // 0: none
+	errno  atomic.Uint32 // 0: none
 	failed atomic.Int64
 }
 
 func (l *faultyListener) Accept() (net.Conn, error) {
-	if number := syscall.Errno(l.fault.Load()); number != 0 {
+	if number := syscall.Errno(l.errno.Load()); number != 0 {
 		l.failed.Add(1)
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", number)}
 	}
@@ -39,7 +39,7 @@
 				t.Fatal(err)
 			}
 			faulty := &faultyListener{Listener: listener}
-			faulty.fault.Store(uint32(errno))
+			faulty.errno.Store(uint32(errno))
 			b := x.Balancer
 			loopEnded := make(chan struct{})
 			go func() {
@@ -57,7 +57,7 @@
 			if n := faulty.failed.Load(); n < 3 || n > 32 {
 				t.Errorf("%d accepts failed in 0.3 s", n)
 			}
-			faulty.fault.Store(0)
+			faulty.errno.Store(0)
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			if line, err := bufio.NewReader(conn).ReadString('\n'); line != "MN\r\n" {
 				t.Errorf("got %q, %v", line, err)
--- a/internal/balancer/accept_queue.go
+++ b/internal/balancer/accept_queue.go
@@ -60,7 +60,7 @@
 		hadToWait = ended.Sub(q.acceptBegan) >= maxImmediateRead
 	}
 	if hadToWait {
-		q.emptyAt = q.stalls.Earliest(q.acceptBegan, ended)
+		q.emptyAt = q.stalls.EarliestEvent(q.acceptBegan, ended)
 	}
 	return q.emptyAt
 }
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -9,20 +9,22 @@
 // sendAttempt starts an attempt. Its result arrives on c.attemptResults.
 func (c *clientRequest) sendAttempt(send action) {
 	n, sentAt := len(c.attempts), time.Now()
-	attempt := &upstream.Attempt{To: send.host, Command: &c.Command, Value: c.value, Deadline: send.deadline, BeginBy: send.beginBy}
-	attempt.Room = c.reserveMemory
-	attempt.Pass = c.streamValue
-	attempt.Gone = c.isUnwanted
+	attempt := &upstream.Attempt{To: send.host, Command: &c.Command, Value: c.value, Deadline: send.deadline, LatestStart: send.beginBy}
+	attempt.ReserveMemory = c.reserveMemory
+	attempt.StreamValue = c.streamValue
+	attempt.ClientGone = c.isUnwanted
 	if c.upload != nil {
 		attempt.Upload = &c.upload.Upload
 	}
-	attempt.Done = func(r upstream.Result) { c.attemptResults <- attemptResult{r, n, time.Since(sentAt) - r.Peer} }
+	attempt.Done = func(r upstream.Result) {
+		c.attemptResults <- attemptResult{r, n, time.Since(sentAt) - r.ClientTransferTime}
+	}
 	c.attempts = append(c.attempts, attempt)
 	c.inFlight++
 	if c.client.hasLeft() || c.isAnswerChosen() { // the client left, or the answer was chosen, after this attempt was decided
 		attempt.GiveUp()
 	}
-	c.b.hosts.Send(attempt)
+	c.balancer.hosts.Send(attempt)
 }
 
 // recentArrivalTime is the time after a request's arrival in which the system is not asked whether its client has left: it cannot
@@ -50,7 +52,7 @@
 
 // reserveMemory reserves memory for a value until the request is released; false if the limit does not allow it.
 func (c *clientRequest) reserveMemory(bytes int) bool {
-	reserved := c.b.reserveMemory(bytes)
+	reserved := c.balancer.reserveMemory(bytes)
 	if reserved {
 		c.heldBytes.Add(int64(bytes))
 	}
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -39,7 +39,7 @@
 	cancel             context.CancelFunc // ends ctx
 	listSource         listSource
 	hasHostList        atomic.Bool // there is a host list from discovery, or a restored one with at least one host; without one nothing can be served
-	pace               discovery.Pace
+	discoveryTimeouts  discovery.Timeouts
 	subscribeRequested chan struct{}
 
 	// mu guards the policy, which is not safe for concurrent use, and what its actions change. Nothing is sent, written or
@@ -48,7 +48,7 @@
 	policy   *policy.Balancer
 	now      policy.Nanos // constant while one event is handled
 	timers   timerWheel
-	requests map[policy.CallID]*clientRequest
+	requests map[policy.RequestID]*clientRequest
 
 	requestCount atomic.Uint64
 	requestIDs   idSet
@@ -75,7 +75,7 @@
 // New returns a balancer in phase Starting, configured by the deployment and by the operator's file.
 func New(deployed *deployment.Deployment, operatorFile *operator.File, log zerolog.Logger) *Balancer {
 	grace := usableGrace(deployed.DrainGrace)
-	sockets := deployed.Sockets - reservedSockets
+	sockets := deployed.MaxSockets - reservedSockets
 	if deployed.Admin != "" {
 		sockets -= admin.Descriptors + handover.Descriptors
 	}
@@ -86,19 +86,19 @@
 	epoch := time.Now()
 	epochNanos := policy.Nanos(epoch.UnixNano())
 	b := &Balancer{deployment: deployed, log: log, epoch: epoch, epochNanos: epochNanos, phaseChanged: make(chan struct{}, 4), toIdleWorker: make(chan *clientRequest),
-		subscribeRequested: make(chan struct{}, 1), requests: map[policy.CallID]*clientRequest{}, requestIDs: idSet{inUse: map[string]struct{}{}},
-		traffic:     trafficStats{hosts: map[policy.CacheID]*[2]int64{}},
+		subscribeRequested: make(chan struct{}, 1), requests: map[policy.RequestID]*clientRequest{}, requestIDs: idSet{inUse: map[string]struct{}{}},
+		traffic:     trafficStats{hosts: map[policy.HostID]*[2]int64{}},
 		answerStats: newAnswerStats(deployed),
-		clients:     newClientConns(deployed.Sockets / 4),
-		hosts: upstream.New(upstream.Limits{Pool: operatorFile.Connections.Terms(pool.Terms{Balancers: deployed.Terms.Balancers,
-			Most: upstreamSockets, Idle: policy.Nanos(deployed.IdleLimit)}), Origin: maxAttemptsToOrigin, Connect: deployed.ConnectTimeout, Reports: deployed.Reports,
-			Grace: grace, Epoch: epochNanos}, deployed.Terms.OriginKind)}
+		clients:     newClientConns(deployed.MaxSockets / 4),
+		hosts: upstream.New(upstream.Config{Pool: operatorFile.Connections.PoolConfig(pool.Config{Balancers: deployed.PolicyConfig.Balancers,
+			MaxConnections: upstreamSockets, IdleTimeout: policy.Nanos(deployed.IdleTimeout)}), OriginMaxConnections: maxAttemptsToOrigin, ConnectTimeout: deployed.ConnectTimeout, LoadReports: deployed.LoadReports,
+			Grace: grace, Now: epochNanos}, deployed.PolicyConfig.OriginKind)}
 	b.mu.handle = b.handleEvent
 	b.startTimes = newStartTimes(time.Now)
 	b.exclusions.save = handover.Save
-	b.pace = discovery.PaceOf(grace, !deployed.Terms.MustSubscribe)
+	b.discoveryTimeouts = discovery.NewTimeouts(grace, !deployed.PolicyConfig.MustSubscribe)
 	b.fleet.settings = operatorFile.Fleet
-	b.capacity = resourceLimits{clients: int64(sockets - upstreamSockets), upstream: int64(upstreamSockets), requests: min(int64(deployed.MostOpen), int64(deployed.MemoryMB)<<20/memoryDivisor/bytesPerRequest),
+	b.capacity = resourceLimits{clients: int64(sockets - upstreamSockets), upstream: int64(upstreamSockets), requests: min(int64(deployed.MaxRequests), int64(deployed.MemoryMB)<<20/memoryDivisor/bytesPerRequest),
 		bytes: int64(deployed.MemoryMB) << 20 / memoryDivisor}
 	b.setLimits(b.capacity)
 	debug.SetMemoryLimit(b.memoryLimit())
@@ -108,11 +108,11 @@
 	b.listeningSince = b.epoch
 	b.stalls = stall.New(b.epoch)
 	go b.runStallTicker()
-	b.listSource.addr, b.listSource.ready, b.listSource.hosts = deployed.Discovery, make(chan struct{}), map[policy.CacheID]discovery.Host{}
+	b.listSource.addr, b.listSource.ready, b.listSource.hosts = deployed.Discovery, make(chan struct{}), map[policy.HostID]discovery.Host{}
 	b.limitShares = b.newLimitShares(operatorFile.Connections.Openings)
 	b.fleetOrders = b.newExclusionOrders()
 	b.observations = b.newObservationExchange()
-	b.callPolicy(func() { b.policy = policy.New(policyHost{b}, deployed.Terms, deployed.Seed) })
+	b.callPolicy(func() { b.policy = policy.New(policyEnvironment{b}, deployed.PolicyConfig, deployed.Seed) })
 	return b
 }
 
@@ -128,12 +128,12 @@
 
 // runStallTicker periodically notifies the stall detector that the process runs.
 func (b *Balancer) runStallTicker() {
-	t := time.NewTicker(stall.Period)
+	t := time.NewTicker(stall.TickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-t.C:
-			b.stalls.Beat(time.Now())
+			b.stalls.Tick(time.Now())
 		case <-b.ctx.Done():
 			return
 		}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -10,9 +10,9 @@
 	"streamrail/internal/operator"
 )
 
-// TestGraceCoversHoldUp checks that a write which begins as late as allowed and is then delayed by 0.15 s still happens within the drain's
+// TestGraceCoversDelayedWrite checks that a write which begins as late as allowed and is then delayed by 0.15 s still happens within the drain's
 // grace.
-func TestGraceCoversHoldUp(t *testing.T) {
+func TestGraceCoversDelayedWrite(t *testing.T) {
 	const delay = 150 * time.Millisecond
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
 		usable := usableGrace(grace)
@@ -23,7 +23,7 @@
 			t.Errorf("grace %v: usable part %v is out of range", grace, usable)
 		}
 	}
-	deployed := &deployment.Deployment{Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
+	deployed := &deployment.Deployment{MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second}
 	b := New(deployed, &operator.File{}, zerolog.Nop())
 	defer b.cancel()
 	defer b.hosts.Close()
--- a/internal/balancer/bans_test.go
+++ b/internal/balancer/bans_test.go
@@ -15,16 +15,16 @@
 type failingStore struct {
 	mu    sync.Mutex
 	err   error
-	tries int
-	kept  []string
+	saves int
+	saved []string
 }
 
 func (s *failingStore) save(_ string, value any) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tries++
+	s.saves++
 	if s.err == nil {
-		s.kept = value.([]string)
+		s.saved = value.([]string)
 	}
 	return s.err
 }
@@ -39,7 +39,7 @@
 			disk := &failingStore{err: saveErr}
 			x.exclusions.save = disk.save
 			for _, host := range []string{"a", "b"} {
-				if err := x.setExclusion(policy.CacheID(host), true, false); !errors.Is(err, errNotSaved) || !errors.Is(err, saveErr) {
+				if err := x.setExclusion(policy.HostID(host), true, false); !errors.Is(err, errNotSaved) || !errors.Is(err, saveErr) {
 					t.Errorf("excluding %s: got error %v", host, err)
 				}
 			}
@@ -50,14 +50,14 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 			disk.mu.Lock()
-			if disk.tries < 4 || disk.tries > 12 { // one for each exclusion at once, then waits from 50 to 100 ms that double
-				t.Errorf("%d saves in half a second", disk.tries)
+			if disk.saves < 4 || disk.saves > 12 { // one for each exclusion at once, then waits from 50 to 100 ms that double
+				t.Errorf("%d saves in half a second", disk.saves)
 			}
 			disk.err = nil
 			disk.mu.Unlock()
 			for began := time.Now(); ; time.Sleep(5 * time.Millisecond) {
 				disk.mu.Lock()
-				kept := disk.kept
+				kept := disk.saved
 				disk.mu.Unlock()
 				if slices.Equal(kept, []string{"a", "b"}) {
 					break
@@ -66,7 +66,7 @@
 					t.Fatalf("saved hosts: %q", kept)
 				}
 			}
-			if err := x.setExclusion(policy.CacheID("a"), false, false); err != nil {
+			if err := x.setExclusion(policy.HostID("a"), false, false); err != nil {
 				t.Errorf("including a again: %v", err)
 			}
 		})
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -43,7 +43,7 @@
 	id          string
 	server      string
 	at          time.Time // when the write of its last byte began
-	toldTimeout time.Duration
+	sentTimeout time.Duration
 	write       bool
 }
 
@@ -99,7 +99,7 @@
 			continue
 		}
 		deadline := request.sent.Add(request.timeout)
-		if by := a.at.Add(a.toldTimeout).Sub(deadline); by > slack {
+		if by := a.at.Add(a.sentTimeout).Sub(deadline); by > slack {
 			violations = append(violations, violation{a, "was sent a longer timeout than the client has left", by})
 		}
 		if by := a.at.Sub(deadline); by > slack {
@@ -119,17 +119,17 @@
 // recordedConn is a connection to a server. It records each attempt once its last byte is written, and may delay writes.
 type recordedConn struct {
 	net.Conn
-	server     string
-	attemptLog *attemptLog
-	holdUp     func() time.Duration
-	pending    []byte
-	at         time.Time // start of the current write
+	server         string
+	attemptLog     *attemptLog
+	writeDelay     func() time.Duration
+	pending        []byte
+	writeStartedAt time.Time // start of the current write
 }
 
 func (c *recordedConn) Write(p []byte) (int, error) {
 	if len(c.pending) == 0 || isStreamed(c.pending) { // else it continues the current write: a socket would take all its buffers in one call
-		c.at = time.Now() // before the delay, which a busy machine makes longer; report reduces the slack by the longest delay
-		time.Sleep(c.holdUp())
+		c.writeStartedAt = time.Now() // before the delay, which a busy machine makes longer; report reduces the slack by the longest delay
+		time.Sleep(c.writeDelay())
 	}
 	n, err := c.Conn.Write(p)
 	c.pending = append(c.pending, p[:n]...)
@@ -139,7 +139,7 @@
 			return n, err
 		}
 		c.pending = c.pending[size:]
-		a.at, a.server = c.at, c.server
+		a.at, a.server = c.writeStartedAt, c.server
 		c.attemptLog.recordAttempt(a)
 	}
 }
@@ -155,7 +155,7 @@
 		return false
 	}
 	length, _ := strconv.Atoi(string(match[1]) + string(match[2]))
-	return length > upstream.Whole
+	return length > upstream.MaxBufferedBytes
 }
 
 // parseAttempt parses the first attempt in what was written, in either protocol; size 0 means that it is incomplete.
@@ -182,7 +182,7 @@
 		case 'O':
 			a.id = word[1:]
 		case 'P':
-			a.toldTimeout = timeoutIn(word[1:])
+			a.sentTimeout = timeoutIn(word[1:])
 		}
 	}
 	return a, size
@@ -200,7 +200,7 @@
 		case "x-request-id":
 			a.id = value
 		case "x-attrs":
-			a.toldTimeout = timeoutIn(value)
+			a.sentTimeout = timeoutIn(value)
 		case "content-length":
 			length, _ := strconv.Atoi(value)
 			size += length
@@ -264,17 +264,17 @@
 
 func newFaultyHosts(t *testing.T, seed uint64, faults injectedFaults) *faultyHosts {
 	f := &faultyHosts{attemptLog: newAttemptLog(), random: newRandomSource(seed), maxWriteDelay: faults.maxWriteDelay}
-	terms := func(effect policy.Effect) policy.ProductTerms {
-		return policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: policy.Nanos(dedupWindow)}
+	terms := func(effect policy.Effect) policy.ProductConfig {
+		return policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: policy.Nanos(dedupWindow)}
 	}
-	deployed := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: time.Second, IdleLimit: time.Minute,
-		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0, "origin": 1},
+	deployed := &deployment.Deployment{Name: "n", MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: time.Second, IdleTimeout: time.Minute,
+		ClientTimeout: 3 * time.Second, MaxRequests: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0, "origin": 1},
 		Products: map[string]policy.Product{"marked": 0, "read": 1, "pay": 2},
-		Terms: policy.Terms{Balancers: 1, Products: []policy.ProductTerms{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
-			OriginKind: 1, Aside: !faults.cachesTakeWrites, MayCancel: true, MostAttempts: 6, Tick: policy.Millisecond}}
+		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
+			OriginKind: 1, CacheAside: !faults.cachesTakeWrites, MayCancel: true, MaxAttempts: 6, TimerGranularity: policy.Millisecond}}
 	f.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
-	list := discovery.List{Whole: true}
+	list := discovery.List{Snapshot: true}
 	for i := range 5 {
 		name := "cache-" + strconv.Itoa(i)
 		names[f.cacheHost(t, name, faults.answers)] = name
@@ -283,11 +283,11 @@
 		names[f.originHost(t, faults.origin)] = "origin"
 	}
 	for addr, name := range names {
-		kind := policy.Kind(0)
+		kind := policy.MachineKind(0)
 		if name == "origin" {
 			kind = 1
 		}
-		list.Hosts = append(list.Hosts, discovery.Host{Addr: addr, Entry: policy.Entry{Cache: policy.CacheID(name), Kind: kind, Size: 1}})
+		list.Hosts = append(list.Hosts, discovery.Host{Addr: addr, HostEntry: policy.HostEntry{HostID: policy.HostID(name), Kind: kind, Size: 1}})
 	}
 	f.hosts.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if f.random.upTo(100) < faults.refusedPercent {
@@ -303,7 +303,7 @@
 			return nil, err
 		}
 		holdUp := func() time.Duration { return f.random.durationUpTo(faults.maxWriteDelay) }
-		return &recordedConn{Conn: conn, server: names[addr], attemptLog: f.attemptLog, holdUp: holdUp}, nil
+		return &recordedConn{Conn: conn, server: names[addr], attemptLog: f.attemptLog, writeDelay: holdUp}, nil
 	}
 	f.applyHostList(policy.ListRestored, list)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -315,14 +315,14 @@
 	go f.accept(listener)
 	done := make(chan struct{})
 	if faults.maxLockHold > 0 {
-		go f.holdUpPolicy(faults.maxLockHold, done)
+		go f.blockPolicy(faults.maxLockHold, done)
 	}
 	t.Cleanup(func() { close(done); listener.Close(); f.hosts.Close(); f.cancel() })
 	return f
 }
 
-// holdUpPolicy holds the policy's lock now and then, which delays everything that waits for it.
-func (f *faultyHosts) holdUpPolicy(maxHold time.Duration, done <-chan struct{}) {
+// blockPolicy holds the policy's lock now and then, which delays everything that waits for it.
+func (f *faultyHosts) blockPolicy(maxHold time.Duration, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -40,16 +40,16 @@
 // for the request's id. Connections to the delayed hosts wait for connectAllowed.
 func newTestBalancer(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, delayed ...string) *testBalancer {
 	x := &testBalancer{T: t, connectAllowed: map[string]chan struct{}{}, connecting: map[string]chan struct{}{}, received: map[string][]string{}, lines: make(chan string, 1000)}
-	terms := policy.ProductTerms{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, Window: window}
+	terms := policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: window}
 	read := terms
 	read.Effect = policy.Idempotent
-	deployed := &deployment.Deployment{Name: "n", Sockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleLimit: time.Minute,
-		ClientTimeout: 3 * time.Second, MostOpen: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0},
-		Products: map[string]policy.Product{"pay": 0, "read": 1},
-		Terms:    policy.Terms{Balancers: 1, Products: []policy.ProductTerms{terms, read}, OriginKind: -1, MayCancel: true, MostAttempts: 4, Tick: policy.Millisecond}}
+	deployed := &deployment.Deployment{Name: "n", MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleTimeout: time.Minute,
+		ClientTimeout: 3 * time.Second, MaxRequests: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0},
+		Products:     map[string]policy.Product{"pay": 0, "read": 1},
+		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms, read}, OriginKind: -1, MayCancel: true, MaxAttempts: 4, TimerGranularity: policy.Millisecond}}
 	x.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
-	list := discovery.List{Whole: true}
+	list := discovery.List{Snapshot: true}
 	for name, answer := range answers {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -58,7 +58,7 @@
 		t.Cleanup(func() { listener.Close() })
 		names[listener.Addr().String()] = name
 		go x.serveHost(listener, name, answer)
-		list.Hosts = append(list.Hosts, discovery.Host{Addr: listener.Addr().String(), Entry: policy.Entry{Cache: policy.CacheID(name), Size: 1}})
+		list.Hosts = append(list.Hosts, discovery.Host{Addr: listener.Addr().String(), HostEntry: policy.HostEntry{HostID: policy.HostID(name), Size: 1}})
 	}
 	for _, name := range delayed {
 		x.connectAllowed[name], x.connecting[name] = make(chan struct{}), make(chan struct{}, 1000)
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -17,9 +17,9 @@
 
 	mu        sync.Mutex
 	machine   *evidence.Machine
-	transport *carry.Carrier
+	transport *carry.Transport
 	stop      chan struct{}
-	delivered []evidence.Word // what the policy has been given last
+	delivered []evidence.HostSummary // what the policy has been given last
 }
 
 func (b *Balancer) newObservationExchange() *observationExchange {
@@ -30,7 +30,7 @@
 }
 
 // startObservations starts to send and receive observations over a transport.
-func (b *Balancer) startObservations(transport *carry.Carrier) {
+func (b *Balancer) startObservations(transport *carry.Transport) {
 	o := b.observations
 	if o == nil {
 		return
@@ -38,15 +38,15 @@
 	stop := make(chan struct{})
 	o.mu.Lock()
 	o.transport, o.stop = transport, stop
-	o.machine = evidence.New(evidence.Terms{Self: transport.Self(), Zone: transport.View().Self.Zone})
+	o.machine = evidence.New(evidence.Config{Self: transport.Self(), Zone: transport.View().Self.Zone})
 	o.mu.Unlock()
-	transport.On(carry.TopicEvidence, func(from member.Life, body []byte) {
-		if m, ok := carry.DecodeEvidence(body); ok {
-			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Hear(now, from, m) })
+	transport.Handle(carry.TopicObservations, func(from member.ProcessID, body []byte) {
+		if m, ok := carry.DecodeObservations(body); ok {
+			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Receive(now, from, m) })
 		}
 	})
 	go func() {
-		t := time.NewTicker(evidence.Turn)
+		t := time.NewTicker(evidence.TickInterval)
 		defer t.Stop()
 		for {
 			select {
@@ -69,7 +69,7 @@
 }
 
 // exchangeObservations sends this balancer's observations to the others and passes theirs on to the policy.
-func (b *Balancer) exchangeObservations(transport *carry.Carrier) {
+func (b *Balancer) exchangeObservations(transport *carry.Transport) {
 	var peers []evidence.Peer
 	for _, m := range transport.View().Members {
 		if m.State == member.Alive || m.State == member.Suspected {
@@ -77,7 +77,7 @@
 		}
 	}
 	listed := 0
-	b.callPolicy(func() { listed, _ = b.policy.Fleet() })
+	b.callPolicy(func() { listed, _ = b.policy.HostCounts() })
 	o := b.observations
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -85,26 +85,26 @@
 		return
 	}
 	o.machine.Tick(time.Since(o.epoch), peers, listed)
-	for _, send := range o.machine.Out() {
-		o.transport.Tell(send.To, carry.TopicEvidence, carry.EncodeEvidence(&send.Msg))
+	for _, send := range o.machine.TakeOutput() {
+		o.transport.Send(send.To, carry.TopicObservations, carry.EncodeObservations(&send.Msg))
 	}
-	b.deliverObservations(o.machine.Words())
+	b.deliverObservations(o.machine.Summaries())
 }
 
 // deliverObservations gives the policy the observations that now hold, withdraws those that no longer do, and logs each
 // change. The caller holds observations.mu.
-func (b *Balancer) deliverObservations(observations []evidence.Word) {
+func (b *Balancer) deliverObservations(observations []evidence.HostSummary) {
 	o := b.observations
 	for _, one := range observations {
-		if !evidence.Has(o.delivered, one.Host) {
-			b.log.Info().Str("host", one.Host).Int("witnesses", one.Witnesses).Float64("good", one.Good).Float64("bad", one.Bad).Msg("other balancers call this host bad")
+		if !evidence.Contains(o.delivered, one.Host) {
+			b.log.Info().Str("host", one.Host).Int("witnesses", one.BadReporters).Float64("good", one.Good).Float64("bad", one.Bad).Msg("other balancers call this host bad")
 		}
 	}
 	b.callPolicy(func() {
-		evidence.Tell(o.delivered, observations, func(host string, good, bad float64) { b.policy.Said(policy.CacheID(host), good, bad) })
+		evidence.NotifyChanges(o.delivered, observations, func(host string, good, bad float64) { b.policy.SetObservations(policy.HostID(host), good, bad) })
 	})
 	for _, one := range o.delivered {
-		if !evidence.Has(observations, one.Host) {
+		if !evidence.Contains(observations, one.Host) {
 			b.log.Info().Str("host", one.Host).Msg("other balancers do not call this host bad any more")
 		}
 	}
@@ -128,14 +128,16 @@
 // observeAttempt records how an attempt ended, if that says anything about the host.
 func (b *Balancer) observeAttempt(c *clientRequest, e attemptResult) {
 	if o := b.observations; o != nil {
-		if good, conclusive := evidence.Proves(e.Outcome, policy.Nanos(e.took), b.deployment.Terms.Products[c.product].LatencySLO); conclusive {
-			o.update(func(m *evidence.Machine, now evidence.Moment) { m.Ended(now, string(c.attempts[e.attempt].To), good) })
+		if good, conclusive := evidence.Classify(e.Outcome, policy.Nanos(e.took), b.deployment.PolicyConfig.Products[c.product].LatencySLO); conclusive {
+			o.update(func(m *evidence.Machine, now evidence.Moment) {
+				m.RecordAttempt(now, string(c.attempts[e.attempt].To), good)
+			})
 		}
 	}
 }
 
-// Evidence returns the observations received from other balancers.
-func (a adminAPI) Evidence() (shown admin.Evidence, err error) {
+// Observations returns the observations received from other balancers.
+func (a adminAPI) Observations() (shown admin.Evidence, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
 	}
@@ -148,9 +150,9 @@
 	if o.machine == nil {
 		return shown, admin.ErrHanded
 	}
-	shown = admin.Evidence{Witnesses: o.machine.Heard(), Hosts: []admin.Said{}}
+	shown = admin.Evidence{Witnesses: o.machine.ActiveReporters(), Hosts: []admin.Said{}}
 	for _, one := range o.delivered {
-		shown.Hosts = append(shown.Hosts, admin.Said{Host: one.Host, Good: one.Good, Bad: one.Bad, Witnesses: one.Witnesses})
+		shown.Hosts = append(shown.Hosts, admin.Said{Host: one.Host, Good: one.Good, Bad: one.Bad, Witnesses: one.BadReporters})
 	}
 	return shown, nil
 }
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -16,7 +16,7 @@
 // of the configuration.
 func (b *Balancer) restoreHostList(handedOver *handover.State) {
 	var list discovery.List
-	saved := b.deployment.Known
+	saved := b.deployment.KnownList
 	if handedOver != nil {
 		saved = handedOver.List
 	}
@@ -31,10 +31,10 @@
 	if len(list.Hosts) == 0 {
 		return
 	}
-	if b.deployment.Terms.MustSubscribe { // each call loads discovery, so ask only for what has changed since
+	if b.deployment.PolicyConfig.MustSubscribe { // each call loads discovery, so ask only for what has changed since
 		b.listSource.resumeFrom = &list.Generation
 	}
-	if handedOver != nil || b.deployment.Terms.MustSubscribe { // the list is current, or the policy decides when to ask for it
+	if handedOver != nil || b.deployment.PolicyConfig.MustSubscribe { // the list is current, or the policy decides when to ask for it
 		b.listSource.readyOnce.Do(func() { close(b.listSource.ready) })
 	}
 }
@@ -44,25 +44,25 @@
 	return time.Duration(float64(wait) * (0.5 + rand.Float64()/2))
 }
 
-func (b *Balancer) discoveryNames() discovery.Names {
-	return discovery.Names{Zones: b.deployment.Zones, Kinds: b.deployment.Kinds, Pause: b.pause}
+func (b *Balancer) discoveryNames() discovery.NameIndexes {
+	return discovery.NameIndexes{Zones: b.deployment.Zones, Kinds: b.deployment.Kinds, Yield: b.pause}
 }
 
 // startWatch starts to follow the host list at the source's address, beginning with the whole list, and stops the previous watch.
 func (b *Balancer) startWatch() {
 	b.listSource.mu.Lock()
 	defer b.listSource.mu.Unlock()
-	subscribed := !b.deployment.Terms.MustSubscribe
+	subscribed := !b.deployment.PolicyConfig.MustSubscribe
 	if b.listSource.stop != nil {
 		b.listSource.stop()
 		subscribed = true // the policy has subscribed at its start
 	}
 	ctx, stop := context.WithCancel(b.ctx)
 	b.listSource.stop = stop
-	watch := &discovery.Watch{Addr: b.listSource.addr, Names: b.discoveryNames(), Pace: b.pace, Dial: b.listSource.dial}
-	watch.Has = len(b.listSource.hosts) > 0
+	watch := &discovery.Watch{Addr: b.listSource.addr, Names: b.discoveryNames(), Timeouts: b.discoveryTimeouts, Dial: b.listSource.dial}
+	watch.HasList = len(b.listSource.hosts) > 0
 	if b.listSource.resumeFrom != nil {
-		watch.From(*b.listSource.resumeFrom)
+		watch.ResumeFrom(*b.listSource.resumeFrom)
 		b.listSource.resumeFrom = nil // valid only for the first address
 	}
 	go b.followDiscovery(ctx, watch, subscribed)
@@ -71,7 +71,7 @@
 // Reload applies a new, checked configuration to the running balancer: it follows the host list at the new discovery address. The
 // settings that take effect only at a restart are logged.
 func (b *Balancer) Reload(deployed *deployment.Deployment) {
-	b.log.Info().Str("discovery", deployed.Discovery).Strs("kept_until_restart", b.deployment.Fixed(deployed)).Msg("configuration reloaded")
+	b.log.Info().Str("discovery", deployed.Discovery).Strs("kept_until_restart", b.deployment.RestartOnlyChanges(deployed)).Msg("configuration reloaded")
 	b.listSource.mu.Lock()
 	sameAddress, watching := deployed.Discovery == b.listSource.addr, b.listSource.stop != nil
 	b.listSource.addr = deployed.Discovery
@@ -86,7 +86,7 @@
 // that must apply soon.
 func (b *Balancer) followDiscovery(ctx context.Context, watch *discovery.Watch, subscribed bool) {
 	defer watch.Close()
-	backoff := b.pace.First
+	backoff := b.discoveryTimeouts.FirstRetryDelay
 	for {
 		if !subscribed {
 			select {
@@ -98,7 +98,7 @@
 		}
 		list, err := watch.Next(ctx)
 		if err == nil {
-			backoff = b.pace.First
+			backoff = b.discoveryTimeouts.FirstRetryDelay
 			b.acceptHostList(ctx, list)
 			continue
 		}
@@ -106,16 +106,16 @@
 			return
 		}
 		b.log.Warn().Err(err).Str("discovery", watch.Addr).Msg("discovery")
-		if errors.Is(err, discovery.ErrAgain) {
+		if errors.Is(err, discovery.ErrRetryNow) {
 			continue
 		}
-		if b.deployment.Terms.MustSubscribe {
+		if b.deployment.PolicyConfig.MustSubscribe {
 			subscribed = false
-			b.callPolicy(func() { b.policy.Listed(policy.ListUnavailable, nil) })
+			b.callPolicy(func() { b.policy.ApplyList(policy.ListUnavailable, nil) })
 			continue
 		}
 		wait := jitter(backoff)
-		backoff = min(2*backoff, b.pace.Last)
+		backoff = min(2*backoff, b.discoveryTimeouts.MaxRetryDelay)
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
@@ -132,13 +132,13 @@
 	if ctx.Err() != nil {
 		return
 	}
-	if unreadable := len(list.Unread); unreadable > 0 {
-		b.log.Warn().Err(list.Unread[0].Why).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the host list cannot be read, their hosts stay unchanged")
+	if unreadable := len(list.Unusable); unreadable > 0 {
+		b.log.Warn().Err(list.Unusable[0].Err).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the host list cannot be read, their hosts stay unchanged")
 	}
-	if !list.Stands(b.listSource.generation) {
-		list = list.Over(b.listSource.snapshot())
+	if !list.IsSelfContained(b.listSource.generation) {
+		list = list.CompleteFrom(b.listSource.snapshot())
 	}
-	if list.Whole {
+	if list.Snapshot {
 		b.applyHostList(policy.ListReplace, list)
 	} else {
 		b.applyHostList(policy.ListUpdate, list)
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -105,9 +105,9 @@
 
 // newFollowingBalancer returns a balancer that follows the host list of a fakeDiscovery and has received it.
 func newFollowingBalancer(t *testing.T, d *fakeDiscovery, mode string, grace time.Duration, seed uint64) *Balancer {
-	deployed := &deployment.Deployment{Name: "n", Seed: seed, Sockets: 1024, MemoryMB: 192, DrainGrace: grace, ConnectTimeout: time.Second, IdleLimit: time.Minute,
-		Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.Kind{"cache": 0},
-		Terms: policy.Terms{Balancers: 1, Products: make([]policy.ProductTerms, 1), MustSubscribe: mode == "asked", AskEvery: 10 * policy.Second, OriginKind: -1}}
+	deployed := &deployment.Deployment{Name: "n", Seed: seed, MaxSockets: 1024, MemoryMB: 192, DrainGrace: grace, ConnectTimeout: time.Second, IdleTimeout: time.Minute,
+		Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0},
+		PolicyConfig: policy.Config{Balancers: 1, Products: make([]policy.ProductConfig, 1), MustSubscribe: mode == "asked", SubscribeInterval: 10 * policy.Second, OriginKind: -1}}
 	b := New(deployed, &operator.File{}, zerolog.Nop())
 	b.listSource.dial = d.dial
 	d.began, d.changed, d.done = time.Now(), make(chan struct{}), make(chan struct{})
@@ -118,7 +118,7 @@
 }
 
 func (b *Balancer) avoidedHosts() (n int) {
-	b.callPolicy(func() { _, n = b.policy.Fleet() })
+	b.callPolicy(func() { _, n = b.policy.HostCounts() })
 	return n
 }
 
@@ -236,11 +236,11 @@
 // calls each in 10 s (askEvery), and a watch without an answer must be reopened within six seconds.
 func TestDiscoveryCallRate(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
-		p := discovery.PaceOf(grace*9/10, false)
-		if sum := p.Wait + p.Answer + p.Connect; sum > 6*time.Second {
+		p := discovery.NewTimeouts(grace*9/10, false)
+		if sum := p.LongPoll + p.ResponseGrace + p.Connect; sum > 6*time.Second {
 			t.Errorf("grace %v: a watch without an answer is reopened after %v", grace, sum)
 		}
-		if least := p.Wait * 7 / 8; 300/least.Seconds() > 300*3/10.0 {
+		if least := p.LongPoll * 7 / 8; 300/least.Seconds() > 300*3/10.0 {
 			t.Errorf("grace %v: 300 balancers call %.0f times a second", grace, 300/least.Seconds())
 		}
 	}
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -32,34 +32,34 @@
 	if kind == policy.ListUpdate && len(changes) == 0 { // a long poll that ended without a change
 		return
 	}
-	b.startTimes.place(changes, b.toNanos(deadline.After(began, 0)))
+	b.startTimes.convert(changes, b.toNanos(deadline.After(began, 0)))
 	all := entriesOf(list.Hosts)
-	b.callPolicy(func() { b.policy.ListBegins(kind, all) })
+	b.callPolicy(func() { b.policy.BeginList(kind, all) })
 	for batch := range slices.Chunk(changes, hostsPerBatch) {
-		b.applyBatch(discovery.List{Hosts: batch, At: list.At})
+		b.applyBatch(discovery.List{Hosts: batch, ReceivedAt: list.ReceivedAt})
 		b.pause()
 	}
 	if len(list.Hosts) > 0 || kind != policy.ListRestored {
 		b.hasHostList.Store(true)
 	}
-	b.log.Info().Int64("version", list.Generation).Bool("whole", list.Whole).Int("hosts", len(list.Hosts)).Int("changes", len(changes)).
+	b.log.Info().Int64("version", list.Generation).Bool("whole", list.Snapshot).Int("hosts", len(list.Hosts)).Int("changes", len(changes)).
 		Float64("took_ms", milliseconds(time.Since(began))).Msg("list applied")
 }
 
 // applyBatch applies some entries. The connections come first, so that attempts can be sent to every host that the policy knows.
 func (b *Balancer) applyBatch(batch discovery.List) {
-	b.hosts.Listed(batch)
+	b.hosts.ApplyList(batch)
 	entries := entriesOf(batch.Hosts)
-	b.callPolicy(func() { b.policy.Changed(entries) })
+	b.callPolicy(func() { b.policy.ApplyEntries(entries) })
 	for _, condition := range []policy.Condition{policy.Draining, policy.Gone} {
 		b.logHosts(condition, batch.Hosts)
 	}
 }
 
-func entriesOf(hosts []discovery.Host) []policy.Entry {
-	entries := make([]policy.Entry, len(hosts))
+func entriesOf(hosts []discovery.Host) []policy.HostEntry {
+	entries := make([]policy.HostEntry, len(hosts))
 	for i := range hosts {
-		entries[i] = hosts[i].Entry
+		entries[i] = hosts[i].HostEntry
 	}
 	return entries
 }
@@ -71,7 +71,7 @@
 	var ids []string
 	for i := range hosts {
 		if hosts[i].Condition == condition {
-			ids = append(ids, string(hosts[i].Cache))
+			ids = append(ids, string(hosts[i].HostID))
 		}
 	}
 	if len(ids) > 0 {
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -28,7 +28,7 @@
 
 	mu          sync.Mutex // serializes inputs; taken before upgrade.mu
 	machine     *fleetorder.Machine
-	transport   *carry.Carrier
+	transport   *carry.Transport
 	stop        chan struct{}
 	lastOrderAt time.Time // when the admin API of this balancer was given the last order
 	unsaved     bool      // the file lacks some of the orders held here, so nothing is sent to other balancers
@@ -43,7 +43,7 @@
 }
 
 // startExclusionOrders loads the saved orders and starts to exchange orders over a transport.
-func (b *Balancer) startExclusionOrders(transport *carry.Carrier) {
+func (b *Balancer) startExclusionOrders(transport *carry.Transport) {
 	o := b.fleetOrders
 	if o == nil {
 		return
@@ -56,18 +56,18 @@
 	stop := make(chan struct{})
 	o.mu.Lock()
 	o.transport, o.stop = transport, stop
-	o.machine = fleetorder.New(fleetorder.Terms{Self: transport.Self(), Name: b.deployment.Name, Part: o.maxExcludedShare, Kept: saved, Seed: rand.Uint64()})
+	o.machine = fleetorder.New(fleetorder.Config{Self: transport.Self(), Name: b.deployment.Name, MaxExcludedFraction: o.maxExcludedShare, StoredOrders: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
-	transport.On(carry.TopicOrders, func(from member.Life, body []byte) {
+	transport.Handle(carry.TopicOrders, func(from member.ProcessID, body []byte) {
 		if m, ok := carry.DecodeOrders(body); ok {
-			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Hear(now, from, m) })
+			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Receive(now, from, m) })
 		}
 	})
 	go func() {
-		t := time.NewTicker(fleetorder.Turn)
+		t := time.NewTicker(fleetorder.TickInterval)
 		defer t.Stop()
 		for {
-			members, _ := transport.Members()
+			members, _ := transport.AliveMembers()
 			b.updateExclusionOrders(true, func(machine *fleetorder.Machine, now fleetorder.Moment) {
 				machine.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
 			})
@@ -110,7 +110,7 @@
 // processOrders carries out the results of an input. The caller holds fleetOrders.mu.
 func (b *Balancer) processOrders(periodic bool) (saveErr error) {
 	o := b.fleetOrders
-	sends, newOrders := o.machine.Out(), o.machine.News()
+	sends, newOrders := o.machine.TakeOutput(), o.machine.TakeChanges()
 	if len(newOrders) > 0 || o.unsaved {
 		if saveErr = handover.Save(o.file, o.machine.All()); saveErr != nil && !o.unsaved {
 			b.log.Warn().Err(saveErr).Str("file", o.file).Msg("the exclusion orders of the fleet cannot be saved, not confirming them to other balancers")
@@ -127,7 +127,7 @@
 		return saveErr
 	}
 	for i := range sends {
-		o.transport.Tell(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
+		o.transport.Send(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
 	}
 	return nil
 }
@@ -139,12 +139,12 @@
 	}
 	var current []string // sorted by name, like wanted
 	listed := 0
-	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.Fleet() })
+	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.HostCounts() })
 	wanted := b.fleetOrders.machine.Excluded(listed)
 	for _, order := range all {
 		_, exclude := slices.BinarySearch(wanted, order.Host)
 		if _, excluded := slices.BinarySearch(current, order.Host); exclude != excluded {
-			if err := b.setExclusion(policy.CacheID(order.Host), exclude, true); err != nil {
+			if err := b.setExclusion(policy.HostID(order.Host), exclude, true); err != nil {
 				b.log.Warn().Err(err).Str("host", order.Host).Msg("an exclusion order is not in force in both processes of the upgrade")
 			}
 		}
@@ -156,7 +156,7 @@
 func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.How) (note string, err error) {
 	o := b.fleetOrders
 	known, listed := false, 0
-	b.callPolicy(func() { known = b.policy.Knows(policy.CacheID(id)); listed, _ = b.policy.Fleet() })
+	b.callPolicy(func() { known = b.policy.IsKnownHost(policy.HostID(id)); listed, _ = b.policy.HostCounts() })
 	if !known {
 		return "", admin.ErrNobody
 	}
@@ -165,16 +165,16 @@
 		o.mu.Unlock()
 		return "", admin.ErrHanded
 	}
-	_, err = o.machine.Give(id, exclude, options.Force, listed)
+	_, err = o.machine.Submit(id, exclude, options.Force, listed)
 	if err == nil {
 		o.lastOrderAt = time.Now()
-		members, _ := o.transport.Members()
+		members, _ := o.transport.AliveMembers()
 		o.machine.Tick(time.Since(o.epoch), members, true)
 		err = b.processOrders(false)
 	}
 	o.mu.Unlock()
 	switch {
-	case errors.Is(err, fleetorder.ErrTooMany), errors.Is(err, fleetorder.ErrFull):
+	case errors.Is(err, fleetorder.ErrTooManyExcluded), errors.Is(err, fleetorder.ErrTooManyOrders):
 		return "", err // nothing has changed
 	case err != nil:
 		return "", fmt.Errorf("in force here, not kept and not told to others: %w", err)
@@ -216,8 +216,8 @@
 	return confirmed, missing
 }
 
-// Orders returns the fleet-wide exclusion orders and their conflicts.
-func (a adminAPI) Orders() (shown admin.Orders, err error) {
+// ExclusionOrders returns the fleet-wide exclusion orders and their conflicts.
+func (a adminAPI) ExclusionOrders() (shown admin.Orders, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
 	}
@@ -227,13 +227,13 @@
 	}
 	_, missing := a.b.orderConfirmations()
 	listed := 0
-	a.b.callPolicy(func() { listed, _ = a.b.policy.Fleet() })
+	a.b.callPolicy(func() { listed, _ = a.b.policy.HostCounts() })
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine == nil {
 		return shown, admin.ErrHanded
 	}
-	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Sum()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
+	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Digest()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
 		Conflicts: []admin.Conflict{}}
 	wanted := o.machine.Excluded(listed)
 	show := func(order fleetorder.Order) admin.Order {
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -55,7 +55,7 @@
 	c := &clientConn{conn: conn, receiver: newReceiver(conn, stalls, emptyAt), openedAt: time.Now(), gone: make(chan struct{}), lastAnswered: make(chan struct{}), inFlight: make(chan struct{}, maxInFlightPerConn)}
 	close(c.lastAnswered)
 	c.noteIdle(c.openedAt)
-	c.reader = bufio.NewReaderSize(c, memcache.MostLine)
+	c.reader = bufio.NewReaderSize(c, memcache.MaxLineBytes)
 	return c
 }
 
@@ -216,20 +216,20 @@
 	line, err := c.reader.ReadSlice('\n')
 	switch {
 	case err == bufio.ErrBufferFull:
-		return nil, nil, c.replyAndStop(memcache.TooLong.Line())
+		return nil, nil, c.replyAndStop(memcache.LineTooLong.Line())
 	case err != nil:
 		return nil, nil, c.connectionLost(err)
 	}
 	line = bytes.TrimSuffix(line[:len(line)-1], []byte("\r"))
-	req = &clientRequest{client: c, b: b, arrived: c.commandArrival()}
+	req = &clientRequest{client: c, balancer: b, arrived: c.commandArrival()}
 	req.Command, fault = memcache.Parse(append(req.line[:0], line...))
 	switch {
 	case fault == memcache.Quit:
 		return nil, nil, c.stopCommands()
-	case fault != nil && fault.Lost:
+	case fault != nil && fault.OutOfSync:
 		return nil, nil, c.replyAndStop(fault.Line())
 	case req.Noop && b.currentPhase() == Serving && b.hasHostList.Load(): // a load balancer in front sends requests to those that answer so
-		return nil, nil, c.writeReply(memcache.Alive)
+		return nil, nil, c.writeReply(memcache.NoopAnswer)
 	case req.Noop:
 		return nil, nil, c.writeReply(memcache.NotServing)
 	}
@@ -245,14 +245,14 @@
 // admit reads a request's value, then either starts handling the request or answers it; false if no further command is to be read.
 func (b *Balancer) admit(req *clientRequest, fault *memcache.Fault) bool {
 	c := req.client
-	if req.Write && req.Length > upstream.Whole && c.noMoreCommands.Load() { // the connection was ended before the value arrived
+	if req.Write && req.Length > upstream.MaxBufferedBytes && c.noMoreCommands.Load() { // the connection was ended before the value arrived
 		return c.refuse()
 	}
 	started, admitted := false, b.inFlight.Add(1) <= b.maxInFlight.Load() && b.clients.makeRoomFor(c)
-	streamed := req.Write && fault == nil && req.Length > upstream.Whole
+	streamed := req.Write && fault == nil && req.Length > upstream.MaxBufferedBytes
 	needed := req.Length
 	if streamed {
-		needed = upstream.PieceBytes
+		needed = upstream.StreamBufferBytes
 	}
 	admitted = admitted && (!req.Write || fault != nil || req.reserveMemory(needed))
 	defer func() {
@@ -283,7 +283,7 @@
 		fault = b.resolveNames(req)
 	}
 	if fault == nil && admitted && !streamed && !b.claimID(req) {
-		fault = memcache.IDInHand
+		fault = memcache.IDInUse
 	}
 	if fault != nil {
 		return c.writeReply(fault.Line())
@@ -298,7 +298,7 @@
 	}
 	started = true
 	if !streamed { // its deadline follows from its last byte
-		req.deadline = deadline.After(req.arrived, req.Left)
+		req.deadline = deadline.After(req.arrived, req.Timeout)
 	}
 	b.answerStats.unanswered.Add(1)
 	req.previousAnswered, req.answered = c.lastAnswered, make(chan struct{})
@@ -324,8 +324,8 @@
 	if req.customer, known = b.deployment.Customers[string(req.Customer)]; !known && len(b.deployment.Customers) > 0 {
 		return memcache.UnknownCustomer
 	}
-	if req.Write && len(req.Mark) == 0 && b.deployment.Terms.Products[req.product].Effect == policy.Deduplicated {
-		return memcache.NoMark // a host could not recognise a repeat of it
+	if req.Write && len(req.DedupToken) == 0 && b.deployment.PolicyConfig.Products[req.product].Effect == policy.Deduplicated {
+		return memcache.NoDedupToken // a host could not recognise a repeat of it
 	}
 	return nil
 }
--- a/internal/balancer/receiver.go
+++ b/internal/balancer/receiver.go
@@ -144,7 +144,7 @@
 		r.settleTime = 0
 	}
 	if r.settleTime == 0 {
-		r.arrivedAfter = r.stalls.Earliest(r.arrivedAfter, r.lastSyscallAt)
+		r.arrivedAfter = r.stalls.EarliestEvent(r.arrivedAfter, r.lastSyscallAt)
 	}
 	return r.arrivedAfter
 }
@@ -210,7 +210,7 @@
 	n, err = r.conn.Read(p)
 	endedAt := time.Now()
 	if endedAt.Sub(startedAt) >= maxImmediateRead {
-		r.arrivedAfter = r.stalls.Earliest(startedAt, endedAt)
+		r.arrivedAfter = r.stalls.EarliestEvent(startedAt, endedAt)
 	}
 	arrived = r.arrivedAfter
 	r.lastByteAt = arrived
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -15,22 +15,22 @@
 // If the value cannot be completed, the client's connection ends short of the announced length, so that the client can tell.
 func (c *clientRequest) streamValue(v *upstream.Value) (whole bool) {
 	begun := false
-	c.b.callPolicy(func() {
+	c.balancer.callPolicy(func() {
 		if begun = c.startStream(); begun {
-			c.b.policy.Streaming(c.id)
+			c.balancer.policy.AnswerStarted(c.id)
 		}
 	})
 	if !begun {
 		return false
 	}
 	defer close(c.answered)
-	defer c.b.answerStats.unanswered.Add(-1)
+	defer c.balancer.answerStats.unanswered.Add(-1)
 	select {
 	case <-c.previousAnswered:
 	case <-c.client.gone:
 		return false
 	}
-	out := upstream.Patient{Conn: c.client.conn}
+	out := upstream.ExtendingConn{Conn: c.client.conn}
 	_, err := out.Write(memcache.AppendValue(nil, c.ID, v.Length))
 	if err == nil {
 		_, err = upstream.Copy(out, v, v.Length)
@@ -44,8 +44,8 @@
 		c.client.abortAnswer()
 		return false
 	}
-	c.b.traffic.fulfilled.Add(1)
-	c.b.answerStats.countAnswer(c.product, fulfilled)
+	c.balancer.traffic.fulfilled.Add(1)
+	c.balancer.answerStats.countAnswer(c.product, fulfilled)
 	return true
 }
 
@@ -89,8 +89,8 @@
 
 func newUpload(c *clientRequest) *upload {
 	u := &upload{call: c, remaining: c.Length, wanted: make(chan struct{}), connFree: make(chan struct{})}
-	u.Length, u.In, u.Ended = c.Length, u, make(chan struct{})
-	u.Wait = c.Left - answerTravelReserve
+	u.Length, u.Reader, u.Done = c.Length, u, make(chan struct{})
+	u.ClientTimeout = c.Timeout - answerTravelReserve
 	return u
 }
 
@@ -120,10 +120,10 @@
 		return 0, u.err
 	}
 	p[0] = lastBytes[0]
-	b := u.call.b
-	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Left).Earlier(answerTravelReserve)
+	b := u.call.balancer
+	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Timeout).Earlier(answerTravelReserve)
 	u.call.armDeadlineTimer(u.Deadline)
-	b.post(func() { b.policy.Came(u.call.id, b.toNanos(u.Deadline)) })
+	b.post(func() { b.policy.WriteReceived(u.call.id, b.toNanos(u.Deadline)) })
 	if u.TooLate() {
 		return 0, errTooLate
 	}
@@ -144,22 +144,22 @@
 	c.watchForClose(func() { // the client may close the connection while the value waits for a connection to a host
 		select {
 		case <-u.wanted:
-		case <-u.Ended:
+		case <-u.Done:
 		case <-u.call.answered:
 		}
 	})
 	close(u.connFree)
 	select {
-	case <-u.Ended:
+	case <-u.Done:
 	case <-u.call.answered:
 		if u.Take() {
-			close(u.Ended)
+			close(u.Done)
 		}
-		<-u.Ended
+		<-u.Done
 	}
 	for u.err == nil && u.remaining > 0 {
 		c.extendValueDeadline()
-		n, err := c.reader.Discard(min(u.remaining, upstream.PieceBytes))
+		n, err := c.reader.Discard(min(u.remaining, upstream.StreamBufferBytes))
 		u.remaining -= n
 		u.err = err
 		if u.remaining == 0 && err == nil {
--- a/internal/fleet/carry/evidence.go
+++ b/internal/fleet/carry/evidence.go
@@ -6,8 +6,8 @@
 	"streamrail/internal/fleet/evidence"
 )
 
-// TopicEvidence is the topic of the messages of package evidence: the outcomes of attempts at cache hosts.
-const TopicEvidence = 3
+// TopicObservations is the topic of the messages of package evidence: the outcomes of attempts at cache hosts.
+const TopicObservations = 3
 
 // observations is the encoded form of evidence.Message.
 type observations struct {
@@ -22,28 +22,28 @@
 	Good, Bad uint32
 }
 
-// EncodeEvidence encodes a message of package evidence.
-func EncodeEvidence(m *evidence.Message) []byte {
-	out := observations{N: m.N, At: int64(m.At)}
-	for _, r := range m.Rows {
+// EncodeObservations encodes a message of package evidence.
+func EncodeObservations(m *evidence.Message) []byte {
+	out := observations{N: m.Sequence, At: int64(m.SentAt)}
+	for _, r := range m.Hosts {
 		out.Rows = append(out.Rows, observationRow{Host: r.Host, Good: uint32(r.Good), Bad: uint32(r.Bad)})
 	}
 	data, _ := cbor.Marshal(&out) // cannot fail for numbers and strings
 	return data
 }
 
-// DecodeEvidence decodes a message of package evidence. It returns false where the data is not a valid one.
-func DecodeEvidence(data []byte) (*evidence.Message, bool) {
+// DecodeObservations decodes a message of package evidence. It returns false where the data is not a valid one.
+func DecodeObservations(data []byte) (*evidence.Message, bool) {
 	var s observations
 	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
 	}
-	m := &evidence.Message{N: s.N, At: evidence.Moment(s.At)}
+	m := &evidence.Message{Sequence: s.N, SentAt: evidence.Moment(s.At)}
 	for _, r := range s.Rows {
-		if r.Host == "" || len(r.Host) > evidence.MostName || r.Good > 1<<30 || r.Bad > 1<<30 {
+		if r.Host == "" || len(r.Host) > evidence.MaxHostNameBytes || r.Good > 1<<30 || r.Bad > 1<<30 {
 			return nil, false
 		}
-		m.Rows = append(m.Rows, evidence.Row{Host: r.Host, Good: int(r.Good), Bad: int(r.Bad)})
+		m.Hosts = append(m.Hosts, evidence.HostOutcomes{Host: r.Host, Good: int(r.Good), Bad: int(r.Bad)})
 	}
 	return m, true
 }
--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -101,15 +101,15 @@
 // addInterval schedules one action on hosts for a fault's begin and another for its end.
 func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Node)) {
 	for _, p := range places {
-		t.addStep(fault.At.D(), func() { begin(t.nodeAt(p)) })
-		t.addStep((fault.At + fault.For).D(), func() { end(t.nodeAt(p)) })
+		t.addStep(fault.At.Duration(), func() { begin(t.nodeAt(p)) })
+		t.addStep((fault.At + fault.For).Duration(), func() { end(t.nodeAt(p)) })
 	}
 }
 
 // schedule adds the steps of the scenario's i-th fault to the timeline, and the fault to the record.
 func (t *Timeline) schedule(i int) {
 	fault := &t.world.Day.Faults[i]
-	from, to := fault.At.D(), (fault.At + fault.For).D()
+	from, to := fault.At.Duration(), (fault.At + fault.For).Duration()
 	places, balancers := t.world.Day.Hit(i), t.world.Day.HitBalancers(i)
 	description := fault.Do
 	switch fault.Do {
@@ -132,7 +132,7 @@
 	case "link-delay":
 		t.addLinkFault(fault, places, balancers, func(n *standin.Node, b int, active bool) {
 			if active {
-				n.Delay(b, fault.Delay.D())
+				n.Delay(b, fault.Delay.Duration())
 			} else {
 				n.Delay(b, 0)
 			}
@@ -165,7 +165,7 @@
 		t.addStep(to, func() { t.world.Gateway.Fail(0) })
 	case "balancer-kill":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Kill(b, fault.For.D()) })
+			t.addStep(from, func() { t.balancers.Kill(b, fault.For.Duration()) })
 		}
 	case "balancer-restart":
 		for _, b := range balancers {
@@ -188,17 +188,17 @@
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Stall(b, fault.For.D()) })
+			t.addStep(from, func() { t.balancers.Stall(b, fault.For.Duration()) })
 		}
 	case "balancer-astray":
 		for _, b := range balancers {
 			t.addStep(from, func() { t.balancers.Astray(b) })
 		}
 	case "balancer-twin":
-		t.addStep(from, func() { t.balancers.Twin(fault.Balancers[0]-1, fault.To[0]-1, fault.For.D()) })
+		t.addStep(from, func() { t.balancers.Twin(fault.Balancers[0]-1, fault.To[0]-1, fault.For.Duration()) })
 	case "upgrade-kill":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.For.D())) }) })
+			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.For.Duration())) }) })
 		}
 	case "upgrade":
 		for _, b := range balancers {
@@ -210,7 +210,7 @@
 			play = t.balancers.Stray
 		}
 		for n := range fault.Count {
-			t.addStep(from+fault.For.D()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
+			t.addStep(from+fault.For.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
 		}
 	}
 	if strings.HasPrefix(fault.Do, "mate-") {
@@ -228,7 +228,7 @@
 
 // scheduleBalancerLinks schedules a fault of the links between balancers.
 func (t *Timeline) scheduleBalancerLinks(i int, fault *scenario.Fault) {
-	from, to, links := fault.At.D(), (fault.At + fault.For).D(), t.world.Day.Ways(i)
+	from, to, links := fault.At.Duration(), (fault.At + fault.For).Duration(), t.world.Day.Ways(i)
 	change := func(end bool) {
 		for _, link := range links {
 			t.balancers.Ways().Change(link[0], link[1], t.world.Day.Harm(i, end))
@@ -236,7 +236,7 @@
 	}
 	if fault.Do == "mate-flap" {
 		active := false
-		for at := from; at < to; at += fault.Delay.D() {
+		for at := from; at < to; at += fault.Delay.Duration() {
 			active = !active
 			t.addStep(at, func(end bool) func() { return func() { change(end) } }(!active))
 		}
@@ -254,7 +254,7 @@
 		return nil
 	}
 	for _, link := range links {
-		cuts = append(cuts, record.MateCut{From: link[0], To: link[1], Begin: fault.At.D(), End: (fault.At + fault.For).D()})
+		cuts = append(cuts, record.MateCut{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.For).Duration()})
 	}
 	return cuts
 }
@@ -282,8 +282,8 @@
 func (t *Timeline) deploy(fault *scenario.Fault, places []string) {
 	waves := (len(places) + fault.AtOnce - 1) / fault.AtOnce
 	for i, p := range places {
-		at := fault.At.D() + fault.For.D()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
-		stopDelay := t.world.Day.Register.Late[1].D() + fault.Drain.D()
+		at := fault.At.Duration() + fault.For.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
+		stopDelay := t.world.Day.Register.Late[1].Duration() + fault.Drain.Duration()
 		var old, next *standin.Node
 		t.addStep(at, func() {
 			old = t.nodeAt(p)
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -29,15 +29,15 @@
 	requestCounts [][]requestCounter // by balancer and tenant
 }
 
-// requestCounter counts a tenant's requests at one balancer over the last intervals of length share.Turn.
+// requestCounter counts a tenant's requests at one balancer over the last intervals of length share.TickInterval.
 type requestCounter struct {
 	turn   int
-	counts [share.NeedTurns + 1]int // ring buffer by interval, including the unfinished current one
+	counts [share.NeedTicks + 1]int // ring buffer by interval, including the unfinished current one
 }
 
 // advance moves the counter to the current interval and clears the intervals that it enters.
 func (a *requestCounter) advance(now time.Duration) {
-	turn := int(now / share.Turn)
+	turn := int(now / share.TickInterval)
 	for k := a.turn + 1; k <= min(turn, a.turn+len(a.counts)); k++ {
 		a.counts[k%len(a.counts)] = 0
 	}
@@ -51,7 +51,7 @@
 	for _, n := range a.counts {
 		sum += n
 	}
-	return float64(sum) / (share.NeedTurns * share.Turn.Seconds())
+	return float64(sum) / (share.NeedTicks * share.TickInterval.Seconds())
 }
 
 // viewInterval is how often the members' views are recorded. A rehearsal on sockets polls the admin APIs at the same interval.
@@ -64,7 +64,7 @@
 // not nil, it may change the simulation before the balancers start; tests use it.
 func NewDay(day *scenario.Day, rec *record.Record, configure func(*Play)) *Day {
 	m := day.Mates
-	d := &Day{day: day, rec: rec, wrongSeeds: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.D(), Suspect: m.Suspect.D(),
+	d := &Day{day: day, rec: rec, wrongSeeds: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.Duration(), Suspect: m.Suspect.Duration(),
 		Budget: m.Budget, Seed: day.Seed, Ways: m.Way()})}
 	d.nameOverrides = map[int]int{}
 	if m.Limits {
@@ -80,7 +80,7 @@
 	for i := range day.Faults {
 		d.scheduleFault(i)
 	}
-	for at := viewInterval; at <= day.Length.D(); at += viewInterval {
+	for at := viewInterval; at <= day.Length.Duration(); at += viewInterval {
 		d.at(at, d.recordViews)
 	}
 	slices.SortStableFunc(d.actions, func(a, b action) int { return int(a.at - b.at) })
@@ -115,13 +115,13 @@
 		return
 	}
 	for t, bound := range d.Shares.Bound {
-		tell(t, m.Share.Part(d.Now, t).Of(m.Share.Bound(t))/bound)
+		tell(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/bound)
 	}
 }
 
 func (d *Day) at(at time.Duration, do func()) { d.actions = append(d.actions, action{at, do}) }
 
-func formatID(l member.Life) string { return fmt.Sprintf("%016x", uint64(l)) }
+func formatID(l member.ProcessID) string { return fmt.Sprintf("%016x", uint64(l)) }
 
 func (d *Day) start(i int) {
 	if d.Mates[i].Machine != nil {
@@ -131,7 +131,7 @@
 	d.Start(i)
 	d.nextSeedsWrong = false
 	d.memberLife[i] = len(d.rec.Mates)
-	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: formatID(d.Mates[i].Life()), From: d.Now})
+	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: formatID(d.Mates[i].ProcessID()), From: d.Now})
 }
 
 func (d *Day) stop(i int, leave bool) {
@@ -149,7 +149,7 @@
 // newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by Came.
 func (d *Day) newShares() *Shares {
 	n := len(d.day.Tenants)
-	s := &Shares{Lease: d.day.Mates.Lease.D(), Floor: make([]float64, n)}
+	s := &Shares{Lease: d.day.Mates.Lease.Duration(), Floor: make([]float64, n)}
 	for t := range n {
 		s.Names, s.Bound, s.Grain = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Bound, d.day.Allowance(t)), append(s.Grain, 1)
 	}
@@ -167,8 +167,8 @@
 			continue
 		}
 		v := m.View()
-		to := record.View{Balancer: i, At: d.Now, Life: formatID(v.Self.Life), Situation: v.Situation.String(), Digest: formatID(member.Life(v.Digest)),
-			Rival: v.Rival.Life != 0}
+		to := record.View{Balancer: i, At: d.Now, Life: formatID(v.Self.Life), Situation: v.Situation.String(), Digest: formatID(member.ProcessID(v.Digest)),
+			Rival: v.NameConflict.Life != 0}
 		for _, o := range v.Members {
 			to.Mates = append(to.Mates, record.Mate{Name: o.Name, Life: formatID(o.Life), State: o.State.String()})
 		}
@@ -178,8 +178,8 @@
 				break
 			}
 			st := m.Share.State(d.Now, name)
-			d.rec.Parts = append(d.rec.Parts, record.Part{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Part: float64(st.Part) / float64(share.All),
-				Need: st.Need, Bound: m.Share.Bound(name), Exact: true})
+			d.rec.Parts = append(d.rec.Parts, record.Part{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Part: float64(st.Part) / float64(share.WholeLimit),
+				Need: st.Need, Bound: m.Share.Limit(name), Exact: true})
 		}
 		d.rec.Talks = append(d.rec.Talks, record.Talk{Balancer: i, At: d.Now, Bytes: m.Bytes})
 	}
@@ -189,7 +189,7 @@
 // them have no effect here.
 func (d *Day) scheduleFault(i int) {
 	f := &d.day.Faults[i]
-	from, to, targets := f.At.D(), (f.At + f.For).D(), d.day.HitBalancers(i)
+	from, to, targets := f.At.Duration(), (f.At + f.For).Duration(), d.day.HitBalancers(i)
 	switch f.Do {
 	case "balancer-kill":
 		for _, b := range targets {
@@ -202,12 +202,12 @@
 		}
 	case "balancer-restart":
 		for _, b := range targets {
-			d.at(min(from+RestartAfter, d.day.Length.D()), func() { d.stop(b, true); d.start(b) })
+			d.at(min(from+RestartAfter, d.day.Length.Duration()), func() { d.stop(b, true); d.start(b) })
 		}
 	case "balancer-stall":
 		for _, b := range targets {
 			d.at(from, func() {
-				d.Stall(b, f.For.D())
+				d.Stall(b, f.For.Duration())
 				d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to})
 			})
 		}
@@ -228,7 +228,7 @@
 		})
 	case "mate-flap":
 		faulty := false
-		for at := from; at < to; at += f.Delay.D() {
+		for at := from; at < to; at += f.Delay.Duration() {
 			faulty = !faulty
 			end := !faulty
 			d.at(at, func() { d.changeLinks(i, end) })
--- a/internal/rehearsal/gather/measure.go
+++ b/internal/rehearsal/gather/measure.go
@@ -25,7 +25,7 @@
 const Never = time.Hour
 
 // sees reports whether a member's view lists a process as present.
-func (p *Play) sees(member int, l member.Life) bool { return p.Mates[member].Holds(l) }
+func (p *Play) sees(member int, l member.ProcessID) bool { return p.Mates[member].IsPresent(l) }
 
 // Whole starts all members and reports whether all views are complete and equal within the given time.
 func (p *Play) Whole(within time.Duration) bool {
@@ -67,7 +67,7 @@
 		if m == nil {
 			continue
 		}
-		seen, d := m.Seen()
+		seen, d := m.PresentCount()
 		if seen != n || !first && d != digest {
 			return false
 		}
@@ -84,7 +84,7 @@
 	}
 	p.Run(p.Now + 5*time.Second)
 	i := p.rng.IntN(t.Mates)
-	l := p.Mates[i].Life()
+	l := p.Mates[i].ProcessID()
 	p.Kill(i)
 	at := p.Now
 	first = Never
@@ -163,9 +163,9 @@
 	}
 	p.On = func(_ int, e member.Event) {
 		switch {
-		case e.What == "verdict":
+		case e.Kind == "verdict":
 			c.Deaths++
-		case e.What == "state" && e.To == member.Suspected:
+		case e.Kind == "state" && e.To == member.Suspected:
 			c.Suspicions++
 		}
 	}
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -108,13 +108,13 @@
 	}
 	m.Starts++
 	p.starts++
-	t := member.Terms{Expected: p.terms.Mates, Period: p.terms.Period, Suspect: p.terms.Suspect, Budget: p.terms.Budget,
-		Most: 4*p.terms.Mates + 64, Seed: p.rng.Uint64()}
+	t := member.Config{ExpectedMembers: p.terms.Mates, ProbeInterval: p.terms.Period, SuspicionTimeout: p.terms.Suspect, GossipBytesPerSecond: p.terms.Budget,
+		MaxMembers: 4*p.terms.Mates + 64, Seed: p.rng.Uint64()}
 	name := record.MateName(i)
 	if other, ok := p.nameOverrides[i]; ok {
 		name = record.MateName(other)
 	}
-	t.Self = member.Record{Life: member.NewLife(p.Now.Milliseconds()+1, p.starts), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
+	t.Self = member.Record{Life: member.NewProcessID(p.Now.Milliseconds()+1, p.starts), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
 	for s := range min(p.terms.Seeds, p.terms.Mates) {
 		if p.nextSeedsWrong {
 			s += p.terms.Mates
@@ -126,9 +126,9 @@
 	m.Stalled, m.queued, m.timerAt = 0, nil, 0
 	p.flush(i)
 	if s := p.Shares; s != nil {
-		m.Share = share.New(share.Terms{Self: m.Machine.Life(), Among: p.terms.Mates, Names: s.Names, Bound: s.Bound, Grain: s.Grain, Floor: s.Floor, Lease: s.Lease,
-			First: uint64(p.Now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, p.Now)
-		p.push(event{at: p.Now + time.Duration(p.rng.Int64N(int64(share.Turn))), kind: shareTick, to: int32(i), generation: m.generation})
+		m.Share = share.New(share.Config{Self: m.Machine.ProcessID(), Balancers: p.terms.Mates, Names: s.Names, Limits: s.Bound, NeedPerItem: s.Grain, ReservedFraction: s.Floor, Lease: s.Lease,
+			FirstAskNumber: uint64(p.Now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, p.Now)
+		p.push(event{at: p.Now + time.Duration(p.rng.Int64N(int64(share.TickInterval))), kind: shareTick, to: int32(i), generation: m.generation})
 	}
 }
 
@@ -136,15 +136,15 @@
 func (p *Play) tickShare(i int) {
 	m := p.Mates[i]
 	for name := range p.Shares.Names {
-		m.Share.Need(p.Now, name, p.Shares.Need(i, name, p.Now))
+		m.Share.SetNeed(p.Now, name, p.Shares.Need(i, name, p.Now))
 	}
-	lives, _ := m.Machine.Members()
+	lives, _ := m.Machine.AliveMembers()
 	m.Share.Tick(p.Now, lives)
 	p.flushShare(i)
 	if p.Wrong != nil {
 		p.Wrong(i, m.Share)
 	}
-	p.push(event{at: p.Now + share.Turn, kind: shareTick, to: int32(i), generation: m.generation})
+	p.push(event{at: p.Now + share.TickInterval, kind: shareTick, to: int32(i), generation: m.generation})
 }
 
 // shareMessageBytes is an upper bound for the size of a share message about this many limits.
@@ -153,12 +153,12 @@
 // flushShare sends the pending messages of a member's share machine over the simulated links.
 func (p *Play) flushShare(i int) {
 	m := p.Mates[i]
-	for _, s := range m.Share.Out() {
-		at, ok := m.Machine.Letter(s.To)
+	for _, s := range m.Share.TakeOutput() {
+		at, ok := m.Machine.Envelope(s.To)
 		if !ok {
 			continue
 		}
-		to, size := memberIndex(at.To), shareMessageBytes(len(s.Msg.Wants))
+		to, size := memberIndex(at.To), shareMessageBytes(len(s.Msg.Entries))
 		m.Bytes += int64(size)
 		m.Sent++
 		if to >= len(p.Mates) || p.cut != nil && p.cut(i, to) {
@@ -168,7 +168,7 @@
 		if override := p.links[[2]int{i, to}]; override != nil {
 			link = override
 		}
-		delivery := &shareDelivery{m.Machine.Life(), s.To, s.Msg}
+		delivery := &shareDelivery{m.Machine.ProcessID(), s.To, s.Msg}
 		for _, d := range link.Pass(p.Now, size) {
 			if !d.Spoilt {
 				p.push(event{at: d.At, kind: deliverShare, to: int32(to), from: int32(i), share: delivery})
@@ -179,7 +179,7 @@
 
 // shareDelivery is a share message in transit.
 type shareDelivery struct {
-	from, to member.Life
+	from, to member.ProcessID
 	msg      share.Message
 }
 
@@ -253,11 +253,11 @@
 	case deliver:
 		if p.Twist != nil {
 			msg := *e.msg
-			msg.Rumours, msg.Records = slices.Clone(msg.Rumours), slices.Clone(msg.Records)
+			msg.Updates, msg.Records = slices.Clone(msg.Updates), slices.Clone(msg.Records)
 			p.Twist(int(e.to), true, &msg)
 			e.msg = &msg
 		}
-		m.Machine.Hear(p.Now, addr(int(e.from)), e.msg)
+		m.Machine.Receive(p.Now, addr(int(e.from)), e.msg)
 	case tick:
 		if m.timerAt != e.at { // an earlier timer has replaced this one
 			return
@@ -283,7 +283,7 @@
 				p.receiveShare(int(e.to), q.share)
 				continue
 			}
-			m.Machine.Hear(p.Now, addr(int(q.from)), q.msg)
+			m.Machine.Receive(p.Now, addr(int(q.from)), q.msg)
 			p.flush(int(e.to))
 		}
 		m.Machine.Tick(p.Now)
@@ -293,8 +293,8 @@
 
 func (p *Play) receiveShare(i int, delivery *shareDelivery) {
 	m := p.Mates[i]
-	if m.Share != nil && delivery.to == m.Machine.Life() && m.Machine.Holds(delivery.from) {
-		m.Share.Hear(p.Now, delivery.from, &delivery.msg)
+	if m.Share != nil && delivery.to == m.Machine.ProcessID() && m.Machine.IsPresent(delivery.from) {
+		m.Share.Receive(p.Now, delivery.from, &delivery.msg)
 		p.flushShare(i)
 	}
 }
@@ -302,7 +302,7 @@
 // flush sends a member machine's pending datagrams over the simulated links, reports its events and sets its next timer.
 func (p *Play) flush(i int) {
 	m := p.Mates[i]
-	sends, events := m.Machine.Out()
+	sends, events := m.Machine.TakeOutput()
 	for k := range sends {
 		s := &sends[k]
 		if p.Twist != nil {
--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -39,8 +39,8 @@
 		t.Fatal(err)
 	}
 	const faulty = 1
-	memberOf := func(p *Play, l member.Life) int { // index of the member that runs this process, or -1
-		return slices.IndexFunc(p.Mates, func(m *Mate) bool { return m.Machine != nil && m.Life() == l })
+	memberOf := func(p *Play, l member.ProcessID) int { // index of the member that runs this process, or -1
+		return slices.IndexFunc(p.Mates, func(m *Mate) bool { return m.Machine != nil && m.ProcessID() == l })
 	}
 	for name, row := range map[string]struct {
 		twist func(p *Play, index int, in bool, msg *member.Message)
@@ -48,39 +48,39 @@
 	}{
 		"correct": {func(*Play, int, bool, *member.Message) {}, nil},
 		"ignores new members": {func(p *Play, index int, in bool, msg *member.Message) {
-			ignored := func(l member.Life) bool { return p.Now > 4*time.Second && memberOf(p, l) == 3 }
+			ignored := func(l member.ProcessID) bool { return p.Now > 4*time.Second && memberOf(p, l) == 3 }
 			if index != faulty || !in {
 				return
 			}
 			msg.Records = slices.DeleteFunc(msg.Records, func(r member.Record) bool { return ignored(r.Life) })
-			msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return ignored(r.Life) })
+			msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return ignored(r.Life) })
 		}, []judge.Rule{judge.MatesKnown}},
 		"declares a live member dead": {func(p *Play, index int, in bool, msg *member.Message) {
 			if index == faulty && in && p.Now > 15*time.Second && p.Mates[2].Machine != nil {
-				l := p.Mates[2].Life()
-				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.Life == l })
-				msg.Rumours = append(msg.Rumours, member.Rumour{Life: l, Inc: member.MostInc - 1, State: member.Dead})
+				l := p.Mates[2].ProcessID()
+				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.Life == l })
+				msg.Updates = append(msg.Updates, member.StateUpdate{Life: l, Inc: member.MaxIncarnation - 1, State: member.Dead})
 				if msg.From == l {
 					msg.From = 0 // nor does it accept messages from that member
 				}
 			} else if index == faulty && !in {
-				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.State == member.Dead })
+				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.State == member.Dead })
 			}
 		}, []judge.Rule{judge.MatesAlive}},
 		"never removes dead members": {func(p *Play, index int, in bool, msg *member.Message) {
 			if index != faulty || !in {
 				return
 			}
-			msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return r.State != member.Alive })
+			msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.State != member.Alive })
 			if msg.Kind == member.Nack {
 				msg.Kind = member.Ack // counts a failed indirect probe as a success
 			}
 		}, []judge.Rule{judge.MatesDead}},
 		"lists a member that no other lists": {func(p *Play, index int, in bool, msg *member.Message) {
 			if index == faulty && in && p.Now > 10*time.Second {
-				msg.Records = append(msg.Records, member.Record{Life: 1<<40 + member.Life(p.Now/time.Second)<<2, Name: "ghost", Addr: addr(2)})
+				msg.Records = append(msg.Records, member.Record{Life: 1<<40 + member.ProcessID(p.Now/time.Second)<<2, Name: "ghost", Addr: addr(2)})
 			} else if index == faulty {
-				msg.Rumours = slices.DeleteFunc(msg.Rumours, func(r member.Rumour) bool { return memberOf(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
+				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return memberOf(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
 			}
 		}, []judge.Rule{judge.MatesSame}},
 		"sends too much": {func(p *Play, index int, in bool, msg *member.Message) {
@@ -92,7 +92,7 @@
 		rec := record.New()
 		NewDay(day, rec, func(p *Play) {
 			p.Twist = func(index int, in bool, msg *member.Message) { row.twist(p, index, in, msg) }
-		}).To(day.Length.D())
+		}).To(day.Length.Duration())
 		v := judge.Judge(rec, runner.Terms(day))
 		if got := v.BrokenRules(); !slices.Equal(got, row.want) {
 			t.Errorf("%s: broken rules %q, expected %q", name, got, row.want)
--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -25,7 +25,9 @@
 }
 
 // newConn wraps an open network connection.
-func newConn(n net.Conn) *conn { return &conn{net: n, in: bufio.NewReaderSize(n, 2*memcache.MostLine)} }
+func newConn(n net.Conn) *conn {
+	return &conn{net: n, in: bufio.NewReaderSize(n, 2*memcache.MaxLineBytes)}
+}
 
 // reply is one answer of a balancer.
 type reply struct {
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -88,7 +88,7 @@
 	target.stopping = true
 	target.stateChanges++
 	stateChanges := target.stateChanges
-	time.AfterFunc(c.world.Day.Clients.Notice.D(), func() {
+	time.AfterFunc(c.world.Day.Clients.Notice.Duration(), func() {
 		target.mu.Lock()
 		defer target.mu.Unlock()
 		if target.stopping && target.stateChanges == stateChanges {
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -70,13 +70,13 @@
 	{name: "a fifth of the hosts fail, in two groups one after the other", faults: alternatingFaults("fail", 1)},
 	{name: "a fifth of the hosts hang, in two groups one after the other", faults: alternatingFaults("stall", 0)},
 	{name: "all hosts are healthy"},
-	{name: "all hosts are healthy, three in eight balancers report a quarter of them as bad", alter: alteredByThreeInEight(func(i int, r *evidence.Row) {
+	{name: "all hosts are healthy, three in eight balancers report a quarter of them as bad", alter: alteredByThreeInEight(func(i int, r *evidence.HostOutcomes) {
 		if i%4 == 0 {
 			r.Good, r.Bad = 0, 9
 		}
 	})},
-	{name: "all hosts are healthy, three in eight balancers report all of them as bad", alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 0, 9 })},
-	{name: "a fifth of the hosts fail, in two groups one after the other, three in eight balancers report all hosts as good", faults: alternatingFaults("fail", 1), alter: alteredByThreeInEight(func(_ int, r *evidence.Row) { r.Good, r.Bad = 9, 0 })},
+	{name: "all hosts are healthy, three in eight balancers report all of them as bad", alter: alteredByThreeInEight(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 0, 9 })},
+	{name: "a fifth of the hosts fail, in two groups one after the other, three in eight balancers report all hosts as good", faults: alternatingFaults("fail", 1), alter: alteredByThreeInEight(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 9, 0 })},
 }
 
 // alternatingFaults makes a tenth of the hosts faulty for some seconds and later another tenth.
@@ -94,8 +94,8 @@
 }
 
 // alteredByThreeInEight makes three in eight balancers alter the observations that they report.
-func alteredByThreeInEight(change func(i int, r *evidence.Row)) virtual.Liars {
-	return func(b int, rows []evidence.Row) []evidence.Row {
+func alteredByThreeInEight(change func(i int, r *evidence.HostOutcomes)) virtual.Liars {
+	return func(b int, rows []evidence.HostOutcomes) []evidence.HostOutcomes {
 		if b%8 >= 3 {
 			return rows
 		}
@@ -134,7 +134,7 @@
 					p.Vain++
 				}
 				for _, f := range kind.faults {
-					if slices.Contains(f.Nodes, s.Server) && s.Came >= f.At.D() && s.Came < (f.At+f.For).D() {
+					if slices.Contains(f.Nodes, s.Server) && s.Came >= f.At.Duration() && s.Came < (f.At+f.For).Duration() {
 						p.AtBad++
 					}
 				}
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -125,7 +125,7 @@
 	}
 	for _, t := range res.Record.Talks {
 		if t.Balancer == 0 {
-			result.bytesPerS = max(result.bytesPerS, float64(t.Bytes)/sc.Length.D().Seconds())
+			result.bytesPerS = max(result.bytesPerS, float64(t.Bytes)/sc.Length.Duration().Seconds())
 		}
 	}
 	return result, nil
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -121,10 +121,10 @@
 // Of returns the report of a rehearsal.
 func Of(res *runner.Result) *Report {
 	day := res.Day
-	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.D(), Took: res.Took, Simulated: true,
+	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Took, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
 		Tries: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Bands,
-		Seconds: make([]Second, int(day.Length.D()/time.Second)+1)}
+		Seconds: make([]Second, int(day.Length.Duration()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
 		r.Outcome = Broken
@@ -173,7 +173,7 @@
 		a := byFirstID[req.Base]
 		if req.Reply == record.Fulfilled && a.first != nil {
 			took := req.Answered - a.first.Due
-			a.good = a.good || took <= day.Products[req.Product].LatencySLO.D()
+			a.good = a.good || took <= day.Products[req.Product].LatencySLO.Duration()
 			sec := int(a.first.Due / time.Second)
 			latencies[sec] = append(latencies[sec], took)
 		}
--- a/internal/rehearsal/runner/config.go
+++ b/internal/rehearsal/runner/config.go
@@ -41,7 +41,7 @@
 	}
 	coldFrom, warmFor, idle := 1.0, time.Duration(0), time.Hour
 	for _, n := range sc.Nodes {
-		coldFrom, warmFor, idle = min(coldFrom, n.ColdFrom), max(warmFor, n.WarmFor.D()), min(idle, n.Told())
+		coldFrom, warmFor, idle = min(coldFrom, n.ColdFrom), max(warmFor, n.WarmFor.Duration()), min(idle, n.Told())
 	}
 	settings := m{
 		"balancers": sc.Fleet.Balancers, "areas": sc.Fleet.Zones, "locality": zone, "hostTypes": []string{"cache", "origin"},
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -430,18 +430,18 @@
 func Terms(sc *scenario.Day) judge.Terms {
 	var membership judge.Mates
 	if m := sc.Mates; m.On {
-		membership = judge.Mates{Count: sc.Fleet.Balancers, Period: m.Period.D(), Suspect: m.Suspect.D(), Budget: m.Budget, Loss: m.Loss, Lease: m.Lease.D()}
+		membership = judge.Mates{Count: sc.Fleet.Balancers, Period: m.Period.Duration(), Suspect: m.Suspect.Duration(), Budget: m.Budget, Loss: m.Loss, Lease: m.Lease.Duration()}
 	}
 	operatorSettings, err := operator.Parse("operator", []byte(sc.Operator))
 	if err != nil {
 		operatorSettings = &operator.File{} // the balancers report the mistakes in the file
 	}
-	t := judge.Terms{Mates: membership, Openings: operatorSettings.Connections.Openings, Attempts: sc.Fleet.Attempts, DrainGrace: sc.Rules.DrainGrace.D(), Slack: sc.Rules.Slack.D(), Prompt: sc.Rules.Prompt.D(),
-		ColdBlame: sc.Rules.ColdBlame, FallFor: sc.Rules.FallFor.D(), Connect: connectTimeout}
+	t := judge.Terms{Mates: membership, Openings: operatorSettings.Connections.Openings, Attempts: sc.Fleet.Attempts, DrainGrace: sc.Rules.DrainGrace.Duration(), Slack: sc.Rules.Slack.Duration(), Prompt: sc.Rules.Prompt.Duration(),
+		ColdBlame: sc.Rules.ColdBlame, FallFor: sc.Rules.FallFor.Duration(), Connect: connectTimeout}
 	effects := map[string]judge.Effect{scenario.Idempotent: judge.Idempotent, scenario.Deduplicated: judge.Deduplicated,
 		scenario.NonIdempotent: judge.NonIdempotent}
 	for _, p := range sc.Products {
-		t.Products = append(t.Products, judge.Product{Name: p.Name, Effect: effects[p.Effect], Window: p.Window.D(), Write: p.Write})
+		t.Products = append(t.Products, judge.Product{Name: p.Name, Effect: effects[p.Effect], Window: p.Window.Duration(), Write: p.Write})
 	}
 	return t
 }
--- a/internal/rehearsal/runner/wrong_test.go
+++ b/internal/rehearsal/runner/wrong_test.go
@@ -187,7 +187,7 @@
 			continue
 		}
 		if cmd.Noop {
-			fmt.Fprint(c, memcache.Alive)
+			fmt.Fprint(c, memcache.NoopAnswer)
 			continue
 		}
 		var value []byte
@@ -198,7 +198,7 @@
 			}
 			value = value[:cmd.Length]
 		}
-		answer := b.handle(&cmd, value, time.Now().Add(cmd.Left-20*time.Millisecond))
+		answer := b.handle(&cmd, value, time.Now().Add(cmd.Timeout-20*time.Millisecond))
 		// Only answers with a request id are repeated: a client takes one without an id for the answer to its next request,
 		// and this may break further rules.
 		namesRequest := !strings.HasPrefix(answer, "SERVER_ERROR")
@@ -286,7 +286,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(until)
-	c.Write(cmd.AppendOnward(nil, b.remaining(until)))
+	c.Write(cmd.AppendForwarded(nil, b.remaining(until)))
 	in := bufio.NewReader(c)
 	line, err := in.ReadBytes('\n')
 	if err != nil {
--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -51,12 +51,12 @@
 func Parse(file string, text []byte) (*Day, error) {
 	sc := defaults()
 	f := strict.Decode(file, text, &sc)
-	if !f.Sound() {
+	if !f.Valid() {
 		return nil, f.Err(ErrFaulty)
 	}
 	c := &checker{File: f, scenario: &sc}
 	presenceIn := func(list string, i int) keyPresence {
-		return func(key string) bool { return f.Given(fmt.Sprintf("%s[%d].%s", list, i+1, key)) }
+		return func(key string) bool { return f.IsSet(fmt.Sprintf("%s[%d].%s", list, i+1, key)) }
 	}
 	if len(sc.Nodes) == 0 {
 		sc.Nodes = []Node{{Name: "node", Count: 4}}
@@ -103,7 +103,7 @@
 
 // checkRange reports a value outside a range.
 func checkRange[T int | float64 | Span](c *checker, key string, v, lowest, highest T) {
-	strict.Within(c.File, key, v, lowest, highest)
+	strict.CheckRange(c.File, key, v, lowest, highest)
 }
 
 const (
@@ -123,10 +123,10 @@
 	checkRange(c, "fleet.sockets", sc.Fleet.Sockets, 64, 1<<16)
 	checkRange(c, "fleet.shots", sc.Fleet.Attempts, 1, 16)
 	if sc.Fleet.Mode != Aside && sc.Fleet.Mode != Through {
-		c.Bad("fleet.mode", "expected aside or through, got %q", sc.Fleet.Mode)
+		c.AddFault("fleet.mode", "expected aside or through, got %q", sc.Fleet.Mode)
 	}
 	if len(sc.Fleet.Zones) == 0 {
-		c.Bad("fleet.zones", "expected at least one")
+		c.AddFault("fleet.zones", "expected at least one")
 	}
 	zones := checkUnique(c, "fleet.zones", sc.Fleet.Zones)
 	c.checkNodes(zones)
@@ -160,10 +160,10 @@
 	seen := map[string]bool{}
 	for _, n := range names {
 		if n == "" || strings.ContainsAny(n, " ,=\r\n\t") {
-			c.Bad(key, "expected a name without blanks, commas or =, got %q", n)
+			c.AddFault(key, "expected a name without blanks, commas or =, got %q", n)
 		}
 		if seen[n] {
-			c.Bad(key, "%q stands twice", n)
+			c.AddFault(key, "%q stands twice", n)
 		}
 		seen[n] = true
 	}
@@ -176,14 +176,14 @@
 	for i := range sc.Nodes {
 		g, prefix := &sc.Nodes[i], fmt.Sprintf("node[%d].", i+1)
 		if g.Name == "" || strings.ContainsAny(g.Name, " ,=*") || names[g.Name] {
-			c.Bad(prefix+"name", "expected a name of its own without blanks, got %q", g.Name)
+			c.AddFault(prefix+"name", "expected a name of its own without blanks, got %q", g.Name)
 		}
 		names[g.Name] = true
 		if g.Zone == "" && len(sc.Fleet.Zones) > 0 {
 			g.Zone = sc.Fleet.Zones[0]
 		}
 		if !zones[g.Zone] {
-			c.Bad(prefix+"zone", "no zone is called %q", g.Zone)
+			c.AddFault(prefix+"zone", "no zone is called %q", g.Zone)
 		}
 		checkRange(c, prefix+"count", g.Count, 1, maxNodes)
 		checkRange(c, prefix+"cores", g.Cores, 1, 1024)
@@ -204,7 +204,7 @@
 		n += g.Count
 	}
 	if n > maxNodes {
-		c.Bad("node", "expected at most %d nodes, got %d", maxNodes, n)
+		c.AddFault("node", "expected at most %d nodes, got %d", maxNodes, n)
 	}
 }
 
@@ -233,8 +233,8 @@
 	checkRange(c, "load.value_size", sc.Load.ValueSize, 64, 4<<20) // a value has to hold the key, the version and the id
 	checkRange(c, "load.quota", sc.Load.Quota, 0.01, 10)
 	checkRange(c, "load.warm", sc.Load.Warm, 0, 1)
-	if n := sc.Load.PerS * sc.Length.D().Seconds(); n > model.MostArrivals/4 {
-		c.Bad("load.per_s", "%.0f requests in %v exceed the maximum of %d", n, sc.Length, model.MostArrivals/4)
+	if n := sc.Load.PerS * sc.Length.Duration().Seconds(); n > model.MostArrivals/4 {
+		c.AddFault("load.per_s", "%.0f requests in %v exceed the maximum of %d", n, sc.Length, model.MostArrivals/4)
 	}
 	checkRange(c, "client.tries", sc.Clients.Tries, 0, 10)
 	checkRange(c, "client.wait", sc.Clients.Wait, Span(time.Millisecond), maxDuration)
@@ -245,7 +245,7 @@
 	checkRange(c, "client.give_up_at", g[0], 0.05, g[1])
 	checkRange(c, "client.give_up_at", g[1], 0.05, 1)
 	if n := len(sc.Clients.ZoneParts); n != 0 && n != len(sc.Fleet.Zones) {
-		c.Bad("client.zone_parts", "expected a part for each of the %d zones, got %d", len(sc.Fleet.Zones), n)
+		c.AddFault("client.zone_parts", "expected a part for each of the %d zones, got %d", len(sc.Fleet.Zones), n)
 	}
 }
 
@@ -254,7 +254,7 @@
 	for i, p := range c.scenario.Products {
 		prefix := fmt.Sprintf("product[%d].", i+1)
 		if p.Name == "" || strings.ContainsAny(p.Name, " ,=") || names[p.Name] {
-			c.Bad(prefix+"name", "expected a name of its own without blanks, got %q", p.Name)
+			c.AddFault(prefix+"name", "expected a name of its own without blanks, got %q", p.Name)
 		}
 		names[p.Name] = true
 		checkRange(c, prefix+"share", p.Share, 0.0001, 1e6)
@@ -262,24 +262,24 @@
 		checkRange(c, prefix+"variation", p.Variation, 0.01, 10)
 		checkRange(c, prefix+"latency_slo", p.LatencySLO, Span(time.Millisecond), maxDuration)
 		if p.ClientTimeout < p.LatencySLO || p.ClientTimeout > maxDuration {
-			c.Bad(prefix+"client_timeout", "expected the latency SLO (%v) to %v, got %v", p.LatencySLO, maxDuration, p.ClientTimeout)
+			c.AddFault(prefix+"client_timeout", "expected the latency SLO (%v) to %v, got %v", p.LatencySLO, maxDuration, p.ClientTimeout)
 		}
 		checkRange(c, prefix+"billed_value", p.BilledValue, 0.0001, 1e9)
 		if p.Law != model.Exponential && p.Law != model.LogNormal && p.Law != model.Constant {
-			c.Bad(prefix+"law", "expected exponential, lognormal or constant, got %q", p.Law)
+			c.AddFault(prefix+"law", "expected exponential, lognormal or constant, got %q", p.Law)
 		}
 		switch p.Effect {
 		case Idempotent, NonIdempotent:
 			if p.Window != 0 {
-				c.Bad(prefix+"window", "only a deduplicated product has a window")
+				c.AddFault(prefix+"window", "only a deduplicated product has a window")
 			}
 		case Deduplicated:
 			checkRange(c, prefix+"window", p.Window, Span(100*time.Millisecond), maxDuration)
 		default:
-			c.Bad(prefix+"effect", "expected idempotent, deduplicated or non-idempotent, got %q", p.Effect)
+			c.AddFault(prefix+"effect", "expected idempotent, deduplicated or non-idempotent, got %q", p.Effect)
 		}
 		if p.Effect != Idempotent && !p.Write {
-			c.Bad(prefix+"write", "a product that is not idempotent must be a write")
+			c.AddFault(prefix+"write", "a product that is not idempotent must be a write")
 		}
 	}
 }
@@ -289,7 +289,7 @@
 	for i, t := range c.scenario.Tenants {
 		prefix := fmt.Sprintf("tenant[%d].", i+1)
 		if t.Name == "" || strings.ContainsAny(t.Name, " ,=") || names[t.Name] {
-			c.Bad(prefix+"name", "expected a name of its own without blanks, got %q", t.Name)
+			c.AddFault(prefix+"name", "expected a name of its own without blanks, got %q", t.Name)
 		}
 		names[t.Name] = true
 		checkRange(c, prefix+"share", t.Share, 0.0001, 1)
@@ -305,24 +305,24 @@
 	f, prefix := &c.scenario.Faults[i], fmt.Sprintf("fault[%d].", i+1)
 	k, ok := faultKinds[f.Do]
 	if !ok {
-		c.Bad(prefix+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Do)
+		c.AddFault(prefix+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Do)
 		return
 	}
 	for _, key := range []string{"for", "nodes", "part", "by", "delay", "zone", "balancers", "tenant", "keys", "at_once", "drain",
 		"same_address", "count", "to", "one_way"} {
-		isSet := c.Given(prefix + key)
+		isSet := c.IsSet(prefix + key)
 		switch {
 		case slices.Contains(k.required, key) && !isSet:
-			c.Bad(prefix+key, "%s needs it", f.Do)
+			c.AddFault(prefix+key, "%s needs it", f.Do)
 		case isSet && !slices.Contains(k.required, key) && !slices.Contains(k.optional, key):
-			c.Bad(prefix+key, "%s has no such key", f.Do)
+			c.AddFault(prefix+key, "%s has no such key", f.Do)
 		}
 	}
 	checkRange(c, prefix+"at", f.At, 0, c.scenario.Length)
 	if f.For < 0 || f.At+f.For > c.scenario.Length {
-		c.Bad(prefix+"for", "the fault would end at %v, after the end of the rehearsal (%v)", f.At+f.For, c.scenario.Length)
+		c.AddFault(prefix+"for", "the fault would end at %v, after the end of the rehearsal (%v)", f.At+f.For, c.scenario.Length)
 	}
-	if c.Given(prefix + "part") {
+	if c.IsSet(prefix + "part") {
 		checkRange(c, prefix+"part", f.Part, 0.001, 1)
 	}
 	if slices.Contains(k.required, "by") {
@@ -338,10 +338,10 @@
 		checkRange(c, prefix+"delay", f.Delay, Span(time.Millisecond), maxDuration)
 	}
 	if betweenBalancers := strings.HasPrefix(f.Do, "mate-"); (betweenBalancers || f.Do == "balancer-astray" || f.Do == "balancer-twin") && !c.scenario.Mates.On {
-		c.Bad(prefix+"do", "%s needs balancers that communicate with each other (mates.on)", f.Do)
+		c.AddFault(prefix+"do", "%s needs balancers that communicate with each other (mates.on)", f.Do)
 	}
 	if f.Do == "balancer-twin" && (len(f.Balancers) != 1 || len(f.To) != 1 || f.Balancers[0] == f.To[0]) {
-		c.Bad(prefix+"to", "balancer-twin needs exactly one balancer and a different one in to")
+		c.AddFault(prefix+"to", "balancer-twin needs exactly one balancer and a different one in to")
 	}
 	if f.Do == "rude" {
 		checkRange(c, prefix+"count", f.Count, 1, 20000)
@@ -354,24 +354,24 @@
 		checkRange(c, prefix+"drain", f.Drain, Span(100*time.Millisecond), maxDuration)
 	}
 	if f.Zone != "" && !zones[f.Zone] {
-		c.Bad(prefix+"zone", "no zone is called %q", f.Zone)
+		c.AddFault(prefix+"zone", "no zone is called %q", f.Zone)
 	}
 	if f.Tenant != "" && !tenants[f.Tenant] {
-		c.Bad(prefix+"tenant", "no tenant is called %q", f.Tenant)
+		c.AddFault(prefix+"tenant", "no tenant is called %q", f.Tenant)
 	}
 	for _, n := range f.Nodes {
 		if !slices.ContainsFunc(ids, func(id string) bool { return matchesPattern(n, id) }) {
-			c.Bad(prefix+"nodes", "no node is called %q", n)
+			c.AddFault(prefix+"nodes", "no node is called %q", n)
 		}
 	}
 	for _, b := range f.To {
 		if b < 1 || b > c.scenario.Fleet.Balancers {
-			c.Bad(prefix+"to", "expected 1 to %d, got %d", c.scenario.Fleet.Balancers, b)
+			c.AddFault(prefix+"to", "expected 1 to %d, got %d", c.scenario.Fleet.Balancers, b)
 		}
 	}
 	for _, b := range f.Balancers {
 		if b < 1 || b > c.scenario.Fleet.Balancers {
-			c.Bad(prefix+"balancers", "expected 1 to %d, got %d", c.scenario.Fleet.Balancers, b)
+			c.AddFault(prefix+"balancers", "expected 1 to %d, got %d", c.scenario.Fleet.Balancers, b)
 		}
 	}
 }
@@ -484,11 +484,11 @@
 		case "mate-loss":
 			w.Loss = max(normal.Loss, f.Part)
 		case "mate-delay":
-			w.Jitter = normal.Jitter + f.Delay.D()
+			w.Jitter = normal.Jitter + f.Delay.Duration()
 		case "mate-repeat":
 			w.Repeat = f.Part
 		case "mate-reorder":
-			w.Reorder, w.Late = f.Part, f.Delay.D()
+			w.Reorder, w.Late = f.Part, f.Delay.Duration()
 		case "mate-spoil":
 			w.Spoil = f.Part
 		case "mate-narrow":
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -169,7 +169,7 @@
 
 // Way returns the usual properties of the link between any two balancers.
 func (m *Mates) Way() model.WayTerms {
-	return model.WayTerms{Loss: m.Loss, Delay: m.Delay.D(), Jitter: m.Jitter.D()}
+	return model.WayTerms{Loss: m.Loss, Delay: m.Delay.Duration(), Jitter: m.Jitter.Duration()}
 }
 
 // Fault describes one injected fault.
@@ -327,7 +327,7 @@
 	t, since := &sc.Tenants[tenant], Span(-1)
 	list := t.At
 	for i := range sc.Faults {
-		if f := &sc.Faults[i]; f.Do == "tenant-move" && f.Tenant == t.Name && f.At.D() <= at && f.At >= since {
+		if f := &sc.Faults[i]; f.Do == "tenant-move" && f.Tenant == t.Name && f.At.Duration() <= at && f.At >= since {
 			list, since = f.Balancers, f.At
 		}
 	}
@@ -367,23 +367,23 @@
 		miss = 0
 	}
 	return model.NodeTerms{Cores: n.Cores, Speed: n.Speed, Queue: n.Queue, KeepBytes: int64(n.KeepMB * (1 << 20)),
-		ColdFrom: n.ColdFrom, WarmFor: n.WarmFor.D(), FallMultiple: r.FallMultiple, FallFor: r.FallFor.D(),
-		PauseEvery: n.PauseEvery.D(), PauseFor: n.PauseFor.D(), DropsGivenUp: n.DropsGivenUp, MissPart: miss}
+		ColdFrom: n.ColdFrom, WarmFor: n.WarmFor.Duration(), FallMultiple: r.FallMultiple, FallFor: r.FallFor.Duration(),
+		PauseEvery: n.PauseEvery.Duration(), PauseFor: n.PauseFor.Duration(), DropsGivenUp: n.DropsGivenUp, MissPart: miss}
 }
 
 // Told returns the idle timeout of the node that balancers are configured with.
 func (n *Node) Told() time.Duration {
 	if n.IdleTold > 0 {
-		return n.IdleTold.D()
+		return n.IdleTold.Duration()
 	}
-	return n.Idle.D()
+	return n.Idle.Duration()
 }
 
 // Capacity returns how many requests per second the cache nodes can handle at the start.
 func (sc *Day) Capacity() float64 {
 	work, shares, effectiveCores := 0.0, 0.0, 0.0
 	for _, p := range sc.Products {
-		work += p.Share * p.Work.D().Seconds()
+		work += p.Share * p.Work.Duration().Seconds()
 		shares += p.Share
 	}
 	for _, n := range sc.Nodes {
@@ -394,17 +394,17 @@
 
 // GatewayTerms returns the model's parameters of the gateway.
 func (sc *Day) GatewayTerms() model.GatewayTerms {
-	t := model.GatewayTerms{Slots: sc.Gateway.Slots, Time: sc.Gateway.Time.D(), Queue: sc.Gateway.Queue,
-		FallMultiple: sc.Gateway.FallMultiple, FallFor: sc.Gateway.FallFor.D(), StopFor: sc.Gateway.StopFor.D()}
+	t := model.GatewayTerms{Slots: sc.Gateway.Slots, Time: sc.Gateway.Time.Duration(), Queue: sc.Gateway.Queue,
+		FallMultiple: sc.Gateway.FallMultiple, FallFor: sc.Gateway.FallFor.Duration(), StopFor: sc.Gateway.StopFor.Duration()}
 	for _, p := range sc.Products {
-		t.Window = max(t.Window, p.Window.D())
+		t.Window = max(t.Window, p.Window.Duration())
 	}
 	return t
 }
 
 // LoadTerms returns the model's parameters of clients and traffic.
 func (sc *Day) LoadTerms() model.LoadTerms {
-	t := model.LoadTerms{For: sc.Length.D(), PerS: sc.Load.PerS, Swing: sc.Load.Swing, SwingFor: sc.Load.SwingFor.D(),
+	t := model.LoadTerms{For: sc.Length.Duration(), PerS: sc.Load.PerS, Swing: sc.Load.Swing, SwingFor: sc.Load.SwingFor.Duration(),
 		Keys: sc.Load.Keys, Zipf: sc.Load.Zipf, GiveUpAt: sc.Clients.GiveUpAt, Zones: sc.Clients.ZoneParts}
 	if len(t.Zones) == 0 {
 		for range sc.Fleet.Zones {
@@ -412,14 +412,14 @@
 		}
 	}
 	for _, p := range sc.Products {
-		t.Products = append(t.Products, model.Product{Name: p.Name, Share: p.Share, LatencySLO: p.LatencySLO.D(),
-			ClientTimeout: p.ClientTimeout.D(), BilledValue: p.BilledValue, Write: p.Write, Marked: p.Effect == Deduplicated})
+		t.Products = append(t.Products, model.Product{Name: p.Name, Share: p.Share, LatencySLO: p.LatencySLO.Duration(),
+			ClientTimeout: p.ClientTimeout.Duration(), BilledValue: p.BilledValue, Write: p.Write, Marked: p.Effect == Deduplicated})
 	}
 	for _, x := range sc.Tenants {
 		t.Tenants = append(t.Tenants, model.Tenant{Name: x.Name, Share: x.Share * x.Usage})
 	}
 	for _, f := range sc.Faults {
-		from, to := f.At.D(), (f.At + f.For).D()
+		from, to := f.At.Duration(), (f.At + f.For).Duration()
 		switch f.Do {
 		case "surge":
 			t.Surges = append(t.Surges, model.Surge{From: from, To: to, Tenant: f.Tenant, Times: f.By})
@@ -446,7 +446,7 @@
 // Retry returns what clients do after a request that was not fulfilled.
 func (sc *Day) Retry() model.Retry {
 	c := sc.Clients
-	return model.Retry{Tries: c.Tries, Wait: c.Wait.D(), Honour: c.Honour, HonourTo: c.ComeBack.D()}
+	return model.Retry{Tries: c.Tries, Wait: c.Wait.Duration(), Honour: c.Honour, HonourTo: c.ComeBack.Duration()}
 }
 
 // ErrFaulty is wrapped by all errors about a file's content.
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -139,7 +139,7 @@
 
 // drawFault returns a random fault within the length of the scenario.
 func drawFault(rng *rand.Rand, d *scenario.Day) scenario.Fault {
-	length := d.Length.D()
+	length := d.Length.Duration()
 	at := time.Duration(rng.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
 	duration := time.Duration(rng.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
 	f := scenario.Fault{Do: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), For: scenario.Span(min(duration, length-at))}
@@ -232,7 +232,7 @@
 	for _, f := range d.Faults {
 		last = max(last, f.At+f.For)
 	}
-	if shorter := max(last, d.Length*3/4).D().Truncate(time.Millisecond); scenario.Span(shorter) < d.Length && shorter >= time.Second {
+	if shorter := max(last, d.Length*3/4).Duration().Truncate(time.Millisecond); scenario.Span(shorter) < d.Length && shorter >= time.Second {
 		x := *d
 		x.Length = scenario.Span(shorter)
 		list = append(list, &x)
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -99,7 +99,7 @@
 
 // submit passes a job to the model. onDone is called with its result, without the origin's lock held.
 func (g *Gateway) submit(job model.Job, onDone func(result)) {
-	job.Work = model.Work(g.world.Day.Seed, "gateway "+job.ID, model.Exponential, g.world.Day.Gateway.Time.D(), 1)
+	job.Work = model.Work(g.world.Day.Seed, "gateway "+job.ID, model.Exponential, g.world.Day.Gateway.Time.Duration(), 1)
 	job.Tag = onDone
 	g.mu.Lock()
 	now := g.world.Now()
@@ -169,7 +169,7 @@
 // serve handles one attempt of a balancer.
 func (g *Gateway) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
 	observed := record.Attempt{Call: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Gateway, Began: g.world.Now(), Write: r.Method == http.MethodPut}
-	delay := g.world.Day.Fleet.Same.D()
+	delay := g.world.Day.Fleet.Same.Duration()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if readErr != nil {
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -144,7 +144,7 @@
 			return
 		}
 		c.SetReadDeadline(time.Now().Add(backlogTimeout))
-		buf := make([]byte, 4*memcache.MostLine)
+		buf := make([]byte, 4*memcache.MaxLineBytes)
 		n, _ := io.ReadFull(c, buf)
 		c.SetLinger(0)
 		c.Close()
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -59,7 +59,7 @@
 	n.startedAt, n.cold, n.fetching, n.attempts = 0, cold, map[string][]*attempt{}, map[*attempt]struct{}{}
 	if cold {
 		n.startedAt = now
-		n.world.Rec.Add(func() { n.world.Rec.ColdLast[n.ID] = now + n.Group.WarmFor.D() })
+		n.world.Rec.Add(func() { n.world.Rec.ColdLast[n.ID] = now + n.Group.WarmFor.Duration() })
 	}
 	n.mu.Unlock()
 	for _, l := range n.links {
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -37,7 +37,7 @@
 
 // AddRegister adds discovery.
 func (w *World) AddRegister() error {
-	delay := [2]time.Duration{w.Day.Register.Late[0].D(), w.Day.Register.Late[1].D()}
+	delay := [2]time.Duration{w.Day.Register.Late[0].Duration(), w.Day.Register.Late[1].Duration()}
 	r := &Register{world: w, model: model.NewRegister(w.Day.Fleet.Balancers, delay, model.Stream(w.Day.Seed, "register"))}
 	for b := range w.Day.Fleet.Balancers {
 		a := &discoveryAgent{register: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -55,7 +55,7 @@
 	up := n.model != nil
 	if up && n.Group.ConnectWork > 0 {
 		n.advance(now)
-		n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ConnectWork.D()})
+		n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ConnectWork.Duration()})
 	}
 	n.mu.Unlock()
 	defer func() { n.mu.Lock(); n.openConns--; n.mu.Unlock() }()
@@ -71,9 +71,9 @@
 		defer answered.Done()
 		n.writeAnswers(l, conn, queue, closed, &pending)
 	}()
-	in := bufio.NewReaderSize(conn, memcache.MostLine)
+	in := bufio.NewReaderSize(conn, memcache.MaxLineBytes)
 	for {
-		conn.SetReadDeadline(time.Now().Add(n.Group.Idle.D()))
+		conn.SetReadDeadline(time.Now().Add(n.Group.Idle.Duration()))
 		if _, err := in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && pending.Load() > 0 {
 			continue
 		} else if err != nil {
@@ -138,7 +138,7 @@
 	if cmd.Noop {
 		return att, nil
 	}
-	att.id, att.key, att.mark, att.write, att.timeLeft = string(cmd.ID), string(cmd.Key), string(cmd.Mark), cmd.Write, cmd.Left
+	att.id, att.key, att.mark, att.write, att.timeLeft = string(cmd.ID), string(cmd.Key), string(cmd.DedupToken), cmd.Write, cmd.Timeout
 	if cmd.Write {
 		if _, err = in.Discard(cmd.Length + 2); err != nil {
 			return nil, err
@@ -161,8 +161,8 @@
 		return
 	}
 	n.advance(n.world.Now())
-	n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ProbeWork.D()})
-	text := memcache.Alive
+	n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ProbeWork.Duration()})
+	text := memcache.NoopAnswer
 	if att.key == "stats" {
 		l := n.model.Load()
 		text = fmt.Sprintf("STAT inflight %d\r\nSTAT queue %d\r\nSTAT util %.2f\r\nEND\r\n", l.InFlight, l.Queue, l.Util)
@@ -313,5 +313,5 @@
 	func(text []byte) []byte { return bytes.Replace(text, []byte(" O"), []byte(" Ox"), 1) },
 	func([]byte) []byte { return []byte("VA 3000000000 O1\r\n") },
 	func([]byte) []byte { return []byte("VA -5 O1\r\nabc\r\n") },
-	func([]byte) []byte { return bytes.Repeat([]byte("x"), 3*memcache.MostLine) },
+	func([]byte) []byte { return bytes.Repeat([]byte("x"), 3*memcache.MaxLineBytes) },
 }
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -135,7 +135,7 @@
 	w.mu.Lock()
 	p := w.Day.Products[w.requests[id].Product]
 	w.mu.Unlock()
-	return model.Work(w.Day.Seed, id, p.Law, p.Work.D(), p.Variation)
+	return model.Work(w.Day.Seed, id, p.Law, p.Work.Duration(), p.Variation)
 }
 
 // recordMiss remembers that a cache host lacked a request's key.
@@ -192,9 +192,9 @@
 // linkDelay returns the usual one-way delay from a balancer to a zone.
 func (w *World) linkDelay(balancer int, zone string) time.Duration {
 	if w.ZoneOf(balancer) == zone {
-		return w.Day.Fleet.Same.D()
+		return w.Day.Fleet.Same.Duration()
 	}
-	return w.Day.Fleet.Cross.D()
+	return w.Day.Fleet.Cross.Duration()
 }
 
 // Listen opens a listener on an otherwise unused loopback address.
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -21,15 +21,15 @@
 	zone             int
 	decider          *policy.Balancer // nil while the process is down
 	startCount       uint64
-	requests         map[policy.CallID]*request
+	requests         map[policy.RequestID]*request
 	generation       int64 // generation of its host list
 	listedUp         map[string]bool
 	lifeRecord       record.Life
 	getsTraffic      bool // the load balancing in front of the fleet considers it alive
 	noticeSeq        int
-	pausedUntil      time.Duration     // the process is stalled until then
-	observations     *evidence.Machine // nil before the first exchange
-	peerObservations []evidence.Word   // what was last reported to the decider
+	pausedUntil      time.Duration          // the process is stalled until then
+	observations     *evidence.Machine      // nil before the first exchange
+	peerObservations []evidence.HostSummary // what was last reported to the decider
 }
 
 // whenRunning calls do in the current process, at once or, if the process is stalled, at the end of the stall. If the process
@@ -95,7 +95,7 @@
 	}
 	b.startCount++
 	b.pausedUntil = 0
-	b.requests, b.listedUp, b.generation, b.observations, b.peerObservations = map[policy.CallID]*request{}, map[string]bool{}, 0, nil, nil
+	b.requests, b.listedUp, b.generation, b.observations, b.peerObservations = map[policy.RequestID]*request{}, map[string]bool{}, 0, nil, nil
 	b.lifeRecord = record.Life{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
 	seed := model.Stream(b.d.Seed, fmt.Sprint("balancer ", b.index, b.startCount)).Uint64()
 	b.decider = policy.New(policyHost{b, b.startCount}, b.d.policyTerms(b.zone), seed)
@@ -126,8 +126,8 @@
 	b.requests = nil
 }
 
-func sorted(calls map[policy.CallID]*request) []policy.CallID {
-	ids := make([]policy.CallID, 0, len(calls))
+func sorted(calls map[policy.RequestID]*request) []policy.RequestID {
+	ids := make([]policy.RequestID, 0, len(calls))
 	for id := range calls {
 		ids = append(ids, id)
 	}
@@ -164,7 +164,7 @@
 		return
 	}
 	b.generation = generation
-	var list []policy.Entry
+	var list []policy.HostEntry
 	named := map[string]bool{}
 	for _, e := range entries {
 		named[e.Node] = true
@@ -180,7 +180,7 @@
 			}
 		}
 	}
-	b.decider.Listed(kind, list)
+	b.decider.ApplyList(kind, list)
 }
 
 // recordNotice records that the balancer has been notified that a host is up or not.
@@ -195,22 +195,22 @@
 
 // receive passes a client's request to the decider. A request without time left is rate-limited at once.
 func (b *balancer) receive(req *request) {
-	b.requests[policy.CallID(req.id)] = req
+	b.requests[policy.RequestID(req.id)] = req
 	req.balancer = b
 	left := req.record.Timeout - b.d.now - replyReserve
 	if left <= 0 {
 		req.answer(record.RateLimited, 0)
-		delete(b.requests, policy.CallID(req.id))
+		delete(b.requests, policy.RequestID(req.id))
 		return
 	}
 	if b.d.members != nil {
 		b.d.members.To(b.d.now)
 		b.d.members.Came(b.index, req.record.Tenant)
 		b.d.members.Parts(b.index, func(tenant int, share float64) {
-			b.decider.Part(policy.Customer(tenant), max(share, math.SmallestNonzeroFloat64))
+			b.decider.SetQuotaShare(policy.Customer(tenant), max(share, math.SmallestNonzeroFloat64))
 		})
 	}
-	b.decider.Arrived(policy.Call{ID: policy.CallID(req.id), Customer: policy.Customer(req.record.Tenant), Product: policy.Product(req.record.Product),
+	b.decider.RequestArrived(policy.Request{ID: policy.RequestID(req.id), Customer: policy.Customer(req.record.Tenant), Product: policy.Product(req.record.Product),
 		Key: policy.Key(req.key), Write: req.write, Deadline: epoch + policy.Nanos(req.record.Timeout-replyReserve)})
 	b.forgetIfDone(req)
 }
@@ -218,7 +218,7 @@
 // forgetIfDone removes a request that has its final answer and no attempts in flight.
 func (b *balancer) forgetIfDone(req *request) {
 	if req.answered && req.inFlight == 0 && b.requests != nil {
-		delete(b.requests, policy.CallID(req.id))
+		delete(b.requests, policy.RequestID(req.id))
 	}
 }
 
@@ -228,7 +228,7 @@
 		return
 	}
 	req.answered = true
-	b.decider.Abandoned(policy.CallID(req.id))
+	b.decider.RequestAbandoned(policy.RequestID(req.id))
 	b.forgetIfDone(req)
 }
 
@@ -236,11 +236,11 @@
 func (r *request) answer(reply record.Reply, retryAfter time.Duration) {
 	if !r.answered {
 		r.answered = true
-		r.balancer.d.after(r.balancer.d.Fleet.Same.D(), func() { r.onAnswer(reply, retryAfter) })
+		r.balancer.d.after(r.balancer.d.Fleet.Same.Duration(), func() { r.onAnswer(reply, retryAfter) })
 	}
 }
 
-// policyHost implements policy.Host for one process of a balancer. The timers and cancellations of a process that has ended
+// policyHost implements policy.Environment for one process of a balancer. The timers and cancellations of a process that has ended
 // have no effect.
 type policyHost struct {
 	b          *balancer
@@ -259,21 +259,21 @@
 	})
 }
 
-func (h policyHost) RateLimit(id policy.CallID, retryAfter policy.Nanos) {
+func (h policyHost) RateLimit(id policy.RequestID, retryAfter policy.Nanos) {
 	h.answer(id, record.RateLimited, time.Duration(retryAfter))
 }
 
-func (h policyHost) Error(id policy.CallID) { h.answer(id, record.Errored, 0) }
+func (h policyHost) Error(id policy.RequestID) { h.answer(id, record.Errored, 0) }
 
 // answer gives a request its final answer on behalf of the decider.
-func (h policyHost) answer(id policy.CallID, reply record.Reply, retryAfter time.Duration) {
+func (h policyHost) answer(id policy.RequestID, reply record.Reply, retryAfter time.Duration) {
 	if req := h.b.requests[id]; req != nil {
 		req.answer(reply, retryAfter)
 		h.b.d.after(0, func() { h.b.forgetIfDone(req) })
 	}
 }
 
-func (h policyHost) Cancel(id policy.CallID, attempt int) {
+func (h policyHost) Cancel(id policy.RequestID, attempt int) {
 	req := h.b.requests[id]
 	if req == nil || attempt >= len(req.attempts) {
 		return
@@ -287,7 +287,7 @@
 	})
 }
 
-func (h policyHost) Send(id policy.CallID, to policy.CacheID, deadline, _ policy.Nanos) {
+func (h policyHost) Send(id policy.RequestID, to policy.HostID, deadline, _ policy.Nanos) {
 	b, d := h.b, h.b.d
 	req := b.requests[id]
 	if req == nil {
@@ -338,9 +338,9 @@
 func (a *attempt) baseDelay() time.Duration {
 	d := a.balancer.d
 	if a.host == nil || a.host.group.Zone == d.Fleet.Zones[a.balancer.zone] {
-		return d.Fleet.Same.D()
+		return d.Fleet.Same.Duration()
 	}
-	return d.Fleet.Cross.D()
+	return d.Fleet.Cross.Duration()
 }
 
 // serverName returns the name of an attempt's server, as it stands in records.
@@ -364,7 +364,7 @@
 		return // lost in transit: for the balancer the attempt remains in flight
 	}
 	if a.endedAt == 0 {
-		a.endedAt, a.answerComplete = d.now+a.oneWayDelay(), outcome != policy.Reset && outcome != policy.Spoilt
+		a.endedAt, a.answerComplete = d.now+a.oneWayDelay(), outcome != policy.Reset && outcome != policy.MalformedAnswer
 		a.proof = proofs[outcome]
 	}
 	if d.Fleet.Mode != scenario.Through {
@@ -374,7 +374,7 @@
 }
 
 // proofs maps outcomes to what the server's answer proves about the execution of the request.
-var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.WasServed, policy.Missed: record.Missed, policy.TurnedAway: record.NeverRan}
+var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.WasServed, policy.CacheMiss: record.Missed, policy.Rejected: record.NeverRan}
 
 // cancel closes the connection of an attempt; the server notices after the network delay.
 func (a *attempt) cancel() {
@@ -428,11 +428,11 @@
 	}
 	if b.observations != nil && a.host != nil {
 		slo := policy.Nanos(b.d.Products[req.record.Product].LatencySLO)
-		if good, conclusive := evidence.Proves(outcome, policy.Nanos(b.d.now-a.sentAt), slo); conclusive {
-			b.observations.Ended(b.d.now, a.host.id, good)
+		if good, conclusive := evidence.Classify(outcome, policy.Nanos(b.d.now-a.sentAt), slo); conclusive {
+			b.observations.RecordAttempt(b.d.now, a.host.id, good)
 		}
 	}
-	b.decider.Ended(policy.Ending{Call: policy.CallID(req.id), Attempt: a.index, Final: req.answered, Outcome: outcome, Took: policy.Nanos(b.d.now - a.sentAt),
-		Cache: policy.CacheID(a.serverName())})
+	b.decider.AttemptEnded(policy.AttemptResult{RequestID: policy.RequestID(req.id), Attempt: a.index, Final: req.answered, Outcome: outcome, Duration: policy.Nanos(b.d.now - a.sentAt),
+		HostID: policy.HostID(a.serverName())})
 	b.forgetIfDone(req)
 }
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -70,7 +70,7 @@
 	}
 	d := &Day{Day: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.Retry(),
 		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: w}
-	late := [2]time.Duration{s.Register.Late[0].D(), s.Register.Late[1].D()}
+	late := [2]time.Duration{s.Register.Late[0].Duration(), s.Register.Late[1].Duration()}
 	d.discovery = model.NewRegister(s.Fleet.Balancers, late, model.Stream(s.Seed, "register"))
 	d.origin = &origin{d: d, model: model.NewGateway(s.GatewayTerms(), 0), scheduledAt: never, rng: model.Stream(s.Seed, "faults gateway")}
 	for b := range s.Fleet.Balancers {
@@ -104,9 +104,9 @@
 	d.scheduleArrivals(arrivals, 0)
 	longest := time.Duration(0)
 	for _, p := range s.Products {
-		longest = max(longest, p.ClientTimeout.D())
+		longest = max(longest, p.ClientTimeout.Duration())
 	}
-	d.run(s.Length.D() + longest*time.Duration(1+s.Clients.Tries) + s.Clients.ComeBack.D())
+	d.run(s.Length.Duration() + longest*time.Duration(1+s.Clients.Tries) + s.Clients.ComeBack.Duration())
 	return d.result(began), nil
 }
 
@@ -152,7 +152,7 @@
 	}
 	d.tracef("call %s %s to %d until %v", rec.ID, arrival.Key, b.index, rec.Timeout)
 	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.Mark, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
-	d.after(d.Fleet.Same.D(), func() {
+	d.after(d.Fleet.Same.Duration(), func() {
 		if b.decider == nil {
 			rec.NotTaken = true
 			finish(record.None, 0)
@@ -203,12 +203,12 @@
 // drawWork returns the service time that a request needs at a cache host, drawn by the product's distribution.
 func (d *Day) drawWork(req *request) time.Duration {
 	p := &d.Products[req.record.Product]
-	return model.Work(d.Seed, req.id, p.Law, p.Work.D(), p.Variation)
+	return model.Work(d.Seed, req.id, p.Law, p.Work.Duration(), p.Variation)
 }
 
 // policyEntry converts an entry of the discovery model to the form of package policy.
-func (d *Day) policyEntry(e model.Entry) policy.Entry {
-	p := policy.Entry{Cache: policy.CacheID(e.Node), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
+func (d *Day) policyEntry(e model.Entry) policy.HostEntry {
+	p := policy.HostEntry{HostID: policy.HostID(e.Node), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
 	if e.Kind == "origin" {
 		p.Kind = 1
 	}
@@ -222,7 +222,7 @@
 		p.Condition = policy.Up
 	}
 	if e.Born > 0 && !d.deliberateFaults.hideColdStarts {
-		p.Born = epoch + policy.Nanos(e.Born)
+		p.ListedStart = epoch + policy.Nanos(e.Born)
 	}
 	return p
 }
@@ -242,22 +242,22 @@
 	scenario.NonIdempotent: policy.NonIdempotent}
 
 // policyTerms returns the configuration of the decider of a balancer in a zone, the same as on sockets.
-func (d *Day) policyTerms(zone int) policy.Terms {
-	t := policy.Terms{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), Aside: d.Fleet.Mode == scenario.Aside, OriginKind: -1, MayCancel: true,
-		MostAttempts: d.Fleet.Attempts, MaxComeBack: policy.Nanos(d.Clients.ComeBack), ColdFrom: 1, FallMultiple: d.Rules.FallMultiple,
-		FallWindow: policy.Nanos(d.Rules.FallFor), AskEvery: 10 * policy.Second, Tick: 5 * policy.Millisecond}
-	if t.Aside {
+func (d *Day) policyTerms(zone int) policy.Config {
+	t := policy.Config{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), CacheAside: d.Fleet.Mode == scenario.Aside, OriginKind: -1, MayCancel: true,
+		MaxAttempts: d.Fleet.Attempts, MaxRetryAfter: policy.Nanos(d.Clients.ComeBack), ColdCapacityFraction: 1, OverloadMultiple: d.Rules.FallMultiple,
+		OverloadWindow: policy.Nanos(d.Rules.FallFor), SubscribeInterval: 10 * policy.Second, TimerGranularity: 5 * policy.Millisecond}
+	if t.CacheAside {
 		t.OriginKind = 1
 	}
 	for _, n := range d.Nodes {
-		t.ColdFrom, t.RampTime = min(t.ColdFrom, n.ColdFrom), max(t.RampTime, policy.Nanos(n.WarmFor))
+		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, n.ColdFrom), max(t.WarmUpTime, policy.Nanos(n.WarmFor))
 	}
 	for _, p := range d.Products {
-		t.Products = append(t.Products, policy.ProductTerms{LatencySLO: policy.Nanos(p.LatencySLO), BilledValue: p.BilledValue,
-			Effect: effects[p.Effect], Window: policy.Nanos(p.Window)})
+		t.Products = append(t.Products, policy.ProductConfig{LatencySLO: policy.Nanos(p.LatencySLO), BilledValue: p.BilledValue,
+			Effect: effects[p.Effect], DedupWindow: policy.Nanos(p.Window)})
 	}
 	for _, x := range d.Tenants {
-		t.Customers = append(t.Customers, policy.CustomerTerms{AllowancePerS: x.Share * d.Load.Quota * d.Capacity()})
+		t.Customers = append(t.Customers, policy.CustomerConfig{QuotaPerSecond: x.Share * d.Load.Quota * d.Capacity()})
 	}
 	return t
 }
@@ -283,7 +283,7 @@
 	}
 	res := &runner.Result{Day: d.Day, Record: d.rec, Latency: load.PercentilesOf(d.latency), Took: time.Since(began)}
 	if d.members != nil {
-		d.members.To(d.Length.D())
+		d.members.To(d.Length.Duration())
 	}
 	res.Verdict = judge.Judge(d.rec, runner.Terms(d.Day))
 	return res
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -14,7 +14,7 @@
 
 // Liars returns the observations that a balancer sends to the others instead of its own ones, which are passed as rows. If
 // the function is nil, balancers send their own observations.
-type Liars func(balancer int, rows []evidence.Row) []evidence.Row
+type Liars func(balancer int, rows []evidence.HostOutcomes) []evidence.HostOutcomes
 
 // PlayLying simulates a scenario in which some balancers send false observations of hosts to the others.
 func PlayLying(s *scenario.Day, alterReports Liars) (*runner.Result, error) {
@@ -36,13 +36,13 @@
 	e := &observationExchange{d: d, rng: model.Stream(d.Seed, "evidence"), alterReports: alterReports}
 	d.observations = e
 	for i := range d.balancers {
-		d.at(time.Duration(e.rng.Int64N(int64(evidence.Turn))), func() { e.tick(i) })
+		d.at(time.Duration(e.rng.Int64N(int64(evidence.TickInterval))), func() { e.tick(i) })
 	}
 }
 
 // processID identifies a balancer's current process in these messages.
-func (e *observationExchange) processID(i int) member.Life {
-	return member.Life(uint64(e.d.balancers[i].startCount)<<32 | uint64(i+1))
+func (e *observationExchange) processID(i int) member.ProcessID {
+	return member.ProcessID(uint64(e.d.balancers[i].startCount)<<32 | uint64(i+1))
 }
 
 func (e *observationExchange) zone(i int) string { return e.d.Fleet.Zones[e.d.balancers[i].zone] }
@@ -50,14 +50,14 @@
 // tick sends a balancer's observations, hands those received to its decider and schedules the next tick.
 func (e *observationExchange) tick(i int) {
 	d, b := e.d, e.d.balancers[i]
-	if d.now < d.Length.D() {
-		d.after(evidence.Turn, func() { e.tick(i) })
+	if d.now < d.Length.Duration() {
+		d.after(evidence.TickInterval, func() { e.tick(i) })
 	}
 	if b.decider == nil || b.pausedUntil > d.now {
 		return
 	}
 	if b.observations == nil {
-		b.observations = evidence.New(evidence.Terms{Self: e.processID(i), Zone: e.zone(i)})
+		b.observations = evidence.New(evidence.Config{Self: e.processID(i), Zone: e.zone(i)})
 	}
 	var peers []evidence.Peer
 	for k, o := range d.balancers {
@@ -65,25 +65,25 @@
 			peers = append(peers, evidence.Peer{Life: e.processID(k), Zone: e.zone(k)})
 		}
 	}
-	listed, _ := b.decider.Fleet()
+	listed, _ := b.decider.HostCounts()
 	b.observations.Tick(d.now, peers, listed)
-	for _, s := range b.observations.Out() {
+	for _, s := range b.observations.TakeOutput() {
 		e.Sent++
 		to, msg, from := int(uint32(s.To))-1, s.Msg, e.processID(i)
 		if e.alterReports != nil {
-			msg.Rows = e.alterReports(i, msg.Rows)
+			msg.Hosts = e.alterReports(i, msg.Hosts)
 		}
 		if e.rng.Float64() < d.Mates.Loss || d.isCut(i, to) {
 			continue
 		}
-		d.after(d.Mates.Delay.D()+time.Duration(e.rng.Int64N(int64(d.Mates.Jitter)+1)), func() {
+		d.after(d.Mates.Delay.Duration()+time.Duration(e.rng.Int64N(int64(d.Mates.Jitter)+1)), func() {
 			if o := d.balancers[to]; o.observations != nil && o.decider != nil {
-				o.whenRunning(func() { o.observations.Hear(d.now, from, &msg) }, nil)
+				o.whenRunning(func() { o.observations.Receive(d.now, from, &msg) }, nil)
 			}
 		})
 	}
-	peerObservations := b.observations.Words()
-	evidence.Tell(b.peerObservations, peerObservations, func(host string, good, bad float64) { b.decider.Said(policy.CacheID(host), good, bad) })
+	peerObservations := b.observations.Summaries()
+	evidence.NotifyChanges(b.peerObservations, peerObservations, func(host string, good, bad float64) { b.decider.SetObservations(policy.HostID(host), good, bad) })
 	b.peerObservations = peerObservations
 }
 
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -32,7 +32,7 @@
 // scheduleFault schedules the begin and end of a fault of the scenario.
 func (d *Day) scheduleFault(i int) {
 	f := &d.Faults[i]
-	from, to := f.At.D(), (f.At + f.For).D()
+	from, to := f.At.Duration(), (f.At + f.For).Duration()
 	duringFault := func(begin, end func(h *cacheHost)) {
 		for _, p := range d.Hit(i) {
 			d.at(from, func() { begin(d.currentHost[p]) })
@@ -60,7 +60,7 @@
 		duringFault(func(h *cacheHost) { h.stop(true); d.setCondition(h, model.Left) }, restart)
 	case "link-delay":
 		for _, b := range d.HitBalancers(i) {
-			duringFault(func(h *cacheHost) { h.links[b].extraDelay = f.Delay.D() }, func(h *cacheHost) { h.links[b].extraDelay = 0 })
+			duringFault(func(h *cacheHost) { h.links[b].extraDelay = f.Delay.Duration() }, func(h *cacheHost) { h.links[b].extraDelay = 0 })
 		}
 	case "link-cut":
 		for _, b := range d.HitBalancers(i) {
@@ -74,10 +74,10 @@
 			d.at(to, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "watch-silent": // the balancer notices and reopens the watch after the same time as on sockets
-		pace := discovery.PaceOf(d.Rules.DrainGrace.D()*9/10, true)
+		pace := discovery.NewTimeouts(d.Rules.DrainGrace.Duration()*9/10, true)
 		for _, b := range d.HitBalancers(i) {
 			d.at(from, func() { d.discovery.Silence(b, true) })
-			d.at(from+pace.Wait+pace.Answer, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
+			d.at(from+pace.LongPoll+pace.ResponseGrace, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "register-rewind":
 		for _, b := range d.HitBalancers(i) {
@@ -97,7 +97,7 @@
 		d.at(to, func() { d.origin.failProbability = 0 })
 	case "balancer-kill":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.balancers[b].endTrafficAfter(d.Clients.Notice.D()); d.balancers[b].stop() })
+			d.at(from, func() { d.balancers[b].endTrafficAfter(d.Clients.Notice.Duration()); d.balancers[b].stop() })
 			d.at(to, d.balancers[b].start)
 		}
 	case "balancer-stall":
@@ -131,7 +131,7 @@
 func (d *Day) scheduleDeploy(f *scenario.Fault, names []string) {
 	waves := (len(names) + f.AtOnce - 1) / f.AtOnce
 	for i, p := range names {
-		at := f.At.D() + f.For.D()*time.Duration(i/f.AtOnce)/time.Duration(waves)
+		at := f.At.Duration() + f.For.Duration()*time.Duration(i/f.AtOnce)/time.Duration(waves)
 		var old, replacement *cacheHost
 		startReplacement := func() {
 			replacement = d.addHost(fmt.Sprintf("%s.%d", p, strings.Count(old.id, ".")+2), old.group, true)
@@ -144,7 +144,7 @@
 				startReplacement()
 			}
 		})
-		d.at(at+d.Register.Late[1].D()+f.Drain.D(), func() {
+		d.at(at+d.Register.Late[1].Duration()+f.Drain.Duration(), func() {
 			old.stop(false)
 			d.setCondition(old, model.Left)
 			if f.Same {
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -49,7 +49,7 @@
 	h.unreachable, h.cold, h.scheduledAt, h.startedAt = false, cold, never, 0
 	if cold {
 		h.startedAt = h.d.now
-		h.d.rec.ColdLast[h.id] = h.d.now + h.group.WarmFor.D()
+		h.d.rec.ColdLast[h.id] = h.d.now + h.group.WarmFor.Duration()
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	a.cold = h.model.Cold(h.d.now)
 	if !h.model.Offer(h.d.now, model.Job{ID: a.request.id, Key: a.request.key, Mark: a.request.mark, Write: a.request.write, Work: a.work, Tag: a}) {
-		a.answer(policy.TurnedAway, 0)
+		a.answer(policy.Rejected, 0)
 	} else {
 		h.inFlight = append(h.inFlight, a)
 	}
@@ -125,7 +125,7 @@
 		case h.resetProbability > 0 && h.rng.Float64() < h.resetProbability:
 			a.answer(policy.Reset, 0)
 		case h.spoilProbability > 0 && h.rng.Float64() < h.spoilProbability:
-			a.answer(policy.Spoilt, 0)
+			a.answer(policy.MalformedAnswer, 0)
 		case h.d.Fleet.Mode == scenario.Through && (done.Write || !done.Hit):
 			h.fetchFromOrigin(a, done)
 		case done.Write:
@@ -134,7 +134,7 @@
 			a.answer(policy.Fulfilled, 1)
 		default:
 			a.request.missedHosts = append(a.request.missedHosts, h)
-			a.answer(policy.Missed, 2)
+			a.answer(policy.CacheMiss, 2)
 		}
 	}
 	if at, multiple, fell := h.model.Fallen(); fell && h.cold {
@@ -161,7 +161,7 @@
 	h.d.origin.submit(a.request, done.Write, func(r fetchResult) {
 		switch {
 		case r.rejected:
-			a.answer(policy.TurnedAway, 2)
+			a.answer(policy.Rejected, 2)
 		case r.lost:
 			a.answer(policy.Errored, 2)
 		default:
@@ -213,7 +213,7 @@
 // submit gives the origin a job; done is called with its result.
 func (o *origin) submit(req *request, write bool, done func(fetchResult)) {
 	o.advance()
-	work := model.Work(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Gateway.Time.D(), 1)
+	work := model.Work(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Gateway.Time.Duration(), 1)
 	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, Mark: req.mark, Write: write, Work: work, Tag: done}) {
 		o.d.after(0, func() { done(fetchResult{rejected: true}) })
 	}
@@ -232,7 +232,7 @@
 		a.executed = !r.lost && !r.rejected
 		switch {
 		case r.rejected:
-			a.answer(policy.TurnedAway, 0)
+			a.answer(policy.Rejected, 0)
 		case r.lost || reset:
 			a.answer(policy.Reset, 0)
 		default:
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -58,7 +58,7 @@
 		}}, []judge.Rule{judge.NoRepeat, judge.OneEffect}},
 		"resets reported as turned away": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
 			if o == policy.Reset {
-				return policy.TurnedAway
+				return policy.Rejected
 			}
 			return o
 		}}, []judge.Rule{judge.Promise}},
--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -39,7 +39,7 @@
 		} {
 			a := &Attempt{Deadline: deadline.After(time.Now(), c.left), Value: make([]byte, c.value)}
 			if c.upload {
-				a.Upload = &Upload{Wait: time.Second}
+				a.Upload = &Upload{ClientTimeout: time.Second}
 			}
 			if got := a.announcedTime(); got < c.least || got > c.most {
 				t.Errorf("%+v: announced %v", c, got)
@@ -58,7 +58,7 @@
 	buffer := make([]byte, 100)
 	host.Read(buffer)
 	fmt.Fprint(host, "EN O1\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 	waitIdle(t, hs, 1)
 	late, ended := newAttempt(t, "mg k v O2 Pc=read,d=900", "", time.Minute)
 	late.Deadline = deadline.After(time.Now(), time.Millisecond)
@@ -71,7 +71,7 @@
 		t.Errorf("the host got %q", buffer[:n])
 	}
 	fmt.Fprint(host, "EN O3\r\n")
-	expectOutcome(t, ended, policy.Missed)
+	expectOutcome(t, ended, policy.CacheMiss)
 }
 
 // setSmallBuffers makes the system's socket buffers as small as possible.
@@ -98,7 +98,7 @@
 	}()
 	entry.Addr = listener.Addr().String()
 	hs.Dial = dialer.DialContext
-	hs.Listed(discovery.List{Hosts: []discovery.Host{entry}})
+	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry}})
 	return hs, conns
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -43,7 +43,7 @@
 	hs.mu.Lock()
 	switch {
 	case err != nil && !c.closing && isLocal(err):
-		hs.pool.FailedHere(hs.now(), c.id)
+		hs.pool.FailedLocally(hs.now(), c.id)
 	case err != nil && !c.closing:
 		hs.pool.Failed(hs.now(), c.id)
 	case err == nil:
@@ -76,7 +76,7 @@
 		r, written, keep := c.exchange(a)
 		a.finish(r, written) // before the connection is reused: a later GiveUp cannot end another attempt
 		hs.mu.Lock()
-		if first && (r.Outcome == policy.TurnedAway || r.Outcome == policy.Reset) {
+		if first && (r.Outcome == policy.Rejected || r.Outcome == policy.Reset) {
 			hs.pool.Rejected(hs.now(), c.id)
 		}
 		c.unfinished = !keep
@@ -93,8 +93,8 @@
 // whether the connection can be reused.
 func (c *conn) exchange(a *Attempt) (r Result, written, keep bool) {
 	// The attempt may have waited for the connection. It is not written if its time is over or the grace of its host has expired.
-	if !a.setStop(c.reset) || c.hosts.graceExpired(c.host) || a.BeginBy.Passed() || a.Deadline.Passed() ||
-		a.Gone != nil && a.Gone() {
+	if !a.setStop(c.reset) || c.hosts.graceExpired(c.host) || a.LatestStart.Passed() || a.Deadline.Passed() ||
+		a.ClientGone != nil && a.ClientGone() {
 		return Result{Outcome: policy.NeverSent}, false, true
 	}
 	c.net.SetReadDeadline(a.Deadline.Time())
@@ -121,9 +121,9 @@
 	case isConnectionError(err):
 		r = Result{Outcome: policy.Reset}
 	case err != nil:
-		r = Result{Outcome: policy.Spoilt}
+		r = Result{Outcome: policy.MalformedAnswer}
 	}
-	r.Peer += clientTime
+	r.ClientTransferTime += clientTime
 	return r, true, keep && err == nil
 }
 
@@ -159,7 +159,7 @@
 // if the attempt may run.
 func (c *conn) write(a *Attempt, announced time.Duration) policy.Outcome {
 	if len(a.Value) > maxUnblockedWrite { // a write that is incomplete by then is abandoned
-		c.net.SetWriteDeadline(a.BeginBy.First(deadline.After(time.Now(), a.transferTime())).Time())
+		c.net.SetWriteDeadline(a.LatestStart.First(deadline.After(time.Now(), a.transferTime())).Time())
 		defer c.net.SetWriteDeadline(time.Time{})
 	}
 	c.writeBuffer = c.writeBuffer[:0]
@@ -173,9 +173,9 @@
 		}
 		path := httpwire.AppendPath(nil, cmd.Key)
 		c.writeBuffer = httpwire.AppendRequest(c.writeBuffer, method, string(path), c.addr, length,
-			httpwire.ID, string(cmd.ID), httpwire.Attrs, string(cmd.AppendAttrs(nil, announced)))
+			httpwire.HeaderRequestID, string(cmd.ID), httpwire.HeaderAttrs, string(cmd.AppendAttrs(nil, announced)))
 	} else {
-		c.writeBuffer = cmd.AppendOnward(c.writeBuffer, announced)
+		c.writeBuffer = cmd.AppendForwarded(c.writeBuffer, announced)
 		if cmd.Write {
 			parts = append(parts, a.Value, []byte("\r\n"))
 		}
@@ -218,25 +218,25 @@
 	if err != nil {
 		return r, false, err
 	}
-	if len(line) < 2 || line[len(line)-2] != '\r' || len(line) > memcache.MostLine {
+	if len(line) < 2 || line[len(line)-2] != '\r' || len(line) > memcache.MaxLineBytes {
 		return r, false, errInvalidAnswer
 	}
 	answer, err := memcache.ParseAnswer(line[:len(line)-2])
 	if err != nil {
 		return r, false, err
 	}
-	if c.hosts.limits.Reports {
+	if c.hosts.config.LoadReports {
 		r.Load = loadreport.Parse(string(answer.Report), "=")
 	}
 	switch answer.Reply {
-	case memcache.TurnedAway:
-		r.Outcome = policy.TurnedAway
+	case memcache.Rejected:
+		r.Outcome = policy.Rejected
 		return r, true, nil
 	case memcache.Errored:
 		r.Outcome = policy.Errored
 		return r, true, nil
 	case memcache.Miss:
-		r.Outcome = policy.Missed
+		r.Outcome = policy.CacheMiss
 	case memcache.Receipt:
 		r.Body = append(r.Body, answer.Receipt...)
 	}
@@ -246,10 +246,10 @@
 		return r, false, errInvalidAnswer
 	}
 	if answer.Reply == memcache.Value {
-		if answer.Length > Whole {
+		if answer.Length > MaxBufferedBytes {
 			return c.streamValue(a, r, answer.Length, c.readLineEnd)
 		}
-		if !a.Room(answer.Length + 2) {
+		if !a.ReserveMemory(answer.Length + 2) {
 			return r, false, errNoMemory
 		}
 		r.Body = make([]byte, answer.Length+2)
@@ -277,23 +277,23 @@
 }
 
 func (c *conn) readOrigin(a *Attempt) (r Result, keep bool, err error) {
-	maxBuffered := Whole
+	maxBuffered := MaxBufferedBytes
 	if a.Command.Write {
-		maxBuffered = memcache.MostValue // the body is a receipt or an error text
+		maxBuffered = memcache.MaxValueBytes // the body is a receipt or an error text
 	}
-	resp, err := httpwire.Read(c.reader, memcache.MostValue, maxBuffered, a.Room)
+	resp, err := httpwire.Read(c.reader, memcache.MaxValueBytes, maxBuffered, a.ReserveMemory)
 	if err != nil {
 		return r, false, err
 	}
-	if resp.Coming > 0 {
-		r, keep, err = c.streamValue(a, r, resp.Coming, func() error { return nil })
+	if resp.UnreadLength > 0 {
+		r, keep, err = c.streamValue(a, r, resp.UnreadLength, func() error { return nil })
 		return r, keep && !resp.Close, err
 	}
 	switch {
 	case resp.Status == 200 && (!a.Command.Write || memcache.IsReceipt(resp.Body)):
 		r.Body = resp.Body
 	case (resp.Status == 503 || resp.Status == 504) && resp.NotProcessed:
-		r.Outcome = policy.TurnedAway
+		r.Outcome = policy.Rejected
 	default:
 		r.Outcome = policy.Errored
 	}
@@ -327,4 +327,6 @@
 	return nil
 }
 
-func newReader(from io.Reader) *bufio.Reader { return bufio.NewReaderSize(from, 2*memcache.MostLine) }
+func newReader(from io.Reader) *bufio.Reader {
+	return bufio.NewReaderSize(from, 2*memcache.MaxLineBytes)
+}
--- a/internal/upstream/sizes_test.go
+++ b/internal/upstream/sizes_test.go
@@ -14,17 +14,17 @@
 func BenchmarkListed(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			hs := New(Limits{Pool: pool.Terms{Balancers: 350, Most: 378}}, -1)
+			hs := New(Config{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
 			defer hs.Close()
 			list := func(n, from int, condition policy.Condition) (all []discovery.Host) {
 				for i := range n {
-					all = append(all, discovery.Host{Entry: policy.Entry{Cache: policy.CacheID(fmt.Sprint("s-", from+i)), Condition: condition}, Addr: "127.0.0.1:1"})
+					all = append(all, discovery.Host{HostEntry: policy.HostEntry{HostID: policy.HostID(fmt.Sprint("s-", from+i)), Condition: condition}, Addr: "127.0.0.1:1"})
 				}
 				return all
 			}
-			hs.Listed(discovery.List{Hosts: list(n, 0, policy.Up)})
+			hs.ApplyList(discovery.List{Hosts: list(n, 0, policy.Up)})
 			for i := 0; b.Loop(); i++ {
-				hs.Listed(discovery.List{Hosts: append(list(n/2, i*n/2, policy.Gone), list(n/2, n+i*n/2, policy.Up)...)})
+				hs.ApplyList(discovery.List{Hosts: append(list(n/2, i*n/2, policy.Gone), list(n/2, n+i*n/2, policy.Up)...)})
 			}
 		})
 	}
@@ -32,14 +32,14 @@
 
 // A host without connections needs no goroutine.
 func TestNoGoroutinePerHost(t *testing.T) {
-	hs := New(Limits{Pool: pool.Terms{Balancers: 350, Most: 378}}, -1)
+	hs := New(Config{Pool: pool.Config{Balancers: 350, MaxConnections: 378}}, -1)
 	defer hs.Close()
 	before := runtime.NumGoroutine()
 	var all []discovery.Host
 	for i := range 1025 {
-		all = append(all, discovery.Host{Entry: policy.Entry{Cache: policy.CacheID(fmt.Sprint("s-", i))}, Addr: "127.0.0.1:1"})
+		all = append(all, discovery.Host{HostEntry: policy.HostEntry{HostID: policy.HostID(fmt.Sprint("s-", i))}, Addr: "127.0.0.1:1"})
 	}
-	hs.Listed(discovery.List{Hosts: all})
+	hs.ApplyList(discovery.List{Hosts: all})
 	if n := runtime.NumGoroutine(); n > before {
 		t.Errorf("%d goroutines, %d before", n, before)
 	}
@@ -49,9 +49,9 @@
 func BenchmarkTick(b *testing.B) {
 	for _, n := range []int{16, 200, 1024} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			p := pool.New(poolActions{}, pool.Terms{Balancers: 350, Most: 378}, func() float64 { return 0 })
+			p := pool.New(poolActions{}, pool.Config{Balancers: 350, MaxConnections: 378}, func() float64 { return 0 })
 			for i := range n {
-				p.Up(0, pool.Host(fmt.Sprint("s-", i)), 0, false, 0)
+				p.HostUp(0, pool.Host(fmt.Sprint("s-", i)), 0, false, 0)
 			}
 			for b.Loop() {
 				p.Tick(policy.Second)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -20,24 +20,24 @@
 
 // Result is the outcome of an attempt, as far as it is known for certain.
 type Result struct {
-	Outcome policy.Outcome
-	Load    *policy.Load  // load of the host, if its answers report it
-	Body    []byte        // the value or the receipt of a write; empty for a value that was streamed
-	Peer    time.Duration // part of the attempt's time that transferring a long value from or to the client took
+	Outcome            policy.Outcome
+	Load               *policy.LoadReport // load of the host, if its answers report it
+	Body               []byte             // the value or the receipt of a write; empty for a value that was streamed
+	ClientTransferTime time.Duration      // part of the attempt's time that transferring a long value from or to the client took
 }
 
 // Attempt is one sending of a request to a host. It ends exactly once, by a call of Done, which must not block.
 type Attempt struct {
-	To       policy.CacheID
-	Command  *memcache.Command
-	Value    []byte                    // value of a write
-	Upload   *Upload                   // value of a write that is long and still arriving
-	Deadline deadline.Deadline         // deadline of the request: the attempt is neither started nor waited for after it
-	BeginBy  deadline.Deadline         // writing does not start after this time
-	Room     func(bytes int) bool      // reserves memory for a value, false if there is not enough; called before reading one
-	Pass     func(*Value) (whole bool) // streams a long value to the client and reports whether all of it was read; it may block
-	Gone     func() bool               // reports that the client no longer waits; nil: not known
-	Done     func(Result)
+	To            policy.HostID
+	Command       *memcache.Command
+	Value         []byte                    // value of a write
+	Upload        *Upload                   // value of a write that is long and still arriving
+	Deadline      deadline.Deadline         // deadline of the request: the attempt is neither started nor waited for after it
+	LatestStart   deadline.Deadline         // writing does not start after this time
+	ReserveMemory func(bytes int) bool      // reserves memory for a value, false if there is not enough; called before reading one
+	StreamValue   func(*Value) (whole bool) // streams a long value to the client and reports whether all of it was read; it may block
+	ClientGone    func() bool               // reports that the client no longer waits; nil: not known
+	Done          func(Result)
 
 	hosts *Hosts
 	id    pool.Attempt
@@ -75,7 +75,7 @@
 	givenUp := a.givenUp
 	a.stop = nil
 	a.mu.Unlock()
-	if givenUp && r.Outcome != policy.Fulfilled && r.Outcome != policy.Missed {
+	if givenUp && r.Outcome != policy.Fulfilled && r.Outcome != policy.CacheMiss {
 		r.Outcome = policy.NeverSent
 		if written {
 			r.Outcome = policy.Cancelled
@@ -84,31 +84,31 @@
 	a.Done(r)
 }
 
-// Limits configure the connections.
-type Limits struct {
-	Pool    pool.Terms
-	Origin  int           // maximum connections to the origin
-	Reports bool          // answers contain a load report of the host
-	Connect time.Duration // timeout for opening a connection
-	Grace   time.Duration // how long attempts may still be written to a host after the notice that it drains or is gone
-	Epoch   policy.Nanos  // current time on the clock of the host start times
+// Config configures the connections.
+type Config struct {
+	Pool                 pool.Config
+	OriginMaxConnections int           // maximum connections to the origin
+	LoadReports          bool          // answers contain a load report of the host
+	ConnectTimeout       time.Duration // timeout for opening a connection
+	Grace                time.Duration // how long attempts may still be written to a host after the notice that it drains or is gone
+	Now                  policy.Nanos  // current time on the clock of the host start times
 }
 
 // Hosts holds all hosts that discovery has listed, and the connections to them.
 type Hosts struct {
-	limits Limits
-	origin policy.Kind
+	config Config
+	origin policy.MachineKind
 	epoch  time.Time
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error) // may be replaced before the first attempt
 
 	mu       sync.Mutex
 	pool     *pool.Pool
-	byID     map[policy.CacheID]*host
+	byID     map[policy.HostID]*host
 	conns    map[pool.Conn]*conn
 	attempts map[pool.Attempt]*Attempt // attempts that the pool has neither sent nor refused yet
 	lastID   pool.Attempt
-	closed   chan struct{}           // closed by Close
-	excluded map[policy.CacheID]bool // hosts excluded by an operator
+	closed   chan struct{}          // closed by Close
+	excluded map[policy.HostID]bool // hosts excluded by an operator
 
 	sent                atomic.Int64  // attempts completely written, including those to the origin
 	maxWriteAfterNotice time.Duration // longest time from a host's notice to a write that was still allowed; guarded by mu
@@ -122,10 +122,10 @@
 }
 
 // New creates an empty set of hosts. Discovery lists the origin with the given kind.
-func New(limits Limits, origin policy.Kind) *Hosts {
-	hs := &Hosts{limits: limits, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, byID: map[policy.CacheID]*host{}, conns: map[pool.Conn]*conn{},
-		attempts: map[pool.Attempt]*Attempt{}, excluded: map[policy.CacheID]bool{}, closed: make(chan struct{})}
-	hs.pool = pool.New(poolActions{hs}, limits.Pool, rand.Float64)
+func New(config Config, origin policy.MachineKind) *Hosts {
+	hs := &Hosts{config: config, origin: origin, epoch: time.Now(), Dial: (&net.Dialer{}).DialContext, byID: map[policy.HostID]*host{}, conns: map[pool.Conn]*conn{},
+		attempts: map[pool.Attempt]*Attempt{}, excluded: map[policy.HostID]bool{}, closed: make(chan struct{})}
+	hs.pool = pool.New(poolActions{hs}, config.Pool, rand.Float64)
 	go hs.tick()
 	return hs
 }
@@ -135,7 +135,7 @@
 
 // tick calls the pool's periodic work until Close.
 func (hs *Hosts) tick() {
-	t := time.NewTicker(time.Duration(pool.TickEvery))
+	t := time.NewTicker(time.Duration(pool.TickInterval))
 	defer t.Stop()
 	for {
 		select {
@@ -149,19 +149,19 @@
 	}
 }
 
-// Listed applies the changed hosts of a list from discovery. A host that is missing from a complete list is included as gone.
-func (hs *Hosts) Listed(l discovery.List) {
+// ApplyList applies the changed hosts of a list from discovery. A host that is missing from a complete list is included as gone.
+func (hs *Hosts) ApplyList(l discovery.List) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	at := l.At
+	at := l.ReceivedAt
 	if at.IsZero() {
 		at = time.Now()
 	}
 	for _, e := range l.Hosts {
-		h, moved := hs.byID[e.Cache], false
+		h, moved := hs.byID[e.HostID], false
 		if h == nil {
 			h = &host{isOrigin: e.Kind == hs.origin}
-			hs.byID[e.Cache] = h
+			hs.byID[e.HostID] = h
 		} else {
 			moved = h.Addr != e.Addr
 		}
@@ -173,35 +173,35 @@
 
 // removeIfUnused removes a host that is gone once it has no connections. Otherwise hosts would pile up, since new ones come under new ids.
 func (hs *Hosts) removeIfUnused(h *host) {
-	if h.Condition == policy.Gone && h.open == 0 && hs.byID[h.Cache] == h {
-		delete(hs.byID, h.Cache)
+	if h.Condition == policy.Gone && h.open == 0 && hs.byID[h.HostID] == h {
+		delete(hs.byID, h.HostID)
 	}
 }
 
 // applyCondition reports a host's condition to the pool. The time at is when this balancer received it.
 func (hs *Hosts) applyCondition(h *host, condition policy.Condition, moved bool, at time.Time) {
 	h.Condition = condition
-	if condition != policy.Up || hs.excluded[h.Cache] {
+	if condition != policy.Up || hs.excluded[h.HostID] {
 		if h.noticeAt.IsZero() {
 			h.noticeAt = at
 		}
-		hs.pool.Leaves(pool.Host(h.Cache))
+		hs.pool.HostLeaving(pool.Host(h.HostID))
 		return
 	}
 	h.noticeAt = time.Time{}
 	limit, now := 0, hs.now()
 	if h.isOrigin {
-		limit = hs.limits.Origin
+		limit = hs.config.OriginMaxConnections
 	}
 	startedAt := policy.Nanos(0) // start time from the list: a different one means another process
-	if h.Born > 0 {
-		startedAt = max(1, cmp.Or(h.Started, h.Born)-hs.limits.Epoch)
+	if h.ListedStart > 0 {
+		startedAt = max(1, cmp.Or(h.LocalStart, h.ListedStart)-hs.config.Now)
 	}
-	hs.pool.Up(now, pool.Host(h.Cache), startedAt, moved, limit)
+	hs.pool.HostUp(now, pool.Host(h.HostID), startedAt, moved, limit)
 }
 
 // Exclude takes a host out of use, on an operator's request. It is treated like a draining host, whatever the list says.
-func (hs *Hosts) Exclude(id policy.CacheID) {
+func (hs *Hosts) Exclude(id policy.HostID) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	hs.excluded[id] = true
@@ -211,7 +211,7 @@
 }
 
 // Include ends an exclusion. The host may have been restarted meanwhile, so no earlier connection is reused.
-func (hs *Hosts) Include(id policy.CacheID) {
+func (hs *Hosts) Include(id policy.HostID) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	if !hs.excluded[id] {
@@ -224,7 +224,7 @@
 }
 
 // Grace returns how long after the notice attempts may still be written to a host that drains, is gone or is excluded.
-func (hs *Hosts) Grace() time.Duration { return hs.limits.Grace }
+func (hs *Hosts) Grace() time.Duration { return hs.config.Grace }
 
 // Sent returns the number of attempts completely written. It includes those to the origin, which is listed like the cache hosts.
 func (hs *Hosts) Sent() int64 { return hs.sent.Load() }
@@ -247,7 +247,7 @@
 		return
 	}
 	hs.attempts[a.id] = a
-	hs.pool.Ask(hs.now(), pool.Host(a.To), a.id, policy.Nanos(a.BeginBy.Time().Sub(hs.epoch)))
+	hs.pool.Checkout(hs.now(), pool.Host(a.To), a.id, policy.Nanos(a.LatestStart.Time().Sub(hs.epoch)))
 }
 
 // cancelWaiting removes an attempt from the pool's queue. It returns false if the attempt was not waiting.
@@ -265,15 +265,15 @@
 type poolActions struct{ hs *Hosts }
 
 func (o poolActions) Open(to pool.Host, id pool.Conn) {
-	h := o.hs.byID[policy.CacheID(to)]
-	ctx, cancel := context.WithTimeout(context.Background(), o.hs.limits.Connect)
+	h := o.hs.byID[policy.HostID(to)]
+	ctx, cancel := context.WithTimeout(context.Background(), o.hs.config.ConnectTimeout)
 	c := &conn{id: id, hosts: o.hs, host: h, addr: h.Addr, cancel: cancel}
 	h.open++
 	o.hs.conns[id] = c
 	go c.run(ctx)
 }
 
-func (o poolActions) Carry(id pool.Conn, attempt pool.Attempt) {
+func (o poolActions) Send(id pool.Conn, attempt pool.Attempt) {
 	c := o.hs.conns[id]
 	c.next = o.hs.attempts[attempt]
 	delete(o.hs.attempts, attempt)
@@ -282,7 +282,7 @@
 	}
 }
 
-func (o poolActions) Close(id pool.Conn, _ pool.Why) {
+func (o poolActions) Close(id pool.Conn, _ pool.Reason) {
 	c := o.hs.conns[id]
 	c.closing = true
 	c.cancel()
@@ -291,11 +291,11 @@
 	}
 }
 
-func (o poolActions) Refuse(attempt pool.Attempt, why pool.Why) {
+func (o poolActions) Refuse(attempt pool.Attempt, why pool.Reason) {
 	a := o.hs.attempts[attempt]
 	delete(o.hs.attempts, attempt)
 	outcome := policy.NeverSent
-	if why == pool.NoConnect {
+	if why == pool.ConnectFailed {
 		outcome = policy.ConnectFailed
 	}
 	a.finish(Result{Outcome: outcome}, false)
@@ -311,40 +311,40 @@
 		return false
 	}
 	since := time.Since(h.noticeAt)
-	if since > hs.limits.Grace {
+	if since > hs.config.Grace {
 		return true
 	}
 	hs.maxWriteAfterNotice = max(hs.maxWriteAfterNotice, since)
 	return false
 }
 
-// AfterTold returns the longest time, since the start of this process, between the notice that a host drains, is gone or is excluded
+// MaxWriteAfterNotice returns the longest time, since the start of this process, between the notice that a host drains, is gone or is excluded
 // and the write of an attempt that was already assigned to a connection. A value close to Grace means that this process runs late.
-func (hs *Hosts) AfterTold() time.Duration {
+func (hs *Hosts) MaxWriteAfterNotice() time.Duration {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
 	return hs.maxWriteAfterNotice
 }
 
-// Limit changes the maximum number of connections.
-func (hs *Hosts) Limit(limit int) {
+// SetMaxConnections changes the maximum number of connections.
+func (hs *Hosts) SetMaxConnections(limit int) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Limit(limit)
+	hs.pool.SetMaxConnections(limit)
 }
 
-// OpeningNeed returns the largest fraction of a host's connection openings that this balancer asked for in the period that ends now.
-func (hs *Hosts) OpeningNeed(period time.Duration) float64 {
+// OpeningsNeed returns the largest fraction of a host's connection openings that this balancer asked for in the period that ends now.
+func (hs *Hosts) OpeningsNeed(period time.Duration) float64 {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	return hs.pool.Need(hs.now(), policy.Nanos(period))
+	return hs.pool.OpeningsNeed(hs.now(), policy.Nanos(period))
 }
 
-// OpeningPart sets this balancer's fraction of the openings of each host; 0 means an equal share.
-func (hs *Hosts) OpeningPart(share float64) {
+// SetOpeningsShare sets this balancer's fraction of the openings of each host; 0 means an equal share.
+func (hs *Hosts) SetOpeningsShare(share float64) {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Part(share)
+	hs.pool.SetOpeningsShare(share)
 }
 
 // Open returns the number of connections.
@@ -354,17 +354,17 @@
 	return len(hs.conns)
 }
 
-// Bound returns, by host, how often attempts were refused for lack of a connection since the last call.
-func (hs *Hosts) Bound() map[pool.Host]int {
+// TakeLimitHits returns, by host, how often attempts were refused for lack of a connection since the last call.
+func (hs *Hosts) TakeLimitHits() map[pool.Host]int {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	return hs.pool.Bound()
+	return hs.pool.TakeLimitHits()
 }
 
 // Close closes all idle connections and refuses all attempts from now on.
 func (hs *Hosts) Close() {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
-	hs.pool.Shut()
+	hs.pool.Close()
 	close(hs.closed)
 }
