--- a/internal/fleet/member/explore_test.go
+++ b/internal/fleet/member/explore_test.go
@@ -18,8 +18,8 @@
 var exploreDepth = flag.Int("explore", 5, "number of steps to explore")
 
 const (
-	testPeriod  = 100 * time.Millisecond
-	testSuspect = 200 * time.Millisecond
+	testPeriod           = 100 * time.Millisecond
+	testSuspicionTimeout = 200 * time.Millisecond
 )
 
 func testAddr(i int) netip.AddrPort {
@@ -27,12 +27,12 @@
 }
 
 func testConfig(i, n int, seed uint64) Config {
-	t := Config{ExpectedMembers: n, ProbeInterval: testPeriod, SuspicionTimeout: testSuspect, GossipBytesPerSecond: 3000, MaxMembers: 64, Seed: seed,
+	config := Config{ExpectedMembers: n, ProbeInterval: testPeriod, SuspicionTimeout: testSuspicionTimeout, GossipBytesPerSecond: 3000, MaxMembers: 64, Seed: seed,
 		Self: Record{Life: ProcessID(seed<<randomBits | uint64(i+1)), Name: fmt.Sprint("n", i), Addr: testAddr(i)}}
 	for k := range n {
-		t.Seeds = append(t.Seeds, testAddr(k))
+		config.Seeds = append(config.Seeds, testAddr(k))
 	}
-	return t
+	return config
 }
 
 // clone makes a deep copy of a machine, so that the exploration can continue from it several times.
@@ -82,7 +82,7 @@
 	startCount   uint64
 	inFlight     []datagram
 	incarnations map[ProcessID]Incarnation       // the highest that each process has sent itself
-	lastHeard    map[[2]ProcessID]Moment         // when a process last received a message from another
+	lastReceived map[[2]ProcessID]Moment         // when a process last received a message from another
 	lastView     map[[2]ProcessID]StateUpdate    // the last state that a process held of another
 	fault        func(w *fleetState, i int) bool // called after each input to inject a bug
 	violation    string
@@ -95,7 +95,7 @@
 }
 
 func newFleetState(fault func(*fleetState, int) bool) *fleetState {
-	w := &fleetState{incarnations: map[ProcessID]Incarnation{}, lastHeard: map[[2]ProcessID]Moment{}, lastView: map[[2]ProcessID]StateUpdate{}, fault: fault}
+	w := &fleetState{incarnations: map[ProcessID]Incarnation{}, lastReceived: map[[2]ProcessID]Moment{}, lastView: map[[2]ProcessID]StateUpdate{}, fault: fault}
 	for i := range w.machines {
 		w.startMember(i)
 	}
@@ -116,7 +116,7 @@
 		}
 	}
 	c.inFlight = slices.Clone(w.inFlight)
-	c.incarnations, c.lastHeard, c.lastView = maps.Clone(w.incarnations), maps.Clone(w.lastHeard), maps.Clone(w.lastView)
+	c.incarnations, c.lastReceived, c.lastView = maps.Clone(w.incarnations), maps.Clone(w.lastReceived), maps.Clone(w.lastView)
 	return &c
 }
 
@@ -149,8 +149,8 @@
 		if e.Kind != "verdict" {
 			continue
 		}
-		if heard, ok := w.lastHeard[[2]ProcessID{m.self.Life, e.Life}]; ok && w.now-heard < testSuspect {
-			w.violate("n%d declares %s dead, from which it received a message %v ago", i, e.Name, w.now-heard)
+		if lastReceived, ok := w.lastReceived[[2]ProcessID{m.self.Life, e.Life}]; ok && w.now-lastReceived < testSuspicionTimeout {
+			w.violate("n%d declares %s dead, from which it received a message %v ago", i, e.Name, w.now-lastReceived)
 		}
 	}
 	w.check(i)
@@ -237,20 +237,20 @@
 
 // deliver delivers a datagram; with keep it stays in flight and can be delivered again.
 func (w *fleetState) deliver(k int, keep bool) {
-	f := w.inFlight[k]
+	delivered := w.inFlight[k]
 	if !keep {
 		w.inFlight = slices.Delete(w.inFlight, k, k+1)
 	}
-	m := w.machines[f.to]
+	m := w.machines[delivered.to]
 	if m == nil {
 		return
 	}
-	w.lastHeard[[2]ProcessID{m.self.Life, f.msg.From}] = w.now
-	m.Receive(w.now, f.from, f.msg)
-	w.collect(f.to)
-	for _, r := range f.msg.Updates {
+	w.lastReceived[[2]ProcessID{m.self.Life, delivered.msg.From}] = w.now
+	m.Receive(w.now, delivered.from, delivered.msg)
+	w.collect(delivered.to)
+	for _, r := range delivered.msg.Updates {
 		if p := m.peers[r.Life]; r.State == Left && p != nil && p.state != Left {
-			w.violate("n%d received that %s left and holds it %s", f.to, p.Name, p.state)
+			w.violate("n%d received that %s left and holds it %s", delivered.to, p.Name, p.state)
 		}
 	}
 }
@@ -261,26 +261,26 @@
 func (w *fleetState) key() uint64 {
 	var h maphash.Hash
 	h.SetSeed(hashSeed)
-	rel := func(at Moment) int64 { return int64((at - w.now) / (testPeriod / 4)) }
+	relative := func(at Moment) int64 { return int64((at - w.now) / (testPeriod / 4)) }
 	for i, m := range w.machines {
 		if m == nil {
 			fmt.Fprint(&h, "|", i)
 			continue
 		}
-		fmt.Fprint(&h, "|", m.self.Life, m.self.Inc, m.nameTaken, m.localHealth, m.consecutiveUnanswered, m.unansweredSinceStall, m.cursor, rel(m.due), rel(m.nextProbe), rel(m.nextReconnect))
+		fmt.Fprint(&h, "|", m.self.Life, m.self.Inc, m.nameTaken, m.localHealth, m.consecutiveUnanswered, m.unansweredSinceStall, m.cursor, relative(m.due), relative(m.nextProbe), relative(m.nextReconnect))
 		for _, list := range [][]*peer{m.present, m.absent} {
 			for _, p := range list {
-				fmt.Fprint(&h, ";", p.Life, p.Inc, p.state, p.ownProbeFailed, p.suspectedBy, rel(p.lastHeard), rel(p.startedAt))
+				fmt.Fprint(&h, ";", p.Life, p.Inc, p.state, p.ownProbeFailed, p.suspectedBy, relative(p.lastReceived), relative(p.startedAt))
 			}
 		}
-		for _, l := range m.probes {
-			fmt.Fprint(&h, "?", l.seq, l.target, l.indirect, l.nacks, rel(l.nextStep))
+		for _, probe := range m.probes {
+			fmt.Fprint(&h, "?", probe.seq, probe.target, probe.indirect, probe.nacks, relative(probe.nextStep))
 		}
 		for _, f := range m.relayedProbes {
-			fmt.Fprint(&h, "!", f.seq, f.requester, rel(f.deadline))
+			fmt.Fprint(&h, "!", f.seq, f.requester, relative(f.deadline))
 		}
-		for _, it := range m.gossipQueue {
-			fmt.Fprint(&h, "~", it.StateUpdate, it.transmissions)
+		for _, item := range m.gossipQueue {
+			fmt.Fprint(&h, "~", item.StateUpdate, item.transmissions)
 		}
 	}
 	for _, f := range w.inFlight {
--- a/internal/fleet/member/member.go
+++ b/internal/fleet/member/member.go
@@ -60,7 +60,7 @@
 	Record
 	state        State
 	since        Moment
-	lastHeard    Moment // last direct message from it; 0 means never
+	lastReceived Moment // last direct message from it; 0 means never
 	rtt          time.Duration
 	index        int // in present or in absent
 	suspectedBy  []ProcessID
@@ -84,7 +84,7 @@
 	target             ProcessID
 	indirect           bool // other members have been asked to ping the target
 	nacks              []ProcessID
-	reconnect          bool // sent to a member held dead, or to a mere address: no answer says nothing new
+	reconnect          bool // sent to a member held dead, or to an address alone: a missing answer shows nothing new
 	deadline, nextStep Moment
 }
 
@@ -100,24 +100,24 @@
 // gossipItem is an update that is still being sent. Whoever lacks the process's record requests it.
 type gossipItem struct {
 	StateUpdate
-	transmissions int // how often this balancer has sent the update, or received it again from members that therefore know it
+	transmissions int // how often this balancer has sent the update, or received it again from members that therefore have it
 }
 
-// New returns the Machine of a process at its start. kept is the state that an older process of the same member hands over.
-func New(c Config, now Moment, kept *HandoverState) *Machine {
+// New returns the Machine of a process at its start. handedOver is the state of an older process of the same member, or nil.
+func New(c Config, now Moment, handedOver *HandoverState) *Machine {
 	m := &Machine{config: c, rngSource: rand.NewPCG(c.Seed, uint64(c.Self.Life)), self: c.Self, now: now, refilledAt: now,
 		peers: map[ProcessID]*peer{}, byName: map[string]*peer{}, gossipByID: map[ProcessID]*gossipItem{}, recordRequestedAt: map[ProcessID]Moment{},
 		tokens: float64(c.GossipBytesPerSecond * burstSeconds)}
 	m.rng = rand.New(m.rngSource)
 	m.config.Seeds = slices.Clone(c.Seeds) // they are shuffled
 	m.toggleDigest(m.self.Life)
-	if kept != nil {
+	if handedOver != nil {
 		m.toggleDigest(m.self.Life)
-		m.self.Life, m.self.Inc = kept.Life, kept.Inc
+		m.self.Life, m.self.Inc = handedOver.Life, handedOver.Inc
 		m.toggleDigest(m.self.Life)
-		for _, r := range kept.Members {
+		for _, r := range handedOver.Members {
 			if p := m.addPeer(r); p != nil {
-				p.lastHeard = now
+				p.lastReceived = now
 			}
 		}
 		m.self.Inc++ // so that this process's statements supersede the older process's
@@ -141,14 +141,14 @@
 
 // HandoverState returns the state to hand over.
 func (m *Machine) HandoverState() HandoverState {
-	k := HandoverState{Life: m.self.Life, Inc: m.self.Inc}
+	state := HandoverState{Life: m.self.Life, Inc: m.self.Inc}
 	for _, p := range m.present {
-		k.Members = append(k.Members, p.Record)
+		state.Members = append(state.Members, p.Record)
 	}
-	return k
+	return state
 }
 
-// toggleDigest adds a process to the digests of those present, or removes it.
+// toggleDigest adds a process to the digests of those present, or removes it: XOR does both.
 func (m *Machine) toggleDigest(id ProcessID) {
 	h := id.hash()
 	m.digest ^= h
@@ -161,8 +161,8 @@
 // Due returns when Tick is to be called next.
 func (m *Machine) Due() Moment { return m.due }
 
-// TakeOutput returns the messages to send and the events since its last call. The list of messages stays valid until the call after
-// the next one.
+// TakeOutput returns the messages to send and the events since its last call. The list of messages is valid until the next call,
+// after which its memory is used again.
 func (m *Machine) TakeOutput() (sends []Outgoing, events []Event) {
 	sends, events = m.sends, m.events
 	m.sends, m.spareSends = m.spareSends[:0], m.sends
@@ -180,7 +180,7 @@
 }
 
 // advanceClock sets the time for an input. A call long after the due time means that this process was stalled: the answers it
-// waited for may have come and been lost, and their absence says nothing about other members.
+// waited for may have come and been lost, and their absence shows nothing about other members.
 func (m *Machine) advanceClock(now Moment) {
 	now = max(now, m.now)
 	late := now - max(m.due, m.now)
@@ -314,8 +314,8 @@
 			m.noteNameConflict(msg)
 			return true
 		}
-		if n := m.byName[r.Name]; n != nil && n.Life > r.Life {
-			m.send(m.addressOf(r), Message{Kind: Gossip, To: r.Life, Records: []Record{n.Record}})
+		if newer := m.byName[r.Name]; newer != nil && newer.Life > r.Life {
+			m.send(m.addressOf(r), Message{Kind: Gossip, To: r.Life, Records: []Record{newer.Record}})
 			return true
 		}
 	}
@@ -345,7 +345,7 @@
 			m.version++
 			m.nextReconnect = m.now
 		}
-		if r.Life < m.self.Life { // it may not know of this process
+		if r.Life < m.self.Life { // it may lack this process's record
 			m.send(m.addressOf(r), Message{Kind: NameConflict, To: r.Life, Records: []Record{m.self}})
 		}
 	}
@@ -365,11 +365,11 @@
 	if p.state == Left {
 		return
 	}
-	p.lastHeard = m.now
+	p.lastReceived = m.now
 	if inc > p.Inc {
 		m.receiveUpdate(StateUpdate{Life: p.Life, Inc: inc, State: Alive}, false)
 	}
-	p.ownProbeFailed, p.reportedDead = false, false // it is running, so the reason for these is past; its refutation is on its way
+	p.ownProbeFailed, p.reportedDead = false, false // it is running, so these no longer hold; it refutes suspicions itself
 }
 
 // respond sends the answer that a message requires.
@@ -384,19 +384,19 @@
 			m.send(replyTo, Message{Kind: Gossip, To: msg.From, Records: []Record{m.self}})
 			return
 		}
-		a := Message{Kind: Ack, To: msg.From, Seq: msg.Seq, Target: m.self.Life}
+		ack := Message{Kind: Ack, To: msg.From, Seq: msg.Seq, Target: m.self.Life}
 		if msg.To == 0 || msg.WantRecords || p == nil {
-			a.Records = []Record{m.self}
+			ack.Records = []Record{m.self}
 		}
-		if msg.WantRecords { // from a newcomer: referring it to others spreads the load when many start at once
-			for _, o := range m.randomAlive(newcomerReferrals, msg.From) {
-				a.Records = append(a.Records, o.Record)
+		if msg.WantRecords { // from a newcomer: referring it to other members spreads the load when many start at once
+			for _, other := range m.randomAlive(newcomerReferrals, msg.From) {
+				ack.Records = append(ack.Records, other.Record)
 			}
 		}
-		if p != nil && p.state != Alive { // it can refute a suspicion or death only once it knows of it
-			a.Updates = append(a.Updates, StateUpdate{Life: p.Life, Inc: p.Inc, State: p.state})
+		if p != nil && p.state != Alive { // it can refute a suspicion or death only once it is notified of it
+			ack.Updates = append(ack.Updates, StateUpdate{Life: p.Life, Inc: p.Inc, State: p.state})
 		}
-		m.send(replyTo, a)
+		m.send(replyTo, ack)
 		if msg.WantTable {
 			m.sendTable(replyTo, msg.From, allBucketsMask, msg.WantRecords, false)
 		}
@@ -404,17 +404,17 @@
 		if len(m.relayedProbes) >= maxPendingProbes {
 			return
 		}
-		if t := m.peers[msg.Target]; t != nil {
+		if target := m.peers[msg.Target]; target != nil {
 			m.seq++
 			m.relayedProbes = append(m.relayedProbes, relayedProbe{seq: m.seq, requester: msg.From, requesterSeq: msg.Seq, target: msg.Target, deadline: m.now + m.periods(directProbePeriods)})
-			m.ping(t, m.seq)
+			m.ping(target, m.seq)
 		}
 	case Ack:
 		m.handleAck(msg)
 	case Nack:
 		for i := range m.probes {
-			if l := &m.probes[i]; l.seq == msg.Seq && !slices.Contains(l.nacks, msg.From) && len(l.nacks) < indirectProbeRelays+maxLocalHealth {
-				l.nacks = append(l.nacks, msg.From)
+			if pending := &m.probes[i]; pending.seq == msg.Seq && !slices.Contains(pending.nacks, msg.From) && len(pending.nacks) < indirectProbeRelays+maxLocalHealth {
+				pending.nacks = append(pending.nacks, msg.From)
 				m.consecutiveUnanswered, m.unansweredSinceStall = 0, false
 			}
 		}
@@ -427,13 +427,13 @@
 			m.sendTable(replyTo, msg.From, mask, false, true)
 		}
 	}
-	for i, w := range msg.RecordRequests {
-		if i >= maxWantsPerDatagram {
+	for i, id := range msg.RecordRequests {
+		if i >= maxRecordRequestsPerDatagram {
 			break
 		}
-		if p := m.peers[w]; p != nil {
+		if p := m.peers[id]; p != nil {
 			m.sendRecord(replyTo, msg.From, p.Record)
-		} else if w == m.self.Life {
+		} else if id == m.self.Life {
 			m.sendRecord(replyTo, msg.From, m.self)
 		}
 	}
@@ -443,16 +443,16 @@
 func (m *Machine) handleAck(msg *Message) {
 	m.consecutiveUnanswered, m.unansweredSinceStall = 0, false
 	for i := range m.probes {
-		l := m.probes[i]
-		if l.seq != msg.Seq || l.target != msg.Target && l.target != 0 {
+		pending := m.probes[i]
+		if pending.seq != msg.Seq || pending.target != msg.Target && pending.target != 0 {
 			continue
 		}
 		m.probes = slices.Delete(m.probes, i, i+1)
 		if m.localHealth > 0 {
 			m.localHealth--
 		}
-		if p := m.peers[msg.Target]; p != nil && !l.indirect && msg.From == msg.Target {
-			if took := m.now - l.sentAt; p.rtt == 0 {
+		if p := m.peers[msg.Target]; p != nil && !pending.indirect && msg.From == msg.Target {
+			if took := m.now - pending.sentAt; p.rtt == 0 {
 				p.rtt = took
 			} else {
 				p.rtt += (took - p.rtt) / 8 // smoothed as in TCP
@@ -463,15 +463,15 @@
 		}
 		return
 	}
-	for i, f := range m.relayedProbes {
-		if f.seq == msg.Seq && f.target == msg.Target {
+	for i, relayed := range m.relayedProbes {
+		if relayed.seq == msg.Seq && relayed.target == msg.Target {
 			m.relayedProbes = slices.Delete(m.relayedProbes, i, i+1)
-			if p := m.peers[f.requester]; p != nil {
-				a := Message{Kind: Ack, To: f.requester, Seq: f.requesterSeq, Target: f.target}
-				if t := m.peers[f.target]; t != nil {
-					a.Updates = []StateUpdate{{Life: t.Life, Inc: t.Inc, State: t.state}}
+			if p := m.peers[relayed.requester]; p != nil {
+				ack := Message{Kind: Ack, To: relayed.requester, Seq: relayed.requesterSeq, Target: relayed.target}
+				if target := m.peers[relayed.target]; target != nil {
+					ack.Updates = []StateUpdate{{Life: target.Life, Inc: target.Inc, State: target.state}}
 				}
-				m.send(m.addressOf(p.Record), a)
+				m.send(m.addressOf(p.Record), ack)
 			}
 			return
 		}
@@ -539,7 +539,7 @@
 	if p.state != Alive {
 		msg.Updates = append(msg.Updates, StateUpdate{Life: p.Life, Inc: p.Inc, State: p.state, Suspector: m.self.Life})
 	}
-	if p.lastHeard == 0 {
+	if p.lastReceived == 0 {
 		msg.Records = append(msg.Records, m.self)
 	}
 	m.send(m.addressOf(p.Record), msg)
@@ -548,26 +548,26 @@
 // advanceProbes asks other members for indirect probes where no answer came, and suspects a member where these brought none either.
 func (m *Machine) advanceProbes() {
 	for i := 0; i < len(m.probes); {
-		l := &m.probes[i]
-		if m.now < l.nextStep {
+		pending := &m.probes[i]
+		if m.now < pending.nextStep {
 			i++
 			continue
 		}
-		p := m.peers[l.target]
-		if l.reconnect || p == nil || !p.state.isPresent() {
+		p := m.peers[pending.target]
+		if pending.reconnect || p == nil || !p.state.isPresent() {
 			m.probes = slices.Delete(m.probes, i, i+1)
 			continue
 		}
-		if !l.indirect && m.now < l.deadline {
-			l.indirect, l.nextStep = true, l.deadline
-			m.ping(p, l.seq) // on a link that loses packets the second ping often arrives
-			for _, r := range m.randomAlive(indirectProbeRelays+m.localHealth, l.target) {
-				m.send(m.addressOf(r.Record), Message{Kind: IndirectPing, To: r.Life, Seq: l.seq, Target: p.Life, TargetAddr: p.Addr})
+		if !pending.indirect && m.now < pending.deadline {
+			pending.indirect, pending.nextStep = true, pending.deadline
+			m.ping(p, pending.seq) // on a link that loses packets the second ping often arrives
+			for _, relay := range m.randomAlive(indirectProbeRelays+m.localHealth, pending.target) {
+				m.send(m.addressOf(relay.Record), Message{Kind: IndirectPing, To: relay.Life, Seq: pending.seq, Target: p.Life, TargetAddr: p.Addr})
 			}
 			i++
 			continue
 		}
-		nacks, at := l.nacks, l.sentAt
+		nacks, at := pending.nacks, pending.sentAt
 		m.probes = slices.Delete(m.probes, i, i+1)
 		if len(nacks) == 0 { // no relay answered either: this balancer itself may be cut off
 			m.consecutiveUnanswered++
@@ -575,7 +575,7 @@
 				m.localHealth = min(m.localHealth+1, maxLocalHealth)
 			}
 		}
-		if p.lastHeard > at { // it sent a message since the probe began
+		if p.lastReceived > at { // it sent a message since the probe began
 			continue
 		}
 		if p.reportedDead {
@@ -588,14 +588,14 @@
 
 func (m *Machine) expireRelayedProbes() {
 	for i := 0; i < len(m.relayedProbes); {
-		f := m.relayedProbes[i]
-		if m.now < f.deadline {
+		relayed := m.relayedProbes[i]
+		if m.now < relayed.deadline {
 			i++
 			continue
 		}
 		m.relayedProbes = slices.Delete(m.relayedProbes, i, i+1)
-		if p := m.peers[f.requester]; p != nil {
-			m.send(m.addressOf(p.Record), Message{Kind: Nack, To: p.Life, Seq: f.requesterSeq, Target: f.target})
+		if p := m.peers[relayed.requester]; p != nil {
+			m.send(m.addressOf(p.Record), Message{Kind: Nack, To: p.Life, Seq: relayed.requesterSeq, Target: relayed.target})
 		}
 	}
 }
@@ -611,8 +611,8 @@
 		p.startedAt = m.now
 		p.nextProbeAt = m.now
 	}
-	for _, n := range nacks {
-		m.confirmSuspicion(p, n)
+	for _, relay := range nacks {
+		m.confirmSuspicion(p, relay)
 	}
 }
 
@@ -660,7 +660,8 @@
 
 // declareDead declares a member dead after own probes without an answer.
 func (m *Machine) declareDead(p *peer) {
-	if !m.heardRecently(p) { // a member heard recently is not set dead but probed again, and an event each time would say nothing new
+	// A member from which a message came recently is not set dead but probed again; an event each time would be of no use.
+	if !m.receivedRecently(p) {
 		m.emit(Event{Kind: "verdict", Name: p.Name, Life: p.Life, Cause: "no answer to own probes"})
 	}
 	m.receiveUpdate(StateUpdate{Life: p.Life, Inc: p.Inc, State: Dead, Suspector: m.self.Life}, false)
@@ -711,13 +712,13 @@
 }
 
 // pingAddress pings an address; a member held dead there is notified of that.
-func (m *Machine) pingAddress(to netip.AddrPort, id ProcessID, full bool) {
+func (m *Machine) pingAddress(to netip.AddrPort, id ProcessID, wantTable bool) {
 	if len(m.probes) >= maxPendingProbes {
 		return
 	}
 	m.seq++
 	m.probes = append(m.probes, probe{seq: m.seq, sentAt: m.now, target: id, reconnect: true, nextStep: m.now + m.periods(1), deadline: m.now + m.periods(1)})
-	msg := Message{Kind: Ping, To: id, Seq: m.seq, Records: []Record{m.self}, WantTable: full, WantRecords: full}
+	msg := Message{Kind: Ping, To: id, Seq: m.seq, Records: []Record{m.self}, WantTable: wantTable, WantRecords: wantTable}
 	if p := m.peers[id]; p != nil {
 		msg.Updates = []StateUpdate{{Life: id, Inc: p.Inc, State: p.state, Suspector: m.self.Life}}
 	}
@@ -776,21 +777,21 @@
 	}
 	maxSends := m.maxTransmissions()
 	remaining := m.gossipQueue[:0]
-	for i, it := range m.gossipQueue {
+	for i, item := range m.gossipQueue {
 		if room < minSize {
 			remaining = append(remaining, m.gossipQueue[i:]...)
 			break
 		}
-		if size := it.size(); room >= size && it.Life != msg.To && it.transmissions < maxSends {
+		if size := item.size(); room >= size && item.Life != msg.To && item.transmissions < maxSends {
 			room -= size
 			m.tokens -= float64(size)
-			msg.Updates = append(msg.Updates, it.StateUpdate)
-			it.transmissions++
+			msg.Updates = append(msg.Updates, item.StateUpdate)
+			item.transmissions++
 		}
-		if it.transmissions < maxSends {
-			remaining = append(remaining, it)
+		if item.transmissions < maxSends {
+			remaining = append(remaining, item)
 		} else {
-			delete(m.gossipByID, it.Life)
+			delete(m.gossipByID, item.Life)
 		}
 	}
 	clear(m.gossipQueue[len(remaining):])
@@ -807,14 +808,14 @@
 }
 
 // enqueueUpdate starts sending an update, in place of an earlier one on the same process.
-func (m *Machine) enqueueUpdate(r StateUpdate) {
-	it := m.gossipByID[r.Life]
-	if it == nil {
-		it = &gossipItem{}
-		m.gossipByID[r.Life] = it
-		m.gossipQueue = append(m.gossipQueue, it)
+func (m *Machine) enqueueUpdate(update StateUpdate) {
+	item := m.gossipByID[update.Life]
+	if item == nil {
+		item = &gossipItem{}
+		m.gossipByID[update.Life] = item
+		m.gossipQueue = append(m.gossipQueue, item)
 	}
-	*it = gossipItem{StateUpdate: r}
+	*item = gossipItem{StateUpdate: update}
 }
 
 // sendGossip sends new updates to some members, in addition to those in probes and answers.
@@ -832,7 +833,7 @@
 
 // sendTable sends this view of some buckets in datagrams that are independent of each other: a lost one is made up for by the
 // next exchange. With wantReply the receiver is asked for its own view of these buckets.
-func (m *Machine) sendTable(to netip.AddrPort, toLife ProcessID, mask uint64, full, wantReply bool) {
+func (m *Machine) sendTable(to netip.AddrPort, toLife ProcessID, mask uint64, withRecords, wantReply bool) {
 	if m.tokens <= 0 {
 		return
 	}
@@ -851,7 +852,7 @@
 		if m.tokens <= 0 || mask>>(r.Life.hash()%digestBuckets)&1 == 0 {
 			return
 		}
-		if full && s.isPresent() {
+		if withRecords && s.isPresent() {
 			msg.Records = append(msg.Records, r)
 		} else {
 			msg.Updates = append(msg.Updates, StateUpdate{Life: r.Life, Inc: r.Inc, State: s})
@@ -870,7 +871,7 @@
 		add(p.Record, p.state)
 	}
 	for _, p := range m.absent {
-		if !full {
+		if !withRecords {
 			add(p.Record, p.state)
 		}
 	}
@@ -914,8 +915,8 @@
 		from = m.addressOf(p.Record)
 	}
 	for len(m.missingRecords) > 0 {
-		n := min(len(m.missingRecords), maxWantsPerDatagram)
-		m.tokens -= float64(headerBytes + wantBytes*n)
+		n := min(len(m.missingRecords), maxRecordRequestsPerDatagram)
+		m.tokens -= float64(headerBytes + recordRequestBytes*n)
 		m.send(from, Message{Kind: Gossip, To: sender, RecordRequests: m.missingRecords[:n:n]})
 		m.missingRecords = m.missingRecords[n:]
 	}
@@ -944,7 +945,8 @@
 			return
 		}
 	}
-	if m.tokens <= float64(-m.config.GossipBytesPerSecond) { // up to a second's budget may be overdrawn: a table is of little use without its records
+	// The budget may be overdrawn by up to that of a second: a table is of little use without its records.
+	if m.tokens <= float64(-m.config.GossipBytesPerSecond) {
 		return
 	}
 	m.tokens -= float64(r.size() + headerBytes/2)
--- a/internal/fleet/member/types.go
+++ b/internal/fleet/member/types.go
@@ -78,20 +78,22 @@
 type Kind uint8
 
 const (
-	Ping          Kind = 1 + iota // requires an Ack
-	Ack                           // answers the Ping or the IndirectPing with this Seq: Target is alive
-	IndirectPing                  // indirect probe: requests that the receiver ping Target; requires an Ack or a Nack
-	Nack                          // answers an IndirectPing: Target did not answer its receiver either
-	Gossip                        // contains updates, records and requests for records; requires no answer
-	Table                         // a part of the sender's view; a death in it leads to a probe and not directly to a change of state
-	NameConflict                  // the sender has the receiver's name and has stopped taking part
-	BucketDigests                 // the sender's digests by bucket; requires a Table of the buckets that differ, which in turn requests the sender's
+	Ping         Kind = 1 + iota // requires an Ack
+	Ack                          // answers the Ping or the IndirectPing with this Seq: Target is alive
+	IndirectPing                 // indirect probe: requests that the receiver ping Target; requires an Ack or a Nack
+	Nack                         // answers an IndirectPing: Target did not answer its receiver either
+	Gossip                       // contains updates, records and requests for records; requires no answer
+	Table                        // a part of the sender's view; a death in it leads to a probe and not directly to a change of state
+	NameConflict                 // the sender has the receiver's name and has stopped taking part
+	// BucketDigests contains the sender's digests by bucket. It requires a Table of the buckets that differ, which in turn requests
+	// the sender's.
+	BucketDigests
 )
 
 // Message is the content of one datagram. From and Inc are always the sender's.
 type Message struct {
 	Kind           Kind
-	From, To       ProcessID // To is 0 where the sender knows only an address
+	From, To       ProcessID // To is 0 where the sender has only an address
 	Inc            Incarnation
 	Seq            uint32
 	Digest         uint64 // of the processes present in the sender's view
@@ -143,7 +145,7 @@
 	Seeds                []netip.AddrPort          // addresses contacted first
 	AddressOverrides     map[string]netip.AddrPort // addresses, by name, of members that are not reached at their own address
 	ProbeInterval        time.Duration             // time between two probes
-	SuspicionTimeout     time.Duration             // time from a suspicion to the declaration of death, once enough other members have confirmed it
+	SuspicionTimeout     time.Duration             // from a suspicion to the declaration of death, once enough members have confirmed it
 	GossipBytesPerSecond int                       // bytes per second for everything other than probes and their answers
 	MaxMembers           int                       // largest number of members known, including dead ones
 	Seed                 uint64
@@ -158,7 +160,9 @@
 	// unconfirmedSuspicionFactor times SuspicionTimeout pass before a death is declared that no other member has confirmed: a balancer
 	// whose own links are bad, or that receives nothing, takes longer to declare others dead.
 	unconfirmedSuspicionFactor = 2
-	fullConfirmations          = 3 // confirmations beyond the first suspicion at which its timeout is shortest; as many as indirectProbeRelays
+	// fullConfirmations is the number of confirmations beyond the first suspicion at which its timeout is shortest; as many as
+	// indirectProbeRelays.
+	fullConfirmations = 3
 	// maxLocalHealth bounds the doubt of a balancer that gets no answers in its own links (Lifeguard's local health): its
 	// timeouts are up to 1+maxLocalHealth times as long.
 	maxLocalHealth = 2
@@ -167,7 +171,7 @@
 	// exchangePeriods times ProbeInterval pass between two exchanges of bucket digests, of a few hundred bytes each, while views differ.
 	exchangePeriods = 2
 	// baseTransmissions plus the binary logarithm of the fleet's size is how often an update is sent, received repetitions
-	// included. With a base of 2, gossip missed one view in a hundred, which learnt of the update seconds later by a table; with
+	// included. With a base of 2, gossip missed one view in a hundred, which got the update seconds later by a table; with
 	// a base of 4 it misses one in some thousand.
 	baseTransmissions = 4
 	// manyUpdates queued at once, as when a whole fleet starts, would use up the budget: beyond this number updates are sent less
@@ -180,10 +184,12 @@
 	// maxSuspectProbes bounds the suspects that are probed again in one period.
 	maxSuspectProbes = 4
 	// deadRetention is how long dead members are remembered: a network partition may last for days.
-	deadRetention       = 7 * 24 * time.Hour
-	maxRecordRequests   = 4096 // processes whose records were requested within the last period
-	maxPendingProbes    = 4096 // bounds the probes in progress, the probes for others and the queue of urgent probes: a whole fleet may be waiting at once
-	maxWantsPerDatagram = 64   // record requests in one datagram; further ones go in further datagrams
+	deadRetention     = 7 * 24 * time.Hour
+	maxRecordRequests = 4096 // processes whose records were requested within the last period
+	// maxPendingProbes bounds the probes in progress, the probes for other members and the queue of urgent probes: each may have to
+	// hold all members of a fleet at once.
+	maxPendingProbes             = 4096
+	maxRecordRequestsPerDatagram = 64 // record requests in one datagram; further ones go in further datagrams
 	// burstSeconds is how many seconds of GossipBytesPerSecond may be used at once. Three partitions of 400 members that rejoin have 400
 	// processes to report, some 60 KB for each balancer: at 3 KB per second their views agreed after 7.5 s with a burst of 12 s
 	// and after 3.8 s with one of 24 s.
@@ -206,11 +212,12 @@
 
 func (r Record) size() int { return 40 + len(r.Name) + len(r.Zone) }
 
-const wantBytes = 9
+// recordRequestBytes is the encoded size of a request for a record.
+const recordRequestBytes = 9
 
 // Size returns an upper bound of the size of the message as a datagram.
 func (m *Message) Size() int {
-	n := headerBytes + wantBytes*len(m.RecordRequests)
+	n := headerBytes + recordRequestBytes*len(m.RecordRequests)
 	if m.Inc > 0 {
 		n += 6
 	}
--- a/internal/fleet/member/view.go
+++ b/internal/fleet/member/view.go
@@ -23,7 +23,7 @@
 	}
 	old := m.byName[r.Name]
 	if old != nil && old.Life > r.Life {
-		return // an older process of this name has ended, however late its record arrives
+		return // the record of an older process of this name, which has ended, arrived late
 	}
 	p := m.addPeer(r)
 	if p == nil {
@@ -96,14 +96,14 @@
 	if m.byName[p.Name] == p {
 		delete(m.byName, p.Name)
 	}
-	if it := m.gossipByID[p.Life]; it != nil {
+	if item := m.gossipByID[p.Life]; item != nil {
 		delete(m.gossipByID, p.Life)
-		m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(o *gossipItem) bool { return o == it })
+		m.gossipQueue = slices.DeleteFunc(m.gossipQueue, func(other *gossipItem) bool { return other == item })
 	}
 	m.version++
 }
 
-// evictOldestAbsent forgets the member that has been dead or gone for longest. It returns false where there is none.
+// evictOldestAbsent forgets the member that has been dead or has left for longest. It returns false where there is none.
 func (m *Machine) evictOldestAbsent() bool {
 	var oldest *peer
 	for _, p := range m.absent {
@@ -118,7 +118,7 @@
 	return true
 }
 
-// forgetLongAbsent forgets the members that have been dead or gone for longer than deadRetention.
+// forgetLongAbsent forgets the members that have been dead or have left for longer than deadRetention.
 func (m *Machine) forgetLongAbsent() {
 	for i := 0; i < len(m.absent); {
 		if p := m.absent[i]; m.now-p.since > deadRetention {
@@ -136,20 +136,20 @@
 	}
 }
 
-// receiveUpdate processes an update. A reported death that came in a table, or that concerns a member heard recently, leads to a
+// receiveUpdate processes an update. A death reported in a table, or of a member that sent a message recently, leads to a
 // probe and to a query to the member itself: the side that reports it may just have been cut off.
-func (m *Machine) receiveUpdate(r StateUpdate, fromTable bool) {
-	if r.State > Queried || r.Life == 0 {
+func (m *Machine) receiveUpdate(update StateUpdate, fromTable bool) {
+	if update.State > Queried || update.Life == 0 {
 		return
 	}
-	if r.Life == m.self.Life {
-		m.refute(r)
+	if update.Life == m.self.Life {
+		m.refute(update)
 		return
 	}
-	p := m.peers[r.Life]
+	p := m.peers[update.Life]
 	if p == nil {
-		if r.State.isPresent() {
-			m.noteMissingRecord(r.Life)
+		if update.State.isPresent() {
+			m.noteMissingRecord(update.Life)
 		}
 		return
 	}
@@ -157,58 +157,59 @@
 		return
 	}
 	switch {
-	case r.State == Left:
-		m.setState(p, r, Left, "left gracefully")
-	case r.State == Queried:
-		if r.Inc >= p.Inc && p.state.isPresent() && m.queryIsNew(r) {
-			m.enqueueUpdate(StateUpdate{Life: r.Life, Inc: r.Inc, State: Queried})
+	case update.State == Left:
+		m.setState(p, update, Left, "left gracefully")
+	case update.State == Queried:
+		if update.Inc >= p.Inc && p.state.isPresent() && m.queryIsNew(update) {
+			m.enqueueUpdate(StateUpdate{Life: update.Life, Inc: update.Inc, State: Queried})
 		}
-	case (fromTable || m.heardRecently(p)) && r.State == Dead && p.state.isPresent():
-		if r.Inc >= p.Inc {
-			p.reportedDead = p.reportedDead || m.now-p.lastHeard > m.config.SuspicionTimeout
+	case (fromTable || m.receivedRecently(p)) && update.State == Dead && p.state.isPresent():
+		if update.Inc >= p.Inc {
+			p.reportedDead = p.reportedDead || m.now-p.lastReceived > m.config.SuspicionTimeout
 			m.probeSoon(p.Life)
-			if m.queryIsNew(r) {
-				m.enqueueUpdate(StateUpdate{Life: r.Life, Inc: r.Inc, State: Queried})
+			if m.queryIsNew(update) {
+				m.enqueueUpdate(StateUpdate{Life: update.Life, Inc: update.Inc, State: Queried})
 			}
 		}
-	case fromTable && r.State == Suspected:
-	case r.Inc > p.Inc, r.Inc == p.Inc && r.State > p.state:
-		m.setState(p, r, r.State, "")
-	case r.Inc == p.Inc && r.State == Suspected && p.state == Suspected && m.confirmSuspicion(p, r.Suspector): // one more member confirms the suspicion
-		m.enqueueUpdate(r)
+	case fromTable && update.State == Suspected:
+	case update.Inc > p.Inc, update.Inc == p.Inc && update.State > p.state:
+		m.setState(p, update, update.State, "")
+	// One more member confirms the suspicion.
+	case update.Inc == p.Inc && update.State == Suspected && p.state == Suspected && m.confirmSuspicion(p, update.Suspector):
+		m.enqueueUpdate(update)
 	default:
-		if it := m.gossipByID[r.Life]; it != nil && it.Inc == r.Inc && it.State == r.State { // it is already being spread
-			it.transmissions++
+		if item := m.gossipByID[update.Life]; item != nil && item.Inc == update.Inc && item.State == update.State { // it is already being spread
+			item.transmissions++
 		}
 	}
 }
 
-// heardRecently reports whether a message came from the process itself not long ago. Within SuspicionTimeout a report of its death cannot
-// concern its present state and comes from a side that was cut off; within twice that time an own probe decides.
-func (m *Machine) heardRecently(p *peer) bool {
-	return p.lastHeard > 0 && m.now-p.lastHeard < 2*m.config.SuspicionTimeout
+// receivedRecently reports whether a message came from the process itself not long ago. Within SuspicionTimeout a report of its
+// death cannot concern its present state and comes from a side that was cut off; within twice that time an own probe decides.
+func (m *Machine) receivedRecently(p *peer) bool {
+	return p.lastReceived > 0 && m.now-p.lastReceived < 2*m.config.SuspicionTimeout
 }
 
 // queryIsNew reports whether no query to a process, and nothing stronger, is being spread at this incarnation yet.
-func (m *Machine) queryIsNew(r StateUpdate) bool {
-	it := m.gossipByID[r.Life]
-	return it == nil || it.Inc < r.Inc || it.Inc == r.Inc && it.State == Alive
+func (m *Machine) queryIsNew(update StateUpdate) bool {
+	item := m.gossipByID[update.Life]
+	return item == nil || item.Inc < update.Inc || item.Inc == update.Inc && item.State == Alive
 }
 
 // refute contradicts a suspicion or death reported of this process.
-func (m *Machine) refute(r StateUpdate) {
-	if r.State == Alive || r.Inc < m.self.Inc || m.nameTaken {
+func (m *Machine) refute(update StateUpdate) {
+	if update.State == Alive || update.Inc < m.self.Inc || m.nameTaken {
 		return
 	}
-	if r.State == Left { // only this process itself could have sent this, and it is still running
+	if update.State == Left { // only this process itself could have sent this, and it is still running
 		return
 	}
-	if r.Inc >= MaxIncarnation { // no refutation can exceed it: a fault, which must not exclude this process for good
+	if update.Inc >= MaxIncarnation { // no refutation can exceed it: a fault, which must not exclude this process for good
 		m.renewID(m.self.Life)
 		return
 	}
-	m.self.Inc = r.Inc + 1
-	m.emit(Event{Kind: "refuted", Name: m.self.Name, Life: m.self.Life, From: r.State, To: Alive, Cause: "reported " + r.State.String() + " by " + m.nameOf(r.Suspector)})
+	m.self.Inc = update.Inc + 1
+	m.emit(Event{Kind: "refuted", Name: m.self.Name, Life: m.self.Life, From: update.State, To: Alive, Cause: "reported " + update.State.String() + " by " + m.nameOf(update.Suspector)})
 	m.enqueueUpdate(StateUpdate{Life: m.self.Life, Inc: m.self.Inc, State: Alive})
 }
 
@@ -223,18 +224,18 @@
 }
 
 // setState changes the state held of a process and spreads it.
-func (m *Machine) setState(p *peer, r StateUpdate, to State, cause string) {
+func (m *Machine) setState(p *peer, update StateUpdate, to State, cause string) {
 	from := p.state
 	if cause == "" {
 		cause = "reported by others"
 		switch {
-		case r.Suspector != 0:
-			cause = "no answer to " + m.nameOf(r.Suspector)
+		case update.Suspector != 0:
+			cause = "no answer to " + m.nameOf(update.Suspector)
 		case to == Alive && from != Alive:
 			cause = "it says so"
 		}
 	}
-	p.Inc = max(p.Inc, r.Inc)
+	p.Inc = max(p.Inc, update.Inc)
 	p.state = to
 	switch {
 	case from.isPresent() && !to.isPresent():
@@ -248,12 +249,12 @@
 	m.clearSuspicion(p)
 	p.reportedDead = false
 	if to == Suspected {
-		m.confirmSuspicion(p, r.Suspector)
+		m.confirmSuspicion(p, update.Suspector)
 		p.startedAt, p.nextProbeAt = m.now, m.now
 		m.suspected = append(m.suspected, p)
-		// Some of the members that learn of a suspicion probe for themselves: this comes sooner than their turn and makes the
-		// process refute it.
-		if r.Suspector != m.self.Life && m.rng.IntN(len(m.present)) < fullConfirmations {
+		// Some of the members that are notified of a suspicion probe the member out of turn: this makes it refute the suspicion
+		// sooner.
+		if update.Suspector != m.self.Life && m.rng.IntN(len(m.present)) < fullConfirmations {
 			m.probeSoon(p.Life)
 		}
 	}
@@ -262,7 +263,7 @@
 		m.version++
 		m.emit(Event{Kind: "state", Name: p.Name, Life: p.Life, From: from, To: to, Cause: cause})
 	}
-	m.enqueueUpdate(StateUpdate{Life: p.Life, Inc: p.Inc, State: to, Suspector: r.Suspector})
+	m.enqueueUpdate(StateUpdate{Life: p.Life, Inc: p.Inc, State: to, Suspector: update.Suspector})
 }
 
 // Leave announces to some members, which spread it, that this process is ending gracefully.
@@ -306,9 +307,9 @@
 		Digest: m.digest, NameConflict: m.nameConflict, Now: m.now}
 	for _, list := range [][]*peer{m.present, m.absent} {
 		for _, p := range list {
-			member := Member{Record: p.Record, State: p.state, Since: p.since, LastReceived: p.lastHeard, RoundTrip: p.rtt}
-			for _, w := range p.suspectedBy {
-				member.SuspectedBy = append(member.SuspectedBy, m.nameOf(w))
+			member := Member{Record: p.Record, State: p.state, Since: p.since, LastReceived: p.lastReceived, RoundTrip: p.rtt}
+			for _, suspector := range p.suspectedBy {
+				member.SuspectedBy = append(member.SuspectedBy, m.nameOf(suspector))
 			}
 			v.Members = append(v.Members, member)
 		}
