--- a/internal/fleet/carry/carry.go
+++ b/internal/fleet/carry/carry.go
@@ -13,10 +13,10 @@
 	"streamrail/internal/fleet/member"
 )
 
-// Config is the operator's configuration of the transport.
+// Config is the configuration of the transport.
 type Config struct {
 	Fleet string
-	Key   []byte // may be empty
+	Key   []byte // of the datagrams' checksums; if empty, the fleet's name is used
 }
 
 // Transport is one balancer's UDP transport to the other members of its fleet, together with its membership state.
@@ -37,7 +37,7 @@
 	counts   Counts
 }
 
-// Counts has the numbers of datagrams since the start.
+// Counts holds the numbers of datagrams since the start.
 type Counts struct {
 	Sent, SentBytes, Received, ReceivedBytes int64
 	Dropped                                  map[string]int64 // by reason
@@ -48,29 +48,30 @@
 // the counter of the next process starts, and the two could collide (TestMembersUpgrade, on a busy machine).
 const counterHeadroom = 1 << 16
 
-// bindTimeout is how long Open waits for an address that another process holds: the older process of an upgrade releases it
-// as soon as it is notified, which takes a few rounds between the two processes.
+// bindTimeout is how long Open tries to bind an address that another process still uses: the older process of an upgrade releases
+// it as soon as it is notified, which takes a few message exchanges between the two processes.
 const bindTimeout = 2 * time.Second
 
-// Open binds the address and starts to take part in the membership protocol. kept is the state handed over by an older process.
-func Open(t Config, m member.Config, kept *member.HandoverState, log zerolog.Logger) (*Transport, error) {
-	c := &Transport{log: log, epoch: time.Now(), rescheduled: make(chan struct{}, 1), ended: make(chan struct{}), codec: newCodec(t.Fleet, t.Key)}
+// Open binds the address and starts to take part in the membership protocol. handedOver is the state of an older process of an
+// upgrade, or nil.
+func Open(config Config, memberConfig member.Config, handedOver *member.HandoverState, log zerolog.Logger) (*Transport, error) {
+	c := &Transport{log: log, epoch: time.Now(), rescheduled: make(chan struct{}, 1), ended: make(chan struct{}), codec: newCodec(config.Fleet, config.Key)}
 	c.counts.Dropped, c.handlers = map[string]int64{}, map[uint8]func(member.ProcessID, []byte){}
 	until := time.Now().Add(bindTimeout)
 	for {
 		var err error
-		if c.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(m.Self.Addr)); err == nil {
+		if c.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(memberConfig.Self.Addr)); err == nil {
 			break
 		}
-		if kept == nil || time.Now().After(until) {
+		if handedOver == nil || time.Now().After(until) {
 			return nil, err
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	if kept != nil && c.codec.counter <= kept.Count { // the clock was set back between the two processes
-		c.codec.counter = kept.Count + counterHeadroom
+	if handedOver != nil && c.codec.counter <= handedOver.Count { // the clock was set back between the two processes
+		c.codec.counter = handedOver.Count + counterHeadroom
 	}
-	c.machine = member.New(m, c.now(), kept)
+	c.machine = member.New(memberConfig, c.now(), handedOver)
 	c.done.Add(2)
 	go c.receiveLoop()
 	go c.tickLoop()
@@ -197,7 +198,7 @@
 	return c.machine.AliveMembers()
 }
 
-// Self returns this process's identifier. It can change, when another process at this address turns out to have had a greater one.
+// Self returns this process's identifier. It changes if an earlier process at this address turns out to have had a greater one.
 func (c *Transport) Self() member.ProcessID {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -233,7 +234,7 @@
 	return v
 }
 
-// Counts returns the numbers since the start.
+// Counts returns the numbers of datagrams since the start.
 func (c *Transport) Counts() Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -246,9 +247,9 @@
 func (c *Transport) HandoverState() member.HandoverState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	k := c.machine.HandoverState()
-	k.Count = c.codec.counter
-	return k
+	state := c.machine.HandoverState()
+	state.Count = c.codec.counter
+	return state
 }
 
 // Leave announces that this balancer is ending, twice as a datagram may be lost, and closes the transport.
--- a/internal/fleet/carry/codec.go
+++ b/internal/fleet/carry/codec.go
@@ -29,7 +29,7 @@
 	tagSize    = 16
 )
 
-// Reasons for which datagrams are dropped, also the labels under which these are counted.
+// Reasons for dropping datagrams. Their texts are also the labels under which dropped datagrams are counted.
 var (
 	errShort    = errors.New("short")
 	errLong     = errors.New("long")
@@ -62,7 +62,7 @@
 	Wants      []uint64 `cbor:"14,keyasint,omitempty"`
 	Sums       []uint32 `cbor:"15,keyasint,omitempty"`
 	Mask       uint64   `cbor:"16,keyasint,omitempty"`
-	Topic      uint8    `cbor:"17,keyasint,omitempty"` // of a payload: which package it is for
+	Topic      uint8    `cbor:"17,keyasint,omitempty"` // of a payload: the package that it is for
 	Body       []byte   `cbor:"18,keyasint,omitempty"`
 }
 
@@ -82,7 +82,7 @@
 	Addr       []byte
 }
 
-const flagBack, flagFull = 1, 2
+const flagWantTable, flagWantRecords = 1, 2
 
 // maxListEntries bounds the lists of one datagram: more of even the smallest entries do not fit.
 const maxListEntries = 160
@@ -126,7 +126,8 @@
 
 func (c *codec) mac() hash.Hash { return hmac.New(sha256.New, c.key) }
 
-// kindPayload marks messages of other packages; to the membership protocol they only show that the sender is alive.
+// kindPayload is the kind of datagrams with messages of other packages. To the membership protocol they only show that the sender
+// is alive.
 const kindPayload = 32
 
 // payload is another package's message to the same package at a member.
@@ -147,20 +148,20 @@
 		p.TargetAddr, _ = m.TargetAddr.MarshalBinary()
 	}
 	if m.WantTable {
-		p.Flags |= flagBack
+		p.Flags |= flagWantTable
 	}
 	if m.WantRecords {
-		p.Flags |= flagFull
+		p.Flags |= flagWantRecords
 	}
 	for _, r := range m.Updates {
 		p.Updates = append(p.Updates, update{Life: uint64(r.Life), Inc: uint32(r.Inc), State: uint8(r.State), By: uint64(r.Suspector)})
 	}
 	for _, r := range m.Records {
-		a, _ := r.Addr.MarshalBinary()
-		p.Records = append(p.Records, record{Life: uint64(r.Life), Inc: uint32(r.Inc), Name: r.Name, Zone: r.Zone, Addr: a})
+		addr, _ := r.Addr.MarshalBinary()
+		p.Records = append(p.Records, record{Life: uint64(r.Life), Inc: uint32(r.Inc), Name: r.Name, Zone: r.Zone, Addr: addr})
 	}
-	for _, w := range m.RecordRequests {
-		p.Wants = append(p.Wants, uint64(w))
+	for _, id := range m.RecordRequests {
+		p.Wants = append(p.Wants, uint64(id))
 	}
 	body, err := cbor.Marshal(&p)
 	if err != nil {
@@ -175,10 +176,11 @@
 	return append(d, h.Sum(nil)[:tagSize]...), nil
 }
 
-// maxDatagramAge bounds the age of a datagram in either direction: unsynchronised clocks drift apart that far in some weeks.
+// maxDatagramAge bounds the difference between a datagram's time of sending and the receiver's clock, in either direction:
+// unsynchronised clocks drift apart that far in some weeks.
 const maxDatagramAge = 5 * time.Minute
 
-// decode decodes a datagram. The error is one of the reasons above.
+// decode decodes a datagram. The error is one of the reasons for dropping datagrams, such as errShort.
 func (c *codec) decode(d []byte, self member.ProcessID, at time.Time) (*member.Message, payload, error) {
 	switch {
 	case len(d) < headerSize+tagSize+1:
@@ -217,7 +219,8 @@
 	return m, payload{p.Topic, p.Body}, nil
 }
 
-// isNew reports whether a datagram was not received before and is not too far behind its sender's others to know.
+// isNew reports whether a datagram was not received before. One that is 64 or more behind its sender's newest counts as received,
+// because the window no longer records it.
 func (c *codec) isNew(from member.ProcessID, n uint64) bool {
 	w, ok := c.windows.Get(from)
 	if !ok {
@@ -250,7 +253,7 @@
 		return nil, false
 	}
 	m := &member.Message{Kind: member.Kind(p.Kind), From: member.ProcessID(p.From), To: member.ProcessID(p.To), Inc: member.Incarnation(p.Inc), Seq: p.Seq,
-		Digest: p.Digest, Target: member.ProcessID(p.Target), WantTable: p.Flags&flagBack != 0, WantRecords: p.Flags&flagFull != 0, BucketDigests: p.Sums, WantedBuckets: p.Mask}
+		Digest: p.Digest, Target: member.ProcessID(p.Target), WantTable: p.Flags&flagWantTable != 0, WantRecords: p.Flags&flagWantRecords != 0, BucketDigests: p.Sums, WantedBuckets: p.Mask}
 	if len(p.TargetAddr) > 0 && m.TargetAddr.UnmarshalBinary(p.TargetAddr) != nil {
 		return nil, false
 	}
@@ -261,15 +264,15 @@
 		m.Updates = append(m.Updates, member.StateUpdate{Life: member.ProcessID(r.Life), Inc: member.Incarnation(r.Inc), State: member.State(r.State), Suspector: member.ProcessID(r.By)})
 	}
 	for _, r := range p.Records {
-		var a netip.AddrPort
+		var addr netip.AddrPort
 		if r.Life == 0 || member.Incarnation(r.Inc) > member.MaxIncarnation || r.Name == "" || len(r.Name) > member.MaxNameBytes || len(r.Zone) > member.MaxNameBytes ||
-			a.UnmarshalBinary(r.Addr) != nil || !member.IsUsableAddr(a) {
+			addr.UnmarshalBinary(r.Addr) != nil || !member.IsUsableAddr(addr) {
 			return nil, false
 		}
-		m.Records = append(m.Records, member.Record{Life: member.ProcessID(r.Life), Inc: member.Incarnation(r.Inc), Name: r.Name, Zone: r.Zone, Addr: a})
+		m.Records = append(m.Records, member.Record{Life: member.ProcessID(r.Life), Inc: member.Incarnation(r.Inc), Name: r.Name, Zone: r.Zone, Addr: addr})
 	}
-	for _, w := range p.Wants {
-		m.RecordRequests = append(m.RecordRequests, member.ProcessID(w))
+	for _, id := range p.Wants {
+		m.RecordRequests = append(m.RecordRequests, member.ProcessID(id))
 	}
 	return m, true
 }
--- a/internal/fleet/carry/codec_test.go
+++ b/internal/fleet/carry/codec_test.go
@@ -84,31 +84,31 @@
 		d    []byte
 		want error
 	}{
-		"cut short":           {good[:len(good)-1], errChecksum},
-		"cut to the frame":    {good[:20], errShort},
-		"empty":               {nil, errShort},
-		"too long":            {make([]byte, 1201), errLong},
-		"another program":     {flip(0), errForeign},
-		"a newer version":     {flip(1), errVersion},
-		"another fleet":       {send("g", "", testTime, same), errFleet},
-		"another key":         {send("f", "other key", testTime, same), errChecksum},
-		"a spoilt byte":       {flip(40), errChecksum},
-		"years old":           {send("f", "", testTime.AddDate(-3, 0, 0), same), errOld},
-		"from the future":     {send("f", "", testTime.Add(time.Hour), same), errOld},
-		"from itself":         {send("f", "", testTime, func(m *member.Message) { m.From = 1 }), errSelf},
-		"from nobody":         {send("f", "", testTime, func(m *member.Message) { m.From = 0 }), errFields},
-		"no kind":             {send("f", "", testTime, func(m *member.Message) { m.Kind = 99 }), errFields},
-		"no incarnation":      {send("f", "", testTime, func(m *member.Message) { m.Inc = member.MaxIncarnation + 1 }), errFields},
-		"of no life":          {send("f", "", testTime, func(m *member.Message) { m.Updates[0].Life = 0 }), errFields},
-		"no state":            {send("f", "", testTime, func(m *member.Message) { m.Updates[0].State = 99 }), errFields},
-		"no name":             {send("f", "", testTime, func(m *member.Message) { m.Records[0].Name = "" }), errFields},
-		"a letter for nobody": {signedDatagram([]byte{0xa4, 1, 0x18, 32, 2, 9, 3, 1, 4, 0}), errFields},
-		"a wildcard":          {send("f", "", testTime, func(m *member.Message) { m.Records[0].Addr = netip.MustParseAddrPort("0.0.0.0:7") }), errFields},
-		"no CBOR":             {signedDatagram([]byte{0xff, 0xff, 0xff}), errForm},
-		"too deep":            {signedDatagram(append(bytes.Repeat([]byte{0x81}, 50), 0)), errForm},
-		"a key twice":         {signedDatagram([]byte{0xa2, 1, 1, 1, 1}), errForm},
-		"a huge list":         {signedDatagram([]byte{0xa1, 14, 0x9a, 0xff, 0xff, 0xff, 0xff}), errForm},
-		"as it should be":     {good, nil},
+		"cut short":               {good[:len(good)-1], errChecksum},
+		"below the least size":    {good[:20], errShort},
+		"empty":                   {nil, errShort},
+		"too long":                {make([]byte, 1201), errLong},
+		"another program":         {flip(0), errForeign},
+		"a newer version":         {flip(1), errVersion},
+		"another fleet":           {send("g", "", testTime, same), errFleet},
+		"another key":             {send("f", "other key", testTime, same), errChecksum},
+		"a changed byte":          {flip(40), errChecksum},
+		"years old":               {send("f", "", testTime.AddDate(-3, 0, 0), same), errOld},
+		"from the future":         {send("f", "", testTime.Add(time.Hour), same), errOld},
+		"from itself":             {send("f", "", testTime, func(m *member.Message) { m.From = 1 }), errSelf},
+		"from process 0":          {send("f", "", testTime, func(m *member.Message) { m.From = 0 }), errFields},
+		"an unknown kind":         {send("f", "", testTime, func(m *member.Message) { m.Kind = 99 }), errFields},
+		"too high an incarnation": {send("f", "", testTime, func(m *member.Message) { m.Inc = member.MaxIncarnation + 1 }), errFields},
+		"on process 0":            {send("f", "", testTime, func(m *member.Message) { m.Updates[0].Life = 0 }), errFields},
+		"an unknown state":        {send("f", "", testTime, func(m *member.Message) { m.Updates[0].State = 99 }), errFields},
+		"no name":                 {send("f", "", testTime, func(m *member.Message) { m.Records[0].Name = "" }), errFields},
+		"a payload without topic": {signedDatagram([]byte{0xa4, 1, 0x18, 32, 2, 9, 3, 1, 4, 0}), errFields},
+		"a wildcard address":      {send("f", "", testTime, func(m *member.Message) { m.Records[0].Addr = netip.MustParseAddrPort("0.0.0.0:7") }), errFields},
+		"not CBOR":                {signedDatagram([]byte{0xff, 0xff, 0xff}), errForm},
+		"nested too deeply":       {signedDatagram(append(bytes.Repeat([]byte{0x81}, 50), 0)), errForm},
+		"a key twice":             {signedDatagram([]byte{0xa2, 1, 1, 1, 1}), errForm},
+		"too long a list":         {signedDatagram([]byte{0xa1, 14, 0x9a, 0xff, 0xff, 0xff, 0xff}), errForm},
+		"valid":                   {good, nil},
 	} {
 		c := newCodec("f", nil)
 		if _, _, err := c.decode(row.d, 1, testTime); !errors.Is(err, row.want) {
@@ -143,13 +143,13 @@
 // Reordered datagrams are accepted once each; one that is far behind is dropped.
 func TestWindow(t *testing.T) {
 	c := newCodec("f", nil)
-	order := rand.New(rand.NewPCG(1, 1)).Perm(60)
-	for _, n := range order {
+	shuffled := rand.New(rand.NewPCG(1, 1)).Perm(60)
+	for _, n := range shuffled {
 		if !c.isNew(9, uint64(1000+n)) {
 			t.Errorf("datagram %d is dropped when first received", n)
 		}
 	}
-	for _, n := range order {
+	for _, n := range shuffled {
 		if c.isNew(9, uint64(1000+n)) {
 			t.Errorf("datagram %d is accepted twice", n)
 		}
@@ -176,8 +176,8 @@
 	})
 }
 
-// An order with every field set is decoded as it was encoded. One with a list of earlier orders used to be dropped, as its nesting
-// exceeded the decoder's limit.
+// An order with every field set is decoded as it was encoded, also with a list of earlier orders, the most deeply nested value of all
+// messages: a decoder with too low a limit of nesting drops it.
 func TestOrdersComeThrough(t *testing.T) {
 	o := order.Order{Host: "h", ID: order.ID{Count: 7, By: 9}, Out: true, Force: true, Door: "n0", Past: []order.ID{{Count: 6, By: 1 << 60}, {Count: 5, By: 2}}}
 	m := &order.Message{Digest: 1 << 63, IsReply: true, Orders: []order.Order{o, o}}
--- a/internal/fleet/carry/shares.go
+++ b/internal/fleet/carry/shares.go
@@ -28,8 +28,8 @@
 // EncodeShares encodes a message of package share.
 func EncodeShares(m *share.Message) []byte {
 	out := shareMessage{Kind: uint8(m.Kind), N: m.AskNumber, Among: m.Balancers, Sum: m.NamesHash}
-	for _, w := range m.Entries {
-		out.Wants = append(out.Wants, shareDemand{Name: w.Index, Part: int64(w.Part), Bound: w.Limit})
+	for _, entry := range m.Entries {
+		out.Wants = append(out.Wants, shareDemand{Name: entry.Index, Part: int64(entry.Part), Bound: entry.Limit})
 	}
 	data, _ := cbor.Marshal(&out) // cannot fail for numbers
 	return data
@@ -42,11 +42,11 @@
 		return nil, false
 	}
 	m := &share.Message{Kind: share.Kind(s.Kind), AskNumber: s.N, Balancers: s.Among, NamesHash: s.Sum}
-	for _, w := range s.Wants {
-		if w.Part < 0 || w.Part > int64(share.WholeLimit) || !(w.Bound >= 0) {
+	for _, entry := range s.Wants {
+		if entry.Part < 0 || entry.Part > int64(share.WholeLimit) || !(entry.Bound >= 0) {
 			return nil, false
 		}
-		m.Entries = append(m.Entries, share.LimitEntry{Index: w.Name, Part: share.Part(w.Part), Limit: w.Bound})
+		m.Entries = append(m.Entries, share.LimitEntry{Index: entry.Name, Part: share.Part(entry.Part), Limit: entry.Bound})
 	}
 	return m, true
 }
