--- a/internal/fleet/evidence/evidence.go
+++ b/internal/fleet/evidence/evidence.go
@@ -45,8 +45,8 @@
 	Zone string
 }
 
-// HostSummary summarises what the other balancers report of a host. Good and Bad are the weight of their reports, in attempts, to be added to
-// the balancer's own observations; both are 0 if there is no longer anything to report.
+// HostSummary summarises what the other balancers report of a host. Good and Bad are the weight of their reports, in attempts, to be
+// added to the balancer's own observations.
 type HostSummary struct {
 	Host         string
 	Good, Bad    float64
@@ -55,20 +55,20 @@
 
 // Contains reports whether summaries, which are sorted by host, contain one of this host.
 func Contains(summaries []HostSummary, host string) bool {
-	_, has := slices.BinarySearchFunc(summaries, host, func(w HostSummary, h string) int { return cmp.Compare(w.Host, h) })
+	_, has := slices.BinarySearchFunc(summaries, host, func(s HostSummary, h string) int { return cmp.Compare(s.Host, h) })
 	return has
 }
 
 // NotifyChanges calls notify for each host that has a summary now, and with zeros for each host that had one before and has none now. It
 // repeats unchanged summaries, because the policy treats a restarted host as a new one that has none yet.
 func NotifyChanges(before, after []HostSummary, notify func(host string, good, bad float64)) {
-	for _, w := range before {
-		if !Contains(after, w.Host) {
-			notify(w.Host, 0, 0)
+	for _, s := range before {
+		if !Contains(after, s.Host) {
+			notify(s.Host, 0, 0)
 		}
 	}
-	for _, w := range after {
-		notify(w.Host, w.Good, w.Bad)
+	for _, s := range after {
+		notify(s.Host, s.Good, s.Bad)
 	}
 }
 
@@ -91,8 +91,8 @@
 	// offsetDriftRatio is the rate at which the offset of the fastest message is raised as it ages, because clocks drift apart and
 	// network paths can become longer for good.
 	offsetDriftRatio = 0.1
-	// Each balancer reports to partnerCount members, partnersPerTick of them per tick, and keeps the same ones as long as they live. If
-	// they were drawn anew each tick, in a fleet of hundreds no balancer would receive two messages of one sender in time. Sixteen
+	// Each balancer reports to partnerCount members, partnersPerTick of them per tick, and keeps the same ones as long as they run. If
+	// others were drawn in each tick, in a fleet of hundreds no balancer would receive two messages of one sender in time. Sixteen
 	// reporters together detect a bad host sixteen times as fast as one.
 	partnerCount    = 16
 	partnersPerTick = 4
@@ -104,8 +104,9 @@
 	MaxHostNameBytes   = 256 // MaxHostNameBytes is the maximum length of a host's name
 )
 
+// Constants of the summaries.
 const (
-	// minBadWeight is the weight of bad reports from which a host is reported bad: a single balancer cannot reach it.
+	// minBadWeight is the weight of bad reports from which a host gets a summary: a single balancer's report cannot reach it.
 	minBadWeight = 2
 	// maxTotalWeight limits what all other balancers' reports of a host weigh together, in attempts: a dozen good attempts of this
 	// balancer's own outweigh them.
@@ -210,8 +211,8 @@
 	return good, bad
 }
 
-// Tick queues messages to the next partners and updates the summaries. It is to be called once per TickInterval, with the members present and
-// the number of hosts in the host list.
+// Tick queues messages to the next partners and updates the summaries. It is to be called once per TickInterval, with the members
+// present and the number of hosts in the host list.
 func (m *Machine) Tick(now Moment, members []Peer, hosts int) {
 	m.advance(now)
 	m.hostCount = hosts
@@ -219,9 +220,9 @@
 	for _, p := range members {
 		m.zones[p.Life] = p.Zone
 	}
-	maps.DeleteFunc(m.reporters, func(l member.ProcessID, w *reporter) bool {
-		_, present := m.zones[l]
-		return !present || now-w.lastReceived > 10*reportTTL
+	maps.DeleteFunc(m.reporters, func(id member.ProcessID, sender *reporter) bool {
+		_, present := m.zones[id]
+		return !present || now-sender.lastReceived > 10*reportTTL
 	})
 	rows := m.rows()
 	m.choosePartners(members)
@@ -233,7 +234,7 @@
 	m.summarize()
 }
 
-// choosePartners selects partners by a hash of the two process ids alone, so that they stay the same while their processes live.
+// choosePartners selects partners by a hash of the two process ids alone, so that they stay the same while their processes run.
 func (m *Machine) choosePartners(members []Peer) {
 	type ranked struct {
 		id   member.ProcessID
@@ -251,7 +252,7 @@
 	for _, r := range all[:min(partnerCount, len(all))] {
 		m.partners = append(m.partners, r.id)
 	}
-	if i := slices.IndexFunc(m.partners, func(l member.ProcessID) bool { return !slices.Contains(before, l) }); i >= 0 {
+	if i := slices.IndexFunc(m.partners, func(id member.ProcessID) bool { return !slices.Contains(before, id) }); i >= 0 {
 		m.partnerIndex = i + len(m.partners) - 1 // a new partner has received nothing yet: it is the next to get a message
 	}
 }
@@ -304,33 +305,33 @@
 	if _, present := m.zones[from]; !present && len(m.zones) > 0 || from == m.config.Self {
 		return
 	}
-	w, offset := m.reporters[from], now-msg.SentAt
-	if w == nil {
+	sender, offset := m.reporters[from], now-msg.SentAt
+	if sender == nil {
 		if len(m.reporters) >= maxReporters {
 			return
 		}
-		w = &reporter{minOffset: offset, minOffsetAt: now}
-		m.reporters[from] = w
+		sender = &reporter{minOffset: offset, minOffsetAt: now}
+		m.reporters[from] = sender
 	}
-	if msg.Sequence <= w.lastSequence {
+	if msg.Sequence <= sender.lastSequence {
 		return
 	}
-	expected := w.minOffset + Moment(offsetDriftRatio*float64(now-w.minOffsetAt))
+	expected := sender.minOffset + Moment(offsetDriftRatio*float64(now-sender.minOffsetAt))
 	if offset-expected > maxDelay {
 		return
 	}
 	if offset < expected {
-		w.minOffset, w.minOffsetAt = offset, now
+		sender.minOffset, sender.minOffsetAt = offset, now
 	}
-	w.lastSequence, w.lastReceived, w.rows = msg.Sequence, now, make(map[string]HostOutcomes, len(msg.Hosts))
+	sender.lastSequence, sender.lastReceived, sender.rows = msg.Sequence, now, make(map[string]HostOutcomes, len(msg.Hosts))
 	good, bad := 0, 0
 	for _, r := range msg.Hosts {
 		if r.Good >= 0 && r.Bad >= 0 && r.Good+r.Bad > 0 {
-			w.rows[r.Host] = r
+			sender.rows[r.Host] = r
 			good, bad = good+min(r.Good, 1), bad+min(r.Bad, 1)
 		}
 	}
-	w.biased = len(w.rows) >= biasedMinHosts && float64(bad) > biasedBadRatio*float64(good+bad)
+	sender.biased = len(sender.rows) >= biasedMinHosts && float64(bad) > biasedBadRatio*float64(good+bad)
 }
 
 // summarize computes the summaries from the reports that count now. A balancer's report on a host weighs one attempt in total, split by
@@ -338,12 +339,12 @@
 func (m *Machine) summarize() {
 	type votes struct{ good, bad float64 }
 	sameZone, otherZones, badReporters := map[string]votes{}, map[string]map[string]votes{}, map[string]int{}
-	for l, w := range m.reporters {
-		zone, present := m.zones[l]
-		if !present || w.biased || m.now-w.lastReceived > reportTTL {
+	for id, sender := range m.reporters {
+		zone, present := m.zones[id]
+		if !present || sender.biased || m.now-sender.lastReceived > reportTTL {
 			continue
 		}
-		for host, r := range w.rows {
+		for host, r := range sender.rows {
 			badRatio := float64(r.Bad) / float64(r.Good+r.Bad)
 			if badRatio > 0.5 {
 				badReporters[host]++
@@ -363,7 +364,8 @@
 	summaries := []HostSummary{}
 	for host := range badReporters {
 		v := sameZone[host]
-		for _, zoneVotes := range otherZones[host] { // another zone's failures may be due to its network paths: together it weighs at most one
+		// Another zone's failures may be due to its network paths: all its balancers together weigh at most one attempt.
+		for _, zoneVotes := range otherZones[host] {
 			scale := 1 / max(1, zoneVotes.good+zoneVotes.bad)
 			v.good, v.bad = v.good+zoneVotes.good*scale, v.bad+zoneVotes.bad*scale
 		}
@@ -385,8 +387,8 @@
 
 // ActiveReporters returns the number of balancers whose reports count now.
 func (m *Machine) ActiveReporters() (n int) {
-	for _, w := range m.reporters {
-		if m.now-w.lastReceived <= reportTTL && !w.biased {
+	for _, sender := range m.reporters {
+		if m.now-sender.lastReceived <= reportTTL && !sender.biased {
 			n++
 		}
 	}
--- a/internal/fleet/evidence/evidence_test.go
+++ b/internal/fleet/evidence/evidence_test.go
@@ -23,8 +23,8 @@
 func singleRow(host string, good, bad int) []HostOutcomes { return []HostOutcomes{{host, good, bad}} }
 
 func formatSummaries(m *Machine) (text string) {
-	for _, w := range m.Summaries() {
-		text += fmt.Sprintf("%s %.1f:%.1f ", w.Host, w.Good, w.Bad)
+	for _, s := range m.Summaries() {
+		text += fmt.Sprintf("%s %.1f:%.1f ", s.Host, s.Good, s.Bad)
 	}
 	return text
 }
@@ -139,8 +139,8 @@
 	}
 	countSummaries := func() (bad, good int) {
 		for _, m := range all {
-			for _, w := range m.Summaries() {
-				if w.Host == "h0" {
+			for _, summary := range m.Summaries() {
+				if summary.Host == "h0" {
 					bad++
 				} else {
 					good++
