--- a/internal/fleet/order/explore_test.go
+++ b/internal/fleet/order/explore_test.go
@@ -31,7 +31,8 @@
 	for i, m := range w.balancers {
 		n := *m
 		n.orders, n.recentHosts, n.peers, n.conflicts, n.notices = slices.Clone(m.orders), slices.Clone(m.recentHosts), slices.Clone(m.peers), slices.Clone(m.conflicts), slices.Clone(m.notices)
-		n.rng = rand.New(rand.NewPCG(1, uint64(i))) // ticks draw the same random numbers in each state, so that states differ only in the machines and the messages in flight
+		// Ticks draw the same random numbers in each state, so that states differ only in the machines and the messages in flight.
+		n.rng = rand.New(rand.NewPCG(1, uint64(i)))
 		c.balancers[i] = &n
 	}
 	return &c
@@ -64,11 +65,11 @@
 }
 
 func (w *model) deliver(k int) {
-	l := w.inFlight[k]
+	delivered := w.inFlight[k]
 	w.inFlight = slices.Delete(w.inFlight, k, k+1)
-	if w.ids[l.receiver] == l.to {
-		w.balancers[l.receiver].Receive(0, l.from, &l.msg)
-		w.flush(l.receiver)
+	if w.ids[delivered.receiver] == delivered.to {
+		w.balancers[delivered.receiver].Receive(0, delivered.from, &delivered.msg)
+		w.flush(delivered.receiver)
 	}
 }
 
@@ -81,8 +82,8 @@
 		}
 	}
 	var inFlight []string
-	for _, l := range w.inFlight {
-		inFlight = append(inFlight, fmt.Sprint(l.from, l.to, l.msg))
+	for _, message := range w.inFlight {
+		inFlight = append(inFlight, fmt.Sprint(message.from, message.to, message.msg))
 	}
 	slices.Sort(inFlight)
 	return text + fmt.Sprint(inFlight)
@@ -124,8 +125,8 @@
 	return all
 }
 
-// check checks that no balancer's orders went back in a step, and that all balancers converge without losing a confirmed order if
-// nothing fails from now on.
+// check checks that a step replaced no balancer's order by one that does not supersede it, and that all balancers converge
+// without losing a confirmed order if nothing fails from now on.
 func check(before, after *model) error {
 	for i := range after.balancers {
 		for _, o := range before.balancers[i].orders {
--- a/internal/fleet/order/order.go
+++ b/internal/fleet/order/order.go
@@ -119,7 +119,7 @@
 // Conflict is a pair of orders on one host that were given without knowledge of each other.
 type Conflict struct{ Won, Lost Order }
 
-// peer is what this balancer knows of the orders that another balancer holds.
+// peer is what another balancer has reported of the orders it holds, and what it has been sent.
 type peer struct {
 	id         member.ProcessID
 	reported   bool // it has sent a message, so digest is valid
@@ -143,7 +143,7 @@
 }
 
 // lossNotice is an order that lost a conflict, to be sent to one of the two balancers that took the conflicting orders. Without the
-// notice that balancer might never learn of the conflict, because the winning order reaches all others before the losing one can
+// notice that balancer might never detect the conflict, because the winning order reaches all others before the losing one can
 // reach it.
 type lossNotice struct {
 	to        member.ProcessID
@@ -230,17 +230,17 @@
 		m.conflicts = m.conflicts[1:]
 	}
 	m.conflicts = append(m.conflicts, Conflict{won, lost})
-	for _, giver := range []member.ProcessID{won.By, lost.By} {
-		if giver != m.config.Self && len(m.notices) < 2*maxConflicts {
-			m.notices = append(m.notices, lossNotice{giver, lost, noticeRepeats})
+	for _, taker := range []member.ProcessID{won.By, lost.By} {
+		if taker != m.config.Self && len(m.notices) < 2*maxConflicts {
+			m.notices = append(m.notices, lossNotice{taker, lost, noticeRepeats})
 		}
 	}
 }
 
-// Submit takes an operator's order; hosts is the number of cache hosts this balancer knows. An order that repeats the current state
-// still counts as a new one: giving the same order at two balancers is no conflict, and the most recent order takes precedence.
-func (m *Machine) Submit(host string, out, force bool, hosts int) (Order, error) {
-	o := Order{Host: host, ID: ID{1, m.config.Self}, Out: out, Force: force, Door: m.config.Name}
+// Submit takes an operator's order; hosts is the number of cache hosts in this balancer's host list. An order that repeats the current
+// state still counts as a new one: giving the same order at two balancers is no conflict, and the most recent order takes precedence.
+func (m *Machine) Submit(host string, exclude, force bool, hosts int) (Order, error) {
+	o := Order{Host: host, ID: ID{1, m.config.Self}, Out: exclude, Force: force, Door: m.config.Name}
 	i, held := m.find(host)
 	if held {
 		current := &m.orders[i]
@@ -250,7 +250,7 @@
 	} else if len(m.orders) >= maxOrders {
 		return o, ErrTooManyOrders
 	}
-	if n := len(m.unforced()); out && !force && !(held && m.orders[i].Out) && n+1 > m.maxUnforced(hosts) {
+	if n := len(m.unforced()); exclude && !force && !(held && m.orders[i].Out) && n+1 > m.maxUnforced(hosts) {
 		return o, ErrTooManyExcluded
 	}
 	m.apply(o)
@@ -278,18 +278,18 @@
 
 // Excluded returns the hosts that are excluded, sorted. Two balancers that do not know of each other's orders may together exceed the
 // allowed number; the hosts beyond it are not excluded, and all balancers with the same host list leave out the same ones.
-func (m *Machine) Excluded(hosts int) (out []string) {
+func (m *Machine) Excluded(hosts int) (excluded []string) {
 	unforced := m.unforced()
 	for _, o := range unforced[:min(len(unforced), m.maxUnforced(hosts))] {
-		out = append(out, o.Host)
+		excluded = append(excluded, o.Host)
 	}
 	for _, o := range m.orders {
 		if o.Out && o.Force {
-			out = append(out, o.Host)
+			excluded = append(excluded, o.Host)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(excluded)
+	return excluded
 }
 
 // Receive processes a member's message and queues a reply where one is needed.
@@ -323,10 +323,10 @@
 	return nil
 }
 
-// sendTo queues a message with this balancer's digest. If the peer's digest differs, the message also carries as many orders as fit,
+// sendTo queues a message with this balancer's digest. If the peer's digest differs, the message also contains as many orders as fit,
 // the most recent first; successive messages continue through the list.
-func (m *Machine) sendTo(now Moment, p *peer, answer bool) {
-	msg := Message{Digest: m.digest, IsReply: answer}
+func (m *Machine) sendTo(now Moment, p *peer, isReply bool) {
+	msg := Message{Digest: m.digest, IsReply: isReply}
 	if p.digest != m.digest {
 		if p.sentOrders >= len(m.recentHosts) {
 			p.sentOrders = 0
@@ -343,7 +343,7 @@
 	m.sends = append(m.sends, Outgoing{p.id, msg})
 }
 
-// Tick takes the present members and queues messages to some of those whose digest differs or is unknown. recentOrder says that this
+// Tick takes the present members and queues messages to some of those whose digest differs or is unknown. recentOrder means that this
 // balancer has recently taken an order from an operator, and makes it contact more of them.
 func (m *Machine) Tick(now Moment, members []member.ProcessID, recentOrder bool) {
 	peers := make([]peer, 0, len(members))
@@ -385,7 +385,8 @@
 	}
 }
 
-// TakeOutput returns the messages queued since the last call. The orders that TakeChanges returns must be stored before any of them is sent.
+// TakeOutput returns the messages queued since the last call. The orders that TakeChanges returns must be stored before any of these
+// messages is sent.
 func (m *Machine) TakeOutput() (sends []Outgoing) { sends, m.sends = m.sends, nil; return sends }
 
 // TakeChanges returns the orders adopted since the last call.
--- a/internal/fleet/order/order_test.go
+++ b/internal/fleet/order/order_test.go
@@ -84,14 +84,14 @@
 func (p *simulation) step(by time.Duration) error {
 	p.now += by
 	for k := 0; k < len(p.inFlight); {
-		l := p.inFlight[k]
-		if l.arrival > p.now {
+		delivered := p.inFlight[k]
+		if delivered.arrival > p.now {
 			k++
 			continue
 		}
 		p.inFlight = slices.Delete(p.inFlight, k, k+1)
-		if m := p.balancers[l.receiver]; m.Machine != nil && m.id == l.to && m.pausedUntil <= p.now {
-			if err := p.applyChecked(l.receiver, func() { m.Receive(p.now, l.from, &l.msg) }); err != nil {
+		if m := p.balancers[delivered.receiver]; m.Machine != nil && m.id == delivered.to && m.pausedUntil <= p.now {
+			if err := p.applyChecked(delivered.receiver, func() { m.Receive(p.now, delivered.from, &delivered.msg) }); err != nil {
 				return err
 			}
 		}
@@ -128,10 +128,10 @@
 	return nil
 }
 
-func (p *simulation) submit(i int, host string, out bool) {
+func (p *simulation) submit(i int, host string, exclude bool) {
 	m := p.balancers[i]
 	if m.Machine != nil && m.pausedUntil <= p.now {
-		if o, err := m.Submit(host, out, true, 10); err == nil {
+		if o, err := m.Submit(host, exclude, true, 10); err == nil {
 			p.flush(i)
 			p.confirmed = append(p.confirmed, o)
 		}
@@ -228,7 +228,7 @@
 		"sends and receives nothing": func(p *simulation, i int) {
 			if m := p.balancers[1]; m.Machine != nil {
 				m.peers = nil
-				p.inFlight = slices.DeleteFunc(p.inFlight, func(l packet) bool { return l.receiver == 1 || l.from == m.id })
+				p.inFlight = slices.DeleteFunc(p.inFlight, func(message packet) bool { return message.receiver == 1 || message.from == m.id })
 			}
 		},
 	} {
@@ -277,7 +277,7 @@
 		}
 	}
 	if _, err := a.Submit("a3", true, false, 4); err != ErrTooManyExcluded {
-		t.Errorf("excluding a third host of four: %v, want ErrTooMany", err)
+		t.Errorf("excluding a third host of four: %v, want ErrTooManyExcluded", err)
 	}
 	for _, o := range b.All() {
 		a.apply(o)
