--- a/internal/fleet/share/share.go
+++ b/internal/fleet/share/share.go
@@ -24,7 +24,7 @@
 const WholeLimit Part = 1e9
 
 // Of returns this part of a limit's value.
-func (p Part) Of(bound float64) float64 { return bound * float64(p) / float64(WholeLimit) }
+func (p Part) Of(value float64) float64 { return value * float64(p) / float64(WholeLimit) }
 
 // Config is the configuration of a Machine; it does not change during the life of a process.
 type Config struct {
@@ -32,8 +32,8 @@
 	Balancers int       // number of balancers according to the settings
 	Names     []string  // of the limits
 	Limits    []float64 // value of each limit, in its own unit
-	// NeedPerItem is what a single request or connection adds to the need for a limit. The random fluctuation of a need is estimated from it,
-	// as the square root of the number counted.
+	// NeedPerItem is what a single request or connection adds to the need for a limit. The random fluctuation of a need is estimated
+	// from it, as the square root of the number counted.
 	NeedPerItem      []float64
 	ReservedFraction []float64     // fraction of the home part of each limit that is never lent; at least MinReservedFraction
 	Lease            time.Duration // how long a part is lent
@@ -54,18 +54,18 @@
 	deviationFactor = 2
 	satisfiedMargin = 1.1
 	// In one tick a balancer asks baseAsksPerTick members plus one in membersPerExtraAsk of all; the next tick asks others for what is
-	// still missing. It so collects a whole limit within 1.5 s from a fleet of any size. The number is halved, down to one, after each
-	// tick whose answers brought nothing: when all balancers want more than there is, asking everybody took 24 KB/s at each of eight
-	// balancers.
+	// still missing. In this way it collects a whole limit within 1.5 s from a fleet of any size. The number is halved, down
+	// to one, after each tick whose answers brought nothing: when all balancers want more than there is, asking every member took
+	// 24 KB/s at each of eight balancers.
 	baseAsksPerTick    = 16
 	membersPerExtraAsk = 8
 	maxRenewalsPerTick = 1024 // leases renewed in one tick; the others are renewed in later ticks
 	maxAskers          = 4096 // of one limit
 	maxLeases          = 4096 // lent, and as many borrowed
-	maxWants           = 32   // in one message
+	maxEntriesPerAsk   = 32   // limits in one Ask
 	// maxSettingsRatio is how far the settings of two balancers may differ while a new configuration is rolled out; meanwhile the
-	// stricter value applies. A larger difference is a fault: values beyond this ratio do not
-	// apply, so that one wrong setting cannot starve the whole fleet.
+	// stricter value applies. A larger difference is a fault: values beyond this ratio do not apply, so that one wrong setting cannot
+	// leave the whole fleet without its limits.
 	maxSettingsRatio = 2
 	// minPart is the smallest part worth a message.
 	minPart = WholeLimit / 10000
@@ -234,7 +234,7 @@
 	Need                 float64
 	Leases               int    // lent and borrowed
 	NextExpiry           Moment // time until the first of the leases expires; 0 if there is none
-	RecentlyStarted      bool   // recently started: of its home part this process uses only the reserved part
+	RecentlyStarted      bool   // of its home part this process uses only the reserved part
 }
 
 // State returns the current state of a limit.
@@ -258,11 +258,11 @@
 
 // NextExpiry returns when the next borrowed part expires. From then on, results of Part are out of date.
 func (m *Machine) NextExpiry() Moment {
-	ends := Moment(math.MaxInt64)
+	earliest := Moment(math.MaxInt64)
 	for i := range m.borrowed {
-		ends = min(ends, m.borrowed[i].expires)
+		earliest = min(earliest, m.borrowed[i].expires)
 	}
-	return ends
+	return earliest
 }
 
 // TakeOutput returns the messages queued since the last call.
@@ -276,7 +276,7 @@
 func (m *Machine) advance(now Moment) {
 	m.now = max(m.now, now)
 	m.borrowed = slices.DeleteFunc(m.borrowed, func(l lease) bool {
-		if over := m.now >= l.expires; over {
+		if expired := m.now >= l.expires; expired {
 			m.limits[l.limit].borrowed -= l.part
 			return true
 		}
@@ -286,9 +286,9 @@
 }
 
 // removeLent removes leases that this balancer has granted.
-func (m *Machine) removeLent(over func(lease) bool) {
+func (m *Machine) removeLent(remove func(lease) bool) {
 	before := len(m.lent)
-	if m.lent = slices.DeleteFunc(m.lent, over); len(m.lent) == before {
+	if m.lent = slices.DeleteFunc(m.lent, remove); len(m.lent) == before {
 		return
 	}
 	for i := range m.limits {
@@ -383,7 +383,8 @@
 			return false
 		}
 		lim.borrowed -= l.part
-		m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l.peer && a.id <= l.askID }) // a grant that arrives late is returned too
+		// A grant that still arrives for one of these asks is ignored; the Return covers it too.
+		m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == l.peer && a.id <= l.askID })
 		m.send(l.peer, Message{Kind: Return, AskNumber: l.askID, Entries: []LimitEntry{{Index: uint16(l.limit)}}})
 		return true
 	})
@@ -437,7 +438,7 @@
 				want += l.part
 			}
 		}
-		if want > minPart && len(msg.Entries) < maxWants {
+		if want > minPart && len(msg.Entries) < maxEntriesPerAsk {
 			msg.Entries = append(msg.Entries, LimitEntry{Index: uint16(i), Part: min(want, WholeLimit), Limit: m.config.Limits[i]})
 		}
 	}
@@ -461,8 +462,8 @@
 		return
 	}
 	m.fleetSize = max(m.fleetSize, min(msg.Balancers, maxSettingsRatio*m.config.Balancers)) // the larger number gives the smaller home part
-	for _, w := range msg.Entries {
-		if int(w.Index) >= len(m.limits) {
+	for _, entry := range msg.Entries {
+		if int(entry.Index) >= len(m.limits) {
 			return
 		}
 	}
@@ -472,10 +473,10 @@
 	case Grant:
 		m.acceptGrant(from, msg)
 	case Return:
-		for _, w := range msg.Entries {
-			m.removeLent(func(l lease) bool { return l.peer == from && l.limit == int(w.Index) && l.askID <= msg.AskNumber })
-			if !slices.ContainsFunc(m.lent, func(l lease) bool { return l.peer == from && l.limit == int(w.Index) }) {
-				m.limits[w.Index].removeAsker(from) // otherwise its earlier ask would reduce other members' parts until that expires
+		for _, entry := range msg.Entries {
+			m.removeLent(func(l lease) bool { return l.peer == from && l.limit == int(entry.Index) && l.askID <= msg.AskNumber })
+			if !slices.ContainsFunc(m.lent, func(l lease) bool { return l.peer == from && l.limit == int(entry.Index) }) {
+				m.limits[entry.Index].removeAsker(from) // otherwise its earlier ask would reduce other members' parts until that expires
 			}
 		}
 	}
@@ -485,21 +486,21 @@
 // the member has borrowed before, or nothing.
 func (m *Machine) grant(to member.ProcessID, msg *Message) {
 	answer := Message{Kind: Grant, AskNumber: msg.AskNumber}
-	for _, w := range msg.Entries {
-		lim, index := &m.limits[w.Index], int(w.Index)
-		lim.value = min(lim.value, max(w.Limit, m.config.Limits[w.Index]/maxSettingsRatio))
-		lim.recordAsk(to, w.Part, m.now, m.config.Lease)
+	for _, entry := range msg.Entries {
+		lim, index := &m.limits[entry.Index], int(entry.Index)
+		lim.value = min(lim.value, max(entry.Limit, m.config.Limits[entry.Index]/maxSettingsRatio))
+		lim.recordAsk(to, entry.Part, m.now, m.config.Lease)
 		granted := Part(0)
 		if !m.recentlyStarted() && !m.halved && len(m.lent) < maxLeases {
 			ownPart := min(max(m.reservedPart(index), m.wantedPart(lim)), m.homePart()) // its own need comes first, up to its home part
 			spare := m.homePart() - ownPart
-			granted = max(0, min(w.Part, lim.fairPart(to, spare), spare-m.totalLent(index, to)))
+			granted = max(0, min(entry.Part, lim.fairPart(to, spare), spare-m.totalLent(index, to)))
 		}
 		if granted > 0 {
 			m.lent = append(m.lent, lease{index, to, msg.AskNumber, granted, m.now + m.lenderDuration(m.config.Lease)})
 			lim.lent = m.totalLent(index, 0)
 		}
-		answer.Entries = append(answer.Entries, LimitEntry{Index: w.Index, Part: granted, Limit: lim.value})
+		answer.Entries = append(answer.Entries, LimitEntry{Index: entry.Index, Part: granted, Limit: lim.value})
 	}
 	m.send(to, answer)
 }
@@ -539,12 +540,13 @@
 		return // a duplicate, or too late
 	}
 	askedAt := m.pendingAsks[i].sentAt
-	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == from && a.id <= msg.AskNumber }) // this also answers earlier asks
+	// This also answers earlier asks.
+	m.pendingAsks = slices.DeleteFunc(m.pendingAsks, func(a pendingAsk) bool { return a.to == from && a.id <= msg.AskNumber })
 	until := askedAt + time.Duration(float64(m.config.Lease)*(1-maxClockSkew))
-	for _, w := range msg.Entries {
-		lim, index := &m.limits[w.Index], int(w.Index)
-		lim.value = min(lim.value, max(w.Limit, m.config.Limits[w.Index]/maxSettingsRatio))
-		if w.Part < 0 || w.Part > WholeLimit || slices.ContainsFunc(m.borrowed, func(l lease) bool { return l.peer == from && l.limit == index && l.askID > msg.AskNumber }) {
+	for _, entry := range msg.Entries {
+		lim, index := &m.limits[entry.Index], int(entry.Index)
+		lim.value = min(lim.value, max(entry.Limit, m.config.Limits[entry.Index]/maxSettingsRatio))
+		if entry.Part < 0 || entry.Part > WholeLimit || slices.ContainsFunc(m.borrowed, func(l lease) bool { return l.peer == from && l.limit == index && l.askID > msg.AskNumber }) {
 			continue
 		}
 		previous := Part(0)
@@ -554,17 +556,17 @@
 				lim.borrowed -= l.part
 				previous += l.part
 			}
-			if replaced && l.part > w.Part { // otherwise the lender counts the larger one as in use until it expires
-				m.send(from, Message{Kind: Return, AskNumber: l.askID, Entries: []LimitEntry{{Index: w.Index}}})
+			if replaced && l.part > entry.Part { // otherwise the lender counts the larger one as in use until it expires
+				m.send(from, Message{Kind: Return, AskNumber: l.askID, Entries: []LimitEntry{{Index: entry.Index}}})
 			}
 			return replaced
 		})
-		if w.Part > previous+minPart {
+		if entry.Part > previous+minPart {
 			m.fruitlessTicks = 0
 		}
-		if w.Part > 0 && until > m.now && len(m.borrowed) < maxLeases {
-			m.borrowed = append(m.borrowed, lease{index, from, msg.AskNumber, w.Part, until})
-			lim.borrowed += w.Part
+		if entry.Part > 0 && until > m.now && len(m.borrowed) < maxLeases {
+			m.borrowed = append(m.borrowed, lease{index, from, msg.AskNumber, entry.Part, until})
+			lim.borrowed += entry.Part
 		}
 	}
 }
--- a/internal/fleet/share/share_test.go
+++ b/internal/fleet/share/share_test.go
@@ -110,23 +110,23 @@
 func (p *simulation) step(by time.Duration) error {
 	p.now += by
 	for k := 0; k < len(p.inFlight); {
-		l := p.inFlight[k]
-		if l.arrival > p.now {
+		delivered := p.inFlight[k]
+		if delivered.arrival > p.now {
 			k++
 			continue
 		}
 		p.inFlight = slices.Delete(p.inFlight, k, k+1)
-		if m := p.balancers[l.receiver]; m != nil && m.id == l.to && m.pausedUntil <= p.now {
-			m.Receive(m.clock(p.now), l.from, &l.msg)
-			p.flush(l.receiver)
+		if m := p.balancers[delivered.receiver]; m != nil && m.id == delivered.to && m.pausedUntil <= p.now {
+			m.Receive(m.clock(p.now), delivered.from, &delivered.msg)
+			p.flush(delivered.receiver)
 		}
 	}
 	p.olderProcesses = slices.DeleteFunc(p.olderProcesses, func(o olderProcess) bool {
-		over := p.now >= o.endsAt
-		if m := p.balancers[o.balancer]; over && m != nil {
+		ended := p.now >= o.endsAt
+		if m := p.balancers[o.balancer]; ended && m != nil {
 			m.SetUpgrading(false)
 		}
-		return over
+		return ended
 	})
 	for i, m := range p.balancers {
 		if m == nil || m.pausedUntil > p.now || m.nextTick > p.now {
@@ -157,14 +157,14 @@
 }
 
 func (p *simulation) check() error {
-	for name := range 2 {
+	for index := range 2 {
 		sum := Part(0)
 		for _, o := range p.olderProcesses {
-			sum += o.parts[name]
+			sum += o.parts[index]
 		}
 		for _, m := range p.balancers {
 			if m != nil && m.pausedUntil <= p.now {
-				part := m.Part(m.clock(p.now), name)
+				part := m.Part(m.clock(p.now), index)
 				if part < 0 {
 					return fmt.Errorf("at %v: negative part %d", p.now, part)
 				}
@@ -173,7 +173,7 @@
 		}
 		p.largestSum = max(p.largestSum, sum)
 		if sum > WholeLimit {
-			return fmt.Errorf("at %v: parts of limit %d add up to %.4f of it", p.now, name, float64(sum)/float64(WholeLimit))
+			return fmt.Errorf("at %v: parts of limit %d add up to %.4f of it", p.now, index, float64(sum)/float64(WholeLimit))
 		}
 	}
 	return nil
@@ -221,7 +221,8 @@
 				m.SetNeed(m.clock(p.now), rng.IntN(2), rng.Float64()*float64(1+seed%2*149))
 			}
 		}
-		if m := p.balancers[int(p.now/(7*time.Second))%n]; m != nil && m.pausedUntil <= p.now { // demand for limit 0 moves from balancer to balancer
+		// Demand for limit 0 moves from balancer to balancer.
+		if m := p.balancers[int(p.now/(7*time.Second))%n]; m != nil && m.pausedUntil <= p.now {
 			m.SetNeed(m.clock(p.now), 0, 60)
 		}
 		if err := p.step(20 * time.Millisecond); err != nil {
@@ -307,7 +308,7 @@
 	receive(750*time.Millisecond, third, 0)
 	returned := m.TakeOutput()
 	if len(returned) != 1 || returned[0].Msg.Kind != Return || returned[0].Msg.AskNumber != second {
-		t.Errorf("sent %+v after the lender stopped lending, want one Back for the earlier grant", returned)
+		t.Errorf("sent %+v after the lender stopped lending, want one Return for the earlier grant", returned)
 	}
 	receive(800*time.Millisecond, first, WholeLimit/10)
 	if got := m.limits[0].borrowed; got != 0 {
