--- a/internal/discovery/codec.go
+++ b/internal/discovery/codec.go
@@ -16,13 +16,13 @@
 type NameIndexes struct {
 	Zones map[string]policy.Zone
 	Kinds map[string]policy.MachineKind
-	// Yield is called by Parse after every entriesPerPause entries, so that parsing a long list does not block other work.
+	// Yield is called by Parse after every entriesPerYield entries, so that parsing a long list does not block other work.
 	// It may be nil.
 	Yield func()
 }
 
-// entriesPerPause is how many entries Parse reads between two calls of Yield; they take about 0.25 ms.
-const entriesPerPause = 32
+// entriesPerYield is how many entries Parse reads between two calls of Yield; they take about 0.25 ms.
+const entriesPerYield = 32
 
 var conditions = map[string]policy.Condition{
 	"active": policy.Up, "leaving": policy.Draining, "left": policy.Gone,
@@ -118,7 +118,7 @@
 		} else {
 			l.Hosts = append(l.Hosts, h)
 		}
-		if count%entriesPerPause == 0 && n.Yield != nil {
+		if count%entriesPerYield == 0 && n.Yield != nil {
 			n.Yield()
 		}
 	}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -42,8 +42,8 @@
 // olderThan reports whether the list is a snapshot of a generation before the known one.
 func (l List) olderThan(known int64) bool { return l.Snapshot && l.Generation < known }
 
-// IsSelfContained reports whether the list needs nothing from the list known before, so that CompleteFrom would return it unchanged. This holds
-// for nearly all responses.
+// IsSelfContained reports whether the list needs nothing from the list known before, so that CompleteFrom would return it unchanged.
+// This holds for nearly all responses.
 func (l List) IsSelfContained(known int64) bool { return !l.olderThan(known) && len(l.Unusable) == 0 }
 
 // CompleteFrom fills the gaps of the list from the list known before:
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -14,23 +14,26 @@
 )
 
 // TestRequestedVersions checks what each call asks for. A failed call leaves the known list valid, so the next call asks for
-// changes since. After an unusable response, or changes of a generation before the known one, the next asks for a snapshot.
+// the changes since that list. After an unusable response, or changes of a generation before the known one, the next call asks for
+// a snapshot.
 func TestRequestedVersions(t *testing.T) {
-	const whole = `{"generation":7,"reset":true,"instances":[]}`
-	changes := func(version string) string { return `{"generation":` + version + `,"reset":false,"instances":[]}` }
+	const snapshot = `{"generation":7,"reset":true,"instances":[]}`
+	changes := func(generation string) string {
+		return `{"generation":` + generation + `,"reset":false,"instances":[]}`
+	}
 	for name, row := range map[string]struct {
 		from    int64 // generation known at the start; 0: none
 		answers []string
 		asked   string // the generation in each call, "-" for a snapshot
 	}{
-		"turned away":           {0, []string{whole, "503", "503", changes("8"), changes("8")}, "- 7 7 7 8"},
+		"turned away":           {0, []string{snapshot, "503", "503", changes("8"), changes("8")}, "- 7 7 7 8"},
 		"known":                 {41, []string{"503", changes("44"), changes("44")}, "41 41 44"},
-		"versions go back":      {41, []string{changes("40"), whole, changes("7")}, "41 - 7"},
-		"version unknown":       {41, []string{"410", whole, changes("9")}, "41 - 7"},
-		"spoilt":                {41, []string{"{", whole, changes("9")}, "41 - 7"},
-		"whole, older":          {41, []string{whole, changes("8")}, "41 7"},
-		"change without a name": {41, []string{`{"generation":42,"reset":false,"instances":[5]}`, whole, changes("9")}, "41 - 7"},
-		"changes of no one":     {0, []string{changes("8"), whole}, "- -"},
+		"versions go back":      {41, []string{changes("40"), snapshot, changes("7")}, "41 - 7"},
+		"version unknown":       {41, []string{"410", snapshot, changes("9")}, "41 - 7"},
+		"spoilt":                {41, []string{"{", snapshot, changes("9")}, "41 - 7"},
+		"whole, older":          {41, []string{snapshot, changes("8")}, "41 7"},
+		"change without a name": {41, []string{`{"generation":42,"reset":false,"instances":[5]}`, snapshot, changes("9")}, "41 - 7"},
+		"changes of no one":     {0, []string{changes("8"), snapshot}, "- -"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var asked []string
@@ -66,11 +69,11 @@
 // TestBadLists checks that a faulty response neither makes a leaving host usable again nor empties the known list.
 func TestBadLists(t *testing.T) {
 	names := NameIndexes{Zones: map[string]policy.Zone{"z": 0}, Kinds: map[string]policy.MachineKind{"k": 0}}
-	entry := func(id, state, more string) string {
-		return `{"instanceId":"` + id + `","hostPort":"127.0.0.1:1","zone":"z","machineType":"k","startedAtMs":5,"lifecycle":"` + state + `"` + more + `}`
+	entry := func(id, lifecycle, extraFields string) string {
+		return `{"instanceId":"` + id + `","hostPort":"127.0.0.1:1","zone":"z","machineType":"k","startedAtMs":5,"lifecycle":"` + lifecycle + `"` + extraFields + `}`
 	}
-	list := func(version string, whole bool, entries ...string) string {
-		return `{"generation":` + version + `,"reset":` + strconv.FormatBool(whole) + `,"instances":[` + strings.Join(entries, ",") + `]}`
+	list := func(generation string, snapshot bool, entries ...string) string {
+		return `{"generation":` + generation + `,"reset":` + strconv.FormatBool(snapshot) + `,"instances":[` + strings.Join(entries, ",") + `]}`
 	}
 	a, b := entry("a", "active", ""), entry("b", "active", "")
 	known := list("41", true, a, b, entry("c", "leaving", ""))
--- a/internal/discovery/pace.go
+++ b/internal/discovery/pace.go
@@ -22,27 +22,27 @@
 }
 
 const (
-	maxRetryDelay = 2 * time.Second // caps Timeouts.MaxRetryDelay however long the grace
-	minWait       = 10 * time.Millisecond
+	maxRetryDelay = 2 * time.Second       // caps Timeouts.MaxRetryDelay however long the grace
+	minDelay      = 10 * time.Millisecond // lower bound of Timeouts.Connect and Timeouts.MaxRetryDelay however short the grace
 )
 
 // NewTimeouts returns the timeouts for a drain grace, the time within which sends to a leaving host must end. Where lists are pushed to
 // a local agent, calls to it do not load discovery, and the balancer counts as notified of what the agent has whether or not
 // a watch is open.
 func NewTimeouts(grace time.Duration, pushed bool) Timeouts {
-	p := Timeouts{ResponseGrace: maxNotificationDelay / 6, SnapshotResponse: maxNotificationDelay / 2, Read: maxNotificationDelay / 4, Body: maxNotificationDelay * 5 / 6}
+	t := Timeouts{ResponseGrace: maxNotificationDelay / 6, SnapshotResponse: maxNotificationDelay / 2, Read: maxNotificationDelay / 4, Body: maxNotificationDelay * 5 / 6}
 	if pushed { // two watches in a row may get no response; the grace is left for the third
-		p.LongPoll = maxNotificationDelay / 3
-		p.Connect = grace / 4
-		p.MaxRetryDelay = max(minWait, min(grace/4, maxRetryDelay))
+		t.LongPoll = maxNotificationDelay / 3
+		t.Connect = grace / 4
+		t.MaxRetryDelay = max(minDelay, min(grace/4, maxRetryDelay))
 	} else { // each call loads discovery, so poll as rarely as leaves 1/6 and the grace for the call after an unresponsive one
-		p.LongPoll = maxNotificationDelay * 2 / 3
-		p.Connect = (maxNotificationDelay/6 + grace) / 4
-		p.MaxRetryDelay = maxRetryDelay
+		t.LongPoll = maxNotificationDelay * 2 / 3
+		t.Connect = (maxNotificationDelay/6 + grace) / 4
+		t.MaxRetryDelay = maxRetryDelay
 	}
-	p.Connect = max(minWait, min(p.Connect, time.Second)) // the agent is on this machine
-	p.FirstRetryDelay = min(100*time.Millisecond, p.MaxRetryDelay)
-	return p
+	t.Connect = max(minDelay, min(t.Connect, time.Second)) // the agent is on this machine
+	t.FirstRetryDelay = min(100*time.Millisecond, t.MaxRetryDelay)
+	return t
 }
 
 // drawPollWait returns how long the next call may wait for changes; fraction is a random number in [0, 1).
