--- a/internal/benchwire/decode.go
+++ b/internal/benchwire/decode.go
@@ -128,9 +128,9 @@
 			pairs[path] = v
 		}
 	}
-	t, err := deployment.ParsePolicyConfig(pairs)
+	config, err := deployment.ParsePolicyConfig(pairs)
 	if f.err == nil {
 		f.err = err
 	}
-	return t
+	return config
 }
--- a/internal/benchwire/link.go
+++ b/internal/benchwire/link.go
@@ -27,6 +27,7 @@
 	balancer *policy.Balancer
 }
 
+// New returns a Link that reads events from in and writes the balancers' actions to out.
 func New(in io.Reader, out io.Writer) *Link {
 	return &Link{in: bufio.NewReaderSize(in, 1<<20), out: bufio.NewWriterSize(out, 1<<20),
 		lists: map[int64][]policy.HostEntry{}, instances: map[int64]*instance{}}
@@ -101,8 +102,8 @@
 		if err != nil {
 			f.fail("seed", f.text(2))
 		}
-		if t := f.config(); f.err == nil {
-			in.balancer = policy.New(in, t, seed)
+		if config := f.config(); f.err == nil {
+			in.balancer = policy.New(in, config, seed)
 			l.instances[number] = in
 		}
 	case "TEARDOWN":
@@ -113,12 +114,12 @@
 			b.ApplyList(kind, l.lists[f.number(4)])
 		}
 	case "ORDER":
-		if c := f.request(l.now); f.err == nil {
-			b.RequestArrived(c)
+		if request := f.request(l.now); f.err == nil {
+			b.RequestArrived(request)
 		}
 	case "DONE":
-		if e := f.attemptResult(); f.err == nil {
-			b.AttemptEnded(e)
+		if result := f.attemptResult(); f.err == nil {
+			b.AttemptEnded(result)
 		}
 	case "ABANDONED":
 		b.RequestAbandoned(policy.RequestID(f.required(2)))
@@ -174,17 +175,17 @@
 func formatNanos(n policy.Nanos) string { return strconv.FormatInt(int64(n), 10) }
 
 func (in *instance) Now() policy.Nanos { return in.link.now }
-func (in *instance) Send(c policy.RequestID, to policy.HostID, deadline, _ policy.Nanos) {
-	in.write("FORWARD", string(c), string(to), formatNanos(max(1, deadline-in.link.now)))
+func (in *instance) Send(id policy.RequestID, to policy.HostID, deadline, _ policy.Nanos) {
+	in.write("FORWARD", string(id), string(to), formatNanos(max(1, deadline-in.link.now)))
 }
-func (in *instance) Cancel(c policy.RequestID, attempt int) {
-	in.write("CANCEL", string(c), strconv.Itoa(attempt))
+func (in *instance) Cancel(id policy.RequestID, attempt int) {
+	in.write("CANCEL", string(id), strconv.Itoa(attempt))
 }
-func (in *instance) RateLimit(c policy.RequestID, retryAfter policy.Nanos) {
-	in.write("REFUSE", string(c), formatNanos(retryAfter))
+func (in *instance) RateLimit(id policy.RequestID, retryAfter policy.Nanos) {
+	in.write("REFUSE", string(id), formatNanos(retryAfter))
 }
-func (in *instance) Error(c policy.RequestID) { in.write("FAIL", string(c)) }
-func (in *instance) Subscribe()               { in.write("STREAM_CHANGES", "1") }
+func (in *instance) Error(id policy.RequestID) { in.write("FAIL", string(id)) }
+func (in *instance) Subscribe()                { in.write("STREAM_CHANGES", "1") }
 func (in *instance) SetTimer(after policy.Nanos, id policy.TimerID) {
 	in.write("SLEEP", formatNanos(after), string(id))
 }
--- a/internal/deployment/terms.go
+++ b/internal/deployment/terms.go
@@ -91,7 +91,7 @@
 // ParsePolicyConfig decodes the part of the settings that the policy uses and ignores unknown keys.
 func ParsePolicyConfig(pairs Pairs) (policy.Config, error) {
 	r := &settingsReader{pairs: pairs}
-	t := policy.Config{
+	config := policy.Config{
 		Balancers: max(1, int(r.numberWithin("balancers", 1, 0, maxListLength))), Zone: policy.Zone(r.numberWithin("locality", 0, -1, maxListLength)),
 		MustSubscribe: pairs["discovery"] == "subscribe", CacheAside: pairs["extra.mode"] == "aside",
 		OriginKind:      policy.MachineKind(r.numberWithin("extra.originKind", -1, -1, maxListLength)),
@@ -103,16 +103,16 @@
 		SubscribeInterval: r.duration("rules.askEveryNs"), TimerGranularity: r.duration("tickNs"),
 		IdleConnectionLife: r.duration("caps.keepaliveNs"),
 	}
-	if t.SubscribeInterval == 0 {
-		t.SubscribeInterval = 10 * policy.Second // 0 would make failed calls repeat without a pause
+	if config.SubscribeInterval == 0 {
+		config.SubscribeInterval = 10 * policy.Second // 0 would make failed calls repeat without a pause
 	}
-	if t.OverloadWindow == 0 {
-		t.WarmUpTime = 0 // no host fails under load, so slow start is not needed
+	if config.OverloadWindow == 0 {
+		config.WarmUpTime = 0 // no host fails under load, so slow start is not needed
 	}
-	t.CrossZoneCost, t.OriginFetchCost = r.price("prices.crossZone"), r.price("prices.origin")
+	config.CrossZoneCost, config.OriginFetchCost = r.price("prices.crossZone"), r.price("prices.origin")
 	lookUp(r, "report.source", "answers, probe or none", reportSources)
 	if pairs["caps.retryAfter"] == "true" {
-		t.MaxRetryAfter = r.duration("caps.maxRetryAfterNs")
+		config.MaxRetryAfter = r.duration("caps.maxRetryAfterNs")
 	}
 	for i := range int(r.number("products.count", 0)) {
 		prefix := fmt.Sprintf("products.%d.", i)
@@ -125,12 +125,12 @@
 		if pairs[prefix+"group"] != "" {
 			p.DedupScope = lookUp(r, prefix+"group", "all, zone or cell", dedupScopes)
 		}
-		t.Products = append(t.Products, p)
+		config.Products = append(config.Products, p)
 	}
 	for i := range int(r.number("customers.count", 0)) {
-		t.Customers = append(t.Customers, policy.CustomerConfig{
+		config.Customers = append(config.Customers, policy.CustomerConfig{
 			QuotaPerSecond: r.number(fmt.Sprintf("customers.%d.allowancePerS", i), 0),
 		})
 	}
-	return t, r.err
+	return config, r.err
 }
--- a/internal/loadreport/loadreport_test.go
+++ b/internal/loadreport/loadreport_test.go
@@ -27,6 +27,6 @@
 		}
 	}
 	if got := Parse("inflight=7,queue=2,util=0.61", "="); got == nil || got.InProgress != 7 || got.Utilisation != 0.61 {
-		t.Errorf("with another sign: %+v", got)
+		t.Errorf("with = as the separator: %+v", got)
 	}
 }
--- a/internal/memcache/memcache.go
+++ b/internal/memcache/memcache.go
@@ -27,7 +27,7 @@
 	Timeout           time.Duration // how long the client waits, from when it sent the command
 	Length            int           // of the value that follows the line of a write
 	Write, Noop       bool
-	ClientRetry       bool   // a client retry
+	ClientRetry       bool   // the client marked the request as a retry
 	timeoutDigits     [2]int // start and end of Timeout's digits in Line
 	attrsStart        int    // start of Attrs in Line
 }
@@ -54,7 +54,9 @@
 	IDInUse         = clientError("id is in hand", false)
 )
 
-func clientError(text string, lost bool) *Fault { return &Fault{"CLIENT_ERROR " + text, lost} }
+func clientError(text string, outOfSync bool) *Fault {
+	return &Fault{"CLIENT_ERROR " + text, outOfSync}
+}
 
 // nextWord splits the next word off a line.
 func nextWord(s []byte) (word, rest []byte) {
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -16,10 +16,10 @@
 		began, ended, want int
 	}{
 		{"no stall", []int{30, 60, 90}, 10, 100, 100},
-		{"a late beat", []int{30, 85}, 10, 100, 100},
-		{"the stall has ended, its beat has not come", []int{30, 60}, 10, 500, 60},
+		{"a late tick", []int{30, 85}, 10, 100, 100},
+		{"the stall has ended, no tick since", []int{30, 60}, 10, 500, 60},
 		{"the same, the wait began within it", []int{30, 60}, 400, 500, 400},
-		{"its beat has come", []int{30, 60, 500}, 10, 501, 60},
+		{"the first tick after it", []int{30, 60, 500}, 10, 501, 60},
 		{"just after it", []int{30, 60, 500, 530}, 10, 550, 60},
 		{"long after it", []int{30, 60, 500, 530, 560, 590}, 10, 600, 600},
 		{"the wait began after it", []int{30, 60, 500}, 510, 520, 510},
--- a/internal/strict/strict.go
+++ b/internal/strict/strict.go
@@ -123,36 +123,36 @@
 
 // keyLines returns the line of each key of a text.
 func keyLines(text []byte) map[string]int {
-	at := map[string]int{}
-	count := map[string]int{}
+	lines := map[string]int{}
+	tables := map[string]int{}
 	p := unstable.Parser{}
 	p.Reset(text)
 	prefix := ""
 	for p.NextExpression() {
-		e := p.Expression()
+		expression := p.Expression()
 		var parts []string
 		line := 0
-		for it := e.Key(); it.Next(); {
+		for it := expression.Key(); it.Next(); {
 			k := it.Node()
 			parts = append(parts, string(k.Data))
 			line = 1 + bytes.Count(text[:k.Raw.Offset], []byte("\n"))
 		}
 		key := strings.Join(parts, ".")
-		switch e.Kind {
+		switch expression.Kind {
 		case unstable.Table:
 			prefix = key
 		case unstable.ArrayTable:
-			count[key]++
-			prefix = key + "[" + strconv.Itoa(count[key]) + "]"
+			tables[key]++
+			prefix = key + "[" + strconv.Itoa(tables[key]) + "]"
 			key = prefix
 		case unstable.KeyValue:
 			if prefix != "" {
 				key = prefix + "." + key
 			}
 		}
-		if _, ok := at[key]; !ok {
-			at[key] = line
+		if _, ok := lines[key]; !ok {
+			lines[key] = line
 		}
 	}
-	return at
+	return lines
 }
