--- a/internal/fleet/member/member_test.go
+++ b/internal/fleet/member/member_test.go
@@ -42,7 +42,7 @@
 			}
 			return b
 		}
-		life := func() ProcessID {
+		nextID := func() ProcessID {
 			if b := next(); b < 4 {
 				return testConfig(int(b), 3, 1).Self.Life
 			} else if b < 200 {
@@ -56,16 +56,16 @@
 		}
 		for len(input) > 0 {
 			at += time.Duration(next()) * 3 * time.Millisecond
-			msg := &Message{Kind: Kind(next() % 12), From: life(), To: life(), Inc: Incarnation(next()), Seq: uint32(next()), Target: life(), Digest: uint64(next()),
-				WantTable: next()&1 == 1, WantRecords: next()&1 == 1, WantedBuckets: uint64(life())}
+			msg := &Message{Kind: Kind(next() % 12), From: nextID(), To: nextID(), Inc: Incarnation(next()), Seq: uint32(next()), Target: nextID(), Digest: uint64(next()),
+				WantTable: next()&1 == 1, WantRecords: next()&1 == 1, WantedBuckets: uint64(nextID())}
 			for range next() % 4 {
-				msg.Updates = append(msg.Updates, StateUpdate{life(), Incarnation(next()) << (next() % 32), State(next() % 7), life()})
+				msg.Updates = append(msg.Updates, StateUpdate{nextID(), Incarnation(next()) << (next() % 32), State(next() % 7), nextID()})
 			}
 			for range next() % 3 {
-				msg.Records = append(msg.Records, Record{life(), Incarnation(next()), fmt.Sprint("n", next()%8), "", testAddr(int(next() % 8))})
+				msg.Records = append(msg.Records, Record{nextID(), Incarnation(next()), fmt.Sprint("n", next()%8), "", testAddr(int(next() % 8))})
 			}
 			for range next() % 3 {
-				msg.RecordRequests, msg.BucketDigests = append(msg.RecordRequests, life()), append(msg.BucketDigests, uint32(next()))
+				msg.RecordRequests, msg.BucketDigests = append(msg.RecordRequests, nextID()), append(msg.BucketDigests, uint32(next()))
 			}
 			m.Receive(at, testAddr(int(next()%8)), msg)
 			if next()%4 == 0 {
--- a/internal/fleet/share/explore_test.go
+++ b/internal/fleet/share/explore_test.go
@@ -37,7 +37,7 @@
 	ids       []member.ProcessID
 	lastID    int
 	inFlight  []modelPacket
-	tamper    func(t *model, i int) // introduces a deliberate fault
+	tamper    func(w *model, i int) // introduces a deliberate fault
 	failure   string
 }
 
@@ -49,35 +49,35 @@
 
 // clock runs fast at balancer 0, the lender, and slow at the others, the borrowers: the worst skew that the proof in
 // docs/notes/limits.md allows for.
-func (t *model) clock(i int) Moment {
+func (w *model) clock(i int) Moment {
 	if i == 0 {
-		return Moment(float64(t.now) * (1 + maxClockSkew))
+		return Moment(float64(w.now) * (1 + maxClockSkew))
 	}
-	return Moment(float64(t.now) * (1 - maxClockSkew))
+	return Moment(float64(w.now) * (1 - maxClockSkew))
 }
 
-func (t *model) start(i int) {
-	t.lastID++
-	t.ids[i] = member.ProcessID(t.lastID)
-	t.balancers[i] = New(Config{Self: t.ids[i], Balancers: len(t.balancers), Names: []string{"a"}, Limits: []float64{100}, ReservedFraction: []float64{0}, Lease: exploreLease, FirstAskNumber: uint64(t.lastID) * 100}, t.clock(i))
+func (w *model) start(i int) {
+	w.lastID++
+	w.ids[i] = member.ProcessID(w.lastID)
+	w.balancers[i] = New(Config{Self: w.ids[i], Balancers: len(w.balancers), Names: []string{"a"}, Limits: []float64{100}, ReservedFraction: []float64{0}, Lease: exploreLease, FirstAskNumber: uint64(w.lastID) * 100}, w.clock(i))
 }
 
 func newModel(n int, tamper func(*model, int)) *model {
-	t := &model{balancers: make([]*Machine, n), ids: make([]member.ProcessID, n), tamper: tamper}
+	w := &model{balancers: make([]*Machine, n), ids: make([]member.ProcessID, n), tamper: tamper}
 	for i := range n {
-		t.start(i)
+		w.start(i)
 	}
-	t.now = 2 * exploreLease // no balancer counts as recently started
+	w.now = 2 * exploreLease // no balancer counts as recently started
 	for i := 1; i < n; i++ {
-		t.balancers[i].SetNeed(t.clock(i), 0, 100)
+		w.balancers[i].SetNeed(w.clock(i), 0, 100)
 	}
-	return t
+	return w
 }
 
-func (t *model) clone() *model {
-	c := *t
-	c.balancers, c.ids, c.inFlight = slices.Clone(t.balancers), slices.Clone(t.ids), slices.Clone(t.inFlight)
-	for i, m := range t.balancers {
+func (w *model) clone() *model {
+	c := *w
+	c.balancers, c.ids, c.inFlight = slices.Clone(w.balancers), slices.Clone(w.ids), slices.Clone(w.inFlight)
+	for i, m := range w.balancers {
 		if m != nil {
 			c.balancers[i] = m.clone()
 		}
@@ -89,59 +89,59 @@
 const maxInFlight = 3
 
 // flush puts the queued messages of a balancer in flight and checks the sum of all parts.
-func (t *model) flush(i int) {
-	for _, s := range t.balancers[i].TakeOutput() {
-		if slices.Contains(t.ids, s.To) {
-			t.inFlight = append(t.inFlight, modelPacket{s.To, t.ids[i], s.Msg})
+func (w *model) flush(i int) {
+	for _, s := range w.balancers[i].TakeOutput() {
+		if slices.Contains(w.ids, s.To) {
+			w.inFlight = append(w.inFlight, modelPacket{s.To, w.ids[i], s.Msg})
 		}
 	}
-	for len(t.inFlight) > maxInFlight {
-		t.inFlight = t.inFlight[1:]
+	for len(w.inFlight) > maxInFlight {
+		w.inFlight = w.inFlight[1:]
 	}
-	if t.tamper != nil {
-		t.tamper(t, i)
+	if w.tamper != nil {
+		w.tamper(w, i)
 	}
 	sum := Part(0)
-	for k, m := range t.balancers {
+	for k, m := range w.balancers {
 		if m != nil {
-			sum += m.clone().Part(t.clock(k), 0)
+			sum += m.clone().Part(w.clock(k), 0)
 		}
 	}
-	if sum > WholeLimit && t.failure == "" {
-		t.failure = fmt.Sprintf("at %v the parts add up to %.3f of the limit", t.now, float64(sum)/float64(WholeLimit))
+	if sum > WholeLimit && w.failure == "" {
+		w.failure = fmt.Sprintf("at %v the parts add up to %.3f of the limit", w.now, float64(sum)/float64(WholeLimit))
 	}
 }
 
 // steps returns all steps possible in a state.
-func (t *model) steps() (all []func(*model)) {
-	for i, m := range t.balancers {
+func (w *model) steps() (all []func(*model)) {
+	for i, m := range w.balancers {
 		if m == nil {
-			all = append(all, func(t *model) { t.start(i); t.flush(i) })
+			all = append(all, func(w *model) { w.start(i); w.flush(i) })
 			continue
 		}
-		all = append(all, func(t *model) {
-			t.balancers[i].Tick(t.clock(i), t.ids)
-			t.flush(i)
+		all = append(all, func(w *model) {
+			w.balancers[i].Tick(w.clock(i), w.ids)
+			w.flush(i)
 		})
 		if i == 0 { // the lender
-			all = append(all, func(t *model) { t.balancers[i] = nil })
+			all = append(all, func(w *model) { w.balancers[i] = nil })
 		} else {
-			all = append(all, func(t *model) { // its need ends
-				t.balancers[i].limits[0].need = 0
-				t.balancers[i].Tick(t.clock(i), t.ids)
-				t.flush(i)
+			all = append(all, func(w *model) { // its need ends
+				w.balancers[i].limits[0].need = 0
+				w.balancers[i].Tick(w.clock(i), w.ids)
+				w.flush(i)
 			})
 		}
 	}
-	for k := range t.inFlight {
-		all = append(all, func(t *model) { t.deliver(k, false) }, func(t *model) { t.deliver(k, true) })
+	for k := range w.inFlight {
+		all = append(all, func(w *model) { w.deliver(k, false) }, func(w *model) { w.deliver(k, true) })
 	}
 	for _, by := range []time.Duration{TickInterval, exploreLease - TickInterval} {
-		all = append(all, func(t *model) {
-			t.now += by
-			for i, m := range t.balancers {
+		all = append(all, func(w *model) {
+			w.now += by
+			for i, m := range w.balancers {
 				if m != nil {
-					t.flush(i)
+					w.flush(i)
 				}
 			}
 		})
@@ -149,29 +149,29 @@
 	return all
 }
 
-func (t *model) deliver(k int, repeat bool) {
-	p := t.inFlight[k]
+func (w *model) deliver(k int, repeat bool) {
+	p := w.inFlight[k]
 	if !repeat {
-		t.inFlight = slices.Delete(t.inFlight, k, k+1)
+		w.inFlight = slices.Delete(w.inFlight, k, k+1)
 	}
-	if i := slices.Index(t.ids, p.to); i >= 0 && t.balancers[i] != nil {
-		t.balancers[i].Receive(t.clock(i), p.from, &p.msg)
-		t.flush(i)
+	if i := slices.Index(w.ids, p.to); i >= 0 && w.balancers[i] != nil {
+		w.balancers[i].Receive(w.clock(i), p.from, &p.msg)
+		w.flush(i)
 	}
 }
 
 var hashSeed = maphash.MakeSeed()
 
-func (t *model) key() uint64 {
+func (w *model) key() uint64 {
 	var h maphash.Hash
 	h.SetSeed(hashSeed)
-	for i, m := range t.balancers {
+	for i, m := range w.balancers {
 		if m == nil {
 			fmt.Fprint(&h, "|", i)
 			continue
 		}
-		now := t.clock(i)
-		fmt.Fprint(&h, "|", t.ids[i], m.lastAskID, m.limits[0].need > 0, m.limits[0].borrowed, m.limits[0].lent, m.recentlyStarted(), min(now-m.startedAt, 2*exploreLease))
+		now := w.clock(i)
+		fmt.Fprint(&h, "|", w.ids[i], m.lastAskID, m.limits[0].need > 0, m.limits[0].borrowed, m.limits[0].lent, m.recentlyStarted(), min(now-m.startedAt, 2*exploreLease))
 		for _, list := range [][]lease{m.lent, m.borrowed} {
 			for _, l := range list {
 				fmt.Fprint(&h, ";", l.peer, l.askID, l.part, l.expires-now)
@@ -181,15 +181,15 @@
 			fmt.Fprint(&h, "?", a.id, a.to, now-a.sentAt)
 		}
 	}
-	for _, p := range t.inFlight {
+	for _, p := range w.inFlight {
 		fmt.Fprint(&h, ">", p.to, p.from, p.msg.Kind, p.msg.AskNumber, p.msg.Entries)
 	}
 	return h.Sum64()
 }
 
 // exploreAll explores every sequence of steps from a model; see explore.Sequences for the results.
-func exploreAll(t *model, depth int) (states int, failure string) {
-	return explore.Sequences(t, depth, (*model).clone, (*model).steps, (*model).key, func(t *model) string { return t.failure })
+func exploreAll(w *model, depth int) (states int, failure string) {
+	return explore.Sequences(w, depth, (*model).clone, (*model).steps, (*model).key, func(w *model) string { return w.failure })
 }
 
 // In no sequence of ticks, deliveries, duplicates, losses, kills, restarts and expiries of leases do the parts add up to more than the
@@ -226,9 +226,9 @@
 // Each fault is detected both by the exploration and by the random scenarios.
 func TestFaultyBalancersFound(t *testing.T) {
 	for name, tamper := range faultyBehaviours() {
-		_, explored := exploreAll(newModel(2, func(t *model, i int) {
-			if t.balancers[i] != nil {
-				tamper(t.balancers[i])
+		_, explored := exploreAll(newModel(2, func(w *model, i int) {
+			if w.balancers[i] != nil {
+				tamper(w.balancers[i])
 			}
 		}), 7)
 		drawn := ""
