--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -275,7 +275,7 @@
 			fmt.Printf("%-4s: its admin API does not answer\n", fmt.Sprint("b", b+1))
 			continue
 		}
-		fmt.Printf("%-4s %-8s sees %d of %d, digest %s:", v.Name, v.Situation, v.Seen, v.Expected, v.Digest)
+		fmt.Printf("%-4s %-8s sees %d of %d, digest %s:", v.Name, v.Situation, v.PresentCount, v.Expected, v.Digest)
 		for _, m := range v.Members {
 			fmt.Printf(" %s %s %.1f ms", m.Name, m.State, m.RoundTrip)
 		}
--- a/cmd/streamrail/evidence_test.go
+++ b/cmd/streamrail/evidence_test.go
@@ -12,11 +12,11 @@
 )
 
 // waitForBadHost waits until other balancers have reported exactly the given host to this one as bad, or no host if it is "".
-func (m *fleetMember) waitForBadHost(t *testing.T, host string) (e admin.Evidence) {
+func (m *fleetMember) waitForBadHost(t *testing.T, host string) (e admin.Observations) {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < 2*waitTimeout; time.Sleep(20 * time.Millisecond) {
 		status, text := callAdmin(t, m.adminAddr, "GET", "/api/evidence", "")
-		e = admin.Evidence{}
+		e = admin.Observations{}
 		if err := json.Unmarshal([]byte(text), &e); status != http.StatusOK || err != nil {
 			t.Fatalf("%d %s %v", status, text, err)
 		}
@@ -56,7 +56,7 @@
 	if before < 3 {
 		t.Fatalf("%d requests at the bad host", before)
 	}
-	if e := f.members[3].waitForBadHost(t, "bad"); e.Hosts[0].Witnesses < 2 {
+	if e := f.members[3].waitForBadHost(t, "bad"); e.Hosts[0].BadReporters < 2 {
 		t.Errorf("%+v", e)
 	}
 	f.members[1].Process.Signal(syscall.SIGSTOP)
--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -150,7 +150,7 @@
 // process epoch, and that one that ends in order is shown as left and is never suspected.
 func TestMembers(t *testing.T) {
 	members := newFleet(t, 3, "", nil).members
-	epochBefore := members[0].memberNamed(t, "n2").Life
+	epochBefore := members[0].memberNamed(t, "n2").ProcessID
 	members[2].Process.Kill()
 	for _, m := range members[:2] {
 		m.waitForView(t, "part", 1, 1)
@@ -162,7 +162,7 @@
 	for _, m := range members {
 		m.waitForView(t, "whole", 2, 0)
 	}
-	if epochAfter := members[0].memberNamed(t, "n2").Life; epochAfter <= epochBefore {
+	if epochAfter := members[0].memberNamed(t, "n2").ProcessID; epochAfter <= epochBefore {
 		t.Errorf("process epoch %s after the restart, %s before", epochAfter, epochBefore)
 	}
 	members[1].Process.Signal(syscall.SIGTERM)
@@ -235,7 +235,7 @@
 		m.Process.Signal(syscall.SIGCONT)
 	}
 	stop(f.members[4], 250*time.Millisecond)
-	epochBefore := f.members[0].memberNamed(t, "n4").Life
+	epochBefore := f.members[0].memberNamed(t, "n4").ProcessID
 	time.Sleep(time.Second)
 	for _, m := range f.members {
 		m.waitForView(t, "whole", 4, 0)
@@ -251,7 +251,7 @@
 	}
 	f.members[4].checkNeverLogged(t, "dead", "n0", "n1", "n2", "n3")
 	f.members[4].waitForLog(t, "stood still for")
-	if epochAfter := f.members[0].memberNamed(t, "n4").Life; epochAfter != epochBefore {
+	if epochAfter := f.members[0].memberNamed(t, "n4").ProcessID; epochAfter != epochBefore {
 		t.Errorf("process epoch %s, %s before the stall", epochAfter, epochBefore)
 	}
 }
@@ -309,7 +309,7 @@
 func TestMembersUpgrade(t *testing.T) {
 	f := newFleet(t, 5, "", nil)
 	m := f.members[1]
-	epochBefore := m.view(t).Life
+	epochBefore := m.view(t).ProcessID
 	old := m.upgrade(t)
 	m.waitForView(t, "whole", 4, 0)
 	old.Process.Signal(syscall.SIGTERM)
@@ -333,8 +333,8 @@
 		}
 		member.checkNeverLogged(t, "dead", "n1")
 		member.checkNeverLogged(t, "left", "n1")
-		if member != m && member.memberNamed(t, "n1").Life != epochBefore {
-			t.Errorf("%s has process epoch %s for n1, it was %s", member.name, member.memberNamed(t, "n1").Life, epochBefore)
+		if member != m && member.memberNamed(t, "n1").ProcessID != epochBefore {
+			t.Errorf("%s has process epoch %s for n1, it was %s", member.name, member.memberNamed(t, "n1").ProcessID, epochBefore)
 		}
 	}
 }
@@ -350,7 +350,7 @@
 	f.members[4].waitForExit(t)
 	other.fleetSettings = strings.ReplaceAll(other.fleetSettings, "n0 = ", "n4 = ")
 	other.start(t)
-	for began := time.Now(); f.members[0].view(t).Rival == "" || other.view(t).Rival == ""; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); f.members[0].view(t).NameConflict == "" || other.view(t).NameConflict == ""; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > waitTimeout {
 			t.Fatalf("%+v\n%+v", f.members[0].view(t), other.view(t))
 		}
@@ -359,7 +359,7 @@
 		t.Errorf("older %s, newer %s", older.Situation, newer.Situation)
 	}
 	for _, m := range f.members[1:4] {
-		for began := time.Now(); m.memberNamed(t, "n0").Life != other.view(t).Life; time.Sleep(10 * time.Millisecond) {
+		for began := time.Now(); m.memberNamed(t, "n0").ProcessID != other.view(t).ProcessID; time.Sleep(10 * time.Millisecond) {
 			if time.Since(began) > waitTimeout {
 				t.Fatalf("%s still lists the older process", m.name)
 			}
--- a/cmd/streamrail/limits_test.go
+++ b/cmd/streamrail/limits_test.go
@@ -121,7 +121,7 @@
 	<-f.members[3].exited
 	f.members[3].exited <- nil
 	f.members[3].start(t)
-	if l := f.members[3].quota(t); !l.Newborn || l.Part > 0.2*0.08+0.0001 || l.Lent > 0 {
+	if l := f.members[3].quota(t); !l.RecentlyStarted || l.Part > 0.2*0.08+0.0001 || l.Lent > 0 {
 		t.Errorf("the share of a balancer that has just started: %+v", l)
 	}
 	f.members[0].waitForQuotaShare(t, 0.9, 1)
--- a/cmd/streamrail/orders_test.go
+++ b/cmd/streamrail/orders_test.go
@@ -23,7 +23,7 @@
 }
 
 // orders returns the orders that the balancer's admin API shows.
-func (m *fleetMember) orders(t *testing.T) (o admin.Orders) {
+func (m *fleetMember) orders(t *testing.T) (o admin.ExclusionOrders) {
 	t.Helper()
 	status, text := callAdmin(t, m.adminAddr, "GET", "/api/orders", "")
 	if err := json.Unmarshal([]byte(text), &o); status != 200 || err != nil {
@@ -117,7 +117,9 @@
 	}
 	for _, m := range []*fleetMember{f.members[0], f.members[4]} {
 		began := time.Now()
-		for !slices.ContainsFunc(m.orders(t).Conflicts, func(c admin.Conflict) bool { return c.Won.Door == "n4" && c.Lost.Door == "n0" && c.Lost.Out }) {
+		for !slices.ContainsFunc(m.orders(t).Conflicts, func(c admin.Conflict) bool {
+			return c.Won.ReceivedBy == "n4" && c.Lost.ReceivedBy == "n0" && c.Lost.Excluded
+		}) {
 			if time.Since(began) > waitTimeout {
 				t.Fatalf("%s does not show the conflict: %+v", m.name, m.orders(t))
 			}
@@ -126,7 +128,7 @@
 	}
 	sums := map[string]bool{}
 	for _, m := range f.members {
-		sums[m.orders(t).Sum] = true
+		sums[m.orders(t).Digest] = true
 	}
 	if len(sums) != 1 {
 		t.Errorf("%d different sets of orders after the partition", len(sums))
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -22,25 +22,25 @@
 // Balancer is what the admin API reads from and acts on.
 type Balancer interface {
 	Ready() bool
-	Telemetry() Figures
+	Telemetry() Telemetry
 	// Exclude excludes a cache host, Include ends its exclusion. Each returns once the change is in effect.
 	// The note is appended to the response line.
-	Exclude(member string, how How) (note string, err error)
-	Include(member string, how How) (note string, err error)
+	Exclude(member string, options ExclusionOptions) (note string, err error)
+	Include(member string, options ExclusionOptions) (note string, err error)
 	// Members returns this balancer's view of its fleet, or an error that says why it has none.
 	Members() (Members, error)
 	// Limits returns this balancer's shares of the fleet-wide limits, or an error that says why it has none.
 	Limits() (Limits, error)
 	// ExclusionOrders returns the fleet-wide exclusion orders, or an error that says why there are none.
-	ExclusionOrders() (Orders, error)
+	ExclusionOrders() (ExclusionOrders, error)
 	// Observations returns the other balancers' observations of hosts, or an error that says why it receives none.
-	Observations() (Evidence, error)
+	Observations() (Observations, error)
 }
 
 // Errors of Balancer.Exclude and Balancer.Include.
 var (
-	ErrNobody  = errors.New("no cache host has this id")
-	ErrTooMany = errors.New("too many cache hosts are out already")
+	ErrUnknownHost     = errors.New("no cache host has this id")
+	ErrTooManyExcluded = errors.New("too many cache hosts are out already")
 )
 
 const (
@@ -55,28 +55,28 @@
 	maxBodyBytes    = 4 << 10 // a host id has a few dozen bytes
 )
 
-// Descriptors is the largest number of file descriptors that the admin API uses, including its listener.
-const Descriptors = maxConnections + 1
+// MaxDescriptors is the largest number of file descriptors that the admin API uses, including its listener.
+const MaxDescriptors = maxConnections + 1
 
-// Door is a running server of the admin API.
-type Door struct {
-	server   http.Server
-	listener *limitedListener
+// Server serves the admin API on one listener.
+type Server struct {
+	httpServer http.Server
+	listener   *limitedListener
 }
 
-// Open starts serving the admin API on a listener, until Close.
-func Open(l net.Listener, balancer Balancer) *Door {
-	s := &Door{listener: &limitedListener{Listener: l}}
-	s.server = http.Server{Handler: handler(balancer), ReadTimeout: requestTimeout, ReadHeaderTimeout: requestTimeout, WriteTimeout: requestTimeout + responseTimeout,
+// Serve starts serving the admin API on a listener, until Server.Close.
+func Serve(l net.Listener, balancer Balancer) *Server {
+	s := &Server{listener: &limitedListener{Listener: l}}
+	s.httpServer = http.Server{Handler: handler(balancer), ReadTimeout: requestTimeout, ReadHeaderTimeout: requestTimeout, WriteTimeout: requestTimeout + responseTimeout,
 		MaxHeaderBytes: maxHeaderBytes, ErrorLog: stdlog.New(io.Discard, "", 0),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
-	s.server.SetKeepAlivesEnabled(false)
-	go s.server.Serve(s.listener)
+	s.httpServer.SetKeepAlivesEnabled(false)
+	go s.httpServer.Serve(s.listener)
 	return s
 }
 
 // Close stops accepting requests and closes all connections, also those with a request in progress.
-func (s *Door) Close() { s.server.Close() }
+func (s *Server) Close() { s.httpServer.Close() }
 
 // connKey is the context key of a request's connection.
 type connKey struct{}
@@ -146,7 +146,7 @@
 
 // memberHandler applies change to the cache host that the request names. The response line ends with result and the
 // change's note.
-func memberHandler(change func(string, How) (string, error), result string) http.HandlerFunc {
+func memberHandler(change func(string, ExclusionOptions) (string, error), result string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 		if err != nil {
@@ -158,15 +158,15 @@
 			return
 		}
 		markRequestReceived(r)
-		member, how, err := parseMemberRequest(body)
+		member, options, err := parseMemberRequest(body)
 		if err != nil {
 			writeLine(w, http.StatusBadRequest, "body: "+err.Error())
 			return
 		}
-		switch note, err := change(member, how); {
-		case errors.Is(err, ErrNoOrders):
+		switch note, err := change(member, options); {
+		case errors.Is(err, ErrNoFleetOrders):
 			writeLine(w, http.StatusBadRequest, "body: wait_ms and force: "+err.Error())
-		case errors.Is(err, ErrNobody):
+		case errors.Is(err, ErrUnknownHost):
 			writeLine(w, http.StatusNotFound, err.Error())
 		case err != nil:
 			writeLine(w, http.StatusServiceUnavailable, err.Error())
@@ -178,9 +178,11 @@
 
 // parseMemberRequest parses {"member":"ID"} with the optional keys "force" and "wait_ms", and rejects anything else. It reads
 // token by token because decoding into a struct would accept a repeated key (the last one wins) and keys in another case.
-func parseMemberRequest(body []byte) (member string, how How, err error) {
+func parseMemberRequest(body []byte) (member string, options ExclusionOptions, err error) {
 	dec := json.NewDecoder(bytes.NewReader(body))
-	fail := func(format string, args ...any) (string, How, error) { return "", How{}, fmt.Errorf(format, args...) }
+	fail := func(format string, args ...any) (string, ExclusionOptions, error) {
+		return "", ExclusionOptions{}, fmt.Errorf(format, args...)
+	}
 	if t, err := dec.Token(); err != nil || t != json.Delim('{') {
 		return fail(`expected {"member":"ID"}`)
 	}
@@ -209,12 +211,12 @@
 				return fail("member: expected an id")
 			}
 		case "force":
-			if how.Force, ok = v.(bool); !ok {
+			if options.Force, ok = v.(bool); !ok {
 				return fail("force: expected true or false")
 			}
 		case "wait_ms":
 			ms, ok := v.(float64)
-			if how.Wait = time.Duration(ms) * time.Millisecond; !ok || ms != math.Trunc(ms) || how.Wait < 0 || how.Wait > maxConfirmationWait {
+			if options.Wait = time.Duration(ms) * time.Millisecond; !ok || ms != math.Trunc(ms) || options.Wait < 0 || options.Wait > maxConfirmationWait {
 				return fail("wait_ms: expected 0 to %d", maxConfirmationWait.Milliseconds())
 			}
 		}
@@ -228,7 +230,7 @@
 	if member == "" {
 		return fail("member is missing")
 	}
-	return member, how, nil
+	return member, options, nil
 }
 
 // limitedListener accepts every connection immediately and keeps at most maxConnections open. To make room it closes the
@@ -294,17 +296,17 @@
 	return c.Conn.Close()
 }
 
-// Figures holds the balancer's counters since its start and the current values of its gauges.
-type Figures struct {
-	Products []Product
-	Attempts int64 // sent completely
-	InHand   int64 // requests without a final answer yet
-	Listed   int   // cache hosts in the host list
-	Avoided  int   // cache hosts in the list that are currently avoided
-	Late     int64 // answers written after their requests' deadlines
-	// LongestHeld is the longest time for which the processing of one event blocked all other decisions.
-	LongestHeld time.Duration
-	Fleet       *Fleet // nil if this balancer does not communicate with other balancers
+// Telemetry holds the balancer's counters since its start and the current values of its gauges.
+type Telemetry struct {
+	Products           []Product
+	Attempts           int64 // sent completely
+	RequestsInProgress int64 // requests without a final answer yet
+	HostsListed        int   // cache hosts in the host list
+	HostsAvoided       int   // cache hosts in the list that are currently avoided
+	LateAnswers        int64 // answers written after their requests' deadlines
+	// LongestHandling is the longest time for which the processing of one event blocked all other decisions.
+	LongestHandling time.Duration
+	Fleet           *FleetTelemetry // nil if this balancer does not communicate with other balancers
 }
 
 // Product holds the numbers of final answers given to one product's requests, by kind.
@@ -313,8 +315,8 @@
 	Fulfilled, RateLimited, Errored int64
 }
 
-// formatMetrics formats the figures in the Prometheus text format.
-func formatMetrics(f Figures) []byte {
+// formatMetrics formats the telemetry in the Prometheus text format.
+func formatMetrics(t Telemetry) []byte {
 	var buf bytes.Buffer
 	for _, metric := range []struct {
 		name  string
@@ -325,7 +327,7 @@
 		{"app_errored_total", func(p Product) int64 { return p.Errored }},
 	} {
 		fmt.Fprintf(&buf, "# TYPE %s counter\n", metric.name)
-		for _, p := range f.Products {
+		for _, p := range t.Products {
 			fmt.Fprintf(&buf, "%s{group=\"%s\"} %d\n", metric.name, labelEscaper.Replace(p.Name), metric.count(p))
 		}
 	}
@@ -333,17 +335,17 @@
 		name, kind string
 		value      int64
 	}{
-		{"app_sends_total", "counter", f.Attempts},
-		{"app_current", "gauge", f.InHand},
-		{"app_cluster_size", "gauge", int64(f.Listed)},
-		{"app_cluster_unhealthy", "gauge", int64(f.Avoided)},
-		{"app_late_total", "counter", f.Late},
-		{"app_decisions_held_microseconds_max", "gauge", f.LongestHeld.Microseconds()},
+		{"app_sends_total", "counter", t.Attempts},
+		{"app_current", "gauge", t.RequestsInProgress},
+		{"app_cluster_size", "gauge", int64(t.HostsListed)},
+		{"app_cluster_unhealthy", "gauge", int64(t.HostsAvoided)},
+		{"app_late_total", "counter", t.LateAnswers},
+		{"app_decisions_held_microseconds_max", "gauge", t.LongestHandling.Microseconds()},
 	} {
 		fmt.Fprintf(&buf, "# TYPE %s %s\n%s %d\n", metric.name, metric.kind, metric.name, metric.value)
 	}
-	if f.Fleet != nil {
-		f.Fleet.writeMetrics(&buf)
+	if t.Fleet != nil {
+		t.Fleet.writeMetrics(&buf)
 	}
 	return buf.Bytes()
 }
--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -137,22 +137,22 @@
 }
 
 // Observations returns the observations received from other balancers.
-func (a adminAPI) Observations() (shown admin.Evidence, err error) {
+func (a adminAPI) Observations() (shown admin.Observations, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
 	}
 	o := a.b.observations
 	if o == nil {
-		return shown, admin.ErrNoEvidence
+		return shown, admin.ErrNoObservations
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine == nil {
-		return shown, admin.ErrHanded
+		return shown, admin.ErrHandedOver
 	}
-	shown = admin.Evidence{Witnesses: o.machine.ActiveReporters(), Hosts: []admin.Said{}}
+	shown = admin.Observations{ActiveReporters: o.machine.ActiveReporters(), Hosts: []admin.HostSummary{}}
 	for _, one := range o.delivered {
-		shown.Hosts = append(shown.Hosts, admin.Said{Host: one.Host, Good: one.Good, Bad: one.Bad, Witnesses: one.BadReporters})
+		shown.Hosts = append(shown.Hosts, admin.HostSummary{Host: one.Host, Good: one.Good, Bad: one.Bad, BadReporters: one.BadReporters})
 	}
 	return shown, nil
 }
--- a/internal/balancer/figures.go
+++ b/internal/balancer/figures.go
@@ -44,33 +44,33 @@
 	return a.b.upgrade.takesClients.Load() && a.b.hasHostList.Load() && (a.b.currentPhase() == Serving || a.b.currentPhase() == Leaving)
 }
 
-func (a adminAPI) Telemetry() admin.Figures {
+func (a adminAPI) Telemetry() admin.Telemetry {
 	stats := a.b.answerStats
-	figures := admin.Figures{Attempts: a.b.hosts.Sent(), InHand: stats.unanswered.Load(), Late: a.b.delays.lateAnswers.Load(),
-		LongestHeld: a.b.delays.handling.longest()}
+	telemetry := admin.Telemetry{Attempts: a.b.hosts.Sent(), RequestsInProgress: stats.unanswered.Load(), LateAnswers: a.b.delays.lateAnswers.Load(),
+		LongestHandling: a.b.delays.handling.longest()}
 	for i, name := range stats.productNames {
 		counts := &stats.answers[i]
-		figures.Products = append(figures.Products, admin.Product{Name: name, Fulfilled: counts[fulfilled].Load(),
+		telemetry.Products = append(telemetry.Products, admin.Product{Name: name, Fulfilled: counts[fulfilled].Load(),
 			RateLimited: counts[rateLimited].Load(), Errored: counts[errored].Load()})
 	}
-	a.b.callPolicy(func() { figures.Listed, figures.Avoided = a.b.policy.HostCounts() })
-	figures.Fleet = a.b.fleetStats()
-	return figures
+	a.b.callPolicy(func() { telemetry.HostsListed, telemetry.HostsAvoided = a.b.policy.HostCounts() })
+	telemetry.Fleet = a.b.fleetStats()
+	return telemetry
 }
 
-func (a adminAPI) Exclude(host string, how admin.How) (string, error) {
-	return a.setExcluded(host, true, how)
+func (a adminAPI) Exclude(host string, options admin.ExclusionOptions) (string, error) {
+	return a.setExcluded(host, true, options)
 }
-func (a adminAPI) Include(host string, how admin.How) (string, error) {
-	return a.setExcluded(host, false, how)
+func (a adminAPI) Include(host string, options admin.ExclusionOptions) (string, error) {
+	return a.setExcluded(host, false, options)
 }
 
-func (a adminAPI) setExcluded(host string, exclude bool, options admin.How) (string, error) {
+func (a adminAPI) setExcluded(host string, exclude bool, options admin.ExclusionOptions) (string, error) {
 	if a.b.fleetOrders != nil {
 		return a.b.giveFleetOrder(host, exclude, options)
 	}
-	if options != (admin.How{}) {
-		return "", admin.ErrNoOrders
+	if options != (admin.ExclusionOptions{}) {
+		return "", admin.ErrNoFleetOrders
 	}
 	return "", a.b.setExclusion(policy.HostID(host), exclude, false)
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -133,7 +133,7 @@
 	case f.settings == nil:
 		return nil, admin.ErrNoFleet
 	case f.transport == nil:
-		return nil, admin.ErrHanded
+		return nil, admin.ErrHandedOver
 	}
 	return f.transport, nil
 }
@@ -146,34 +146,34 @@
 	}
 	view := transport.View()
 	agoMs := func(at member.Moment) int64 { return (view.Now - at).Milliseconds() }
-	shown = admin.Members{Fleet: a.b.fleet.settings.Name, Name: view.Self.Name, Life: formatLife(view.Self.Life), Inc: uint32(view.Self.Inc),
-		Situation: view.Situation.String(), Expected: view.ExpectedMembers, Seen: view.PresentCount, Version: view.Version, Digest: fmt.Sprintf("%016x", view.Digest),
+	shown = admin.Members{Fleet: a.b.fleet.settings.Name, Name: view.Self.Name, ProcessID: formatProcessID(view.Self.Life), Incarnation: uint32(view.Self.Inc),
+		Situation: view.Situation.String(), Expected: view.ExpectedMembers, PresentCount: view.PresentCount, Version: view.Version, Digest: fmt.Sprintf("%016x", view.Digest),
 		Members: []admin.Member{}}
 	if view.NameConflict.Life != 0 {
-		shown.Rival = view.NameConflict.Addr.String()
+		shown.NameConflict = view.NameConflict.Addr.String()
 	}
 	for _, m := range view.Members {
-		shownMember := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), Life: formatLife(m.Life), Inc: uint32(m.Inc), State: m.State.String(),
-			SinceMs: agoMs(m.Since), HeardMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, Suspecting: m.SuspectedBy}
+		shownMember := admin.Member{Name: m.Name, Zone: m.Zone, Addr: m.Addr.String(), ProcessID: formatProcessID(m.Life), Incarnation: uint32(m.Inc), State: m.State.String(),
+			SinceMs: agoMs(m.Since), LastReceivedMs: -1, RoundTrip: float64(m.RoundTrip) / 1e6, SuspectedBy: m.SuspectedBy}
 		if m.LastReceived > 0 {
-			shownMember.HeardMs = agoMs(m.LastReceived)
+			shownMember.LastReceivedMs = agoMs(m.LastReceived)
 		}
 		shown.Members = append(shown.Members, shownMember)
 	}
 	return shown, nil
 }
 
-func formatLife(life member.ProcessID) string { return fmt.Sprintf("%016x", uint64(life)) }
+func formatProcessID(id member.ProcessID) string { return fmt.Sprintf("%016x", uint64(id)) }
 
 // fleetStats returns the fleet's part of the telemetry; nil without a fleet.
-func (b *Balancer) fleetStats() *admin.Fleet {
+func (b *Balancer) fleetStats() *admin.FleetTelemetry {
 	transport, err := b.fleetTransport()
 	if err != nil {
 		return nil
 	}
 	view, counts := transport.View(), transport.Counts()
-	stats := &admin.Fleet{Situation: view.Situation.String(), Expected: view.ExpectedMembers, States: map[string]int{member.Alive.String(): 1},
-		Sent: counts.Sent, SentBytes: counts.SentBytes, Heard: counts.Received, HeardBytes: counts.ReceivedBytes, Dropped: counts.Dropped}
+	stats := &admin.FleetTelemetry{Situation: view.Situation.String(), Expected: view.ExpectedMembers, States: map[string]int{member.Alive.String(): 1},
+		Sent: counts.Sent, SentBytes: counts.SentBytes, Received: counts.Received, ReceivedBytes: counts.ReceivedBytes, Dropped: counts.Dropped}
 	for _, m := range view.Members {
 		stats.States[m.State.String()]++
 	}
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -215,9 +215,9 @@
 	now := l.now()
 	for i, name := range l.names {
 		s := l.machine.State(now, i)
-		shown.Limits = append(shown.Limits, admin.Limit{Name: name, Bound: l.machine.Limit(i), Part: float64(s.Part) / float64(share.WholeLimit),
+		shown.Limits = append(shown.Limits, admin.Limit{Name: name, FleetTotal: l.machine.Limit(i), Part: float64(s.Part) / float64(share.WholeLimit),
 			Lent: float64(s.Lent) / float64(share.WholeLimit), Borrowed: float64(s.Borrowed) / float64(share.WholeLimit), Need: s.Need,
-			Leases: s.Leases, EndsMs: s.NextExpiry.Milliseconds(), Newborn: s.RecentlyStarted})
+			Leases: s.Leases, NextExpiryMs: s.NextExpiry.Milliseconds(), RecentlyStarted: s.RecentlyStarted})
 	}
 	return shown, nil
 }
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -153,17 +153,17 @@
 
 // giveFleetOrder carries out an operator's order for the whole fleet. It returns once the order is saved and in force here, and after
 // waiting as long as the operator asked for the confirmations of the others.
-func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.How) (note string, err error) {
+func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.ExclusionOptions) (note string, err error) {
 	o := b.fleetOrders
 	known, listed := false, 0
 	b.callPolicy(func() { known = b.policy.IsKnownHost(policy.HostID(id)); listed, _ = b.policy.HostCounts() })
 	if !known {
-		return "", admin.ErrNobody
+		return "", admin.ErrUnknownHost
 	}
 	o.mu.Lock()
 	if o.machine == nil {
 		o.mu.Unlock()
-		return "", admin.ErrHanded
+		return "", admin.ErrHandedOver
 	}
 	_, err = o.machine.Submit(id, exclude, options.Force, listed)
 	if err == nil {
@@ -217,13 +217,13 @@
 }
 
 // ExclusionOrders returns the fleet-wide exclusion orders and their conflicts.
-func (a adminAPI) ExclusionOrders() (shown admin.Orders, err error) {
+func (a adminAPI) ExclusionOrders() (shown admin.ExclusionOrders, err error) {
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
 	}
 	o := a.b.fleetOrders
 	if o == nil {
-		return shown, admin.ErrNoOrders
+		return shown, admin.ErrNoFleetOrders
 	}
 	_, missing := a.b.orderConfirmations()
 	listed := 0
@@ -231,13 +231,13 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine == nil {
-		return shown, admin.ErrHanded
+		return shown, admin.ErrHandedOver
 	}
-	shown = admin.Orders{Sum: fmt.Sprintf("%016x", o.machine.Digest()), Kept: !o.unsaved, Missing: append([]string{}, missing...), Orders: []admin.Order{},
+	shown = admin.ExclusionOrders{Digest: fmt.Sprintf("%016x", o.machine.Digest()), Saved: !o.unsaved, NotConfirmedBy: append([]string{}, missing...), Orders: []admin.ExclusionOrder{},
 		Conflicts: []admin.Conflict{}}
 	wanted := o.machine.Excluded(listed)
-	show := func(order fleetorder.Order) admin.Order {
-		return admin.Order{Host: order.Host, Out: order.Out, Force: order.Force, InForce: slices.Contains(wanted, order.Host) == order.Out, Door: order.Door, Count: order.Count, By: formatLife(order.By)}
+	show := func(order fleetorder.Order) admin.ExclusionOrder {
+		return admin.ExclusionOrder{Host: order.Host, Excluded: order.Out, Force: order.Force, InForce: slices.Contains(wanted, order.Host) == order.Out, ReceivedBy: order.Door, Count: order.Count, ProcessID: formatProcessID(order.By)}
 	}
 	for _, order := range o.machine.All() {
 		shown.Orders = append(shown.Orders, show(order))
--- a/internal/balancer/phases.go
+++ b/internal/balancer/phases.go
@@ -65,7 +65,7 @@
 		if err != nil {
 			return fmt.Errorf("admin_addr: %w", err)
 		}
-		defer admin.Open(adminListener, adminAPI{b}).Close()
+		defer admin.Serve(adminListener, adminAPI{b}).Close()
 	}
 	defer b.closeHandover()
 	defer b.cancel()
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -291,9 +291,9 @@
 	}
 	switch {
 	case !known && !fleet:
-		return admin.ErrNobody
+		return admin.ErrUnknownHost
 	case !withinLimit && !fleet:
-		return admin.ErrTooMany
+		return admin.ErrTooManyExcluded
 	}
 	saveErr := b.applyExclusion(id, exclude)
 	if p := u.newer; p != nil {
@@ -311,7 +311,7 @@
 
 // errorFromText returns the error whose text came from the peer process; nil if the text is empty.
 func errorFromText(text string) error {
-	for _, err := range []error{admin.ErrNobody, admin.ErrTooMany, errPeerSilent} {
+	for _, err := range []error{admin.ErrUnknownHost, admin.ErrTooManyExcluded, errPeerSilent} {
 		if text == err.Error() {
 			return err
 		}
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -141,10 +141,10 @@
 				mu.Lock()
 				defer mu.Unlock()
 				digests[v.Digest] = true
-				complete = complete && ok && v.Seen == balancers
-				processIDs[b] = v.Life
+				complete = complete && ok && v.PresentCount == balancers
+				processIDs[b] = v.ProcessID
 				for _, x := range v.Members {
-					if except >= 0 && x.Life == processIDs[except] && (x.State == "alive" || x.State == "suspected") {
+					if except >= 0 && x.ProcessID == processIDs[except] && (x.State == "alive" || x.State == "suspected") {
 						n++
 					}
 				}
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -114,9 +114,9 @@
 	if !s.fetchAdmin(b, "/api/members", &v) {
 		return v, false
 	}
-	to := record.View{Balancer: b, At: s.W.Now(), Life: v.Life, Situation: v.Situation, Digest: v.Digest, Rival: v.Rival != ""}
+	to := record.View{Balancer: b, At: s.W.Now(), Life: v.ProcessID, Situation: v.Situation, Digest: v.Digest, Rival: v.NameConflict != ""}
 	for _, m := range v.Members {
-		to.Mates = append(to.Mates, record.Mate{Name: m.Name, Life: m.Life, State: m.State})
+		to.Mates = append(to.Mates, record.Mate{Name: m.Name, Life: m.ProcessID, State: m.State})
 	}
 	s.Rec.Add(func() { s.Rec.Views = append(s.Rec.Views, to) })
 	return v, true
@@ -131,7 +131,7 @@
 	now := s.W.Now()
 	s.Rec.Add(func() {
 		for _, l := range all.Limits {
-			s.Rec.Parts = append(s.Rec.Parts, record.Part{Balancer: b, At: now, Limit: l.Name, Part: l.Part, Need: l.Need, Bound: l.Bound})
+			s.Rec.Parts = append(s.Rec.Parts, record.Part{Balancer: b, At: now, Limit: l.Name, Part: l.Part, Need: l.Need, Bound: l.FleetTotal})
 		}
 	})
 }
