--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -77,7 +77,7 @@
 	grace := usableGrace(deployed.DrainGrace)
 	sockets := deployed.MaxSockets - reservedSockets
 	if deployed.Admin != "" {
-		sockets -= admin.MaxDescriptors + handover.Descriptors
+		sockets -= admin.MaxDescriptors + handover.MaxDescriptors
 	}
 	if operatorFile.Fleet != nil {
 		sockets--
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -50,7 +50,7 @@
 	}
 	var saved []fleetorder.Order
 	if err := handover.Load(o.file, &saved); err != nil {
-		b.log.Warn().Err(err).Str("file", o.file).Str("aside", handover.Aside(o.file)).Msg("the saved exclusion orders of the fleet are not readable, asking the other balancers")
+		b.log.Warn().Err(err).Str("file", o.file).Str("aside", handover.RenameDamaged(o.file)).Msg("the saved exclusion orders of the fleet are not readable, asking the other balancers")
 		saved = nil
 	}
 	stop := make(chan struct{})
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -21,7 +21,7 @@
 type upgradeLink struct {
 	// mu serializes exclusions, which both processes apply in the order that the older one sets. It is taken before all other locks.
 	mu           sync.Mutex
-	offer        *handover.Seat        // lets a newer process connect
+	offer        *handover.Server      // lets a newer process connect
 	older        *handover.Peer        // nil if there is none
 	newer        *handover.Peer        // nil if there is none
 	messageCount uint64                // numbers the messages that need an answer
@@ -54,13 +54,13 @@
 	if b.deployment.Admin == "" {
 		return nil, nil
 	}
-	listener, state, peer, err := handover.Meet(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"))
+	listener, state, peer, err := handover.TakeOver(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"))
 	if err == nil {
 		b.log.Info().Int("excluded", len(state.Excluded)).Msg("taking over from an older process")
 		b.upgrade.older = peer
 		return listener, &state
 	}
-	if !errors.Is(err, handover.ErrAlone) {
+	if !errors.Is(err, handover.ErrNoOlderProcess) {
 		b.log.Warn().Err(err).Msg("could not take over from an older process, starting as if alone")
 	}
 	return nil, nil
@@ -71,7 +71,7 @@
 	if b.deployment.Admin == "" {
 		return net.Listen("tcp", b.deployment.Listen)
 	}
-	return handover.Listen(b.deployment.Listen)
+	return handover.ListenReusePort(b.deployment.Listen)
 }
 
 func (b *Balancer) exclusionFile() string {
@@ -115,14 +115,14 @@
 	if b.deployment.Admin == "" {
 		return
 	}
-	offer, err := handover.Keep(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"), listener, b.handOver)
+	offer, err := handover.Serve(handover.Path(os.TempDir(), b.deployment.Listen, ".sock"), listener, b.handOver)
 	if err != nil {
 		b.log.Warn().Err(err).Msg("a newer process cannot take over from this one")
 	}
 	u.mu.Lock()
 	u.offer = offer
 	if u.older != nil {
-		u.older.Say(handover.Message{Kind: handover.Ready})
+		u.older.Send(handover.Message{Kind: handover.Ready})
 	}
 	u.mu.Unlock()
 	u.takesClients.Store(true)
@@ -134,7 +134,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.offer != nil {
-		u.offer.Leave()
+		u.offer.Close()
 	}
 	for _, peer := range []*handover.Peer{u.older, u.newer} {
 		if peer != nil {
@@ -164,7 +164,7 @@
 	}
 	state.Holds, state.Fleet = b.usage(), b.exportMembership()
 	u.newer = peer
-	b.splitLimits(handover.Holds{})
+	b.splitLimits(handover.ResourceUsage{})
 	b.log.Info().Msg("handing over to a newer process")
 	go b.receiveFromNewer(peer)
 	return state, nil
@@ -173,23 +173,23 @@
 // receiveFromNewer handles the newer process's messages until it ends.
 func (b *Balancer) receiveFromNewer(peer *handover.Peer) {
 	go b.sendUsage(peer)
-	peer.Hear(func(m handover.Message) {
+	peer.Receive(func(m handover.Message) {
 		switch m.Kind {
 		case handover.Ready:
 			b.handOverMembership()
 			b.upgrade.newerReady.Store(true)
 			b.log.Info().Msg("the newer process takes clients")
-		case handover.Holding:
+		case handover.UsageReport:
 			b.splitLimits(*m.Holds)
-		case handover.Ask:
+		case handover.ExclusionRequest:
 			go func() { // in a goroutine: setExclusion may wait for a message that is received here
-				answer := handover.Message{Kind: handover.Answer, N: m.N}
+				answer := handover.Message{Kind: handover.ExclusionResponse, N: m.N}
 				if err := b.setExclusion(policy.HostID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
 					answer.Fault = err.Error()
 				}
-				peer.Say(answer)
+				peer.Send(answer)
 			}()
-		case handover.Done:
+		case handover.ExclusionApplied:
 			b.upgrade.deliverAnswer(m)
 		}
 	})
@@ -200,14 +200,14 @@
 // receiveFromOlder handles the older process's messages until it ends.
 func (b *Balancer) receiveFromOlder(peer *handover.Peer) {
 	go b.sendUsage(peer)
-	peer.Hear(func(m handover.Message) {
+	peer.Receive(func(m handover.Message) {
 		switch m.Kind {
-		case handover.Holding:
+		case handover.UsageReport:
 			b.splitLimits(*m.Holds)
-		case handover.Ban:
+		case handover.ExclusionNotice:
 			b.applyExclusion(policy.HostID(m.Member), m.Out)
-			peer.Say(handover.Message{Kind: handover.Done, N: m.N})
-		case handover.Answer:
+			peer.Send(handover.Message{Kind: handover.ExclusionApplied, N: m.N})
+		case handover.ExclusionResponse:
 			b.upgrade.deliverAnswer(m)
 		}
 	})
@@ -246,11 +246,12 @@
 	}
 }
 
-// exchange sends a message of kind Ask or Ban and waits for its answer. It returns false if none comes in time. The caller holds u.mu.
+// exchange sends an ExclusionRequest or ExclusionNotice and waits for its answer. It returns false if none comes in time. The caller
+// holds u.mu.
 func (u *upgradeLink) exchange(peer *handover.Peer, m handover.Message) (answer handover.Message, ok bool) {
 	u.messageCount++
 	m.N = u.messageCount
-	peer.Say(m)
+	peer.Send(m)
 	timeout := time.After(peerTimeout)
 	for {
 		select {
@@ -258,7 +259,7 @@
 			if answer.N == m.N {
 				return answer, true
 			}
-		case <-peer.Gone():
+		case <-peer.Closed():
 			return answer, true // the peer process has ended, so this process alone has to apply it
 		case <-timeout:
 			peer.Close()
@@ -276,10 +277,10 @@
 	m := handover.Message{Member: string(id), Out: exclude}
 	answered := true
 	if p := u.older; p != nil {
-		m.Kind = handover.Ask
+		m.Kind = handover.ExclusionRequest
 		var answer handover.Message
 		answer, answered = u.exchange(p, m)
-		if answer.Kind == handover.Answer {
+		if answer.Kind == handover.ExclusionResponse {
 			return errorFromText(answer.Fault)
 		} // otherwise the connection to the older process is closed and this process acts alone
 	}
@@ -297,7 +298,7 @@
 	}
 	saveErr := b.applyExclusion(id, exclude)
 	if p := u.newer; p != nil {
-		m.Kind = handover.Ban
+		m.Kind = handover.ExclusionNotice
 		_, answered = u.exchange(p, m)
 	}
 	switch {
@@ -364,15 +365,15 @@
 		select {
 		case <-t.C:
 			h := b.usage()
-			peer.Say(handover.Message{Kind: handover.Holding, Holds: &h})
-		case <-peer.Gone():
+			peer.Send(handover.Message{Kind: handover.UsageReport, Holds: &h})
+		case <-peer.Closed():
 			return
 		}
 	}
 }
 
-func (b *Balancer) usage() handover.Holds {
-	h := handover.Holds{Clients: int64(b.clients.count()), Upstream: int64(b.hosts.Open()), Calls: b.inFlight.Load(),
+func (b *Balancer) usage() handover.ResourceUsage {
+	h := handover.ResourceUsage{Clients: int64(b.clients.count()), Upstream: int64(b.hosts.Open()), Calls: b.inFlight.Load(),
 		Bytes: b.valueBytes.Load(), Leaving: b.currentPhase() > Serving}
 	b.callPolicy(func() { h.Origin = b.policy.OriginInFlight() })
 	return h
@@ -388,7 +389,7 @@
 
 // splitLimits lets each process keep the resources that it uses and a part of what is free. The second process needs reserved
 // descriptors of its own, which are subtracted.
-func (b *Balancer) splitLimits(other handover.Holds) {
+func (b *Balancer) splitLimits(other handover.ResourceUsage) {
 	own, total := b.usage(), b.capacity
 	share := func(whole, own, other int64) int64 {
 		return processShare(whole, own, other, b.currentPhase() > Serving)
--- a/internal/handover/peer.go
+++ b/internal/handover/peer.go
@@ -12,22 +12,22 @@
 type Kind string
 
 const (
-	Ready   Kind = "ready"  // the newer process accepts clients
-	Holding Kind = "holds"  // the resources that the sender uses
-	Ask     Kind = "ask"    // the newer process asks the older one to change an exclusion; answered by Answer
-	Answer  Kind = "answer" // the result of an Ask
-	Ban     Kind = "ban"    // the older process has changed an exclusion; answered by Done
-	Done    Kind = "done"   // the newer process has applied a Ban
+	Ready             Kind = "ready"  // the newer process accepts clients
+	UsageReport       Kind = "holds"  // the resources that the sender uses
+	ExclusionRequest  Kind = "ask"    // the newer process asks the older one to change an exclusion; answered by ExclusionResponse
+	ExclusionResponse Kind = "answer" // the result of an ExclusionRequest
+	ExclusionNotice   Kind = "ban"    // the older process has changed an exclusion; answered by ExclusionApplied
+	ExclusionApplied  Kind = "done"   // the newer process has applied an ExclusionNotice
 )
 
 // Message is one message between the two processes, sent as a line of JSON.
 type Message struct {
 	Kind   Kind
-	N      uint64 `json:",omitempty"` // number of an Ask or a Ban, repeated in its answer
-	Member string `json:",omitempty"` // the host of an Ask or a Ban
-	Out    bool   `json:",omitempty"` // whether that host is excluded
-	Fault  string `json:",omitempty"` // in an Answer: why the change failed
-	Holds  *Holds `json:",omitempty"` // in a Holding
+	N      uint64         `json:",omitempty"` // number of an ExclusionRequest or ExclusionNotice, repeated in its answer
+	Member string         `json:",omitempty"` // the host of an ExclusionRequest or ExclusionNotice
+	Out    bool           `json:",omitempty"` // whether that host is excluded
+	Fault  string         `json:",omitempty"` // in an ExclusionResponse: why the change failed
+	Holds  *ResourceUsage `json:",omitempty"` // in a UsageReport
 }
 
 // Peer is the connection to the other process of an upgrade.
@@ -43,8 +43,8 @@
 	return &Peer{conn: conn, reader: reader, closed: make(chan struct{})}
 }
 
-// Gone returns a channel that is closed once the connection has ended.
-func (p *Peer) Gone() <-chan struct{} { return p.closed }
+// Closed returns a channel that is closed once the connection has ended.
+func (p *Peer) Closed() <-chan struct{} { return p.closed }
 
 // Close ends the connection; the other process continues alone.
 func (p *Peer) Close() {
@@ -52,8 +52,8 @@
 	p.conn.Close()
 }
 
-// Say sends a message. If the other process does not read it in time, the connection is closed.
-func (p *Peer) Say(m Message) {
+// Send sends a message. If the other process does not read it in time, the connection is closed.
+func (p *Peer) Send(m Message) {
 	line, _ := json.Marshal(m)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -63,9 +63,9 @@
 	}
 }
 
-// Hear passes received messages to handle until the other process ends or sends an invalid message, then closes the
+// Receive passes received messages to handle until the other process ends or sends an invalid message, then closes the
 // connection.
-func (p *Peer) Hear(handle func(Message)) {
+func (p *Peer) Receive(handle func(Message)) {
 	defer p.Close()
 	for {
 		line, err := readLine(p.reader)
--- a/internal/handover/seat.go
+++ b/internal/handover/seat.go
@@ -32,22 +32,22 @@
 	maxLineBytes = 4 << 20
 )
 
-// Descriptors is the largest number of file descriptors that a process uses for upgrades: one for the listening Unix
+// MaxDescriptors is the largest number of file descriptors that a process uses for upgrades: one for the listening Unix
 // socket, one for the connection to the peer process and one for a newly accepted connection.
-const Descriptors = 3
+const MaxDescriptors = 3
 
 // State is what the older process passes to the newer one in addition to the socket.
 type State struct {
 	List     json.RawMessage // the host list, in discovery's format
 	Excluded []string        // ids of the hosts that operators have excluded
 	Learnt   json.RawMessage // what the balancing decisions have learnt about hosts
-	Holds    Holds
+	Holds    ResourceUsage
 	Fleet    json.RawMessage `json:",omitempty"` // its membership in the fleet of balancers, if it has one
 }
 
-// Holds is what a process uses of the resources that both processes share: connections of clients, connections to hosts
+// ResourceUsage is what a process uses of the resources that both processes share: connections of clients, connections to hosts
 // and the origin, requests in progress, bytes of memory, and attempts in flight at the origin.
-type Holds struct {
+type ResourceUsage struct {
 	Clients, Upstream, Calls, Bytes int64
 	Origin                          int
 	Leaving                         bool // the process is draining and needs no more than it has
@@ -60,8 +60,8 @@
 	State
 }
 
-// ErrAlone is returned by Meet if there is no older process.
-var ErrAlone = errors.New("no process to take over from")
+// ErrNoOlderProcess is returned by TakeOver if there is no older process.
+var ErrNoOlderProcess = errors.New("no process to take over from")
 
 // Path returns the path in dir of the socket or file with the given suffix for the process that serves clients at an
 // address. Both processes of an upgrade derive the same path from it.
@@ -69,8 +69,8 @@
 	return filepath.Join(dir, "streamrail-"+strings.NewReplacer(":", "_", "/", "_").Replace(listen)+suffix)
 }
 
-// Listen opens an address that may still be open in an older process from which this one could not take over.
-func Listen(addr string) (net.Listener, error) {
+// ListenReusePort opens an address that may still be open in an older process from which this one could not take over.
+func ListenReusePort(addr string) (net.Listener, error) {
 	config := net.ListenConfig{Control: func(_, _ string, c syscall.RawConn) (err error) {
 		if controlErr := c.Control(func(fd uintptr) { err = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) }); controlErr != nil {
 			return controlErr
@@ -80,11 +80,11 @@
 	return config.Listen(context.Background(), "tcp", addr)
 }
 
-// Meet takes over from the process that serves upgrades at the path (see Keep), if there is one.
-func Meet(path string) (listener net.Listener, state State, peer *Peer, err error) {
+// TakeOver takes over from the process that serves upgrades at the path (see Serve), if there is one.
+func TakeOver(path string) (listener net.Listener, state State, peer *Peer, err error) {
 	conn, err := net.DialTimeout("unix", path, exchangeTimeout)
 	if errors.Is(err, os.ErrNotExist) || errors.Is(err, syscall.ECONNREFUSED) { // no socket, or one that a process which has ended left behind
-		return nil, state, nil, ErrAlone
+		return nil, state, nil, ErrNoOlderProcess
 	}
 	if err != nil {
 		return nil, state, nil, err
@@ -193,13 +193,13 @@
 	return err
 }
 
-// Seat is the listening Unix socket at which a newer process can take over from this one.
-type Seat struct{ listener *net.UnixListener }
+// Server serves the Unix socket at which a newer process can take over from this one.
+type Server struct{ listener *net.UnixListener }
 
-// Keep listens at a path for newer processes and replaces any older process that listens there. A newer process that
+// Serve listens at a path for newer processes and replaces any older process that listens there. A newer process that
 // connects gets the clients' listening socket and the state that prepareState returns. Messages sent to the peer during
 // prepareState or afterwards reach it only after that state.
-func Keep(path string, clientListener net.Listener, prepareState func(*Peer) (State, error)) (*Seat, error) {
+func Serve(path string, clientListener net.Listener, prepareState func(*Peer) (State, error)) (*Server, error) {
 	tempPath := fmt.Sprintf("%s.%d", path, os.Getpid())
 	os.Remove(tempPath)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
@@ -228,11 +228,11 @@
 			handOver(conn, clientListener, prepareState)
 		}
 	}()
-	return &Seat{l}, nil
+	return &Server{l}, nil
 }
 
-// Leave stops listening. A process that starts afterwards finds no process to take over from.
-func (s *Seat) Leave() { s.listener.Close() }
+// Close stops listening. A process that starts afterwards finds no process to take over from.
+func (s *Server) Close() { s.listener.Close() }
 
 // handOver answers the connection of one newer process.
 func handOver(conn *net.UnixConn, clientListener net.Listener, prepareState func(*Peer) (State, error)) {
--- a/internal/handover/store.go
+++ b/internal/handover/store.go
@@ -20,8 +20,8 @@
 	Create(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
-	// SyncFolder makes the renames in a directory durable.
-	SyncFolder(path string) error
+	// SyncDir makes the renames in a directory durable.
+	SyncDir(path string) error
 }
 
 // File is a file opened for writing.
@@ -53,7 +53,7 @@
 		s.Files.Remove(tempPath)
 		return err
 	}
-	return s.Files.SyncFolder(filepath.Dir(path))
+	return s.Files.SyncDir(filepath.Dir(path))
 }
 
 // write creates a file and syncs its content. Its name is not durable yet: that takes a sync of the directory.
@@ -81,12 +81,12 @@
 func (systemFiles) Rename(from, to string) error { return os.Rename(from, to) }
 func (systemFiles) Remove(path string) error     { return os.Remove(path) }
 
-func (systemFiles) SyncFolder(path string) error {
-	folder, err := os.Open(path)
+func (systemFiles) SyncDir(path string) error {
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	return errors.Join(folder.Sync(), folder.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
 // Save saves a value as Store.Save does, in the operating system's files.
@@ -114,8 +114,8 @@
 	return json.Unmarshal(text[headerBytes:], value)
 }
 
-// Aside renames an unreadable file so that it can be inspected later. It returns the new name, or "" if the renaming failed.
-func Aside(path string) string {
+// RenameDamaged renames an unreadable file so that it can be inspected later. It returns the new name, or "" if the renaming failed.
+func RenameDamaged(path string) string {
 	if err := os.Rename(path, path+".damaged"); err != nil {
 		return ""
 	}
--- a/internal/handover/store_test.go
+++ b/internal/handover/store_test.go
@@ -55,12 +55,12 @@
 	return f.systemFiles.Remove(path)
 }
 
-func (f *failingFiles) SyncFolder(path string) error {
+func (f *failingFiles) SyncDir(path string) error {
 	if err := f.countStep(); err != nil {
 		return err
 	}
 	f.synced = append(f.synced, "folder")
-	return f.systemFiles.SyncFolder(path)
+	return f.systemFiles.SyncDir(path)
 }
 
 type failingFile struct {
@@ -92,7 +92,7 @@
 // TestSaveThatFails lets each step of a save fail, or kills the process at it, with the write cut at each byte. The previous
 // or the new version must be complete in the file, the save must return the error, and the next save must succeed.
 func TestSaveThatFails(t *testing.T) {
-	const steps = 6 // create, write, sync, close, rename, sync of the folder
+	const steps = 6 // create, write, sync, close, rename, sync of the directory
 	old, changed := []string{"a"}, []string{"a", "b"}
 	for _, fault := range []error{syscall.ENOSPC, syscall.EIO, syscall.EROFS, errKilled} {
 		for step := 1; step <= steps; step++ {
