--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -147,10 +147,10 @@
 }
 
 // TestMembers checks that a killed balancer becomes dead in every view, that one restarted under its name appears at once with a new
-// process epoch, and that one that ends in order is shown as left and is never suspected.
+// process id, and that one that ends in order is shown as left and is never suspected.
 func TestMembers(t *testing.T) {
 	members := newFleet(t, 3, "", nil).members
-	epochBefore := members[0].memberNamed(t, "n2").ProcessID
+	idBefore := members[0].memberNamed(t, "n2").ProcessID
 	members[2].Process.Kill()
 	for _, m := range members[:2] {
 		m.waitForView(t, "part", 1, 1)
@@ -162,8 +162,8 @@
 	for _, m := range members {
 		m.waitForView(t, "whole", 2, 0)
 	}
-	if epochAfter := members[0].memberNamed(t, "n2").ProcessID; epochAfter <= epochBefore {
-		t.Errorf("process epoch %s after the restart, %s before", epochAfter, epochBefore)
+	if idAfter := members[0].memberNamed(t, "n2").ProcessID; idAfter <= idBefore {
+		t.Errorf("process id %s after the restart, %s before", idAfter, idBefore)
 	}
 	members[1].Process.Signal(syscall.SIGTERM)
 	members[1].waitForExit(t)
@@ -226,7 +226,7 @@
 }
 
 // TestMembersStall checks that a process that is stopped briefly does not become dead and declares nobody dead when it resumes. One
-// that is stopped for long becomes dead, reports its standstill when it resumes, and returns with the same process epoch.
+// that is stopped for long becomes dead, reports its standstill when it resumes, and returns with the same process id.
 func TestMembersStall(t *testing.T) {
 	f := newFleet(t, 5, "", nil)
 	stop := func(m *fleetMember, d time.Duration) {
@@ -235,7 +235,7 @@
 		m.Process.Signal(syscall.SIGCONT)
 	}
 	stop(f.members[4], 250*time.Millisecond)
-	epochBefore := f.members[0].memberNamed(t, "n4").ProcessID
+	idBefore := f.members[0].memberNamed(t, "n4").ProcessID
 	time.Sleep(time.Second)
 	for _, m := range f.members {
 		m.waitForView(t, "whole", 4, 0)
@@ -251,8 +251,8 @@
 	}
 	f.members[4].checkNeverLogged(t, "dead", "n0", "n1", "n2", "n3")
 	f.members[4].waitForLog(t, "stood still for")
-	if epochAfter := f.members[0].memberNamed(t, "n4").ProcessID; epochAfter != epochBefore {
-		t.Errorf("process epoch %s, %s before the stall", epochAfter, epochBefore)
+	if idAfter := f.members[0].memberNamed(t, "n4").ProcessID; idAfter != idBefore {
+		t.Errorf("process id %s, %s before the stall", idAfter, idBefore)
 	}
 }
 
@@ -304,12 +304,12 @@
 	return old
 }
 
-// TestMembersUpgrade checks that the two processes of an upgrade are one member: the process epoch stays and nobody becomes dead. If
-// the newer process is killed after it has become the member, the older one takes that role again with the same process epoch.
+// TestMembersUpgrade checks that the two processes of an upgrade are one member: the process id stays and nobody becomes dead. If
+// the newer process is killed after it has become the member, the older one takes that role again with the same process id.
 func TestMembersUpgrade(t *testing.T) {
 	f := newFleet(t, 5, "", nil)
 	m := f.members[1]
-	epochBefore := m.view(t).ProcessID
+	idBefore := m.view(t).ProcessID
 	old := m.upgrade(t)
 	m.waitForView(t, "whole", 4, 0)
 	old.Process.Signal(syscall.SIGTERM)
@@ -333,8 +333,8 @@
 		}
 		member.checkNeverLogged(t, "dead", "n1")
 		member.checkNeverLogged(t, "left", "n1")
-		if member != m && member.memberNamed(t, "n1").ProcessID != epochBefore {
-			t.Errorf("%s has process epoch %s for n1, it was %s", member.name, member.memberNamed(t, "n1").ProcessID, epochBefore)
+		if member != m && member.memberNamed(t, "n1").ProcessID != idBefore {
+			t.Errorf("%s has process id %s for n1, it was %s", member.name, member.memberNamed(t, "n1").ProcessID, idBefore)
 		}
 	}
 }
--- a/cmd/streamrail/orders_test.go
+++ b/cmd/streamrail/orders_test.go
@@ -126,12 +126,12 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	sums := map[string]bool{}
+	digests := map[string]bool{}
 	for _, m := range f.members {
-		sums[m.orders(t).Digest] = true
+		digests[m.orders(t).Digest] = true
 	}
-	if len(sums) != 1 {
-		t.Errorf("%d different sets of orders after the partition", len(sums))
+	if len(digests) != 1 {
+		t.Errorf("%d different sets of orders after the partition", len(digests))
 	}
 }
 
--- a/internal/admin/members.go
+++ b/internal/admin/members.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// Errors of a balancer that has no view of its fleet, no limit shares, or has handed these over in an upgrade.
+// Errors of a balancer that belongs to no fleet, shares no limits, or has handed its membership over in an upgrade.
 var (
 	ErrNoFleet    = errors.New("this balancer speaks with no other: its operator's file has no section [fleet]")
 	ErrNoLimits   = errors.New("parts of limits do not move here: the operator's file has no limits = true under [fleet], or no tenant has an allowance")
@@ -22,8 +22,8 @@
 	ProcessID    string   `json:"life"`
 	Incarnation  uint32   `json:"incarnation"`
 	Situation    string   `json:"situation"`
-	Expected     int      `json:"expected"`
-	PresentCount int      `json:"seen"`
+	Expected     int      `json:"expected"` // number of balancers in the fleet, including this one
+	PresentCount int      `json:"seen"`     // members alive and suspected, including this one
 	Version      uint64   `json:"version"`
 	Digest       string   `json:"digest"`                // of the processes present; two views with equal digests are equal
 	NameConflict string   `json:"name_shared,omitempty"` // address of another process with this balancer's name, if there is one
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -233,7 +233,7 @@
 }
 
 // TestDiscoveryCallRate bounds the load on discovery where the policy subscribes: without changes, 300 balancers must make at most three
-// calls each in 10 s (askEvery), and a watch without an answer must be reopened within six seconds.
+// calls each in 10 s (policy.Config.SubscribeInterval), and a watch without an answer must be reopened within six seconds.
 func TestDiscoveryCallRate(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		p := discovery.NewTimeouts(grace*9/10, false)
