--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -116,17 +116,17 @@
 }
 
 const (
-	testColdFrom     = 0.2
-	testRampTime     = 20 * Second
-	testFallMultiple = 3.0
-	testFallWindow   = 2 * Second
+	testColdCapacityFraction = 0.2
+	testWarmUpTime           = 20 * Second
+	testOverloadMultiple     = 3.0
+	testOverloadWindow       = 2 * Second
 )
 
 func (f *coldSimulation) warmShare(h *simulatedHost, at Nanos) float64 {
-	if h.ListedStart == 0 || at >= h.ListedStart+testRampTime {
+	if h.ListedStart == 0 || at >= h.ListedStart+testWarmUpTime {
 		return 1
 	}
-	return testColdFrom + (1-testColdFrom)*(at-h.ListedStart).seconds()/testRampTime.seconds()
+	return testColdCapacityFraction + (1-testColdCapacityFraction)*(at-h.ListedStart).seconds()/testWarmUpTime.seconds()
 }
 
 // run starts the cold hosts after ten seconds. Of all windows that begin with a request at a cold host it returns
@@ -141,12 +141,12 @@
 		f.hosts[id] = &simulatedHost{HostEntry: HostEntry{HostID: id, Size: 1}, capacityPerS: p.capacityPerS}
 		list = append(list, f.hosts[id].HostEntry)
 	}
-	terms := Config{Balancers: p.balancers, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}}, MayCancel: true, MaxAttempts: 4,
-		OriginKind: -1, ColdCapacityFraction: testColdFrom, WarmUpTime: testRampTime, OverloadMultiple: testFallMultiple, OverloadWindow: testFallWindow, TimerGranularity: 5 * Millisecond}
+	config := Config{Balancers: p.balancers, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}}, MayCancel: true, MaxAttempts: 4,
+		OriginKind: -1, ColdCapacityFraction: testColdCapacityFraction, WarmUpTime: testWarmUpTime, OverloadMultiple: testOverloadMultiple, OverloadWindow: testOverloadWindow, TimerGranularity: 5 * Millisecond}
 	var balancers []*simulatedBalancer
 	start := func(i int) *simulatedBalancer {
 		s := &simulatedBalancer{coldSimulation: f}
-		s.b = New(s, terms, seed*1000+uint64(i))
+		s.b = New(s, config, seed*1000+uint64(i))
 		return s
 	}
 	total := p.load * p.capacityPerS * float64(p.hostCount)
@@ -204,12 +204,12 @@
 		for from, at := range h.arrivals {
 			n := 0
 			for _, c := range h.arrivals[from:] {
-				if c < at+testFallWindow {
+				if c < at+testOverloadWindow {
 					n++
 				}
 			}
 			// Requests in this window that overload the host; the warm share rises evenly, so its middle counts.
-			overloadAt := testFallMultiple * h.capacityPerS * f.warmShare(h, at+testFallWindow/2) * testFallWindow.seconds()
+			overloadAt := testOverloadMultiple * h.capacityPerS * f.warmShare(h, at+testOverloadWindow/2) * testOverloadWindow.seconds()
 			windows++
 			allowed := overloadAt + 2*math.Sqrt(overloadAt) + 2
 			if p.allowedRequests != nil {
@@ -223,7 +223,7 @@
 				received++
 			}
 		}
-		possible += h.capacityPerS * 10 * (testColdFrom + (1-testColdFrom)*10/testRampTime.seconds()/2)
+		possible += h.capacityPerS * 10 * (testColdCapacityFraction + (1-testColdCapacityFraction)*10/testWarmUpTime.seconds()/2)
 	}
 	return windows, exceeded, maxRatio, received / possible
 }
--- a/policy/concurrency.go
+++ b/policy/concurrency.go
@@ -29,7 +29,7 @@
 	now := b.env.Now()
 	switch {
 	case (overloaded || rejected) && now-h.limitCutAt > slo/4:
-		h.concurrencyLimit, h.limitCutAt = max(b.minLimit(), h.concurrencyLimit*0.6), now // from 0.8 on hosts stayed overloaded
+		h.concurrencyLimit, h.limitCutAt = max(b.minLimit(), h.concurrencyLimit*0.6), now // with a factor of 0.8 or more hosts stayed overloaded
 	case good && delayRatio > 1:
 		h.concurrencyLimit = max(b.minLimit(), h.concurrencyLimit-min(0.5, h.concurrencyLimit/2)/max(1, h.concurrencyLimit))
 	case good && float64(h.inFlight+1) >= h.concurrencyLimit/2:
--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// What a newer process takes over depends on its settings: limits are parts of a whole and do not apply to another
-// number of balancers; outcomes at a host apply as long as the same process runs there; invalid values are
-// ignored.
+// What a newer process takes over depends on its settings: limits are parts of a fleet-wide limit and do not
+// apply to another number of balancers; outcomes at a host apply as long as the same process runs there; invalid
+// values are ignored.
 func TestTakeOver(t *testing.T) {
 	newBalancer := func(balancers int, born Nanos) *Balancer {
 		s := &testEnv{T: t, counts: map[string]int{}, now: 1000 * Second}
@@ -65,11 +65,11 @@
 	older.attemptTime.add(1000*Second, 0.06, 2)
 	learnt := older.ExportLearnt()
 	for _, row := range []struct {
-		name        string
-		balancers   int
-		born        Nanos
-		limit, bad  float64
-		fleet, pace float64
+		name               string
+		balancers          int
+		born               Nanos
+		limit, bad         float64
+		fleet, meanSeconds float64
 	}{
 		{"the same settings", 4, 0, 17, 40, 23, 0.03},
 		{"a balancer for each client", 400, 0, newBalancer(400, 0).hosts["a"].concurrencyLimit, 40, newBalancer(400, 0).fleetLimitPerHost, 0.03},
@@ -79,8 +79,8 @@
 		b.ImportLearnt(learnt)
 		_, bad := b.hosts["a"].outcomes.decayed(1000 * Second)
 		took, n := b.attemptTime.decayed(1000 * Second)
-		if b.hosts["a"].concurrencyLimit != row.limit || bad != row.bad || b.fleetLimitPerHost != row.fleet || took/n != row.pace {
-			t.Errorf("%s: limit %v, bad %v, fleet %v, pace %v", row.name, b.hosts["a"].concurrencyLimit, bad, b.fleetLimitPerHost, took/n)
+		if b.hosts["a"].concurrencyLimit != row.limit || bad != row.bad || b.fleetLimitPerHost != row.fleet || took/n != row.meanSeconds {
+			t.Errorf("%s: limit %v, bad outcomes %v, fleet limit per host %v, mean attempt %v s", row.name, b.hosts["a"].concurrencyLimit, bad, b.fleetLimitPerHost, took/n)
 		}
 	}
 	b := newBalancer(4, 0)
--- a/policy/health.go
+++ b/policy/health.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	baselineSlot        = 6 * Second // eight slots are 48 s: a shorter baseline would soon adapt to an overload
+	baselineSlot        = 6 * Second // eight slots cover 48 s: a shorter baseline would soon adapt to an overload
 	minBaselineAttempts = 24         // per slot; the work of requests differs by a factor of several, so fewer give no reliable mean
 )
 
@@ -47,7 +47,7 @@
 	if good {
 		h.goodCount++
 	} else if overloaded {
-		overloaded, h.goodCountAtLastBad = h.goodCount-min(a.goodCountAtSend, h.goodCountAtLastBad) < isolatedFailureGoods, h.goodCount
+		overloaded, h.goodCountAtLastBad = h.goodCount-min(a.goodCountAtSend, h.goodCountAtLastBad) < isolatedFailureSuccesses, h.goodCount
 	}
 	if rejected { // without a backoff a full host, which answers at once, looks idle and attracts all traffic
 		h.backoff = min(max(initialBackoff, 2*h.backoff), Second)
@@ -138,7 +138,7 @@
 	return (good + prior) / n, minRate, n
 }
 
-// isolatedFailureGoods is the number of successes, since the last failure or since the attempt was sent, after
+// isolatedFailureSuccesses is the number of successes, since the last failure or since the attempt was sent, after
 // which a failure counts as isolated and does not reduce limits. Connections stop responding on any host, whereas
 // overload and hangs delay most attempts. A higher number keeps limits too low.
-const isolatedFailureGoods = 10
+const isolatedFailureSuccesses = 10
--- a/policy/loadreport.go
+++ b/policy/loadreport.go
@@ -14,7 +14,7 @@
 	if mean == 0 || h.reportedWait <= mean {
 		return false
 	}
-	// Reports lose weight over a whole outcomeWindow: where a balancer sends to a host only every half minute, decay
+	// Reports lose weight over an outcomeWindow: where a balancer sends to a host only every half minute, decay
 	// within a few seconds would discard most of them.
 	loadRatio := 1 + (h.reportedWait/mean-1)/(1+(now-h.reportedAt).seconds()/outcomeWindow.seconds())
 	if pass > 0 {
--- a/policy/membership.go
+++ b/policy/membership.go
@@ -29,8 +29,8 @@
 }
 
 // BeginList announces a host list or an update, or that discovery is unavailable, and applies what depends on the
-// list as a whole. The entries follow by ApplyEntries, in any order and in pieces of any size. If the list is a whole
-// one, the caller also passes the hosts that it no longer names, as Gone.
+// list as a whole. The entries follow by ApplyEntries, in any order and in batches of any size. If the list is
+// complete, the caller also passes the hosts that it no longer names, as Gone.
 func (b *Balancer) BeginList(kind ListKind, entries []HostEntry) {
 	switch kind {
 	case ListUnavailable:
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -103,8 +103,8 @@
 }
 
 // retryAfter returns how long the client should wait before it retries: a random part of the time left within the
-// SLO, so that returning clients spread out. Where no time is left, for a client's retry and for a request beyond
-// its quota it is a part of the longest wait that clients honour.
+// SLO, so that the retries of clients spread out. Where no time is left, for a client retry and for a request
+// beyond its quota, it is a random part of the longest wait that clients honour.
 func (b *Balancer) retryAfter(r *request) Nanos {
 	left := r.arrivedAt + r.product.LatencySLO - b.env.Now()
 	if left <= 0 || r.ClientRetry || r.overQuota {
--- a/policy/ring_test.go
+++ b/policy/ring_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// ringOrder returns the hosts in ring order from a key on, by sorting all virtual nodes anew.
+// ringOrder returns the hosts in ring order from a key on, by sorting all virtual nodes.
 func ringOrder(hosts map[HostID]int, key Key) (order []HostID) {
 	type node struct {
 		hash uint64
 		host HostID
 	}
 	var nodes []node
-	for id, points := range hosts {
-		for n := range points {
+	for id, virtualNodes := range hosts {
+		for n := range virtualNodes {
 			nodes = append(nodes, node{hash(string(id), uint64(n)), id})
 		}
 	}
@@ -41,22 +41,22 @@
 	return order
 }
 
-// TestRingOrder compares the ring, while hosts are added and removed at random, with one that is built anew each
-// time.
+// TestRingOrder compares the ring, while hosts are added and removed at random, with one that is built from scratch
+// each time.
 func TestRingOrder(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 20 {
 		var r ring
-		hosts, caches := map[HostID]int{}, map[HostID]*cacheHost{}
+		hosts, present := map[HostID]int{}, map[HostID]*cacheHost{}
 		for range 10 + random.IntN(200) {
 			id := HostID(fmt.Sprint("s-", random.IntN(60)))
-			if h := caches[id]; h != nil {
+			if h := present[id]; h != nil {
 				r.remove(h)
-				delete(caches, id)
+				delete(present, id)
 				delete(hosts, id)
 			} else {
 				h := &cacheHost{HostEntry: HostEntry{HostID: id}}
-				caches[id], hosts[id] = h, 1+random.IntN(100)
+				present[id], hosts[id] = h, 1+random.IntN(100)
 				r.add(h, hosts[id])
 			}
 			key := Key(fmt.Sprint("key", random.IntN(1000)))
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestChangedInPieces applies random lists to two balancers, in one piece at one and in small pieces in another
-// order at the other. Both must end with the same hosts and ring, and sums must equal those that are computed
-// anew.
+// TestChangedInPieces applies random lists to two balancers, in one batch at one and in small batches in another
+// order at the other. Both must end with the same hosts and ring, and their sums must equal those computed from
+// scratch.
 func TestChangedInPieces(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 4))
 	config := Config{Balancers: 10, Products: []ProductConfig{{LatencySLO: Second}}, OriginKind: -1, SizesFollowLoad: true, WarmUpTime: 10 * Second, OverloadWindow: Second, OverloadMultiple: 2}
@@ -112,7 +112,7 @@
 			for _, b := range []*Balancer{whole, pieces} {
 				warmCapacity, loadSum := b.warmCapacity, b.loadSum
 				if b.recomputeSums(); math.Abs(warmCapacity-b.warmCapacity) > 1e-6 || math.Abs(loadSum-b.loadSum) > 1e-6 || b.ring.hostCount != len(b.available) {
-					t.Fatalf("warm capacity %v, load %v, %d hosts on the ring; computed anew %v, %v, %d", warmCapacity, loadSum, b.ring.hostCount, b.warmCapacity, b.loadSum, len(b.available))
+					t.Fatalf("warm capacity %v, load %v, %d hosts on the ring; computed from scratch %v, %v, %d", warmCapacity, loadSum, b.ring.hostCount, b.warmCapacity, b.loadSum, len(b.available))
 				}
 			}
 			ids := func(b *Balancer) (all []HostID) {
@@ -122,7 +122,7 @@
 				return all
 			}
 			if a, b := ids(whole), ids(pieces); !slices.Equal(a, b) || len(whole.hosts) != len(pieces.hosts) || whole.availableInZone != pieces.availableInZone {
-				t.Fatalf("in one piece %v, in several %v", a, b)
+				t.Fatalf("in one batch %v, in several %v", a, b)
 			}
 		}
 	}
--- a/policy/scenario_test.go
+++ b/policy/scenario_test.go
@@ -17,7 +17,7 @@
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.txt")
 	if len(files) == 0 {
-		t.Fatal("no scenarios")
+		t.Fatal("testdata has no scenario files")
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
@@ -65,7 +65,7 @@
 
 // clientRequest is a request as the rules see it.
 type clientRequest struct {
-	call     Request
+	request  Request
 	deadline Nanos
 	attempts []attempt
 	answered bool
@@ -132,7 +132,7 @@
 		if !x.inFlight && !x.mayHaveRun {
 			continue
 		}
-		p := s.config.Products[d.call.Product]
+		p := s.config.Products[d.request.Product]
 		if p.Effect == NonIdempotent || p.Effect == Deduplicated && (s.now-x.sentAt >= p.DedupWindow || !deduplicates(x)) {
 			return false
 		}
@@ -140,7 +140,7 @@
 	return true
 }
 
-func (s *testEnv) Send(id RequestID, to HostID, deadline, beginBy Nanos) {
+func (s *testEnv) Send(id RequestID, to HostID, deadline, latestStart Nanos) {
 	timeout := max(1, deadline-s.now)
 	s.record("send %s %s", id, to)
 	s.counts[string(to)]++
@@ -156,15 +156,15 @@
 	case d.answered || s.now > d.deadline:
 		s.Errorf("%s: rule 1: %s sent after its final answer or deadline", s.line, id)
 	case !s.repeatHarmless(d, func(x attempt) bool {
-		e, p := x.host.HostEntry, s.config.Products[d.call.Product]
+		e, p := x.host.HostEntry, s.config.Products[d.request.Product]
 		return p.DedupScope == DedupScopeAll || p.DedupScope == DedupScopeZone && e.Zone == h.Zone || p.DedupScope == DedupScopeCell && e.Cell == h.Cell
 	}):
 		s.Errorf("%s: rule 2: %s may run twice", s.line, id)
 	case inFlight > 0 || len(d.attempts) >= s.config.MaxAttempts:
 		s.Errorf("%s: too many attempts of %s", s.line, id)
-	case beginBy > deadline || slices.ContainsFunc(d.attempts, func(x attempt) bool {
-		p := s.config.Products[d.call.Product]
-		return x.mayHaveRun && p.Effect == Deduplicated && beginBy > x.sentAt+p.DedupWindow
+	case latestStart > deadline || slices.ContainsFunc(d.attempts, func(x attempt) bool {
+		p := s.config.Products[d.request.Product]
+		return x.mayHaveRun && p.Effect == Deduplicated && latestStart > x.sentAt+p.DedupWindow
 	}):
 		s.Errorf("%s: rule 2: %s may begin after the window in which it is dropped as a repeat", s.line, id)
 	case h.stoppedAt > 0 && s.now > h.stoppedAt+testDrainGrace:
@@ -187,7 +187,7 @@
 	n := len(d.attempts)
 	d.attempts = append(d.attempts, attempt{host: &cacheHost{HostEntry: h.HostEntry}, sentAt: s.now, inFlight: true})
 	r, ok := s.replies[to]
-	if o, fixed := s.customerOutcomes[d.call.Customer]; fixed && ok {
+	if o, fixed := s.customerOutcomes[d.request.Customer]; fixed && ok {
 		r = scriptedReply{outcome: o, took: Millisecond}
 	}
 	if r.strayEvery > 0 && len(h.attemptsAt)%r.strayEvery == 0 {
@@ -217,11 +217,11 @@
 	s.record("%s %s", what, id)
 	d := s.requests[id]
 	s.counts[what]++
-	s.counts[fmt.Sprint(what, d.call.Customer)]++
+	s.counts[fmt.Sprint(what, d.request.Customer)]++
 	if d.answered || s.now > d.deadline {
 		s.Errorf("%s: rule 1: %s answered twice or late", s.line, id)
 	}
-	all := func(attempt) bool { return s.config.Products[d.call.Product].DedupScope == DedupScopeAll }
+	all := func(attempt) bool { return s.config.Products[d.request.Product].DedupScope == DedupScopeAll }
 	if what == "ratelimit" && !s.repeatHarmless(d, all) {
 		s.Errorf("%s: rule 2: %s rate-limited although it may have run", s.line, id)
 	}
@@ -249,7 +249,7 @@
 	}
 	in := Request{ID: id, Key: Key(key), Product: p, Customer: Customer(o.number("customer", 0)), Write: o["write"] != "",
 		Deadline: s.now + o.milliseconds("left", float64(s.timeouts[p]/Millisecond)), ExpectedWork: o.milliseconds("work", 0)}
-	s.requests[id] = &clientRequest{call: in, deadline: in.Deadline}
+	s.requests[id] = &clientRequest{request: in, deadline: in.Deadline}
 	s.b.RequestArrived(in)
 }
 
@@ -301,7 +301,7 @@
 		t.OriginKind = MachineKind(o.number("origin", -1))
 		t.MaxAttempts = int(o.number("shots", 6))
 		t.IdleConnectionLife = o.milliseconds("keep", 0)
-	case "customer": // customer N OUTCOME: from now on all hosts answer its requests so
+	case "customer": // customer N OUTCOME: from now on all hosts answer its requests with this outcome
 		if len(w) == 3 {
 			n, _ := strconv.Atoi(w[1])
 			s.customerOutcomes = map[Customer]Outcome{Customer(n): outcomeNames[w[2]]}
@@ -352,7 +352,7 @@
 			h.stoppedAt = s.now - testDrainGrace - 1
 		}
 		if known != (o["nobody"] == "") {
-			s.Errorf("%s: known: %v", s.line, known)
+			s.Errorf("%s: reported as known: %v", s.line, known)
 		}
 	case "wait":
 		s.advanceTo(s.now + Nanos(o.number("ns", 0)) + o.milliseconds("ms", 0))
@@ -391,15 +391,15 @@
 		least, _ := strconv.Atoi(w[2])
 		most, _ := strconv.Atoi(w[3])
 		if n := s.counts[w[1]]; n < least || n > most {
-			s.Errorf("%s: it was %d", s.line, n)
+			s.Errorf("%s: the count is %d", s.line, n)
 		}
 	case "remembers": // remembers N: the balancer has state of N hosts
 		if n, _ := strconv.Atoi(w[1]); len(s.b.hosts) != n {
-			s.Errorf("%s: it has state of %d hosts", s.line, len(s.b.hosts))
+			s.Errorf("%s: the balancer has state of %d hosts", s.line, len(s.b.hosts))
 		}
 	case "bears": // bears MIN: lowest fleetLimitPerHost
 		if least, _ := strconv.ParseFloat(w[1], 64); s.b.fleetLimitPerHost < least {
-			s.Errorf("%s: it is %.3f", s.line, s.b.fleetLimitPerHost)
+			s.Errorf("%s: fleetLimitPerHost is %.3f", s.line, s.b.fleetLimitPerHost)
 		}
 	case "expect": // the next action; * stands for any word; "nothing": no action is left
 		got := []string{"nothing"}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -4,8 +4,8 @@
 
 // Slow start: limits the requests that a host that has just started gets from all balancers together.
 
-// warmShare returns the share of its capacity that a host has at least, by the time since its start: ColdCapacityFraction at
-// the start, rising evenly to 1 within WarmUpTime.
+// warmShare returns the share of its capacity that a host has at least, by the time since its start:
+// ColdCapacityFraction at the start, rising evenly to 1 within WarmUpTime.
 func (b *Balancer) warmShare(h *cacheHost) float64 {
 	startedAt := max(cmp.Or(h.LocalStart, h.ListedStart), h.includedAt)
 	age := b.env.Now() - startedAt
@@ -20,8 +20,8 @@
 // exception new hosts stayed idle in a half-replaced fleet while the older ones were overloaded.
 // In both cases a budget applies, this balancer's part of the requests that would overload the host. A fraction of
 // a request is drawn at random and spent in any case: a minimum of one request for each of hundreds of balancers
-// would overload the host. The budget accumulates up to a whole OverloadWindow: with a lower maximum, balancers with
-// one request every few seconds would hardly ever use it, and cold hosts would stay idle.
+// would overload the host. The budget accumulates over at most one OverloadWindow: with a lower maximum,
+// balancers with one request every few seconds would hardly ever use it, and cold hosts would stay idle.
 func (b *Balancer) coldHostMayTake(h *cacheHost, r *request, any bool) bool {
 	warm := b.warmShare(h)
 	if warm == 1 {
--- a/policy/state.go
+++ b/policy/state.go
@@ -30,7 +30,7 @@
 	// Durations of attempts at cache hosts in seconds, and their number: two meters for each product, one for
 	// hosts in this balancer's zone and one for hosts in other zones.
 	attemptTimes []meter
-	// Highest value of any product, and the probability with which a request beyond its quota is rate-limited
+	// Highest billed value of any product, and the probability with which a request beyond its quota is rate-limited
 	// on arrival.
 	maxBilledValue, shedProbability float64
 	startedAt                       Nanos
@@ -43,14 +43,14 @@
 	// Attempts that this balancer may have in flight over all available hosts, divided by their number.
 	fleetLimitPerHost  float64
 	loadSum            float64         // sum of listedLoad over available hosts
-	listedUpCount      int             // cache hosts that the last whole list named as up
+	listedUpCount      int             // cache hosts that the last complete list named as up
 	excluded           map[HostID]bool // by operators, whatever the list says
 	listRequestPending bool            // a timer is set for a request to discovery
 	firstUsePending    bool            // some host may have a firstUseDue
 	reportedWaits      meter           // sum and number of the recent reported waits of all hosts
 	connectOutcomes    meter           // attempts at cache hosts that got a connection, and that did not
-	peerInFlight       int             // attempts at the origin by the other process of an upgrade
-	hasPeer            bool            // an upgrade has another process running
+	peerInFlight       int             // attempts at the origin by the peer process of an upgrade
+	hasPeer            bool            // an upgrade is under way and the peer process runs
 }
 
 // cacheHost is the state of a cache host, or of the origin.
@@ -168,8 +168,8 @@
 
 // Learnt is the learnt state that an older process hands over to a newer one. It is serialised.
 type Learnt struct {
-	Balancers          int // balancers in the fleet of the older process; its limits are parts for this number
-	FleetBears, Origin float64
+	Balancers          int     // balancers in the fleet of the older process; its limits are parts for this number
+	FleetBears, Origin float64 // fleetLimitPerHost, and the concurrency limit of the origin
 	Pace               float64 // mean duration of an attempt at a cache host in seconds; 0: not known
 	Caches             []LearntOf
 }
@@ -177,11 +177,11 @@
 // LearntOf is the learnt state of one cache host.
 type LearntOf struct {
 	Cache     HostID
-	Born      Nanos
-	Limit     float64
-	Good, Bad float64
-	Back      Nanos // end of an exclusion, on the clock of the older process
-	BackAgo   Nanos // the same as an age, which takes precedence, as the clocks of two processes may differ
+	Born      Nanos   // ListedStart of the host
+	Limit     float64 // concurrency limit
+	Good, Bad float64 // recent outcomes
+	Back      Nanos   // end of an exclusion, on the clock of the older process
+	BackAgo   Nanos   // the same as an age, which takes precedence, as the clocks of two processes may differ
 }
 
 // ExportLearnt returns the learnt state for a newer process.
@@ -207,7 +207,7 @@
 
 // ImportLearnt applies the learnt state of an older process, after the host list and before the first request.
 // Outcomes at a host are valid at any balancer as long as the same process runs there. Limits are parts of a limit
-// for the whole fleet: with another number of balancers they are learnt afresh.
+// for the whole fleet: with another number of balancers they are learnt again.
 func (b *Balancer) ImportLearnt(state Learnt) {
 	now := b.env.Now()
 	validLimit := func(taken, current float64) float64 {
@@ -241,10 +241,10 @@
 // ExcludedHosts returns the ids of the excluded hosts in ascending order.
 func (b *Balancer) ExcludedHosts() []HostID { return slices.Sorted(maps.Keys(b.excluded)) }
 
-// SetPeerOriginInFlight records how many attempts the other process of an upgrade has in flight at the origin, and whether there
-// is such a process.
-func (b *Balancer) SetPeerOriginInFlight(paired bool, inFlight int) {
-	b.hasPeer, b.peerInFlight = paired, inFlight
+// SetPeerOriginInFlight records how many attempts the peer process of an upgrade has in flight at the origin, and whether
+// there is such a process.
+func (b *Balancer) SetPeerOriginInFlight(hasPeer bool, inFlight int) {
+	b.hasPeer, b.peerInFlight = hasPeer, inFlight
 }
 
 // OriginInFlight returns how many attempts of this process are in flight at the origin.
--- a/policy/types.go
+++ b/policy/types.go
@@ -29,7 +29,7 @@
 	Cancel(request RequestID, attempt int)
 	RateLimit(request RequestID, retryAfter Nanos) // a final answer that promises that a retry is harmless
 	Error(request RequestID)                       // a final answer that promises nothing
-	Subscribe()
+	Subscribe()                                    // requests the host list from discovery; the answer is reported by ApplyList
 	SetTimer(after Nanos, id TimerID)
 }
 
@@ -37,16 +37,16 @@
 type Outcome int
 
 const (
-	Fulfilled Outcome = iota
-	Errored
-	Rejected
-	TimedOut
-	ConnectFailed
-	Reset
-	Cancelled
-	NeverSent
-	CacheMiss
-	MalformedAnswer // the answer is malformed; the request may have run
+	Fulfilled       Outcome = iota
+	Errored                 // the receiver answered with an error; the request may have run
+	Rejected                // the receiver was full and did not run the request
+	TimedOut                // no answer by the deadline
+	ConnectFailed           // no connection, or it broke before the request was completely written
+	Reset                   // the connection broke after that and before a complete answer
+	Cancelled               // cancelled after the request was completely written
+	NeverSent               // ended before the request was completely written, for a reason other than the receiver
+	CacheMiss               // the cache host does not have the key
+	MalformedAnswer         // the answer is malformed; the request may have run
 	Unknown
 )
 
@@ -54,9 +54,9 @@
 type Effect int
 
 const (
-	Idempotent Effect = iota
-	Deduplicated
-	NonIdempotent
+	Idempotent    Effect = iota // any number of times
+	Deduplicated                // cache hosts recognise and drop repeats within ProductConfig.DedupWindow
+	NonIdempotent               // never
 )
 
 // DedupScope is the set of cache hosts that recognise and drop repeats of a deduplicated request.
@@ -72,19 +72,19 @@
 type Condition int
 
 const (
-	Up Condition = iota
-	Draining
-	Gone
+	Up       Condition = iota
+	Draining           // gets nothing new and finishes what it has
+	Gone               // not in the list any more
 )
 
 // ListKind is how a host list is applied.
 type ListKind int
 
 const (
-	ListUpdate ListKind = iota
-	ListReplace
-	ListRestored
-	ListUnavailable
+	ListUpdate      ListKind = iota // changed entries
+	ListReplace                     // a complete list
+	ListRestored                    // a complete list from before the start, which may be outdated; may be empty
+	ListUnavailable                 // no list: a request to discovery has failed
 )
 
 // HostEntry is one line of the host list.
