--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -68,9 +68,9 @@
 	cs.makeRoomFor(c)
 }
 
-// makeRoomFor reports whether a connection is served, which it stays once there was room for it. At the limit it evicts another
-// connection: the oldest of those that have carried no request, else the one that has been idle longest, else the one that has
-// stalled within a command for longest. If all are in use it returns false and the request is turned away for now. With c == nil
+// makeRoomFor reports whether a connection is served. Once served it stays so until it is evicted. At the limit makeRoomFor evicts
+// another connection: the oldest of those that have carried no request, else the one that has been idle longest, else the one that has
+// stalled within a command for longest. If all are in use it returns false and the request is rate-limited. With c == nil
 // it evicts any one connection, to make room for those that wait to be accepted.
 func (cs *clientConns) makeRoomFor(c *clientConn) bool {
 	cs.mu.Lock()
@@ -127,14 +127,14 @@
 	return candidate
 }
 
-// evict interrupts a connection so that it closes, and takes it out of the counts.
+// evict interrupts a connection so that it closes, and removes it from the counts.
 func (cs *clientConns) evict(c *clientConn) {
 	c.evicted.Store(true)
 	c.interrupt()
 	cs.uncount(c)
 }
 
-// uncount takes a connection out of the served and active counts.
+// uncount removes a connection from the served and active counts.
 func (cs *clientConns) uncount(c *clientConn) {
 	cs.setServed(c, false)
 	if c.countedActive {
--- a/internal/balancer/accept_faults_test.go
+++ b/internal/balancer/accept_faults_test.go
@@ -53,7 +53,7 @@
 			defer conn.Close()
 			io.WriteString(conn, "mn\r\n")
 			time.Sleep(300 * time.Millisecond)
-			// Waits that double from 1 ms to 100 ms give eight tries in that time; four times as many leave room for timing.
+			// Waits that double from 1 ms to 100 ms give eight accepts in that time; four times as many leave room for timing.
 			if n := faulty.failed.Load(); n < 3 || n > 32 {
 				t.Errorf("%d accepts failed in 0.3 s", n)
 			}
@@ -66,7 +66,7 @@
 			select {
 			case <-loopEnded:
 			case <-time.After(testTimeout):
-				t.Error("the accept loop goes on after its listener was closed")
+				t.Error("the accept loop continues after its listener was closed")
 			}
 		})
 	}
--- a/internal/balancer/accept_queue.go
+++ b/internal/balancer/accept_queue.go
@@ -13,7 +13,7 @@
 // acceptQueue finds the earliest time at which an accepted connection, and what its client has sent, may have arrived: both may have
 // waited in the listener's accept queue.
 type acceptQueue struct {
-	raw         syscall.RawConn // of the listener; nil: judged by the duration of the accept alone
+	raw         syscall.RawConn // of the listener; nil: only the duration of an accept shows whether it had to wait
 	stalls      *stall.Detector
 	emptyAt     time.Time // the queue was empty then
 	pending     bool      // the queue was not empty before the current accept
--- a/internal/balancer/accept_test.go
+++ b/internal/balancer/accept_test.go
@@ -47,7 +47,7 @@
 	}
 	for name, c := range map[string]*clientConn{"with a request in flight": busy, "whose client writes in pieces": slowWriter, "in regular use": reused, "just opened": fresh} {
 		if c.evicted.Load() {
-			t.Errorf("the connection %s was evicted", name)
+			t.Errorf("the connection that must not be evicted was: %s", name)
 		}
 	}
 	if cs.makeRoomFor(&clientConn{}) {
--- a/internal/balancer/attempt.go
+++ b/internal/balancer/attempt.go
@@ -9,7 +9,7 @@
 // sendAttempt starts an attempt. Its result arrives on c.attemptResults.
 func (c *clientRequest) sendAttempt(send action) {
 	n, sentAt := len(c.attempts), time.Now()
-	attempt := &upstream.Attempt{To: send.host, Command: &c.Command, Value: c.value, Deadline: send.deadline, LatestStart: send.beginBy}
+	attempt := &upstream.Attempt{To: send.host, Command: &c.Command, Value: c.value, Deadline: send.deadline, LatestStart: send.latestStart}
 	attempt.ReserveMemory = c.reserveMemory
 	attempt.StreamValue = c.streamValue
 	attempt.ClientGone = c.isUnwanted
@@ -50,7 +50,7 @@
 	}
 }
 
-// reserveMemory reserves memory for a value until the request is released; false if the limit does not allow it.
+// reserveMemory reserves memory for a value until the request is released; it returns false if the limit does not allow it.
 func (c *clientRequest) reserveMemory(bytes int) bool {
 	reserved := c.balancer.reserveMemory(bytes)
 	if reserved {
@@ -59,8 +59,8 @@
 	return reserved
 }
 
-// reserveMemory reserves memory for values of requests in flight; false if the limit does not allow it. The caller must release what it
-// reserved.
+// reserveMemory reserves memory for values of requests in flight; it returns false if the limit does not allow it. The caller must
+// release what it reserved.
 func (b *Balancer) reserveMemory(bytes int) bool {
 	if b.valueBytes.Add(int64(bytes)) > b.maxValueBytes.Load() {
 		b.valueBytes.Add(-int64(bytes))
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,6 +1,6 @@
 // Package balancer serves clients: it reads requests from their connections, lets package policy decide about
-// each, carries out the decisions and answers. The files follow the stages of a request: accept, read,
-// decide, send, reply. Nothing here chooses where a request goes or whether it is retried.
+// each, carries out the decisions and answers. The stages of a request are in accept.go,
+// read.go, decide.go, attempt.go and reply.go. Nothing here chooses where a request goes or whether it is retried.
 package balancer
 
 import (
@@ -53,23 +53,23 @@
 	requestCount atomic.Uint64
 	requestIDs   idSet
 
-	clients       *clientConns
-	toIdleWorker  chan *clientRequest // hands a request to an idle goroutine
-	idleWorkers   atomic.Int64        // goroutines that receive from toIdleWorker
-	capacity      resourceLimits      // limits of the whole balancer, which the two processes of an upgrade split
-	inFlight      atomic.Int64        // requests in flight
-	maxInFlight   atomic.Int64
-	valueBytes    atomic.Int64 // bytes of values of requests in flight
-	maxValueBytes atomic.Int64
-	traffic       trafficStats
-	delays        delayStats
-	answerStats   *answerStats
-	upgrade       upgradeLink
-	exclusions    exclusionStore
-	fleet         fleetMembership
-	limitShares   *limitShares         // nil: fleet-wide limits are split into equal shares
-	fleetOrders   *exclusionOrders     // nil: operators' exclusions apply to this balancer only
-	observations  *observationExchange // nil: hosts are judged by this balancer's attempts only
+	clients         *clientConns
+	toIdleWorker    chan *clientRequest // hands a request to an idle goroutine
+	idleWorkers     atomic.Int64        // goroutines that receive from toIdleWorker
+	capacity        resourceLimits      // limits of a single process, which the two processes of an upgrade split
+	inFlight        atomic.Int64        // requests in flight
+	maxInFlight     atomic.Int64
+	valueBytes      atomic.Int64 // bytes of values of requests in flight
+	maxValueBytes   atomic.Int64
+	traffic         trafficStats
+	delays          delayStats
+	answerStats     *answerStats
+	upgrade         upgradeLink
+	exclusions      exclusionStore
+	fleet           fleetMembership
+	limitShares     *limitShares         // nil: fleet-wide limits are split into equal shares
+	exclusionOrders *exclusionOrders     // nil: operators' exclusions apply to this balancer only
+	observations    *observationExchange // nil: hosts are assessed by the attempts of this balancer only
 }
 
 // New returns a balancer in phase Starting, configured by the deployment and by the operator's file.
@@ -110,7 +110,7 @@
 	go b.runStallTicker()
 	b.listSource.addr, b.listSource.ready, b.listSource.hosts = deployed.Discovery, make(chan struct{}), map[policy.HostID]discovery.Host{}
 	b.limitShares = b.newLimitShares(operatorFile.Connections.Openings)
-	b.fleetOrders = b.newExclusionOrders()
+	b.exclusionOrders = b.newExclusionOrders()
 	b.observations = b.newObservationExchange()
 	b.callPolicy(func() { b.policy = policy.New(policyEnvironment{b}, deployed.PolicyConfig, deployed.Seed) })
 	return b
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -10,8 +10,8 @@
 	"streamrail/internal/operator"
 )
 
-// TestGraceCoversDelayedWrite checks that a write which begins as late as allowed and is then delayed by 0.15 s still happens within the drain's
-// grace.
+// TestGraceCoversDelayedWrite checks that a write which begins as late as allowed and is then delayed by 0.15 s still happens within
+// the drain's grace.
 func TestGraceCoversDelayedWrite(t *testing.T) {
 	const delay = 150 * time.Millisecond
 	for _, grace := range []time.Duration{0, 200 * time.Millisecond, 400 * time.Millisecond, time.Second, 3 * time.Second, time.Minute} {
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-// valueLengthPattern finds the length of the value in the head of a write, in either protocol.
+// valueLengthPattern finds the length of the value in the header of a write, in either protocol.
 var valueLengthPattern = regexp.MustCompile(`(?i)^ms \S+ (\d+)|\r\ncontent-length: (\d+)`)
 
 // isStreamed reports whether what was written begins an attempt with a long value, which is written in pieces as they arrive from the
@@ -259,18 +259,18 @@
 	maxConnectDelay  time.Duration // longest delay until a connection is established
 	maxWriteDelay    time.Duration // longest delay between reading the clock and a write
 	maxLockHold      time.Duration // longest time for which the policy's lock is held now and then
-	cachesTakeWrites bool          // caches take writes and fetch misses themselves: the balancer contacts no origin
+	cachesTakeWrites bool          // cache hosts take writes and fetch misses themselves: the balancer contacts no origin
 }
 
 func newFaultyHosts(t *testing.T, seed uint64, faults injectedFaults) *faultyHosts {
 	f := &faultyHosts{attemptLog: newAttemptLog(), random: newRandomSource(seed), maxWriteDelay: faults.maxWriteDelay}
-	terms := func(effect policy.Effect) policy.ProductConfig {
+	productConfig := func(effect policy.Effect) policy.ProductConfig {
 		return policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: policy.Nanos(dedupWindow)}
 	}
 	deployed := &deployment.Deployment{Name: "n", MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: time.Second, IdleTimeout: time.Minute,
 		ClientTimeout: 3 * time.Second, MaxRequests: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0, "origin": 1},
 		Products: map[string]policy.Product{"marked": 0, "read": 1, "pay": 2},
-		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms(policy.Deduplicated), terms(policy.Idempotent), terms(policy.NonIdempotent)},
+		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{productConfig(policy.Deduplicated), productConfig(policy.Idempotent), productConfig(policy.NonIdempotent)},
 			OriginKind: 1, CacheAside: !faults.cachesTakeWrites, MayCancel: true, MaxAttempts: 6, TimerGranularity: policy.Millisecond}}
 	f.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
@@ -511,7 +511,7 @@
 		t.Logf("%s at %s %s, by %v", v.attempt.id, v.attempt.server, v.rule, v.by)
 	}
 	for what, n := range count {
-		t.Errorf("%d of %d attempts %s, by %v at the most", n, attempts, what, worst[what].Round(time.Millisecond))
+		t.Errorf("%d of %d attempts %s, by at most %v", n, attempts, what, worst[what].Round(time.Millisecond))
 	}
 	if attempts == 0 {
 		t.Error("no attempt was made")
@@ -651,7 +651,7 @@
 	}
 	for _, a := range f.attemptLog.attempts {
 		if after := a.at.Sub(leftAt); after > 100*time.Millisecond {
-			t.Errorf("%s was begun %v after its client had left", a.id, after)
+			t.Errorf("%s was started %v after its client had left", a.id, after)
 		}
 	}
 }
--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -53,12 +53,12 @@
 
 // action is something that the policy wants done for a request.
 type action struct {
-	do         func(c *clientRequest, a action)
-	host       policy.HostID
-	attempt    int
-	deadline   deadline.Deadline
-	beginBy    deadline.Deadline // the attempt must start by then: connecting and waiting for a connection take time after the decision
-	retryAfter time.Duration     // how long the client is to wait after a rate-limited answer
+	do          func(c *clientRequest, a action)
+	host        policy.HostID
+	attempt     int
+	deadline    deadline.Deadline
+	latestStart deadline.Deadline // the attempt must start by then: connecting and waiting for a connection take time after the decision
+	retryAfter  time.Duration     // how long the client is to wait after a rate-limited answer
 }
 
 // answerTravelReserve is subtracted from the client's deadline so that the answer can reach the client in time.
@@ -119,7 +119,7 @@
 	}
 }
 
-// reportAttemptEnd tells the policy how an attempt ended.
+// reportAttemptEnd reports to the policy how an attempt ended.
 func (b *Balancer) reportAttemptEnd(c *clientRequest, e attemptResult) {
 	host := c.attempts[e.attempt].To
 	b.post(func() {
@@ -129,7 +129,7 @@
 	})
 }
 
-// armDeadlineTimer makes sure that the request is answered at its deadline even if the policy has not got to it by then. The
+// armDeadlineTimer makes sure that the request is answered at its deadline even if the policy has not done so by then. The
 // timer allows one tick more, because the policy's own timers fire up to a tick late.
 func (c *clientRequest) armDeadlineTimer(due deadline.Deadline) {
 	wait := due.Remaining() + time.Duration(wheelTick)
@@ -266,7 +266,8 @@
 	return n
 }
 
-// policyEnvironment is the interface through which the policy acts. It only queues actions, since it is called while the policy's lock is held.
+// policyEnvironment is the interface through which the policy acts. It only queues actions, since it is called while the policy's lock
+// is held.
 type policyEnvironment struct{ b *Balancer }
 
 func (h policyEnvironment) enqueue(id policy.RequestID, a action, final bool) {
@@ -277,8 +278,8 @@
 
 func (h policyEnvironment) Now() policy.Nanos { return h.b.now }
 
-func (h policyEnvironment) Send(id policy.RequestID, host policy.HostID, deadline, beginBy policy.Nanos) {
-	h.enqueue(id, action{do: (*clientRequest).sendAttempt, host: host, deadline: h.b.toDeadline(deadline), beginBy: h.b.toDeadline(beginBy)}, false)
+func (h policyEnvironment) Send(id policy.RequestID, host policy.HostID, deadline, latestStart policy.Nanos) {
+	h.enqueue(id, action{do: (*clientRequest).sendAttempt, host: host, deadline: h.b.toDeadline(deadline), latestStart: h.b.toDeadline(latestStart)}, false)
 }
 
 func (h policyEnvironment) Cancel(id policy.RequestID, attempt int) {
--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -121,8 +121,8 @@
 	}
 }
 
-// TestLongListInShortSteps applies whole lists of thousands of hosts: new, unchanged and half replaced. No event may occupy the policy
-// for more than a small part of the time that the lists take. The best of several tries counts, as the machine may be busy.
+// TestLongListInShortSteps applies complete lists of thousands of hosts: new, unchanged and half replaced. No event may occupy the policy
+// for more than a small part of the time that the lists take. The best of several runs counts, as the machine may be busy.
 func TestLongListInShortSteps(t *testing.T) {
 	const hosts, tries, part = 3200, 3, 20
 	list := func(from int) (l discovery.List) {
--- a/internal/balancer/delays.go
+++ b/internal/balancer/delays.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// delayStats measure what can delay an answer: how long one event occupied the policy, how long an event waited for the
+// delayStats measures what can delay an answer: how long one event occupied the policy, how long an event waited for the
 // policy, and the answers that were written after their deadlines.
 type delayStats struct {
 	handling, waiting peakDuration
--- a/internal/balancer/ends.go
+++ b/internal/balancer/ends.go
@@ -67,7 +67,7 @@
 }
 
 // markGone records that the client has closed or reset the connection. A client that has only shut down its sending side counts as
-// gone too: the two cannot be told apart from what is received.
+// gone too: the two cannot be distinguished by what is received.
 func (c *clientConn) markGone() { c.goneOnce.Do(func() { close(c.gone) }) }
 
 // hasLeft reports whether markGone was called.
@@ -184,7 +184,7 @@
 	c.conn.Close()
 }
 
-// abortAnswer shuts down the sending side before an answer is complete, so that the client can tell that it is truncated; the reader
+// abortAnswer shuts down the sending side before an answer is complete, so that the client can detect that it is truncated; the reader
 // closes the connection. No later answer can reach the client, so it is marked as gone.
 func (c *clientConn) abortAnswer() {
 	c.noMoreCommands.Store(true)
--- a/internal/balancer/ends_test.go
+++ b/internal/balancer/ends_test.go
@@ -40,13 +40,13 @@
 // for the request's id. Connections to the delayed hosts wait for connectAllowed.
 func newTestBalancer(t *testing.T, effect policy.Effect, window policy.Nanos, answers map[string]string, delayed ...string) *testBalancer {
 	x := &testBalancer{T: t, connectAllowed: map[string]chan struct{}{}, connecting: map[string]chan struct{}{}, received: map[string][]string{}, lines: make(chan string, 1000)}
-	terms := policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: window}
-	read := terms
-	read.Effect = policy.Idempotent
+	writeConfig := policy.ProductConfig{LatencySLO: 5 * policy.Second, BilledValue: 1, Effect: effect, DedupWindow: window}
+	readConfig := writeConfig
+	readConfig.Effect = policy.Idempotent
 	deployed := &deployment.Deployment{Name: "n", MaxSockets: 1024, MemoryMB: 192, DrainGrace: time.Second, ConnectTimeout: testTimeout, IdleTimeout: time.Minute,
 		ClientTimeout: 3 * time.Second, MaxRequests: 1000, Zones: map[string]policy.Zone{"here": 0}, Kinds: map[string]policy.MachineKind{"cache": 0},
 		Products:     map[string]policy.Product{"pay": 0, "read": 1},
-		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{terms, read}, OriginKind: -1, MayCancel: true, MaxAttempts: 4, TimerGranularity: policy.Millisecond}}
+		PolicyConfig: policy.Config{Balancers: 1, Products: []policy.ProductConfig{writeConfig, readConfig}, OriginKind: -1, MayCancel: true, MaxAttempts: 4, TimerGranularity: policy.Millisecond}}
 	x.Balancer = New(deployed, &operator.File{}, zerolog.Nop())
 	names := map[string]string{}
 	list := discovery.List{Snapshot: true}
@@ -277,7 +277,7 @@
 }
 
 // The time of a request that was read ahead behind others counts from its own arrival. Counted from the arrival of those before it, it
-// would be turned away too early; counted from when it is handled, it would be answered too late.
+// would be rate-limited too early; counted from when it is handled, it would be answered too late.
 func TestTimeOfWhatIsReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
--- a/internal/balancer/figures.go
+++ b/internal/balancer/figures.go
@@ -19,8 +19,8 @@
 
 func (f finalAnswer) String() string { return [...]string{"fulfilled", "rate_limited", "errored"}[f] }
 
-// answerStats count the answers that clients have received since the start. An answer counts once it is written whole; one that its
-// client did not wait for does not count.
+// answerStats counts the answers that clients have received since the start. An answer counts once it is written whole; one for
+// which the client did not wait is not counted.
 type answerStats struct {
 	productNames []string // indexed by policy.Product
 	answers      [][errored + 1]atomic.Int64
@@ -66,8 +66,8 @@
 }
 
 func (a adminAPI) setExcluded(host string, exclude bool, options admin.How) (string, error) {
-	if a.b.fleetOrders != nil {
-		return a.b.giveFleetOrder(host, exclude, options)
+	if a.b.exclusionOrders != nil {
+		return a.b.submitExclusionOrder(host, exclude, options)
 	}
 	if options != (admin.How{}) {
 		return "", admin.ErrNoOrders
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -35,8 +35,8 @@
 		}
 	}
 	self := member.Record{Life: member.NewProcessID(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
-	transportTerms, memberTerms := f.settings.Configs(self, b.deployment.PolicyConfig.Balancers, rand.Uint64())
-	transport, err := carry.Open(transportTerms, memberTerms, saved, b.log)
+	transportConfig, memberConfig := f.settings.Configs(self, b.deployment.PolicyConfig.Balancers, rand.Uint64())
+	transport, err := carry.Open(transportConfig, memberConfig, saved, b.log)
 	if err != nil {
 		return fmt.Errorf("fleet.address: %w", err)
 	}
@@ -89,7 +89,7 @@
 	}
 }
 
-// resumeMembership continues the membership from the state of the other process of an upgrade. If that fails, the balancer serves
+// resumeMembership continues the membership from the state of the peer process of an upgrade. If that fails, the balancer serves
 // without a fleet.
 func (b *Balancer) resumeMembership(saved *member.HandoverState) {
 	if err := b.joinFleet(saved); err != nil {
@@ -110,7 +110,7 @@
 	b.resumeMembership(saved)
 }
 
-// leaveFleet tells the other members that this balancer ends normally.
+// leaveFleet notifies the other members that this balancer ends normally.
 func (b *Balancer) leaveFleet() {
 	f := &b.fleet
 	b.stopSharing()
--- a/internal/balancer/follow.go
+++ b/internal/balancer/follow.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// jitter returns a random duration between half of the wait and the whole, so that balancers do not all retry at the same time.
+// jitter returns a random duration between half of the wait and all of it, so that balancers do not all retry at the same time.
 func jitter(wait time.Duration) time.Duration {
 	return time.Duration(float64(wait) * (0.5 + rand.Float64()/2))
 }
@@ -48,7 +48,7 @@
 	return discovery.NameIndexes{Zones: b.deployment.Zones, Kinds: b.deployment.Kinds, Yield: b.pause}
 }
 
-// startWatch starts to follow the host list at the source's address, beginning with the whole list, and stops the previous watch.
+// startWatch starts to follow the host list at the source's address, beginning with the complete list, and stops the previous watch.
 func (b *Balancer) startWatch() {
 	b.listSource.mu.Lock()
 	defer b.listSource.mu.Unlock()
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -130,7 +130,7 @@
 		_, err := io.WriteString(to, text)
 		return err == nil
 	}
-	// faultsFromSecond injects a fault into so many calls from the second on; the first call brings the whole list.
+	// faultsFromSecond injects a fault into so many calls from the second on; the first call returns the complete list.
 	faultsFromSecond := func(times int, fault func(to net.Conn, text string) bool) func(int, net.Conn, string) bool {
 		return func(n int, to net.Conn, text string) bool {
 			if n >= 2 && n < 2+times {
@@ -195,7 +195,7 @@
 				continue
 			}
 			for _, grace := range []time.Duration{500 * time.Millisecond, time.Second, 3 * time.Second} {
-				for seed := range 5 { // of the policy, which draws when it asks again
+				for seed := range 5 { // of the policy, which draws the delay of its next request
 					t.Run(fmt.Sprint(name, ", ", mode, ", ", grace, ", ", seed), func(t *testing.T) {
 						synctest.Test(t, func(t *testing.T) {
 							d := &fakeDiscovery{respond: row.respond}
@@ -233,7 +233,7 @@
 }
 
 // TestDiscoveryCallRate bounds the load on discovery where the policy subscribes: without changes, 300 balancers must make at most three
-// calls each in 10 s (askEvery), and a watch without an answer must be reopened within six seconds.
+// calls each in 10 s, and a watch without an answer must be reopened within six seconds.
 func TestDiscoveryCallRate(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		p := discovery.NewTimeouts(grace*9/10, false)
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -19,11 +19,11 @@
 // limitShares are this balancer's shares of the fleet's limits: of the customers' quotas, followed by the rate of new connections
 // that a host can take. It is nil unless the operator's file lets shares move between balancers.
 type limitShares struct {
-	names             []string       // of the limits
+	names             []string       // names of the limits
 	bounds            []float64      // the whole fleet's limits
 	needPerItem       []float64      // what a single arrival adds to the need
 	reservedFractions []float64      // the fraction of this balancer's own share that is never lent
-	customerCount     int            // the first so many limits are quotas of customers
+	customerCount     int            // the first customerCount limits are the customers' quotas
 	arrivals          []atomic.Int64 // requests of each customer since the last period
 	nextExpiry        atomic.Int64   // on the clock of now: when a lease ends next and a share changes
 
@@ -32,7 +32,7 @@
 	machine        *share.Machine
 	transport      *carry.Transport
 	recentArrivals [][share.NeedTicks]int64 // requests of each customer in the last periods
-	slot           int                      // of the present period in recentArrivals
+	slot           int                      // index of the current period in recentArrivals
 	stop           chan struct{}
 }
 
@@ -56,8 +56,8 @@
 	return l
 }
 
-// reservedOpeningsFraction is the fraction of its own share of new connections that a process keeps from its start and never lends. If the
-// whole fleet starts at once, all balancers open their connections within a second or two, before any of them can borrow.
+// reservedOpeningsFraction is the fraction of its own share of new connections that a process keeps from its start and never lends. If
+// the whole fleet starts at once, all balancers open their connections within a second or two, before any of them can borrow.
 const reservedOpeningsFraction = 0.5
 
 func (l *limitShares) now() share.Moment { return time.Since(l.epoch) }
@@ -106,7 +106,7 @@
 	}
 }
 
-// setSharesUpgrading halves the shares while another process of an upgrade runs, and restores them when it has ended.
+// setSharesUpgrading halves the shares while the peer process of an upgrade runs, and restores them when it has ended.
 func (b *Balancer) setSharesUpgrading(on bool) {
 	if b.limitShares != nil {
 		b.updateShares(func(machine *share.Machine, _ share.Moment) { machine.SetUpgrading(on) })
--- a/internal/balancer/listed.go
+++ b/internal/balancer/listed.go
@@ -46,7 +46,7 @@
 		Float64("took_ms", milliseconds(time.Since(began))).Msg("list applied")
 }
 
-// applyBatch applies some entries. The connections come first, so that attempts can be sent to every host that the policy knows.
+// applyBatch applies some entries. The connection pool is updated first, so that attempts can be sent to every host that the policy knows.
 func (b *Balancer) applyBatch(batch discovery.List) {
 	b.hosts.ApplyList(batch)
 	entries := entriesOf(batch.Hosts)
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -44,7 +44,7 @@
 
 // startExclusionOrders loads the saved orders and starts to exchange orders over a transport.
 func (b *Balancer) startExclusionOrders(transport *carry.Transport) {
-	o := b.fleetOrders
+	o := b.exclusionOrders
 	if o == nil {
 		return
 	}
@@ -85,7 +85,7 @@
 
 // stopExclusionOrders ends the exchange, because the newer process of an upgrade takes over or this process ends.
 func (b *Balancer) stopExclusionOrders() {
-	if o := b.fleetOrders; o != nil {
+	if o := b.exclusionOrders; o != nil {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if o.machine != nil {
@@ -98,7 +98,7 @@
 // updateExclusionOrders feeds an input to the state machine. New orders are saved first, then enforced here, and then sent on. A
 // periodic update enforces the orders even without new ones, as the host list may have changed.
 func (b *Balancer) updateExclusionOrders(periodic bool, input func(machine *fleetorder.Machine, now fleetorder.Moment)) {
-	o := b.fleetOrders
+	o := b.exclusionOrders
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.machine != nil {
@@ -107,9 +107,9 @@
 	}
 }
 
-// processOrders carries out the results of an input. The caller holds fleetOrders.mu.
+// processOrders carries out the results of an input. The caller holds exclusionOrders.mu.
 func (b *Balancer) processOrders(periodic bool) (saveErr error) {
-	o := b.fleetOrders
+	o := b.exclusionOrders
 	sends, newOrders := o.machine.TakeOutput(), o.machine.TakeChanges()
 	if len(newOrders) > 0 || o.unsaved {
 		if saveErr = handover.Save(o.file, o.machine.All()); saveErr != nil && !o.unsaved {
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// enforceOrders makes this balancer's exclusions match the orders. Hosts without an order stay as they are here.
+// enforceOrders makes this balancer's exclusions match the orders. Hosts without an order stay unchanged.
 func (b *Balancer) enforceOrders(all []fleetorder.Order) {
 	if len(all) == 0 {
 		return
@@ -140,7 +140,7 @@
 	var current []string // sorted by name, like wanted
 	listed := 0
 	b.callPolicy(func() { current = b.excludedHosts(); listed, _ = b.policy.HostCounts() })
-	wanted := b.fleetOrders.machine.Excluded(listed)
+	wanted := b.exclusionOrders.machine.Excluded(listed)
 	for _, order := range all {
 		_, exclude := slices.BinarySearch(wanted, order.Host)
 		if _, excluded := slices.BinarySearch(current, order.Host); exclude != excluded {
@@ -151,10 +151,10 @@
 	}
 }
 
-// giveFleetOrder carries out an operator's order for the whole fleet. It returns once the order is saved and in force here, and after
+// submitExclusionOrder carries out an operator's order for the whole fleet. It returns once the order is saved and in force here, and after
 // waiting as long as the operator asked for the confirmations of the others.
-func (b *Balancer) giveFleetOrder(id string, exclude bool, options admin.How) (note string, err error) {
-	o := b.fleetOrders
+func (b *Balancer) submitExclusionOrder(id string, exclude bool, options admin.How) (note string, err error) {
+	o := b.exclusionOrders
 	known, listed := false, 0
 	b.callPolicy(func() { known = b.policy.IsKnownHost(policy.HostID(id)); listed, _ = b.policy.HostCounts() })
 	if !known {
@@ -189,10 +189,10 @@
 	return fmt.Sprintf(", confirmed by all %d others", confirmed), nil
 }
 
-// orderConfirmations returns how many other balancers are known to hold the orders held here, and the names of those that are not.
+// orderConfirmations returns how many other balancers are known to hold the orders of this balancer, and the names of those that are not.
 // Dead members are included, since they may be cut off from this balancer and still serve clients.
 func (b *Balancer) orderConfirmations() (confirmed int, missing []string) {
-	o := b.fleetOrders
+	o := b.exclusionOrders
 	o.mu.Lock()
 	if o.machine == nil {
 		o.mu.Unlock()
@@ -221,7 +221,7 @@
 	if _, err = a.b.fleetTransport(); err != nil {
 		return shown, err
 	}
-	o := a.b.fleetOrders
+	o := a.b.exclusionOrders
 	if o == nil {
 		return shown, admin.ErrNoOrders
 	}
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -27,7 +27,7 @@
 	commandDeadline time.Time    // when the command that has begun must be complete
 	inCommand       atomic.Bool  // a command has begun to arrive and is not complete
 	carriedCommand  atomic.Bool  // it has carried at least one command
-	carriedRequest  atomic.Bool  // it has carried at least one request, even if that was turned away
+	carriedRequest  atomic.Bool  // it has carried at least one request, even if that was rate-limited at once
 	carriedSeveral  atomic.Bool  // it has carried several requests
 	idleSinceNanos  atomic.Int64 // nanoseconds after openedAt plus one; 0 while a command or a request is in progress
 	evicted         atomic.Bool  // it must close to make room for others
@@ -37,7 +37,7 @@
 	lastByteAt      time.Time       // when the last byte that was read had arrived
 	readAheadBuf    readAheadBuffer // what was read while the reader waited for something else
 	noMoreCommands  atomic.Bool     // no further command is handled
-	discarding      atomic.Bool     // all is answered, and further input is discarded
+	discarding      atomic.Bool     // everything is answered, and further input is discarded
 	gone            chan struct{}   // closed when the client has closed the connection
 	goneOnce        sync.Once
 	lastAnswered    chan struct{} // closed when the last command is answered
@@ -77,7 +77,7 @@
 
 // interrupt ends the wait for the next command. A command that has begun to arrive is still read.
 func (c *clientConn) interrupt() {
-	if !c.discarding.Load() { // else the wait for the client's end would be cut short
+	if !c.discarding.Load() { // otherwise it would end the wait for the client to close
 		c.conn.SetReadDeadline(pastDeadline)
 	}
 }
@@ -160,7 +160,7 @@
 
 // handleCommand handles the next command; false if no further one is to be read, for now or at all.
 func (b *Balancer) handleCommand(c *clientConn) bool {
-	if c.hasLeft() { // what it had sent before is not begun
+	if c.hasLeft() { // commands that it sent before are not started
 		return c.stopCommands()
 	}
 	if !b.awaitCommand(c) {
@@ -202,8 +202,8 @@
 	return true
 }
 
-// readCommand reads the line of a command. A command that is no request is answered here; then req is nil and more tells whether a
-// further command may follow. A request is returned with its fault, if it has one.
+// readCommand reads the line of a command. A command that is not a request is answered here; then req is nil and more reports
+// whether a further command may follow. A request is returned with its fault, if it has one.
 func (b *Balancer) readCommand(c *clientConn) (req *clientRequest, fault *memcache.Fault, more bool) {
 	c.inCommand.Store(true)
 	c.commandDeadline = time.Now().Add(maxCommandTime)
@@ -228,7 +228,7 @@
 		return nil, nil, c.stopCommands()
 	case fault != nil && fault.OutOfSync:
 		return nil, nil, c.replyAndStop(fault.Line())
-	case req.Noop && b.currentPhase() == Serving && b.hasHostList.Load(): // a load balancer in front sends requests to those that answer so
+	case req.Noop && b.currentPhase() == Serving && b.hasHostList.Load(): // a load balancer in front sends requests to balancers that answer so
 		return nil, nil, c.writeReply(memcache.NoopAnswer)
 	case req.Noop:
 		return nil, nil, c.writeReply(memcache.NotServing)
--- a/internal/balancer/read_test.go
+++ b/internal/balancer/read_test.go
@@ -12,8 +12,8 @@
 	"streamrail/policy"
 )
 
-// newBareBalancer returns a balancer without a policy, one of its client connections, and the client's end of that. Requests must not get
-// as far as the policy.
+// newBareBalancer returns a balancer without a policy, one of its client connections, and the client's end of that. Requests must not
+// reach the policy.
 func newBareBalancer(t *testing.T) (*Balancer, *clientConn, net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/balancer/receiver.go
+++ b/internal/balancer/receiver.go
@@ -33,7 +33,7 @@
 	arrivedAfter     time.Time     // unread input arrived after that
 	lastByteAt       time.Time     // when the last byte that was read had arrived: not before the time that the read returned
 	bytesWithoutWait int           // bytes that were there without a wait, since the last read that had to wait
-	settleTime       time.Duration // 0: the client was not blocked by a full window; else it may have more to send until nothing arrives for so long
+	settleTime       time.Duration // 0: the client was not blocked by a full window; otherwise it may have more to send until nothing has arrived for this time
 }
 
 // newReceiver returns a receiver of a connection on which nothing had arrived at emptyAt.
--- a/internal/balancer/reply.go
+++ b/internal/balancer/reply.go
@@ -19,9 +19,9 @@
 	}
 }
 
-func (c *clientRequest) answerRateLimited(o action) {
+func (c *clientRequest) answerRateLimited(a action) {
 	c.balancer.traffic.rateLimited.Add(1)
-	c.writeAnswer(rateLimited, memcache.AppendRateLimited(nil, o.retryAfter))
+	c.writeAnswer(rateLimited, memcache.AppendRateLimited(nil, a.retryAfter))
 }
 
 func (c *clientRequest) answerErrored(action) {
--- a/internal/balancer/report.go
+++ b/internal/balancer/report.go
@@ -48,7 +48,7 @@
 		b.traffic.hosts = map[policy.HostID]*[2]int64{}
 	})
 	for id, n := range hosts {
-		if n[1] >= 5 && n[1] > n[0]/10 { // a healthy host has fewer failures now and then
+		if n[1] >= 5 && n[1] > n[0]/10 { // a healthy host has occasional failures, but fewer
 			b.log.Warn().Str("host", string(id)).Int64("shots", n[0]).Int64("bad", n[1]).Msg("host in trouble")
 		}
 	}
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -36,7 +36,7 @@
 
 // TestSettingsOfAnyKind replaces each value of the settings by null, zero, negative and huge numbers, strings, lists and objects, or
 // removes it. The settings must either be refused with a one-line error that names the key, or give a balancer that takes host lists
-// and requests without a panic, endless asking or endless memory.
+// and requests without a panic, endless requests to discovery or unbounded memory use.
 func TestSettingsOfAnyKind(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/sample.json")
 	if err != nil {
--- a/internal/balancer/source.go
+++ b/internal/balancer/source.go
@@ -25,7 +25,7 @@
 }
 
 // update stores an answer of discovery and returns the hosts that it changes, with those to which nothing new may be sent first. They
-// include hosts that a whole list no longer names, as gone. The caller holds mu, unless no watch has been started yet.
+// include hosts that a complete list no longer names, as gone. The caller holds mu, unless no watch has been started yet.
 func (s *listSource) update(list discovery.List) (changes []discovery.Host) {
 	s.generation = list.Generation
 	if list.Snapshot {
@@ -47,7 +47,7 @@
 	return changes
 }
 
-// removeUnlisted removes the known hosts that a whole list does not name and returns them as gone.
+// removeUnlisted removes the known hosts that a complete list does not name and returns them as gone.
 func (s *listSource) removeUnlisted(list discovery.List) (gone []discovery.Host) {
 	listed := make(map[policy.HostID]struct{}, len(list.Hosts))
 	for _, h := range list.Hosts {
@@ -63,7 +63,7 @@
 	return gone
 }
 
-// snapshot returns the whole host list as it is known now. The caller holds mu.
+// snapshot returns the complete host list as it is known now. The caller holds mu.
 func (s *listSource) snapshot() discovery.List {
 	list := discovery.List{Generation: s.generation, Snapshot: true, Hosts: make([]discovery.Host, 0, len(s.hosts))}
 	for _, h := range s.hosts {
--- a/internal/balancer/stream.go
+++ b/internal/balancer/stream.go
@@ -12,7 +12,7 @@
 )
 
 // streamValue answers the request with a long value of a host, which is passed on as it arrives, once the commands before it are answered.
-// If the value cannot be completed, the client's connection ends short of the announced length, so that the client can tell.
+// If the value cannot be completed, the client's connection ends before the announced length, so that the client can detect it.
 func (c *clientRequest) streamValue(v *upstream.Value) (whole bool) {
 	begun := false
 	c.balancer.callPolicy(func() {
@@ -70,7 +70,7 @@
 // discarded.
 type upload struct {
 	upstream.Upload
-	call         *clientRequest
+	request      *clientRequest
 	remaining    int // bytes not yet read
 	err          error
 	wanted       chan struct{} // closed when an attempt begins to read the value
@@ -88,7 +88,7 @@
 )
 
 func newUpload(c *clientRequest) *upload {
-	u := &upload{call: c, remaining: c.Length, wanted: make(chan struct{}), connFree: make(chan struct{})}
+	u := &upload{request: c, remaining: c.Length, wanted: make(chan struct{}), connFree: make(chan struct{})}
 	u.Length, u.Reader, u.Done = c.Length, u, make(chan struct{})
 	u.ClientTimeout = c.Timeout - answerTravelReserve
 	return u
@@ -100,8 +100,8 @@
 		close(u.wanted)
 		<-u.connFree
 	})
-	in := u.call.client.reader
-	u.call.client.extendValueDeadline()
+	in := u.request.client.reader
+	u.request.client.extendValueDeadline()
 	if u.remaining > 1 {
 		n, err = in.Read(p[:min(len(p), u.remaining-1)])
 		u.remaining -= n
@@ -120,10 +120,10 @@
 		return 0, u.err
 	}
 	p[0] = lastBytes[0]
-	b := u.call.balancer
-	u.Deadline = deadline.After(u.call.client.commandArrival(), u.call.Timeout).Earlier(answerTravelReserve)
-	u.call.armDeadlineTimer(u.Deadline)
-	b.post(func() { b.policy.WriteReceived(u.call.id, b.toNanos(u.Deadline)) })
+	b := u.request.balancer
+	u.Deadline = deadline.After(u.request.client.commandArrival(), u.request.Timeout).Earlier(answerTravelReserve)
+	u.request.armDeadlineTimer(u.Deadline)
+	b.post(func() { b.policy.WriteReceived(u.request.id, b.toNanos(u.Deadline)) })
 	if u.TooLate() {
 		return 0, errTooLate
 	}
@@ -140,18 +140,18 @@
 // skipRemaining waits until no attempt reads the value any more and discards the rest of it; false if the start of the next command
 // cannot be found.
 func (u *upload) skipRemaining() bool {
-	c := u.call.client
+	c := u.request.client
 	c.watchForClose(func() { // the client may close the connection while the value waits for a connection to a host
 		select {
 		case <-u.wanted:
 		case <-u.Done:
-		case <-u.call.answered:
+		case <-u.request.answered:
 		}
 	})
 	close(u.connFree)
 	select {
 	case <-u.Done:
-	case <-u.call.answered:
+	case <-u.request.answered:
 		if u.Take() {
 			close(u.Done)
 		}
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -11,7 +11,7 @@
 // them in slots of one millisecond, finer than the policy needs, and uses a single runtime timer. It is guarded by Balancer.mu.
 type timerWheel struct {
 	slots      [wheelSlots][]wheelTimer
-	firedUntil int64 // all timers due up to this tick have been taken out
+	firedUntil int64 // all timers due up to this tick have been removed from the slots
 	armedFor   int64 // the tick for which the runtime timer is set
 	runtime    *time.Timer
 	count      int // timers in all slots
@@ -33,7 +33,7 @@
 // setTimer adds a timer that is due at the given time.
 func (b *Balancer) setTimer(due policy.Nanos, id policy.TimerID) {
 	w := &b.timers
-	tick := max(int64(due/wheelTick)+1, w.firedUntil+1) // never early
+	tick := max(int64(due/wheelTick)+1, w.firedUntil+1) // a timer never fires early
 	slot := &w.slots[tick%wheelSlots]
 	*slot = append(*slot, wheelTimer{tick, id})
 	w.count++
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -25,13 +25,14 @@
 	older        *handover.Peer        // nil if there is none
 	newer        *handover.Peer        // nil if there is none
 	messageCount uint64                // numbers the messages that need an answer
-	answers      chan handover.Message // to the exchange that waits under mu, and late ones that nobody waits for any more
+	answers      chan handover.Message // to the exchange that waits under mu, and late ones for which no exchange waits any more
 
 	newerReady   atomic.Bool // the newer process takes clients
 	takesClients atomic.Bool // this process takes clients
 }
 
-// resourceLimits is how many resources a process may use.
+// resourceLimits are the amounts that a process may use: client connections, upstream connections, requests in flight and bytes of
+// values.
 type resourceLimits struct{ clients, upstream, requests, bytes int64 }
 
 const (
@@ -184,7 +185,7 @@
 		case handover.Ask:
 			go func() { // in a goroutine: setExclusion may wait for a message that is received here
 				answer := handover.Message{Kind: handover.Answer, N: m.N}
-				if err := b.setExclusion(policy.HostID(m.Member), m.Out, b.fleetOrders != nil); err != nil {
+				if err := b.setExclusion(policy.HostID(m.Member), m.Out, b.exclusionOrders != nil); err != nil {
 					answer.Fault = err.Error()
 				}
 				peer.Say(answer)
@@ -322,8 +323,8 @@
 	return nil
 }
 
-// applyExclusion changes an exclusion in this process and saves it before anybody gets a positive answer. The error tells that it could
-// not be saved.
+// applyExclusion changes an exclusion in this process and saves it before any operator gets a positive answer. The error means that it
+// could not be saved.
 func (b *Balancer) applyExclusion(id policy.HostID, exclude bool) error {
 	b.switchExclusion(id, exclude)
 	return b.saveExclusions()
