--- a/internal/pool/pool.go
+++ b/internal/pool/pool.go
@@ -34,7 +34,7 @@
 	Surplus                           // more idle connections than were recently needed
 	RoomNeeded                        // closed to make room for a connection to another host
 	PoolClosed                        // the pool is closed
-	LocalFault                        // this machine cannot open connections at present
+	LocalFault                        // this machine could not open a connection recently, because of a local fault
 )
 
 func (w Reason) String() string {
@@ -327,7 +327,8 @@
 	p.reuseOrClose(now, c)
 }
 
-// reuseOrClose gives a free connection to the first waiting attempt that still has time. Without one the connection becomes idle or is closed.
+// reuseOrClose gives a free connection to the first waiting attempt that still has time. Without one the connection becomes idle or is
+// closed.
 func (p *Pool) reuseOrClose(now policy.Nanos, c *conn) {
 	h := c.host
 	if p.closed || h.leaving || c.processEpoch != h.processEpoch {
@@ -404,7 +405,7 @@
 	p.reuseOrClose(now, c)
 }
 
-// Failed reports that a connection could not be opened. The attempt that it was opened for is refused: the host may be dead.
+// Failed reports that a connection could not be opened. The attempt that it was opened for is refused: the host may be down.
 func (p *Pool) Failed(now policy.Nanos, id Conn) { p.openingFailed(now, id, ConnectFailed) }
 
 func (p *Pool) openingFailed(now policy.Nanos, id Conn, why Reason) {
@@ -578,7 +579,7 @@
 }
 
 // mayOpen checks whether another connection to a host may be opened. It returns Unknown if so, RoomNeeded if an idle connection to another
-// host must be closed first, and otherwise the reason against it.
+// host must be closed first, and otherwise the reason why not.
 func (p *Pool) mayOpen(now policy.Nanos, h *host) Reason {
 	if h.learnedLimit > 0 && now-h.learnedLimitAt >= learnedLimitInterval {
 		h.learnedLimit, h.learnedLimitAt = h.learnedLimit+1, now
@@ -657,8 +658,8 @@
 // openingBurst returns the maximum of saved tokens: the openings of a quarter of a second.
 func (p *Pool) openingBurst(h *host, now policy.Nanos) float64 { return p.openRate(h, now) / 4 }
 
-// withinOpeningRate reports whether the opening rate permits another connection. Less than a whole token is the probability of permission and
-// is spent either way. A guaranteed minimum of one opening for each of hundreds of balancers would overload a fresh host.
+// withinOpeningRate reports whether the opening rate permits another connection. Less than one token is the probability of permission
+// and is spent either way. A guaranteed minimum of one opening for each of hundreds of balancers would overload a fresh host.
 func (p *Pool) withinOpeningRate(now policy.Nanos, h *host) bool {
 	if p.config.OpeningsPerSecond <= 0 {
 		return true
--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -89,7 +89,7 @@
 	return &testPool{actionLog: l, p: New(l, config, rand.New(rand.NewPCG(seed, 1)).Float64)}
 }
 
-func (w *testPool) ask(h Host, left policy.Nanos) Attempt {
+func (w *testPool) checkout(h Host, left policy.Nanos) Attempt {
 	w.lastAttempt++
 	w.attempts[w.lastAttempt] = "asked"
 	w.p.Checkout(w.now, h, w.lastAttempt, w.now+left)
@@ -127,31 +127,31 @@
 }
 
 // An attempt that waits for a connection being opened uses another one if that comes free earlier, and the opened one then serves the
-// next attempt. A failed dial ends the attempt that it was made for, so that a dead host is noticed.
+// next attempt. A failed dial ends the attempt that it was made for, so that a host that is down is noticed.
 func TestWaitForConnection(t *testing.T) {
 	w := newTestPool(Config{MaxConnections: 2, MaxWaitFraction: 0.5}, 1)
 	w.p.HostUp(0, "a", 0, false, 0)
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.opened(1)
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.expect(t, "open a1 carry 1/1 open a2")
 	w.now = 10 * ms
 	w.freed(1)
 	w.expect(t, "carry 2/1")
-	w.ask("a", s)
-	w.ask("a", s)
+	w.checkout("a", s)
+	w.checkout("a", s)
 	w.opened(2)
 	w.now = 20 * ms
 	w.freed(2)
 	w.expect(t, "carry 3/2 carry 4/2")
-	w.ask("a", 5*ms) // attempts take 10 ms, which is too long for its remaining time
+	w.checkout("a", 5*ms) // attempts take 10 ms, which is too long for its remaining time
 	w.expect(t, "refuse 5 full")
 	w.p.HostUp(w.now, "b", 0, false, 0)
 	w.p.HostLeaving("a")
 	w.freed(1)
 	w.expect(t, "close 1 leaving")
-	w.ask("b", s)
-	w.ask("b", s)
+	w.checkout("b", s)
+	w.checkout("b", s)
 	w.failed(3)
 	w.expect(t, "open b3 refuse 7 full refuse 6 no_connect")
 }
@@ -160,14 +160,14 @@
 func TestAnotherProcess(t *testing.T) {
 	w := newTestPool(Config{MaxConnections: 9}, 1)
 	w.p.HostUp(0, "a", 0, false, 0)
-	w.ask("a", s)
-	w.ask("a", s)
+	w.checkout("a", s)
+	w.checkout("a", s)
 	w.opened(1)
 	w.opened(2)
 	w.freed(1)
 	w.p.HostUp(ms, "a", ms, false, 0)
 	w.freed(2)
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.expect(t, "open a1 open a2 carry 1/1 carry 2/2 close 1 leaving close 2 leaving open a3")
 }
 
@@ -176,7 +176,7 @@
 	w := newTestPool(Config{MaxConnections: 9, IdleTimeout: 8 * s}, 3)
 	w.p.HostUp(0, "a", 0, false, 0)
 	for range 3 {
-		w.ask("a", s)
+		w.checkout("a", s)
 	}
 	for c := Conn(1); c <= 3; c++ {
 		w.opened(c)
@@ -195,12 +195,12 @@
 	if len(ends) < 2 || len(w.conns) != 0 {
 		t.Errorf("closed by time %v, %d still open", ends, len(w.conns))
 	}
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.opened(4)
 	w.freed(4)
 	w.now += 7 * s // without a Tick in between
 	w.takeText()
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.expect(t, "close 4 idle open a5")
 }
 
@@ -211,15 +211,15 @@
 		w.p.HostUp(0, Host(rune('a'+i)), 0, false, 0)
 	}
 	for range 40 {
-		w.ask("a", s)
+		w.checkout("a", s)
 	}
 	for _, c := range w.opens {
 		w.opened(c)
 	}
 	w.takeText()
 	for _, h := range []Host{"b", "c", "d", "e"} {
-		w.ask(h, s)
-		w.ask(h, s)
+		w.checkout(h, s)
+		w.checkout(h, s)
 	}
 	if got := w.takeText(); strings.Count(got, "open") != 8 {
 		t.Error(got)
@@ -236,7 +236,7 @@
 	run := func(n int, until policy.Nanos) {
 		for ; w.now < until; w.now += 50 * ms {
 			for range n {
-				w.ask("a", s)
+				w.checkout("a", s)
 			}
 			for c, state := range w.conns {
 				if state == "opening" {
@@ -283,7 +283,7 @@
 			n := 0
 			for _, w := range pools {
 				w.now = now
-				w.ask("new", s)
+				w.checkout("new", s)
 				n += len(w.opens)
 				for _, c := range w.opens { // each stays in use, so that every attempt needs a new one
 					w.opened(c)
@@ -311,28 +311,28 @@
 	}
 }
 
-// A host that rejects attempts on new connections gets fewer connections, and slowly more again.
+// A host that rejects attempts on new connections gets fewer connections, and after that slowly more.
 func TestRejectionsLowerLimit(t *testing.T) {
 	w := newTestPool(Config{Balancers: 1, MaxConnections: 100, HostMaxConnections: 10}, 1)
 	w.p.HostUp(0, "a", 0, false, 0)
 	for range 8 {
-		w.ask("a", s)
+		w.checkout("a", s)
 	}
 	for _, c := range w.opens {
 		w.opened(c)
 	}
 	w.freed(1)
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.p.Rejected(w.now, 1) // an earlier attempt on it succeeded, so the host's queue is full, not its connections
 	w.freed(1)
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.p.Rejected(w.now, 8)
 	w.freed(8)
 	w.takeText()
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.expect(t, "refuse 11 full")
 	w.now += learnedLimitInterval + 1
-	w.ask("a", s)
+	w.checkout("a", s)
 	w.expect(t, "open a9")
 }
 
@@ -397,7 +397,7 @@
 			"leaves": func(t *rapid.T) { w.p.HostLeaving(rapid.SampledFrom(hosts).Draw(t, "host")) },
 			"ask": func(t *rapid.T) {
 				for range rapid.IntRange(1, 4).Draw(t, "shots") {
-					w.ask(rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2000).Draw(t, "left"))*ms)
+					w.checkout(rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2000).Draw(t, "left"))*ms)
 				}
 			},
 			"opened": func(*rapid.T) {
