--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -35,7 +35,7 @@
 			{left: time.Second, value: maxUnblockedWrite, least: 970 * time.Millisecond, most: 980 * time.Millisecond},
 			{left: time.Second, value: maxUnblockedWrite + 1, least: 700 * time.Millisecond, most: 750 * time.Millisecond},
 			{left: 3 * time.Second, value: maxUnblockedWrite + 1, least: 2600 * time.Millisecond, most: 2700 * time.Millisecond},
-			{left: time.Minute, upload: true, least: 500 * time.Millisecond, most: 750 * time.Millisecond}, // of the client's second
+			{left: time.Minute, upload: true, least: 500 * time.Millisecond, most: 750 * time.Millisecond}, // of the one second that the client waits
 		} {
 			a := &Attempt{Deadline: deadline.After(time.Now(), c.left), Value: make([]byte, c.value)}
 			if c.upload {
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -145,7 +145,7 @@
 	c.net.Close()
 }
 
-// reset closes the connection with a TCP reset. Otherwise the system would still deliver the buffered rest of an attempt to a server
+// reset closes the connection with a TCP reset. Otherwise the system would still deliver the buffered rest of an attempt to a host
 // that cannot be reached at present. The attempt could then run there long after it was given up, past its deadline and outside
 // the window in which duplicates are detected.
 func (c *conn) reset() {
@@ -155,7 +155,7 @@
 	c.net.Close()
 }
 
-// write sends an attempt and the remaining time announced to the server. It returns Fulfilled if the last byte was written, that is,
+// write sends an attempt and the remaining time announced to the host. It returns Fulfilled if the last byte was written, that is,
 // if the attempt may run.
 func (c *conn) write(a *Attempt, announced time.Duration) policy.Outcome {
 	if len(a.Value) > maxUnblockedWrite { // a write that is incomplete by then is abandoned
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// An attempt whose answer never ends lasts until its deadline and no longer.
+// An attempt whose answer never ends must end at its deadline.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	for name, row := range map[string]struct {
 		origin bool
@@ -178,7 +178,7 @@
 					t.Fatalf("attempt %d got %q", i, r.Body)
 				}
 				if r.Outcome == policy.NeverSent || r.Outcome == policy.ConnectFailed || r.Outcome == policy.Rejected {
-					t.Fatalf("attempt %d ended as never run: %d", i, r.Outcome)
+					t.Fatalf("attempt %d ended with an outcome that excludes that it ran: %d", i, r.Outcome)
 				}
 			}
 		})
--- a/internal/upstream/stream.go
+++ b/internal/upstream/stream.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// MaxBufferedBytes is the longest value that is buffered completely; longer ones are streamed, and their latency is measured to the first bytes.
+	// MaxBufferedBytes is the longest value that is buffered completely. Longer ones are streamed, and their latency is measured to the
+	// first bytes.
 	MaxBufferedBytes = 64 << 10
 	// StreamBufferBytes is the buffer size for streaming a value.
 	StreamBufferBytes = 32 << 10
@@ -25,14 +26,14 @@
 	Length        int
 	Reader        io.Reader         // fails if the value is incomplete
 	ClientTimeout time.Duration     // how long the client waits for the answer after its last byte
-	Deadline      deadline.Deadline // set by Reader before it gives the last byte
+	Deadline      deadline.Deadline // set by Reader before it returns the last byte
 	Done          chan struct{}     // closed when Reader is no longer read, by whoever took the upload
-	announced     time.Duration     // remaining time announced to the server
+	announced     time.Duration     // remaining time announced to the host
 	taken         atomic.Bool
 }
 
-// TooLate reports that the server was given more time than the client would have left if the last byte were written now. This happens
-// when the server reads the value more slowly than the client sends it.
+// TooLate reports that the host was given more time than the client would have left if the last byte were written now. This happens
+// when the host reads the value more slowly than the client sends it.
 func (u *Upload) TooLate() bool { return u.Deadline.Remaining()+lastByteAllowance < u.announced }
 
 // Take claims the upload. The caller then either reads Reader or declares that nobody will. Take returns false if it was claimed already.
@@ -74,7 +75,7 @@
 type Value struct {
 	Length  int
 	conn    *conn
-	readEnd func() error // reads what follows the value
+	readEnd func() error // reads and checks the end of the answer after the value
 	err     error        // failure of the host
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,4 +1,5 @@
 // Package upstream holds the connections to cache hosts and to the origin and sends attempts over them, as package pool decides.
+// Here and in package pool, a host is a cache host or the origin.
 // Each connection has its own goroutine and serves one attempt at a time, so closing it affects no other attempt.
 package upstream
 
@@ -318,8 +319,8 @@
 	return false
 }
 
-// MaxWriteAfterNotice returns the longest time, since the start of this process, between the notice that a host drains, is gone or is excluded
-// and the write of an attempt that was already assigned to a connection. A value close to Grace means that this process runs late.
+// MaxWriteAfterNotice returns the longest time, since the start of this process, between the notice that a host drains, is gone or is
+// excluded and the write of an attempt that was already assigned to a connection. A value close to Grace means that this process runs late.
 func (hs *Hosts) MaxWriteAfterNotice() time.Duration {
 	hs.mu.Lock()
 	defer hs.mu.Unlock()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -131,7 +131,7 @@
 }
 
 // An attempt that waited for a connection is not written after the grace of its host has expired, nor after it was given up: either
-// would be new work without use.
+// would give the host useless work.
 func TestAttemptThatWaited(t *testing.T) {
 	limits := testLimits
 	limits.Grace = 0
@@ -272,7 +272,7 @@
 func TestInvalidAnswers(t *testing.T) {
 	for answer, want := range map[string]policy.Outcome{
 		"":                         policy.Reset,
-		"VA 9 O1\r\nshort":         policy.Reset, // breaks off
+		"VA 9 O1\r\nshort":         policy.Reset, // the connection breaks within the value
 		"EN O1":                    policy.Reset,
 		"noise\r\n":                policy.MalformedAnswer,
 		"EN O1\n":                  policy.MalformedAnswer,
