--- a/policy/hand_test.go
+++ b/policy/hand_test.go
@@ -52,11 +52,11 @@
 // apply to another number of balancers; outcomes at a host apply as long as the same process runs there; invalid
 // values are ignored.
 func TestTakeOver(t *testing.T) {
-	newBalancer := func(balancers int, born Nanos) *Balancer {
+	newBalancer := func(balancers int, startedAt Nanos) *Balancer {
 		s := &testEnv{T: t, counts: map[string]int{}, now: 1000 * Second}
 		b := New(s, Config{Balancers: balancers, OriginKind: -1, Products: []ProductConfig{{LatencySLO: Second, BilledValue: 1}},
 			ColdCapacityFraction: 0.25, WarmUpTime: 10 * Second, OverloadMultiple: 3, OverloadWindow: Second}, 7)
-		b.ApplyList(ListRestored, []HostEntry{{HostID: "a", Size: 1, ListedStart: born}, {HostID: "b", Size: 1}})
+		b.ApplyList(ListRestored, []HostEntry{{HostID: "a", Size: 1, ListedStart: startedAt}, {HostID: "b", Size: 1}})
 		return b
 	}
 	older := newBalancer(4, 0)
@@ -65,21 +65,21 @@
 	older.attemptTime.add(1000*Second, 0.06, 2)
 	learnt := older.ExportLearnt()
 	for _, row := range []struct {
-		name               string
-		balancers          int
-		born               Nanos
-		limit, bad         float64
-		fleet, meanSeconds float64
+		name                    string
+		balancers               int
+		startedAt               Nanos
+		limit, bad              float64
+		fleetLimit, meanSeconds float64
 	}{
 		{"the same settings", 4, 0, 17, 40, 23, 0.03},
 		{"a balancer for each client", 400, 0, newBalancer(400, 0).hosts["a"].concurrencyLimit, 40, newBalancer(400, 0).fleetLimitPerHost, 0.03},
 		{"started again since", 4, 900 * Second, newBalancer(4, 0).hosts["a"].concurrencyLimit, 0, 23, 0.03},
 	} {
-		b := newBalancer(row.balancers, row.born)
+		b := newBalancer(row.balancers, row.startedAt)
 		b.ImportLearnt(learnt)
 		_, bad := b.hosts["a"].outcomes.decayed(1000 * Second)
 		took, n := b.attemptTime.decayed(1000 * Second)
-		if b.hosts["a"].concurrencyLimit != row.limit || bad != row.bad || b.fleetLimitPerHost != row.fleet || took/n != row.meanSeconds {
+		if b.hosts["a"].concurrencyLimit != row.limit || bad != row.bad || b.fleetLimitPerHost != row.fleetLimit || took/n != row.meanSeconds {
 			t.Errorf("%s: limit %v, bad outcomes %v, fleet limit per host %v, mean attempt %v s", row.name, b.hosts["a"].concurrencyLimit, bad, b.fleetLimitPerHost, took/n)
 		}
 	}
