--- a/internal/balancer/accept.go
+++ b/internal/balancer/accept.go
@@ -27,7 +27,7 @@
 	return &clientConns{maxActive: maxActive, conns: map[*clientConn]struct{}{}, allClosed: make(chan struct{}), freed: make(chan struct{}, 1)}
 }
 
-// maxIdleTime bounds how long a connection that has carried a request may stay idle; the operators permit closing it then. Some
+// maxIdleTime bounds how long a connection that has carried a command may stay idle; the operators permit closing it then. Some
 // clients send one request and never close, and so occupy connections that they could open to another balancer.
 const maxIdleTime = 2050 * time.Millisecond
 
--- a/internal/balancer/bans_test.go
+++ b/internal/balancer/bans_test.go
@@ -43,10 +43,10 @@
 					t.Errorf("excluding %s: got error %v", host, err)
 				}
 			}
-			var out []string
-			x.callPolicy(func() { out = x.excludedHosts() })
-			if !slices.Equal(out, []string{"a", "b"}) {
-				t.Errorf("excluded hosts: %q", out)
+			var excluded []string
+			x.callPolicy(func() { excluded = x.excludedHosts() })
+			if !slices.Equal(excluded, []string{"a", "b"}) {
+				t.Errorf("excluded hosts: %q", excluded)
 			}
 			time.Sleep(500 * time.Millisecond)
 			disk.mu.Lock()
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -127,7 +127,7 @@
 }
 
 func (c *recordedConn) Write(p []byte) (int, error) {
-	if len(c.pending) == 0 || isStreamed(c.pending) { // else it continues the current write: a socket would take all its buffers in one call
+	if len(c.pending) == 0 || isStreamed(c.pending) { // otherwise it continues the current write: a socket would take all its buffers in one call
 		c.writeStartedAt = time.Now() // before the delay, which a busy machine makes longer; report reduces the slack by the longest delay
 		time.Sleep(c.writeDelay())
 	}
@@ -302,8 +302,8 @@
 		if err != nil {
 			return nil, err
 		}
-		holdUp := func() time.Duration { return f.random.durationUpTo(faults.maxWriteDelay) }
-		return &recordedConn{Conn: conn, server: names[addr], attemptLog: f.attemptLog, writeDelay: holdUp}, nil
+		writeDelay := func() time.Duration { return f.random.durationUpTo(faults.maxWriteDelay) }
+		return &recordedConn{Conn: conn, server: names[addr], attemptLog: f.attemptLog, writeDelay: writeDelay}, nil
 	}
 	f.applyHostList(policy.ListRestored, list)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/balancer/decide.go
+++ b/internal/balancer/decide.go
@@ -105,9 +105,9 @@
 			c.inFlight--
 			c.mayHaveRun = c.mayHaveRun || policy.MayHaveRun(e.Outcome)
 			b.observeAttempt(c, e)
-			won := e.Outcome == policy.Fulfilled && c.claimAnswer()
+			claimed := e.Outcome == policy.Fulfilled && c.claimAnswer()
 			b.reportAttemptEnd(c, e)
-			if won {
+			if claimed {
 				b.traffic.fulfilled.Add(1)
 				c.fulfil(e.Body)
 			}
--- a/internal/balancer/decisions_test.go
+++ b/internal/balancer/decisions_test.go
@@ -122,9 +122,9 @@
 }
 
 // TestLongListInShortSteps applies complete lists of thousands of hosts: new, unchanged and half replaced. No event may occupy the policy
-// for more than a small part of the time that the lists take. The best of several runs counts, as the machine may be busy.
+// for more than a small part of the time that the lists take. One of several runs must pass, as the machine may be busy.
 func TestLongListInShortSteps(t *testing.T) {
-	const hosts, tries, part = 3200, 3, 20
+	const hosts, runs, minRatio = 3200, 3, 20
 	list := func(from int) (l discovery.List) {
 		l.Snapshot = true
 		for i := range hosts {
@@ -132,7 +132,7 @@
 		}
 		return l
 	}
-	for try := 1; ; try++ {
+	for run := 1; ; run++ {
 		f := newFaultyHosts(t, 1, injectedFaults{answers: []string{"hit"}, cachesTakeWrites: true})
 		f.delays.handling.takeRecent()
 		began := time.Now()
@@ -141,10 +141,10 @@
 		f.applyHostList(policy.ListReplace, list(hosts/2))
 		took, held := time.Since(began), f.delays.handling.takeRecent()
 		t.Logf("of %v the longest event occupied the policy for %v", took, held)
-		if held < took/part {
+		if held < took/minRatio {
 			return
 		}
-		if try == tries {
+		if run == runs {
 			t.Fatalf("one event occupied the policy for %v of %v", held, took)
 		}
 	}
--- a/internal/balancer/ends.go
+++ b/internal/balancer/ends.go
@@ -92,13 +92,13 @@
 // watchForClose runs wait, and meanwhile reads ahead to notice when the client closes the connection: then no attempt may begin for it
 // any more, and attempts in flight are given up.
 func (c *clientConn) watchForClose(wait func()) {
-	over, readerDone := make(chan struct{}), make(chan struct{})
+	waitDone, readerDone := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(readerDone)
-		c.readAheadUntil(over)
+		c.readAheadUntil(waitDone)
 	}()
 	wait()
-	close(over)
+	close(waitDone)
 	c.readAheadBuf.mu.Lock()
 	c.conn.SetReadDeadline(pastDeadline)
 	c.readAheadBuf.mu.Unlock()
@@ -117,12 +117,12 @@
 
 var pastDeadline = time.Unix(1, 0)
 
-// readAheadUntil reads into the buffer until over is closed, the stream ends or the buffer is full.
-func (c *clientConn) readAheadUntil(over <-chan struct{}) {
+// readAheadUntil reads into the buffer until done is closed, the stream ends or the buffer is full.
+func (c *clientConn) readAheadUntil(done <-chan struct{}) {
 	for c.readAheadBuf.size < maxReadAheadBytes && c.readAheadBuf.err == nil {
 		c.readAheadBuf.mu.Lock()
 		select {
-		case <-over:
+		case <-done:
 			c.readAheadBuf.mu.Unlock()
 			return
 		default:
--- a/internal/balancer/follow_test.go
+++ b/internal/balancer/follow_test.go
@@ -126,30 +126,30 @@
 // host at most six seconds and most of the grace after discovery lists it as draining and can be reached; with pushed lists, some
 // faults allow only the grace.
 func TestDrainingHostAvoidedInTime(t *testing.T) {
-	whole := func(to net.Conn, text string) bool {
+	sendAll := func(to net.Conn, text string) bool {
 		_, err := io.WriteString(to, text)
 		return err == nil
 	}
-	// faultsFromSecond injects a fault into so many calls from the second on; the first call returns the complete list.
+	// faultsFromSecond injects a fault into the given number of calls from the second on; the first call returns the complete list.
 	faultsFromSecond := func(times int, fault func(to net.Conn, text string) bool) func(int, net.Conn, string) bool {
 		return func(n int, to net.Conn, text string) bool {
 			if n >= 2 && n < 2+times {
 				return fault(to, text)
 			}
-			return whole(to, text)
+			return sendAll(to, text)
 		}
 	}
 	silent := func(net.Conn, string) bool { return false }
 	refused := func(to net.Conn, text string) bool {
-		return whole(to, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
+		return sendAll(to, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 	}
 	ended := func(to net.Conn, text string) bool { to.Close(); return true }
 	truncated := func(to net.Conn, text string) bool { io.WriteString(to, text[:len(text)-40]); return false }
 	truncatedAndClosed := func(to net.Conn, text string) bool { io.WriteString(to, text[:len(text)-40]); to.Close(); return true }
 	damaged := func(to net.Conn, text string) bool {
-		return whole(to, strings.Replace(text, "generation", "gen-ration", 1)) // read as generation 0, which is older than the known list
+		return sendAll(to, strings.Replace(text, "generation", "gen-ration", 1)) // read as generation 0, which is older than the known list
 	}
-	pieces := func(each time.Duration) func(to net.Conn, text string) bool {
+	inPieces := func(each time.Duration) func(to net.Conn, text string) bool {
 		return func(to net.Conn, text string) bool {
 			for i := 0; i < len(text); i += 20 {
 				time.Sleep(each)
@@ -180,14 +180,14 @@
 			if n == 2 {
 				return damaged(to, text)
 			}
-			return n != 3 && whole(to, text)
+			return n != 3 && sendAll(to, text)
 		}, drainsAt: second},
-		"in small pieces":   {pushed: true, asked: true, respond: faultsFromSecond(1, pieces(10*time.Millisecond)), drainsAt: second, atOnce: true},
-		"in slow pieces":    {pushed: true, asked: true, respond: faultsFromSecond(1, pieces(400*time.Millisecond)), drainsAt: second},
+		"in small pieces":   {pushed: true, asked: true, respond: faultsFromSecond(1, inPieces(10*time.Millisecond)), drainsAt: second, atOnce: true},
+		"in slow pieces":    {pushed: true, asked: true, respond: faultsFromSecond(1, inPieces(400*time.Millisecond)), drainsAt: second},
 		"away for long":     {pushed: true, asked: true, respond: faultsFromSecond(1, ended), drainsAt: second, downTo: 20 * second, atOnce: true},
 		"away for a moment": {pushed: true, asked: true, respond: faultsFromSecond(1, ended), drainsAt: second, downTo: 1200 * time.Millisecond, atOnce: true},
 		"away, then turned away": {pushed: true, respond: func(n int, to net.Conn, text string) bool {
-			return map[int]func(net.Conn, string) bool{2: ended, 3: refused}[n] == nil && whole(to, text) || n == 2 && ended(to, text) || n == 3 && refused(to, text)
+			return map[int]func(net.Conn, string) bool{2: ended, 3: refused}[n] == nil && sendAll(to, text) || n == 2 && ended(to, text) || n == 3 && refused(to, text)
 		}, drainsAt: second, downTo: 9 * second},
 	} {
 		for _, mode := range []string{"pushed", "asked"} {
@@ -240,8 +240,8 @@
 		if sum := p.LongPoll + p.ResponseGrace + p.Connect; sum > 6*time.Second {
 			t.Errorf("grace %v: a watch without an answer is reopened after %v", grace, sum)
 		}
-		if least := p.LongPoll * 7 / 8; 300/least.Seconds() > 300*3/10.0 {
-			t.Errorf("grace %v: 300 balancers call %.0f times a second", grace, 300/least.Seconds())
+		if minInterval := p.LongPoll * 7 / 8; 300/minInterval.Seconds() > 300*3/10.0 {
+			t.Errorf("grace %v: 300 balancers call %.0f times a second", grace, 300/minInterval.Seconds())
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -272,13 +272,13 @@
 		"silent at either": {func(n int) bool { return n < 2 }, func(n int) bool { return n > 1 }},
 	} {
 		for mode, limit := range map[string]time.Duration{"pushed": 4 * time.Second, "asked": 6 * time.Second} {
-			for _, at := range []time.Duration{time.Millisecond, 1900 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
-				t.Run(fmt.Sprint(name, ", ", mode, ", ", at), func(t *testing.T) {
+			for _, reloadAt := range []time.Duration{time.Millisecond, 1900 * time.Millisecond, 3 * time.Second, 5 * time.Second} {
+				t.Run(fmt.Sprint(name, ", ", mode, ", ", reloadAt), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
 						const grace = time.Second
-						answers := func(when func(int) bool) func(int, net.Conn, string) bool {
+						answers := func(isAnswered func(int) bool) func(int, net.Conn, string) bool {
 							return func(n int, to net.Conn, text string) bool {
-								if !when(n) {
+								if !isAnswered(n) {
 									return false
 								}
 								_, err := io.WriteString(to, text)
@@ -290,7 +290,7 @@
 						defer close(d.done)
 						defer b.hosts.Close()
 						defer b.cancel()
-						time.Sleep(at)
+						time.Sleep(reloadAt)
 						moved := &fakeDiscovery{respond: answers(row.after), draining: true, began: time.Now(), changed: make(chan struct{}), done: make(chan struct{})}
 						defer close(moved.done)
 						b.listSource.mu.Lock()
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -198,12 +198,12 @@
 		o.mu.Unlock()
 		return 0, nil
 	}
-	lives, transport := o.machine.Confirmed(), o.transport
+	processes, transport := o.machine.Confirmed(), o.transport
 	o.mu.Unlock()
 	confirmedByName := map[string]bool{} // whether the member of that name has confirmed
 	for _, m := range transport.View().Members {
 		if m.State != member.Left {
-			confirmedByName[m.Name] = confirmedByName[m.Name] || slices.Contains(lives, m.Life)
+			confirmedByName[m.Name] = confirmedByName[m.Name] || slices.Contains(processes, m.Life)
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(confirmedByName)) {
--- a/internal/balancer/read.go
+++ b/internal/balancer/read.go
@@ -152,7 +152,7 @@
 		}
 		c.awaitAnswers() // requests in flight first; answers to a client that has gone are not waited for
 		if c.noMoreCommands.Load() || c.hasLeft() || !c.pollInput() {
-			break // else what has arrived meanwhile is handled too
+			break // otherwise what has arrived meanwhile is handled too
 		}
 	}
 	c.closeGracefully()
@@ -245,7 +245,7 @@
 // admit reads a request's value, then either starts handling the request or answers it; false if no further command is to be read.
 func (b *Balancer) admit(req *clientRequest, fault *memcache.Fault) bool {
 	c := req.client
-	if req.Write && req.Length > upstream.MaxBufferedBytes && c.noMoreCommands.Load() { // the connection was ended before the value arrived
+	if req.Write && req.Length > upstream.MaxBufferedBytes && c.noMoreCommands.Load() { // reading was stopped before the value arrived
 		return c.refuse()
 	}
 	started, admitted := false, b.inFlight.Add(1) <= b.maxInFlight.Load() && b.clients.makeRoomFor(c)
@@ -276,7 +276,7 @@
 		}
 		req.arrived = c.commandArrival()
 	}
-	if c.noMoreCommands.Load() && !streamed { // the connection was ended while the request was read: nothing is sent to hosts any more
+	if c.noMoreCommands.Load() && !streamed { // reading was stopped while the request was read: nothing is sent to hosts any more
 		return c.refuse()
 	}
 	if fault == nil {
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -62,7 +62,7 @@
 		return ""
 	}
 	refused, accepted := 0, 0
-	try := func(key string, value any) {
+	tryValue := func(key string, value any) {
 		text, err := json.Marshal(sample)
 		if err != nil {
 			t.Fatal(err)
@@ -101,7 +101,7 @@
 			t.Errorf("%s = %v: accepted as %+v", key, value, deployed.PolicyConfig)
 		}
 	}
-	try("settings", "as they are")
+	tryValue("settings", "as they are")
 	if accepted != 1 {
 		t.Fatal("the unchanged sample settings are refused")
 	}
@@ -111,11 +111,11 @@
 			old := valueAt(sample["settings"], strings.Split(key, "."))
 			for _, v := range []any{nil, 0, -1, 1e300, -1e300, 1e18, 0.5, "word", "NaN", "", true, []any{}, map[string]any{}, []any{1, 2}} {
 				set(v)
-				try(key, v)
+				tryValue(key, v)
 			}
 			if drop != nil {
 				drop()
-				try(key, "absent")
+				tryValue(key, "absent")
 			}
 			set(old)
 		})
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -403,8 +403,8 @@
 	b.callPolicy(func() { b.policy.SetPeerOriginInFlight(true, other.Origin) })
 }
 
-// processShare is what one of two processes may use of a resource: what it uses now, and half of what is free, or an eighth of it if
-// that process is leaving.
+// processShare is what one of two processes may use of a resource: what it uses now, and half of what is free, or an eighth of that if
+// it is leaving.
 func processShare(whole, own, other int64, leaving bool) int64 {
 	free := max(0, whole-own-other)
 	if leaving {
