--- a/internal/pool/pool_test.go
+++ b/internal/pool/pool_test.go
@@ -340,8 +340,8 @@
 // forever, and the counts match the actual connections.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		config := Config{Balancers: rapid.IntRange(1, 3).Draw(t, "balancers"), MaxConnections: rapid.IntRange(1, 12).Draw(t, "most"),
-			HostMaxConnections: rapid.IntRange(0, 20).Draw(t, "host most"), OpeningsPerSecond: float64(rapid.IntRange(0, 40).Draw(t, "openings")),
+		config := Config{Balancers: rapid.IntRange(1, 3).Draw(t, "balancers"), MaxConnections: rapid.IntRange(1, 12).Draw(t, "max connections"),
+			HostMaxConnections: rapid.IntRange(0, 20).Draw(t, "host max connections"), OpeningsPerSecond: float64(rapid.IntRange(0, 40).Draw(t, "openings")),
 			IdleTimeout: 3 * s, MaxAge: 9 * s, MaxWaitFraction: rapid.SampledFrom([]float64{0, 0.5}).Draw(t, "wait"),
 			AheadDeviations: rapid.SampledFrom([]float64{0, 1}).Draw(t, "ahead"), ShrinkInterval: 2 * s, ColdFor: 5 * s,
 			Reuse: rapid.SampledFrom([]Reuse{LongestIdle, LastUsed}).Draw(t, "reuse")}
@@ -392,11 +392,11 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"up": func(t *rapid.T) {
-				w.p.HostUp(w.now, rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2).Draw(t, "born"))*s, rapid.Bool().Draw(t, "moved"), 0)
+				w.p.HostUp(w.now, rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2).Draw(t, "started at"))*s, rapid.Bool().Draw(t, "moved"), 0)
 			},
 			"leaves": func(t *rapid.T) { w.p.HostLeaving(rapid.SampledFrom(hosts).Draw(t, "host")) },
 			"ask": func(t *rapid.T) {
-				for range rapid.IntRange(1, 4).Draw(t, "shots") {
+				for range rapid.IntRange(1, 4).Draw(t, "attempts") {
 					w.checkout(rapid.SampledFrom(hosts).Draw(t, "host"), policy.Nanos(rapid.IntRange(0, 2000).Draw(t, "left"))*ms)
 				}
 			},
--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -50,7 +50,7 @@
 
 // TestNoTimeLeft checks that nothing is written when no time is left, and that the connection stays usable.
 func TestNoTimeLeft(t *testing.T) {
-	hs, _, conns := newTestHosts(t, testLimits)
+	hs, _, conns := newTestHosts(t, testConfig)
 	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(first)
 	host := <-conns
@@ -84,7 +84,7 @@
 
 // newSmallBufferHost creates a host with small socket buffers that reads only when the test does.
 func newSmallBufferHost(t *testing.T, dialer net.Dialer) (hs *Hosts, conns chan net.Conn) {
-	hs, entry, _ := newTestHosts(t, testLimits)
+	hs, entry, _ := newTestHosts(t, testConfig)
 	listener, err := (&net.ListenConfig{Control: setSmallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -39,9 +39,9 @@
 		for _, how := range []string{"closed", "reset"} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
-				limits := testLimits
-				limits.Pool.MaxConnections = 1000
-				hs, _, conns := newTestHosts(t, limits)
+				config := testConfig
+				config.Pool.MaxConnections = 1000
+				hs, _, conns := newTestHosts(t, config)
 				if row.origin {
 					hs.mu.Lock()
 					hs.byID["h"].isOrigin = true
@@ -103,7 +103,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hs, _, conns := newTestHosts(t, testLimits)
+			hs, _, conns := newTestHosts(t, testConfig)
 			hs.mu.Lock()
 			hs.byID["h"].isOrigin = row.origin
 			hs.mu.Unlock()
@@ -140,7 +140,7 @@
 	for name, extra := range map[string]string{"half a line": "VA 5 O", "another answer": "VA 5 Oa0\r\nwrong\r\n", "a blank line": "\r\n", "a byte": "x"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hs, _, conns := newTestHosts(t, testLimits)
+			hs, _, conns := newTestHosts(t, testConfig)
 			done := make(chan struct{})
 			defer close(done)
 			go func() {
--- a/internal/upstream/fault_test.go
+++ b/internal/upstream/fault_test.go
@@ -53,7 +53,7 @@
 		syscall.ETIMEDOUT:     policy.ConnectFailed,
 	} {
 		t.Run("connect "+errno.Error(), func(t *testing.T) {
-			hs, _, _ := newTestHosts(t, testLimits)
+			hs, _, _ := newTestHosts(t, testConfig)
 			hs.Dial = func(context.Context, string, string) (net.Conn, error) { return nil, dialError(errno) }
 			a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 			hs.Send(a)
@@ -62,7 +62,7 @@
 		t.Run("write "+errno.Error(), func(t *testing.T) {
 			for _, room := range []int{0, 1, 10} {
 				a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-				hs := New(testLimits, -1)
+				hs := New(testConfig, -1)
 				c := &conn{hosts: hs, host: &host{}, net: &failingWrites{truncatedConn{remaining: room}, os.NewSyscallError("write", errno)}}
 				c.reader = newReader(c.net)
 				expectExchange(t, c, a, want)
@@ -75,7 +75,7 @@
 // TestBackoffAfterLocalFaults counts the connects of many attempts on a machine without free ports. They are made at growing
 // intervals, and without delay once a connection opens again.
 func TestBackoffAfterLocalFaults(t *testing.T) {
-	hs, _, conns := newTestHosts(t, testLimits)
+	hs, _, conns := newTestHosts(t, testConfig)
 	var connects atomic.Int64
 	var repaired atomic.Bool
 	real := hs.Dial
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 )
 
 // newTestHosts creates hosts with one entry. Its listener passes the accepted connections to the channel.
-func newTestHosts(t *testing.T, limits Config) (hs *Hosts, entry discovery.Host, conns chan net.Conn) {
+func newTestHosts(t *testing.T, config Config) (hs *Hosts, entry discovery.Host, conns chan net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 		}
 	}()
 	entry = discovery.Host{Addr: l.Addr().String(), HostEntry: policy.HostEntry{HostID: "h"}}
-	hs = New(limits, -1)
+	hs = New(config, -1)
 	hs.ApplyList(discovery.List{Hosts: []discovery.Host{entry}})
 	t.Cleanup(hs.Close)
 	return hs, entry, conns
@@ -84,7 +84,7 @@
 	t.Fatal("the expected number of idle connections was not reached")
 }
 
-var testLimits = Config{Pool: pool.Config{MaxConnections: 10, IdleTimeout: policy.Nanos(time.Minute)}, OriginMaxConnections: 10, ConnectTimeout: time.Second, Grace: time.Second}
+var testConfig = Config{Pool: pool.Config{MaxConnections: 10, IdleTimeout: policy.Nanos(time.Minute)}, OriginMaxConnections: 10, ConnectTimeout: time.Second, Grace: time.Second}
 
 // expectExchange sends an attempt over a connection and checks its outcome.
 func expectExchange(t *testing.T, c *conn, a *Attempt, want policy.Outcome) {
@@ -122,7 +122,7 @@
 	total := whole.Len() + len(value) + 2
 	for room, want := range map[int]policy.Outcome{0: policy.ConnectFailed, total - 1: policy.ConnectFailed, total: policy.Reset} {
 		a, _ := newAttempt(t, line, value, time.Minute)
-		hs := New(testLimits, -1)
+		hs := New(testConfig, -1)
 		c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: room}}
 		c.reader = newReader(c.net)
 		expectExchange(t, c, a, want)
@@ -133,9 +133,9 @@
 // An attempt that waited for a connection is not written after the grace of its host has expired, nor after it was given up: either
 // would give the host useless work.
 func TestAttemptThatWaited(t *testing.T) {
-	limits := testLimits
-	limits.Grace = 0
-	hs, entry, conns := newTestHosts(t, limits)
+	config := testConfig
+	config.Grace = 0
+	hs, entry, conns := newTestHosts(t, config)
 	real, hold := hs.Dial, make(chan struct{})
 	hs.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-hold
@@ -168,7 +168,7 @@
 
 // An attempt given up after its last byte was written may have run. Its connection is reset, so that no late answer arrives on it.
 func TestGivenUp(t *testing.T) {
-	hs, _, conns := newTestHosts(t, testLimits)
+	hs, _, conns := newTestHosts(t, testConfig)
 	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(a)
 	c := <-conns
@@ -199,7 +199,7 @@
 // An attempt assigned to an idle connection just as the host closes it is sent over another connection. None of its bytes was written,
 // and reporting a reset would prevent the retry of a non-idempotent request.
 func TestClosedDuringAssignment(t *testing.T) {
-	hs, _, conns := newTestHosts(t, testLimits)
+	hs, _, conns := newTestHosts(t, testConfig)
 	w := &scriptedConn{truncatedConn{remaining: 1 << 20}, make(chan string, 1)}
 	real := hs.Dial
 	hs.Dial = func(context.Context, string, string) (net.Conn, error) { return w, nil }
@@ -220,9 +220,9 @@
 
 // The origin accepts few connections: its limit holds even if an idle connection to a cache host could make room.
 func TestOriginLimit(t *testing.T) {
-	limits := testLimits
-	limits.Pool.MaxConnections, limits.OriginMaxConnections = 2, 1
-	hs, entry, conns := newTestHosts(t, limits)
+	config := testConfig
+	config.Pool.MaxConnections, config.OriginMaxConnections = 2, 1
+	hs, entry, conns := newTestHosts(t, config)
 	hs.origin = 7
 	entry.HostID = "i"
 	origin := entry
@@ -246,9 +246,9 @@
 
 // At the connection limit an idle connection is closed to make room; without an idle one the attempt is refused.
 func TestConnectionLimit(t *testing.T) {
-	limits := testLimits
-	limits.Pool.MaxConnections = 1
-	hs, _, conns := newTestHosts(t, limits)
+	config := testConfig
+	config.Pool.MaxConnections = 1
+	hs, _, conns := newTestHosts(t, config)
 	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(first)
 	c := <-conns
@@ -282,7 +282,7 @@
 		strings.Repeat("x", 1<<16): policy.MalformedAnswer,
 	} {
 		a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-		hs := New(testLimits, -1)
+		hs := New(testConfig, -1)
 		c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: 1 << 20}}
 		c.reader = newReader(strings.NewReader(answer))
 		t.Logf("%.20q", answer)
@@ -302,9 +302,9 @@
 	} {
 		for _, enabled := range []bool{true, false} {
 			a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
-			limits := testLimits
-			limits.LoadReports = enabled
-			hs := New(limits, -1)
+			config := testConfig
+			config.LoadReports = enabled
+			hs := New(config, -1)
 			c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: 1 << 20}}
 			c.reader = newReader(strings.NewReader(answer))
 			r, _, err := c.read(a)
@@ -319,7 +319,7 @@
 // Some hosts close a connection right after an answer. On the connection idle longest the close has been noticed already; an attempt
 // written to the one used last would be lost and count as possibly run.
 func TestLongestIdleUsedFirst(t *testing.T) {
-	hs, _, conns := newTestHosts(t, testLimits)
+	hs, _, conns := newTestHosts(t, testConfig)
 	var held []net.Conn
 	var all []chan Result
 	for range 3 {
@@ -345,7 +345,7 @@
 
 // Hosts that are gone are removed once their connections have ended. Otherwise they would pile up, since new hosts have new ids.
 func TestGoneHostsRemoved(t *testing.T) {
-	hs, entry, conns := newTestHosts(t, testLimits)
+	hs, entry, conns := newTestHosts(t, testConfig)
 	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(a)
 	c := <-conns
@@ -383,7 +383,7 @@
 // A host that an operator has excluded gets no attempts, even if the list contains it again. After it is included again, no earlier
 // connection to it is used: it may be another process.
 func TestExcludedHost(t *testing.T) {
-	hs, entry, conns := newTestHosts(t, testLimits)
+	hs, entry, conns := newTestHosts(t, testConfig)
 	a, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(a)
 	first := <-conns
