--- a/internal/upstream/announce_test.go
+++ b/internal/upstream/announce_test.go
@@ -35,7 +35,7 @@
 			{left: time.Second, value: maxUnblockedWrite, least: 970 * time.Millisecond, most: 980 * time.Millisecond},
 			{left: time.Second, value: maxUnblockedWrite + 1, least: 700 * time.Millisecond, most: 750 * time.Millisecond},
 			{left: 3 * time.Second, value: maxUnblockedWrite + 1, least: 2600 * time.Millisecond, most: 2700 * time.Millisecond},
-			{left: time.Minute, upload: true, least: 500 * time.Millisecond, most: 750 * time.Millisecond}, // of the client's second
+			{left: time.Minute, upload: true, least: 500 * time.Millisecond, most: 750 * time.Millisecond}, // of the one second that the client waits
 		} {
 			a := &Attempt{Deadline: deadline.After(time.Now(), c.left), Value: make([]byte, c.value)}
 			if c.upload {
@@ -50,7 +50,7 @@
 
 // TestNoTimeLeft checks that nothing is written when no time is left, and that the connection stays usable.
 func TestNoTimeLeft(t *testing.T) {
-	hs, _, conns := newTestHosts(t, testLimits)
+	hs, _, conns := newTestHosts(t, testConfig)
 	first, ended := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 	hs.Send(first)
 	host := <-conns
@@ -84,7 +84,7 @@
 
 // newSmallBufferHost creates a host with small socket buffers that reads only when the test does.
 func newSmallBufferHost(t *testing.T, dialer net.Dialer) (hs *Hosts, conns chan net.Conn) {
-	hs, entry, _ := newTestHosts(t, testLimits)
+	hs, entry, _ := newTestHosts(t, testConfig)
 	listener, err := (&net.ListenConfig{Control: setSmallBuffers}).Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/upstream/ends_test.go
+++ b/internal/upstream/ends_test.go
@@ -39,9 +39,9 @@
 		for _, how := range []string{"closed", "reset"} {
 			t.Run(name+", "+how, func(t *testing.T) {
 				t.Parallel()
-				limits := testLimits
-				limits.Pool.MaxConnections = 1000
-				hs, _, conns := newTestHosts(t, limits)
+				config := testConfig
+				config.Pool.MaxConnections = 1000
+				hs, _, conns := newTestHosts(t, config)
 				if row.origin {
 					hs.mu.Lock()
 					hs.byID["h"].isOrigin = true
@@ -86,7 +86,7 @@
 	}
 }
 
-// An attempt whose answer never ends lasts until its deadline and no longer.
+// An attempt whose answer never ends must end at its deadline.
 func TestAnswerThatNeverEnds(t *testing.T) {
 	for name, row := range map[string]struct {
 		origin bool
@@ -103,7 +103,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hs, _, conns := newTestHosts(t, testLimits)
+			hs, _, conns := newTestHosts(t, testConfig)
 			hs.mu.Lock()
 			hs.byID["h"].isOrigin = row.origin
 			hs.mu.Unlock()
@@ -140,7 +140,7 @@
 	for name, extra := range map[string]string{"half a line": "VA 5 O", "another answer": "VA 5 Oa0\r\nwrong\r\n", "a blank line": "\r\n", "a byte": "x"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			hs, _, conns := newTestHosts(t, testLimits)
+			hs, _, conns := newTestHosts(t, testConfig)
 			done := make(chan struct{})
 			defer close(done)
 			go func() {
@@ -178,7 +178,7 @@
 					t.Fatalf("attempt %d got %q", i, r.Body)
 				}
 				if r.Outcome == policy.NeverSent || r.Outcome == policy.ConnectFailed || r.Outcome == policy.Rejected {
-					t.Fatalf("attempt %d ended as never run: %d", i, r.Outcome)
+					t.Fatalf("attempt %d ended with an outcome that excludes that it ran: %d", i, r.Outcome)
 				}
 			}
 		})
