--- a/internal/balancer/evidence.go
+++ b/internal/balancer/evidence.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"streamrail/internal/admin"
-	"streamrail/internal/fleet/carry"
 	"streamrail/internal/fleet/evidence"
 	"streamrail/internal/fleet/member"
+	"streamrail/internal/fleet/transport"
 	"streamrail/policy"
 )
 
@@ -17,7 +17,7 @@
 
 	mu        sync.Mutex
 	machine   *evidence.Machine
-	transport *carry.Transport
+	transport *transport.Transport
 	stop      chan struct{}
 	delivered []evidence.HostSummary // what the policy has been given last
 }
@@ -30,18 +30,18 @@
 }
 
 // startObservations starts to send and receive observations over a transport.
-func (b *Balancer) startObservations(transport *carry.Transport) {
+func (b *Balancer) startObservations(peerTransport *transport.Transport) {
 	o := b.observations
 	if o == nil {
 		return
 	}
 	stop := make(chan struct{})
 	o.mu.Lock()
-	o.transport, o.stop = transport, stop
-	o.machine = evidence.New(evidence.Config{Self: transport.Self(), Zone: transport.View().Self.Zone})
+	o.transport, o.stop = peerTransport, stop
+	o.machine = evidence.New(evidence.Config{Self: peerTransport.Self(), Zone: peerTransport.View().Self.Zone})
 	o.mu.Unlock()
-	transport.Handle(carry.TopicObservations, func(from member.ProcessID, body []byte) {
-		if m, ok := carry.DecodeObservations(body); ok {
+	peerTransport.Handle(transport.TopicObservations, func(from member.ProcessID, body []byte) {
+		if m, ok := transport.DecodeObservations(body); ok {
 			o.update(func(machine *evidence.Machine, now evidence.Moment) { machine.Receive(now, from, m) })
 		}
 	})
@@ -51,7 +51,7 @@
 		for {
 			select {
 			case <-t.C:
-				b.exchangeObservations(transport)
+				b.exchangeObservations(peerTransport)
 			case <-stop:
 				return
 			}
@@ -69,9 +69,9 @@
 }
 
 // exchangeObservations sends this balancer's observations to the others and passes theirs on to the policy.
-func (b *Balancer) exchangeObservations(transport *carry.Transport) {
+func (b *Balancer) exchangeObservations(peerTransport *transport.Transport) {
 	var peers []evidence.Peer
-	for _, m := range transport.View().Members {
+	for _, m := range peerTransport.View().Members {
 		if m.State == member.Alive || m.State == member.Suspected {
 			peers = append(peers, evidence.Peer{Life: m.Life, Zone: m.Zone})
 		}
@@ -86,7 +86,7 @@
 	}
 	o.machine.Tick(time.Since(o.epoch), peers, listed)
 	for _, send := range o.machine.TakeOutput() {
-		o.transport.Send(send.To, carry.TopicObservations, carry.EncodeObservations(&send.Msg))
+		o.transport.Send(send.To, transport.TopicObservations, transport.EncodeObservations(&send.Msg))
 	}
 	b.deliverObservations(o.machine.Summaries())
 }
--- a/internal/balancer/fleet.go
+++ b/internal/balancer/fleet.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"streamrail/internal/admin"
-	"streamrail/internal/fleet/carry"
 	"streamrail/internal/fleet/member"
+	"streamrail/internal/fleet/transport"
 	"streamrail/internal/operator"
 )
 
@@ -18,7 +18,7 @@
 type fleetMembership struct {
 	settings   *operator.Fleet
 	mu         sync.Mutex
-	transport  *carry.Transport
+	transport  *transport.Transport
 	savedState *member.HandoverState // the state at the time when this process handed the membership over
 }
 
@@ -36,16 +36,16 @@
 	}
 	self := member.Record{Life: member.NewProcessID(time.Now().UnixMilli(), rand.Uint64()), Name: b.deployment.Name, Zone: zone}
 	transportConfig, memberConfig := f.settings.Configs(self, b.deployment.PolicyConfig.Balancers, rand.Uint64())
-	transport, err := carry.Open(transportConfig, memberConfig, saved, b.log)
+	peerTransport, err := transport.Open(transportConfig, memberConfig, saved, b.log)
 	if err != nil {
 		return fmt.Errorf("fleet.address: %w", err)
 	}
 	f.mu.Lock()
-	f.transport = transport
+	f.transport = peerTransport
 	f.mu.Unlock()
-	b.startSharing(transport)
-	b.startExclusionOrders(transport)
-	b.startObservations(transport)
+	b.startSharing(peerTransport)
+	b.startExclusionOrders(peerTransport)
+	b.startObservations(peerTransport)
 	return nil
 }
 
@@ -125,7 +125,7 @@
 }
 
 // fleetTransport returns the transport, or an error with the reason if there is none.
-func (b *Balancer) fleetTransport() (*carry.Transport, error) {
+func (b *Balancer) fleetTransport() (*transport.Transport, error) {
 	f := &b.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,11 +140,11 @@
 
 // Members returns the fleet as this balancer sees it.
 func (a adminAPI) Members() (shown admin.Members, err error) {
-	transport, err := a.b.fleetTransport()
+	peerTransport, err := a.b.fleetTransport()
 	if err != nil {
 		return shown, err
 	}
-	view := transport.View()
+	view := peerTransport.View()
 	agoMs := func(at member.Moment) int64 { return (view.Now - at).Milliseconds() }
 	shown = admin.Members{Fleet: a.b.fleet.settings.Name, Name: view.Self.Name, ProcessID: formatProcessID(view.Self.Life), Incarnation: uint32(view.Self.Inc),
 		Situation: view.Situation.String(), Expected: view.ExpectedMembers, PresentCount: view.PresentCount, Version: view.Version, Digest: fmt.Sprintf("%016x", view.Digest),
@@ -167,11 +167,11 @@
 
 // fleetStats returns the fleet's part of the telemetry; nil without a fleet.
 func (b *Balancer) fleetStats() *admin.FleetTelemetry {
-	transport, err := b.fleetTransport()
+	peerTransport, err := b.fleetTransport()
 	if err != nil {
 		return nil
 	}
-	view, counts := transport.View(), transport.Counts()
+	view, counts := peerTransport.View(), peerTransport.Counts()
 	stats := &admin.FleetTelemetry{Situation: view.Situation.String(), Expected: view.ExpectedMembers, States: map[string]int{member.Alive.String(): 1},
 		Sent: counts.Sent, SentBytes: counts.SentBytes, Received: counts.Received, ReceivedBytes: counts.ReceivedBytes, Dropped: counts.Dropped}
 	for _, m := range view.Members {
--- a/internal/balancer/limits.go
+++ b/internal/balancer/limits.go
@@ -10,9 +10,9 @@
 	"time"
 
 	"streamrail/internal/admin"
-	"streamrail/internal/fleet/carry"
 	"streamrail/internal/fleet/member"
 	"streamrail/internal/fleet/share"
+	"streamrail/internal/fleet/transport"
 	"streamrail/policy"
 )
 
@@ -30,7 +30,7 @@
 	mu             sync.Mutex
 	epoch          time.Time
 	machine        *share.Machine
-	transport      *carry.Transport
+	transport      *transport.Transport
 	recentArrivals [][share.NeedTicks]int64 // requests of each customer in the last periods
 	slot           int                      // index of the current period in recentArrivals
 	stop           chan struct{}
@@ -63,7 +63,7 @@
 func (l *limitShares) now() share.Moment { return time.Since(l.epoch) }
 
 // startSharing starts to borrow and lend shares over a transport.
-func (b *Balancer) startSharing(transport *carry.Transport) {
+func (b *Balancer) startSharing(peerTransport *transport.Transport) {
 	l := b.limitShares
 	if l == nil {
 		return
@@ -71,19 +71,19 @@
 	stop := make(chan struct{})
 	b.upgrade.mu.Lock()
 	l.mu.Lock()
-	l.transport, l.stop = transport, stop
-	l.machine = share.New(share.Config{Self: transport.Self(), Balancers: b.deployment.PolicyConfig.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.needPerItem, ReservedFraction: l.reservedFractions, Lease: b.fleet.settings.Lease.Duration(),
+	l.transport, l.stop = peerTransport, stop
+	l.machine = share.New(share.Config{Self: peerTransport.Self(), Balancers: b.deployment.PolicyConfig.Balancers, Names: l.names, Limits: l.bounds, NeedPerItem: l.needPerItem, ReservedFraction: l.reservedFractions, Lease: b.fleet.settings.Lease.Duration(),
 		FirstAskNumber: uint64(time.Now().UnixMicro()), Seed: rand.Uint64()}, l.now())
 	l.machine.SetUpgrading(b.upgrade.older != nil)
 	l.mu.Unlock()
 	b.upgrade.mu.Unlock()
-	transport.Handle(carry.TopicShares, func(from member.ProcessID, body []byte) {
-		if m, ok := carry.DecodeShares(body); ok {
+	peerTransport.Handle(transport.TopicShares, func(from member.ProcessID, body []byte) {
+		if m, ok := transport.DecodeShares(body); ok {
 			b.updateShares(func(machine *share.Machine, now share.Moment) { machine.Receive(now, from, m) })
 		}
 	})
 	b.updateShares(func(*share.Machine, share.Moment) {})
-	go b.runSharing(transport, stop)
+	go b.runSharing(peerTransport, stop)
 }
 
 // stopSharing returns what is borrowed and stops sharing. This process keeps half of its own share, less what it has lent; the newer
@@ -114,7 +114,7 @@
 }
 
 // runSharing measures the need for each limit and adjusts the shares in every period, until it is stopped.
-func (b *Balancer) runSharing(transport *carry.Transport, stop <-chan struct{}) {
+func (b *Balancer) runSharing(peerTransport *transport.Transport, stop <-chan struct{}) {
 	l := b.limitShares
 	t := time.NewTicker(share.TickInterval)
 	defer t.Stop()
@@ -124,7 +124,7 @@
 		case <-stop:
 			return
 		}
-		members, _ := transport.AliveMembers()
+		members, _ := peerTransport.AliveMembers()
 		b.updateShares(func(machine *share.Machine, now share.Moment) {
 			l.slot = (l.slot + 1) % share.NeedTicks
 			for i := range l.arrivals {
@@ -155,7 +155,7 @@
 	sends := l.machine.TakeOutput()
 	b.applyShares() // first, so that a lent share is no longer used here when the borrower receives it
 	for i := range sends {
-		l.transport.Send(sends[i].To, carry.TopicShares, carry.EncodeShares(&sends[i].Msg))
+		l.transport.Send(sends[i].To, transport.TopicShares, transport.EncodeShares(&sends[i].Msg))
 	}
 }
 
--- a/internal/balancer/orders.go
+++ b/internal/balancer/orders.go
@@ -12,9 +12,9 @@
 	"time"
 
 	"streamrail/internal/admin"
-	"streamrail/internal/fleet/carry"
 	"streamrail/internal/fleet/member"
 	fleetorder "streamrail/internal/fleet/order"
+	"streamrail/internal/fleet/transport"
 	"streamrail/internal/handover"
 	"streamrail/policy"
 )
@@ -28,7 +28,7 @@
 
 	mu          sync.Mutex // serializes inputs; taken before upgrade.mu
 	machine     *fleetorder.Machine
-	transport   *carry.Transport
+	transport   *transport.Transport
 	stop        chan struct{}
 	lastOrderAt time.Time // when the admin API of this balancer was given the last order
 	unsaved     bool      // the file lacks some of the orders held here, so nothing is sent to other balancers
@@ -43,7 +43,7 @@
 }
 
 // startExclusionOrders loads the saved orders and starts to exchange orders over a transport.
-func (b *Balancer) startExclusionOrders(transport *carry.Transport) {
+func (b *Balancer) startExclusionOrders(peerTransport *transport.Transport) {
 	o := b.exclusionOrders
 	if o == nil {
 		return
@@ -55,11 +55,11 @@
 	}
 	stop := make(chan struct{})
 	o.mu.Lock()
-	o.transport, o.stop = transport, stop
-	o.machine = fleetorder.New(fleetorder.Config{Self: transport.Self(), Name: b.deployment.Name, MaxExcludedFraction: o.maxExcludedShare, StoredOrders: saved, Seed: rand.Uint64()})
+	o.transport, o.stop = peerTransport, stop
+	o.machine = fleetorder.New(fleetorder.Config{Self: peerTransport.Self(), Name: b.deployment.Name, MaxExcludedFraction: o.maxExcludedShare, StoredOrders: saved, Seed: rand.Uint64()})
 	o.mu.Unlock()
-	transport.Handle(carry.TopicOrders, func(from member.ProcessID, body []byte) {
-		if m, ok := carry.DecodeOrders(body); ok {
+	peerTransport.Handle(transport.TopicOrders, func(from member.ProcessID, body []byte) {
+		if m, ok := transport.DecodeOrders(body); ok {
 			b.updateExclusionOrders(false, func(machine *fleetorder.Machine, now fleetorder.Moment) { machine.Receive(now, from, m) })
 		}
 	})
@@ -67,7 +67,7 @@
 		t := time.NewTicker(fleetorder.TickInterval)
 		defer t.Stop()
 		for {
-			members, _ := transport.AliveMembers()
+			members, _ := peerTransport.AliveMembers()
 			b.updateExclusionOrders(true, func(machine *fleetorder.Machine, now fleetorder.Moment) {
 				machine.Tick(now, members, time.Since(o.lastOrderAt) < orderPushTime)
 			})
@@ -127,7 +127,7 @@
 		return saveErr
 	}
 	for i := range sends {
-		o.transport.Send(sends[i].To, carry.TopicOrders, carry.EncodeOrders(&sends[i].Msg))
+		o.transport.Send(sends[i].To, transport.TopicOrders, transport.EncodeOrders(&sends[i].Msg))
 	}
 	return nil
 }
@@ -198,10 +198,10 @@
 		o.mu.Unlock()
 		return 0, nil
 	}
-	processes, transport := o.machine.Confirmed(), o.transport
+	processes, peerTransport := o.machine.Confirmed(), o.transport
 	o.mu.Unlock()
 	confirmedByName := map[string]bool{} // whether the member of that name has confirmed
-	for _, m := range transport.View().Members {
+	for _, m := range peerTransport.View().Members {
 		if m.State != member.Left {
 			confirmedByName[m.Name] = confirmedByName[m.Name] || slices.Contains(processes, m.Life)
 		}
--- a/internal/fleet/carry/codec.go
+++ b/internal/fleet/transport/codec.go
@@ -1,6 +1,6 @@
-// Package carry is the transport for messages between balancers: one UDP socket, one message in each datagram, strict
+// Package transport carries messages between balancers: one UDP socket, one message in each datagram, strict
 // decoding. It makes no membership decisions; invalid datagrams are counted and dropped.
-package carry
+package transport
 
 import (
 	"crypto/hmac"
--- a/internal/fleet/carry/evidence.go
+++ b/internal/fleet/transport/evidence.go
@@ -1,4 +1,4 @@
-package carry
+package transport
 
 import (
 	"github.com/fxamacker/cbor/v2"
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -7,8 +7,8 @@
 	"os"
 	"time"
 
-	"streamrail/internal/fleet/carry"
 	"streamrail/internal/fleet/member"
+	"streamrail/internal/fleet/transport"
 	"streamrail/internal/strict"
 )
 
@@ -112,8 +112,8 @@
 }
 
 // Configs returns the configuration of the transport and of the membership for one process of a balancer.
-func (f *Fleet) Configs(self member.Record, expected int, seed uint64) (carry.Config, member.Config) {
+func (f *Fleet) Configs(self member.Record, expected int, seed uint64) (transport.Config, member.Config) {
 	self.Addr = f.addr
-	return carry.Config{Fleet: f.Name, Key: f.key}, member.Config{Self: self, ExpectedMembers: expected, Seeds: f.peers, AddressOverrides: f.via,
+	return transport.Config{Fleet: f.Name, Key: f.key}, member.Config{Self: self, ExpectedMembers: expected, Seeds: f.peers, AddressOverrides: f.via,
 		ProbeInterval: f.Period.Duration(), SuspicionTimeout: f.Suspect.Duration(), GossipBytesPerSecond: f.Budget, MaxMembers: max(minMemberCapacity, 4*expected), Seed: seed}
 }
