--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -43,7 +43,7 @@
 	subscribeRequested chan struct{}
 
 	// mu guards the policy, which is not safe for concurrent use, and what its actions change. Nothing is sent, written or
-	// waited for while it is held, and no answer waits for it: events are posted (decisions.go).
+	// waited for while it is held, and no answer waits for it: events are posted (policy_lock.go).
 	mu       policyLock
 	policy   *policy.Balancer
 	now      policy.Nanos // constant while one event is handled
--- a/internal/deadline/wallclock_test.go
+++ b/internal/deadline/wallclock_test.go
@@ -20,15 +20,15 @@
 	uses   int
 	reason string
 }{
-	"internal/balancer/balancer.go:New":          {1, "the start value of the policy's clock, which then advances by monotonic time"},
-	"internal/balancer/starts.go:convert":        {1, "discovery gives start times by the wall clock; each is converted once, by its age"},
-	"internal/balancer/ends.go:pastDeadline":     {1, "a constant in the past, which ends a wait"},
-	"internal/upstream/upstream.go:pastTime":     {1, "a constant in the past, which ends a wait"},
-	"internal/fleet/transport/codec.go:newCodec": {1, "datagram numbers; known issue: after the clock is stepped back, a restarted process's numbers are not newer"},
-	"internal/fleet/transport/codec.go:encode":   {1, "datagrams contain the wall time at which they were written"},
-	"internal/fleet/transport/codec.go:decode":   {1, "checks that wall time; known issue: a machine whose clock is off by over five minutes is cut off"},
-	"internal/balancer/fleet.go:joinFleet":       {1, "a process id begins with the wall time of the start; known issue: if the clock is stepped back, a restarted process looks older"},
-	"internal/balancer/limits.go:startSharing":   {1, "numbers of lease requests between balancers; known issue: as for datagram numbers"},
+	"internal/balancer/balancer.go:New":              {1, "the start value of the policy's clock, which then advances by monotonic time"},
+	"internal/balancer/start_times.go:convert":       {1, "discovery gives start times by the wall clock; each is converted once, by its age"},
+	"internal/balancer/client_close.go:pastDeadline": {1, "a constant in the past, which ends a wait"},
+	"internal/upstream/upstream.go:pastTime":         {1, "a constant in the past, which ends a wait"},
+	"internal/fleet/transport/codec.go:newCodec":     {1, "datagram numbers; known issue: after the clock is stepped back, a restarted process's numbers are not newer"},
+	"internal/fleet/transport/codec.go:encode":       {1, "datagrams contain the wall time at which they were written"},
+	"internal/fleet/transport/codec.go:decode":       {1, "checks that wall time; known issue: a machine whose clock is off by over five minutes is cut off"},
+	"internal/balancer/fleet.go:joinFleet":           {1, "a process id begins with the wall time of the start; known issue: if the clock is stepped back, a restarted process looks older"},
+	"internal/balancer/limits.go:startSharing":       {1, "numbers of lease requests between balancers; known issue: as for datagram numbers"},
 }
 
 // wallClockUses returns, for each use of the wall clock in a file, the function or variable whose declaration contains it.
--- a/policy/policy.go
+++ b/policy/policy.go
@@ -5,7 +5,7 @@
 // Reading order: policy.go has the life cycle of a request; routing.go, ring.go and replication.go choose the
 // cache host; retry.go decides what may be sent again; origin.go limits traffic to the origin; slowstart.go,
 // health.go, concurrency.go, fairness.go and loadreport.go limit the traffic to each host and to the fleet;
-// membership.go maintains the host list. The state is declared in state.go, meter.go and chance.go.
+// membership.go maintains the host list. The state is declared in state.go, meter.go and hash.go.
 package policy
 
 // New returns a balancer without any hosts; ApplyList supplies the first host list.
