--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -222,7 +222,7 @@
 		description += " " + fault.Zone + fault.Tenant
 	}
 	t.world.Rec.Add(func() {
-		t.world.Rec.Bands = append(t.world.Rec.Bands, record.Band{Text: description, From: from, To: to})
+		t.world.Rec.Faults = append(t.world.Rec.Faults, record.Band{Text: description, From: from, To: to})
 	})
 }
 
@@ -244,17 +244,17 @@
 		t.addStep(from, func() { change(false) })
 	}
 	t.addStep(to, func() { change(true) })
-	t.world.Rec.Add(func() { t.world.Rec.MateCuts = append(t.world.Rec.MateCuts, Cuts(fault, links)...) })
+	t.world.Rec.Add(func() { t.world.Rec.LinkOutages = append(t.world.Rec.LinkOutages, Cuts(fault, links)...) })
 }
 
 // Cuts returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
 // reorders or corrupts datagrams, or loses few of them, cuts nothing.
-func Cuts(fault *scenario.Fault, links [][2]int) (cuts []record.MateCut) {
+func Cuts(fault *scenario.Fault, links [][2]int) (cuts []record.LinkOutage) {
 	if fault.Do != "mate-cut" && fault.Do != "mate-flap" && !(fault.Do == "mate-loss" && fault.Part > maxUsableLoss) && fault.Do != "mate-narrow" {
 		return nil
 	}
 	for _, link := range links {
-		cuts = append(cuts, record.MateCut{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.For).Duration()})
+		cuts = append(cuts, record.LinkOutage{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.For).Duration()})
 	}
 	return cuts
 }
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -130,15 +130,15 @@
 	d.nextSeedsWrong = d.wrongSeeds[i]
 	d.Start(i)
 	d.nextSeedsWrong = false
-	d.memberLife[i] = len(d.rec.Mates)
-	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: formatID(d.Mates[i].ProcessID()), From: d.Now})
+	d.memberLife[i] = len(d.rec.Memberships)
+	d.rec.Memberships = append(d.rec.Memberships, record.Membership{Balancer: i, ProcessID: formatID(d.Mates[i].ProcessID()), From: d.Now})
 }
 
 func (d *Day) stop(i int, leave bool) {
 	if d.Mates[i].Machine == nil {
 		return
 	}
-	d.rec.Mates[d.memberLife[i]].To = d.Now
+	d.rec.Memberships[d.memberLife[i]].To = d.Now
 	if leave {
 		d.Leave(i)
 	} else {
@@ -167,10 +167,10 @@
 			continue
 		}
 		v := m.View()
-		to := record.View{Balancer: i, At: d.Now, Life: formatID(v.Self.Life), Situation: v.Situation.String(), Digest: formatID(member.ProcessID(v.Digest)),
-			Rival: v.NameConflict.Life != 0}
+		to := record.MembershipView{Balancer: i, At: d.Now, ProcessID: formatID(v.Self.Life), Situation: v.Situation.String(), Digest: formatID(member.ProcessID(v.Digest)),
+			NameConflict: v.NameConflict.Life != 0}
 		for _, o := range v.Members {
-			to.Mates = append(to.Mates, record.Mate{Name: o.Name, Life: formatID(o.Life), State: o.State.String()})
+			to.Members = append(to.Members, record.Member{Name: o.Name, ProcessID: formatID(o.Life), State: o.State.String()})
 		}
 		d.rec.Views = append(d.rec.Views, to)
 		for name := range len(d.day.Tenants) {
@@ -178,10 +178,10 @@
 				break
 			}
 			st := m.Share.State(d.Now, name)
-			d.rec.Parts = append(d.rec.Parts, record.Part{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Part: float64(st.Part) / float64(share.WholeLimit),
-				Need: st.Need, Bound: m.Share.Limit(name), Exact: true})
+			d.rec.LimitShares = append(d.rec.LimitShares, record.LimitShare{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Share: float64(st.Part) / float64(share.WholeLimit),
+				Demand: st.Need, Quota: m.Share.Limit(name), Simultaneous: true})
 		}
-		d.rec.Talks = append(d.rec.Talks, record.Talk{Balancer: i, At: d.Now, Bytes: m.Bytes})
+		d.rec.BytesSent = append(d.rec.BytesSent, record.BytesSent{Balancer: i, At: d.Now, Bytes: m.Bytes})
 	}
 }
 
@@ -208,7 +208,7 @@
 		for _, b := range targets {
 			d.at(from, func() {
 				d.Stall(b, f.For.Duration())
-				d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to})
+				d.rec.Pauses = append(d.rec.Pauses, record.Pause{Balancer: b, From: from, To: to})
 			})
 		}
 	case "balancer-twin":
@@ -217,7 +217,7 @@
 			d.stop(b, false)
 			d.nameOverrides[b] = other
 			d.start(b)
-			d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to, Twin: other + 1})
+			d.rec.Pauses = append(d.rec.Pauses, record.Pause{Balancer: b, From: from, To: to, SameNameAs: other + 1})
 		})
 		d.at(to, func() {
 			delete(d.nameOverrides, b)
@@ -238,7 +238,7 @@
 		d.at(from, func() { d.changeLinks(i, false) })
 		d.at(to, func() { d.changeLinks(i, true) })
 	}
-	d.rec.MateCuts = append(d.rec.MateCuts, faults.Cuts(f, d.day.Ways(i))...)
+	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.Cuts(f, d.day.Ways(i))...)
 }
 
 // changeLinks applies a fault to the links that it concerns, or ends it there.
--- a/internal/rehearsal/gather/gather_test.go
+++ b/internal/rehearsal/gather/gather_test.go
@@ -72,7 +72,7 @@
 	}
 	for i := 1; i < 5; i++ {
 		if p.Mates[i].IsPresent(p.Mates[0].ProcessID()) || !p.Mates[i].IsPresent(p.Mates[5].ProcessID()) {
-			t.Errorf("%s does not list only the newer member of that name", record.MateName(i))
+			t.Errorf("%s does not list only the newer member of that name", record.BalancerName(i))
 		}
 	}
 }
@@ -94,7 +94,7 @@
 	for i, n := range reports {
 		sum += n
 		if n > 1 {
-			t.Errorf("%s reported one death %d times", record.MateName(i), n)
+			t.Errorf("%s reported one death %d times", record.BalancerName(i), n)
 		}
 	}
 	if sum == 0 {
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -110,9 +110,9 @@
 	p.starts++
 	t := member.Config{ExpectedMembers: p.terms.Mates, ProbeInterval: p.terms.Period, SuspicionTimeout: p.terms.Suspect, GossipBytesPerSecond: p.terms.Budget,
 		MaxMembers: 4*p.terms.Mates + 64, Seed: p.rng.Uint64()}
-	name := record.MateName(i)
+	name := record.BalancerName(i)
 	if other, ok := p.nameOverrides[i]; ok {
-		name = record.MateName(other)
+		name = record.BalancerName(other)
 	}
 	t.Self = member.Record{Life: member.NewProcessID(p.Now.Milliseconds()+1, p.starts), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
 	for s := range min(p.terms.Seeds, p.terms.Mates) {
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -148,28 +148,28 @@
 	breachCount map[Rule]int
 	notes       []string
 	attempts    map[string][]record.Attempt // by request id, in order of arrival
-	requests    map[string]*record.Call
+	requests    map[string]*record.Request
 	effects     map[string][]record.Effect // by request id
 }
 
 // Judge checks a record against all rules.
 func Judge(rec *record.Record, config Terms) *Verdict {
 	c := &checker{config: config, rec: rec, checked: map[Rule]int{}, examples: map[Rule][]Breach{}, doubtful: map[Rule]int{},
-		breachCount: map[Rule]int{}, attempts: map[string][]record.Attempt{}, requests: map[string]*record.Call{}, effects: map[string][]record.Effect{}}
-	slices.SortStableFunc(rec.Lates, func(x, y record.Late) int { return cmp.Compare(x.At, y.At) })
+		breachCount: map[Rule]int{}, attempts: map[string][]record.Attempt{}, requests: map[string]*record.Request{}, effects: map[string][]record.Effect{}}
+	slices.SortStableFunc(rec.Latenesses, func(x, y record.Lateness) int { return cmp.Compare(x.At, y.At) })
 	for _, a := range rec.Attempts {
-		c.attempts[a.Call] = append(c.attempts[a.Call], a)
+		c.attempts[a.RequestID] = append(c.attempts[a.RequestID], a)
 	}
 	for _, list := range c.attempts {
-		slices.SortStableFunc(list, func(x, y record.Attempt) int { return cmp.Compare(x.Came, y.Came) })
+		slices.SortStableFunc(list, func(x, y record.Attempt) int { return cmp.Compare(x.ArrivedAt, y.ArrivedAt) })
 	}
 	for _, e := range rec.Effects {
-		c.effects[e.Call] = append(c.effects[e.Call], e)
+		c.effects[e.RequestID] = append(c.effects[e.RequestID], e)
 	}
-	for i := range rec.Calls {
-		c.requests[rec.Calls[i].ID] = &rec.Calls[i]
-		c.checkAnswer(&rec.Calls[i])
-		c.checkRepeats(&rec.Calls[i])
+	for i := range rec.Requests {
+		c.requests[rec.Requests[i].ID] = &rec.Requests[i]
+		c.checkAnswer(&rec.Requests[i])
+		c.checkRepeats(&rec.Requests[i])
 	}
 	c.checkUnknownAttempts()
 	c.checkMarks()
@@ -187,7 +187,7 @@
 
 func (c *checker) buildVerdict() *Verdict {
 	v := &Verdict{Notes: c.notes}
-	for _, l := range c.rec.Lates {
+	for _, l := range c.rec.Latenesses {
 		v.LateMost = max(v.LateMost, l.By)
 	}
 	for _, r := range Rules {
@@ -200,9 +200,9 @@
 
 // maxLateness returns the most by which the rehearsal itself ran late within a second of the given time.
 func (c *checker) maxLateness(at time.Duration) (by time.Duration) {
-	i, _ := slices.BinarySearchFunc(c.rec.Lates, at-time.Second, func(l record.Late, t time.Duration) int { return cmp.Compare(l.At, t) })
-	for ; i < len(c.rec.Lates) && c.rec.Lates[i].At <= at+time.Second; i++ {
-		by = max(by, c.rec.Lates[i].By)
+	i, _ := slices.BinarySearchFunc(c.rec.Latenesses, at-time.Second, func(l record.Lateness, t time.Duration) int { return cmp.Compare(l.At, t) })
+	for ; i < len(c.rec.Latenesses) && c.rec.Latenesses[i].At <= at+time.Second; i++ {
+		by = max(by, c.rec.Latenesses[i].By)
 	}
 	return by
 }
@@ -235,24 +235,24 @@
 	}
 	for i, a := range c.attempts[requestID] {
 		proof := [...]string{"nothing proven", "never ran", "missed", "served"}[a.Proof]
-		if a.Swallowed {
+		if a.LostOnLink {
 			proof = "lost on the way"
 		}
-		fmt.Fprintf(&text, "; attempt %d at %s, came %s, ended %s, ran %v, %s", i+1, a.Server, formatTime(a.Came), formatTime(a.Ended), a.Ran, proof)
+		fmt.Fprintf(&text, "; attempt %d at %s, came %s, ended %s, ran %v, %s", i+1, a.Server, formatTime(a.ArrivedAt), formatTime(a.Ended), a.Ran, proof)
 	}
 	return text.String()
 }
 
 func formatTime(d time.Duration) string { return d.Round(10 * time.Microsecond).String() }
 
-func (c *checker) productOf(req *record.Call) Product { return c.config.Products[req.Product] }
+func (c *checker) productOf(req *record.Request) Product { return c.config.Products[req.Product] }
 
 // checkAnswer checks the rules of the group "1 answers" for one request.
-func (c *checker) checkAnswer(req *record.Call) {
-	if req.NotTaken || c.balancerPaused(req) {
+func (c *checker) checkAnswer(req *record.Request) {
+	if req.NotSent || c.balancerPaused(req) {
 		return
 	}
-	if req.Excused && (req.Reply == record.Closed || req.Reply == record.CutShort) {
+	if req.BalancerStopped && (req.Reply == record.Closed || req.Reply == record.CutShort) {
 		return // the balancer was stopped on purpose while it had the request: the client has to retry it
 	}
 	slack := c.config.Slack
@@ -263,19 +263,19 @@
 	// Values are streamed to the client: one that its server broke off cannot be completed, and the client notices.
 	case req.Reply == record.CutShort && !slices.ContainsFunc(c.attempts[req.ID], func(a record.Attempt) bool { return !a.Answered }):
 		c.addBreach(OneAnswer, req.ID, req.Answered, 0, "its value was cut short, and no server had done that")
-	case req.Reply == record.None:
+	case req.Reply == record.NoAnswer:
 		c.addBreach(OneAnswer, req.ID, req.Timeout, 0, "no answer until its client left")
 	case req.Answered > req.Timeout+slack:
 		c.addBreach(OneAnswer, req.ID, req.Answered, req.Answered-req.Timeout-slack, "answered after its client timeout")
 	}
-	if req.Extra > 0 {
-		c.addBreach(OneAnswer, req.ID, req.Answered, 0, "answered %d times", 1+req.Extra)
+	if req.ExtraAnswers > 0 {
+		c.addBreach(OneAnswer, req.ID, req.Answered, 0, "answered %d times", 1+req.ExtraAnswers)
 	}
-	if req.Reply == record.Fulfilled || req.Reply == record.Wrong {
+	if req.Reply == record.Fulfilled || req.Reply == record.WrongAnswer {
 		c.checked[RightAnswer]++
-		if req.Reply == record.Wrong {
+		if req.Reply == record.WrongAnswer {
 			c.addBreach(RightAnswer, req.ID, req.Answered, 0, "served with what was not made for it")
-		} else if !slices.ContainsFunc(c.attempts[req.ID], func(a record.Attempt) bool { return a.Proof == record.WasServed }) {
+		} else if !slices.ContainsFunc(c.attempts[req.ID], func(a record.Attempt) bool { return a.Proof == record.Served }) {
 			c.addBreach(RightAnswer, req.ID, req.Answered, 0, "fulfilled, and no server answered it")
 		}
 	}
@@ -284,12 +284,12 @@
 		end = min(end, req.Answered)
 	}
 	for _, a := range c.attempts[req.ID] {
-		if a.Untimed {
+		if a.UnknownTime {
 			continue
 		}
 		c.checked[NothingLate]++
-		if a.Came > end+slack {
-			c.addBreach(NothingLate, req.ID, a.Came, a.Came-end-slack, "an attempt came to %s after the call was over", a.Server)
+		if a.ArrivedAt > end+slack {
+			c.addBreach(NothingLate, req.ID, a.ArrivedAt, a.ArrivedAt-end-slack, "an attempt came to %s after the call was over", a.Server)
 		}
 		c.checkDeadline(req, a)
 	}
@@ -302,25 +302,25 @@
 const deadlineSlack = 150 * time.Millisecond
 
 // checkDeadline checks that a server is not given more time than the client still waits.
-func (c *checker) checkDeadline(req *record.Call, a record.Attempt) {
-	if a.Told == 0 {
+func (c *checker) checkDeadline(req *record.Request, a record.Attempt) {
+	if a.TimeLeft == 0 {
 		return
 	}
 	c.checked[Deadlines]++
-	if over := a.Came + a.Told - req.Timeout - deadlineSlack; over > 0 {
-		c.addBreach(Deadlines, req.ID, a.Came, over, "%s was told %v when its client had %v left", a.Server, a.Told, formatTime(req.Timeout-a.Came))
+	if over := a.ArrivedAt + a.TimeLeft - req.Timeout - deadlineSlack; over > 0 {
+		c.addBreach(Deadlines, req.ID, a.ArrivedAt, over, "%s was told %v when its client had %v left", a.Server, a.TimeLeft, formatTime(req.Timeout-a.ArrivedAt))
 	}
 }
 
 // balancerPaused reports whether the request's balancer was paused while it had the request, so that it could not answer.
-func (c *checker) balancerPaused(req *record.Call) bool {
-	return slices.ContainsFunc(c.rec.Stalls, func(s record.Stall) bool {
-		return s.Twin == 0 && s.Balancer == req.Balancer && s.From <= req.Timeout+c.config.Slack && s.To >= req.Sent
+func (c *checker) balancerPaused(req *record.Request) bool {
+	return slices.ContainsFunc(c.rec.Pauses, func(s record.Pause) bool {
+		return s.SameNameAs == 0 && s.Balancer == req.Balancer && s.From <= req.Timeout+c.config.Slack && s.To >= req.Sent
 	})
 }
 
 // checkPromptness checks that a request which is given up is answered soon after it came and after its last attempt ended.
-func (c *checker) checkPromptness(req *record.Call) {
+func (c *checker) checkPromptness(req *record.Request) {
 	c.checked[Prompt]++
 	lastEvent := req.Sent
 	for _, a := range c.attempts[req.ID] {
@@ -331,7 +331,7 @@
 	}
 	// While connections cannot be opened, failed connection attempts are seen by the balancer alone.
 	unseenTime := time.Duration(0)
-	if slices.ContainsFunc(c.rec.Darks, func(d record.Dark) bool {
+	if slices.ContainsFunc(c.rec.ConnectOutages, func(d record.ConnectOutage) bool {
 		return d.Balancer == req.Balancer && d.From <= req.Answered && (d.To == 0 || req.Sent <= d.To+c.config.Connect)
 	}) {
 		unseenTime = time.Duration(max(0, c.config.Attempts-len(c.attempts[req.ID]))) * c.config.Connect
@@ -343,20 +343,20 @@
 
 // checkRepeats checks the rules of the group "2 effects" for one request: whether an attempt could have run twice, and
 // whether a rate-limited answer promised rightly that a retry is harmless.
-func (c *checker) checkRepeats(req *record.Call) {
+func (c *checker) checkRepeats(req *record.Request) {
 	product, attempts := c.productOf(req), c.attempts[req.ID]
 	for i, a := range attempts {
 		c.checked[Alone]++
 		if i >= c.config.Attempts {
-			c.addBreach(Alone, req.ID, a.Came, 0, "attempt %d of %d allowed", i+1, c.config.Attempts)
+			c.addBreach(Alone, req.ID, a.ArrivedAt, 0, "attempt %d of %d allowed", i+1, c.config.Attempts)
 		}
 		for _, earlier := range attempts[:i] {
-			if earlier.Untimed || a.Untimed {
+			if earlier.UnknownTime || a.UnknownTime {
 				continue
 			}
 			// The end of an abandoned attempt is seen late, because closing its connection is a message of its own.
-			if over := earlier.Ended - a.Came - c.config.Slack; earlier.Ended == 0 || over > 0 {
-				c.addBreach(Alone, req.ID, a.Came, over, "an attempt came while another one was out")
+			if over := earlier.Ended - a.ArrivedAt - c.config.Slack; earlier.Ended == 0 || over > 0 {
+				c.addBreach(Alone, req.ID, a.ArrivedAt, over, "an attempt came while another one was out")
 				break
 			}
 		}
@@ -365,16 +365,16 @@
 		}
 		c.checked[NoRepeat]++
 		for _, earlier := range attempts[:i] {
-			if earlier.Proof == record.NeverRan || earlier.Proof == record.Missed {
+			if earlier.Proof == record.NeverRan || earlier.Proof == record.CacheMiss {
 				continue
 			}
 			if product.Effect == NonIdempotent {
-				c.addBreach(NoRepeat, req.ID, a.Came, 0, "sent again though it may have run")
+				c.addBreach(NoRepeat, req.ID, a.ArrivedAt, 0, "sent again though it may have run")
 				break
 			}
-			if over := a.Came - earlier.Came - product.Window; over > 0 {
-				c.addBreach(NoRepeat, req.ID, a.Came, max(1, over-c.config.Slack), "sent again %v after an attempt that may have run, beyond its window of %v",
-					formatTime(a.Came-earlier.Came), product.Window)
+			if over := a.ArrivedAt - earlier.ArrivedAt - product.Window; over > 0 {
+				c.addBreach(NoRepeat, req.ID, a.ArrivedAt, max(1, over-c.config.Slack), "sent again %v after an attempt that may have run, beyond its window of %v",
+					formatTime(a.ArrivedAt-earlier.ArrivedAt), product.Window)
 				break
 			}
 		}
@@ -393,14 +393,14 @@
 	}
 	c.checked[Promise]++
 	for _, a := range attempts {
-		if a.Proof == record.NeverRan || a.Proof == record.Missed {
+		if a.Proof == record.NeverRan || a.Proof == record.CacheMiss {
 			continue
 		}
-		if over := req.Answered - a.Came - product.Window; product.Effect == NonIdempotent {
+		if over := req.Answered - a.ArrivedAt - product.Window; product.Effect == NonIdempotent {
 			c.addBreach(Promise, req.ID, req.Answered, 0, "rate-limited though an attempt may have run")
 			return
 		} else if over > c.config.Slack {
-			c.addBreach(Promise, req.ID, req.Answered, over-c.config.Slack, "rate-limited %v after an attempt that may have run, beyond its window", formatTime(req.Answered-a.Came))
+			c.addBreach(Promise, req.ID, req.Answered, over-c.config.Slack, "rate-limited %v after an attempt that may have run, beyond its window", formatTime(req.Answered-a.ArrivedAt))
 			return
 		}
 	}
@@ -411,10 +411,10 @@
 	for _, a := range c.rec.Attempts {
 		if a.Unexpected != "" {
 			c.checked[RightAnswer]++
-			c.addBreach(RightAnswer, a.Call, a.Came, 0, "%s got what no client sent: %s", a.Server, a.Unexpected)
-		} else if c.requests[a.Call] == nil {
+			c.addBreach(RightAnswer, a.RequestID, a.ArrivedAt, 0, "%s got what no client sent: %s", a.Server, a.Unexpected)
+		} else if c.requests[a.RequestID] == nil {
 			c.checked[RightAnswer]++
-			c.addBreach(RightAnswer, a.Call, a.Came, 0, "%s got an attempt of a call that no client made", a.Server)
+			c.addBreach(RightAnswer, a.RequestID, a.ArrivedAt, 0, "%s got an attempt of a call that no client made", a.Server)
 		}
 	}
 }
@@ -423,29 +423,29 @@
 func (c *checker) checkMarks() {
 	first := map[string]record.Effect{}
 	for _, e := range c.rec.Effects {
-		if e.Mark == "" {
+		if e.DedupToken == "" {
 			continue
 		}
 		c.checked[OneEffect]++
-		earlier, repeated := first[e.Mark]
+		earlier, repeated := first[e.DedupToken]
 		if !repeated {
-			first[e.Mark] = e
+			first[e.DedupToken] = e
 			continue
 		}
 		// Not the balancer's fault: a client retry after an error, or too long after a rate-limited answer.
-		if req := c.requests[e.Call]; req != nil && earlier.Call != e.Call {
+		if req := c.requests[e.RequestID]; req != nil && earlier.RequestID != e.RequestID {
 			continue
 		}
 		// A deduplicated request may be sent again within its window. If a host executes an old attempt long after both
 		// were sent, the effect still happens twice; that gets a note, not a breach.
-		if attempts := c.attempts[e.Call]; len(attempts) > 1 && attempts[len(attempts)-1].Came-attempts[0].Came <= c.dedupWindow(e.Call) {
+		if attempts := c.attempts[e.RequestID]; len(attempts) > 1 && attempts[len(attempts)-1].ArrivedAt-attempts[0].ArrivedAt <= c.dedupWindow(e.RequestID) {
 			if len(c.notes) < maxExamples {
 				c.notes = append(c.notes, fmt.Sprintf("the mark %s had its effect twice, %v apart, though all its attempts went inside the window%s",
-					e.Mark, formatTime(e.At-earlier.At), c.describeRequest(e.Call)))
+					e.DedupToken, formatTime(e.At-earlier.At), c.describeRequest(e.RequestID)))
 			}
 			continue
 		}
-		c.addBreach(OneEffect, e.Call, e.At, 0, "the mark %s had its effect %v before", e.Mark, formatTime(e.At-earlier.At))
+		c.addBreach(OneEffect, e.RequestID, e.At, 0, "the mark %s had its effect %v before", e.DedupToken, formatTime(e.At-earlier.At))
 	}
 }
 
@@ -463,46 +463,46 @@
 		balancer int
 		node     string
 	}
-	notices := map[pair][]record.Told{}
-	for _, notice := range c.rec.Tolds {
-		key := pair{notice.Balancer, notice.Node}
+	notices := map[pair][]record.HostNotice{}
+	for _, notice := range c.rec.HostNotices {
+		key := pair{notice.Balancer, notice.Host}
 		notices[key] = append(notices[key], notice)
 	}
 	for _, list := range notices {
-		slices.SortStableFunc(list, func(x, y record.Told) int { return cmp.Compare(x.At, y.At) })
+		slices.SortStableFunc(list, func(x, y record.HostNotice) int { return cmp.Compare(x.At, y.At) })
 	}
 	for _, a := range c.rec.Attempts {
-		if a.Untimed {
+		if a.UnknownTime {
 			continue
 		}
 		var since time.Duration
 		leaving, excluded := false, false
 		for _, notice := range notices[pair{a.Balancer, a.Server}] {
-			if notice.At > a.Began {
+			if notice.At > a.FirstByteAt {
 				break
 			}
 			wasUnavailable := leaving || excluded
-			if notice.ByHand {
-				excluded = !notice.Up
+			if notice.ByOperator {
+				excluded = !notice.Available
 			} else {
-				leaving = !notice.Up
+				leaving = !notice.Available
 			}
 			if !wasUnavailable && (leaving || excluded) {
 				since = notice.At
 			}
 		}
-		if !excluded && (!leaving || c.restartedBetween(a.Balancer, since, a.Began)) {
+		if !excluded && (!leaving || c.restartedBetween(a.Balancer, since, a.FirstByteAt)) {
 			continue
 		}
 		c.checked[Drains]++
-		if over := a.Began - since - c.config.DrainGrace - c.config.Slack; over > 0 {
-			c.addBreach(Drains, a.Call, a.Began, over, "%s got an attempt %v after balancer %d was told that it leaves", a.Server, formatTime(a.Began-since), a.Balancer+1)
+		if over := a.FirstByteAt - since - c.config.DrainGrace - c.config.Slack; over > 0 {
+			c.addBreach(Drains, a.RequestID, a.FirstByteAt, over, "%s got an attempt %v after balancer %d was told that it leaves", a.Server, formatTime(a.FirstByteAt-since), a.Balancer+1)
 		}
 	}
 	// A leaving host that got no attempt at all also counts as a checked case.
 	for _, list := range notices {
 		for _, notice := range list {
-			if !notice.Up {
+			if !notice.Available {
 				c.checked[Drains]++
 			}
 		}
@@ -512,20 +512,20 @@
 // checkOperatorActions checks that a host which operators include again gets an attempt from each balancer within
 // reuseTimeout, and that calls of the admin API succeed in time.
 func (c *checker) checkOperatorActions() {
-	for _, notice := range c.rec.Tolds {
-		if !notice.ByHand || !notice.Up || notice.At+reuseTimeout > c.rec.Until() {
+	for _, notice := range c.rec.HostNotices {
+		if !notice.ByOperator || !notice.Available || notice.At+reuseTimeout > c.rec.LastScheduled() {
 			continue
 		}
 		c.checked[Used]++
 		if !slices.ContainsFunc(c.rec.Attempts, func(a record.Attempt) bool {
-			return a.Balancer == notice.Balancer && a.Server == notice.Node && a.Began > notice.At && a.Began <= notice.At+reuseTimeout
+			return a.Balancer == notice.Balancer && a.Server == notice.Host && a.FirstByteAt > notice.At && a.FirstByteAt <= notice.At+reuseTimeout
 		}) {
-			c.addBreach(Used, "", notice.At, 0, "%s got nothing from balancer %d in %v after it was put back", notice.Node, notice.Balancer+1, reuseTimeout)
+			c.addBreach(Used, "", notice.At, 0, "%s got nothing from balancer %d in %v after it was put back", notice.Host, notice.Balancer+1, reuseTimeout)
 		}
 	}
-	for _, adminCall := range c.rec.Doors {
+	for _, adminCall := range c.rec.AdminCalls {
 		c.checked[Doors]++
-		if !adminCall.Yes {
+		if !adminCall.OK {
 			c.addBreach(Doors, "", adminCall.At, 0, "%s: no, or no answer", adminCall.What)
 		} else if over := adminCall.Took - adminTimeout; over > 0 {
 			c.addBreach(Doors, "", adminCall.At, over, "%s: answered after %v", adminCall.What, formatTime(adminCall.Took))
@@ -551,8 +551,8 @@
 			continue
 		}
 		turnedAway := 0
-		for _, req := range c.rec.Calls {
-			if req.Balancer == u.Balancer && (req.NotTaken || req.Reply == record.Closed) && req.Due >= u.From && req.Due <= u.To {
+		for _, req := range c.rec.Requests {
+			if req.Balancer == u.Balancer && (req.NotSent || req.Reply == record.Closed) && req.ScheduledAt >= u.From && req.ScheduledAt <= u.To {
 				turnedAway++
 			}
 		}
@@ -565,18 +565,18 @@
 // restartedBetween reports whether a balancer was started again between two times: the new process has not been notified of
 // earlier changes.
 func (c *checker) restartedBetween(balancer int, from, to time.Duration) bool {
-	return slices.ContainsFunc(c.rec.Lives, func(l record.Life) bool {
+	return slices.ContainsFunc(c.rec.ProcessRuns, func(l record.ProcessRun) bool {
 		return l.Balancer == balancer && l.Start > from && l.Start <= to
 	})
 }
 
 // checkColdHosts checks that no cold host was pushed over; each host that started during the run is a case.
 func (c *checker) checkColdHosts() {
-	for _, node := range slices.Sorted(maps.Keys(c.rec.ColdLast)) {
+	for _, node := range slices.Sorted(maps.Keys(c.rec.WarmAt)) {
 		c.checked[ColdHosts]++
-		for _, f := range c.rec.Falls {
+		for _, f := range c.rec.OverloadFailures {
 			if f.Server == node {
-				c.addBreach(ColdHosts, "", f.At, 0, "%s fell over, sent %.1f times what it could do: %s", node, f.Multiple, c.describeSenders(node, f.At))
+				c.addBreach(ColdHosts, "", f.At, 0, "%s fell over, sent %.1f times what it could do: %s", node, f.LoadMultiple, c.describeSenders(node, f.At))
 			}
 		}
 	}
@@ -587,7 +587,7 @@
 func (c *checker) describeSenders(server string, before time.Duration) string {
 	attempts, work := map[int]int{}, map[int]time.Duration{}
 	for _, a := range c.rec.Attempts {
-		if a.Server == server && a.Came <= before && a.Came > before-c.config.FallFor {
+		if a.Server == server && a.ArrivedAt <= before && a.ArrivedAt > before-c.config.FallFor {
 			attempts[a.Balancer]++
 			work[a.Balancer] += a.Work
 		}
@@ -601,43 +601,43 @@
 
 // checkGatewayStops checks that misses at cold hosts did not cause much of the load by which the gateway stopped.
 func (c *checker) checkGatewayStops() {
-	if len(c.rec.ColdLast) > 0 {
+	if len(c.rec.WarmAt) > 0 {
 		c.checked[GatewayUp]++ // misses at cold hosts happened, or could have
 	}
-	for _, f := range c.rec.Falls {
-		if f.Server != record.Gateway {
+	for _, f := range c.rec.OverloadFailures {
+		if f.Server != record.Origin {
 			continue
 		}
 		total, coldMisses := 0, 0
 		for _, a := range c.rec.Attempts {
-			if a.Server != record.Gateway || a.Came > f.At || a.Came <= f.At-c.config.FallFor {
+			if a.Server != record.Origin || a.ArrivedAt > f.At || a.ArrivedAt <= f.At-c.config.FallFor {
 				continue
 			}
 			total++
-			if slices.ContainsFunc(c.attempts[a.Call], func(x record.Attempt) bool { return x.Cold && x.Proof == record.Missed }) {
+			if slices.ContainsFunc(c.attempts[a.RequestID], func(x record.Attempt) bool { return x.Cold && x.Proof == record.CacheMiss }) {
 				coldMisses++
 			}
 		}
 		c.checked[GatewayUp]++
 		if share := float64(coldMisses) / float64(max(1, total)); share >= c.config.ColdBlame {
-			c.addBreach(GatewayUp, "", f.At, 0, "the gateway stopped, sent %.1f times what it could do; %.0f%% of it missed at cold nodes", f.Multiple, 100*share)
+			c.addBreach(GatewayUp, "", f.At, 0, "the gateway stopped, sent %.1f times what it could do; %.0f%% of it missed at cold nodes", f.LoadMultiple, 100*share)
 		}
 	}
 }
 
 func (c *checker) checkMalformedClients() {
-	for _, r := range c.rec.Rudes {
+	for _, r := range c.rec.MalformedClients {
 		c.checked[RudeEnds]++
 		if r.Served {
-			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s was served", r.What)
+			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s was served", r.Input)
 		} else if !r.Answered {
-			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s got neither an error nor a close", r.What)
+			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s got neither an error nor a close", r.Input)
 		}
 	}
 }
 
 func (c *checker) checkBalancerExits() {
-	for _, l := range c.rec.Lives {
+	for _, l := range c.rec.ProcessRuns {
 		c.checked[Alive]++
 		if !l.Ordered {
 			c.addBreach(Alive, "", l.End, 0, "balancer %d ended by itself at %v with exit code %d", l.Balancer+1, formatTime(l.End), l.Exit)
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -15,63 +15,63 @@
 		Prompt: 300 * ms, ColdBlame: 0.3, FallFor: 2000 * ms, Connect: 200 * ms}
 }
 
-func call(product int, sent, timeout, answered time.Duration, reply record.Reply) record.Call {
-	return record.Call{ID: "a", Base: "a", Try: 1, Product: product, Due: sent, Sent: sent, Timeout: timeout, Answered: answered, Reply: reply}
+func call(product int, sent, timeout, answered time.Duration, reply record.Reply) record.Request {
+	return record.Request{ID: "a", FirstID: "a", Try: 1, Product: product, ScheduledAt: sent, Sent: sent, Timeout: timeout, Answered: answered, Reply: reply}
 }
 
 func attempt(server string, came, ended time.Duration, proof record.Proof) record.Attempt {
-	return record.Attempt{Call: "a", Server: server, Began: came, Came: came, Ended: ended, Proof: proof, Answered: proof != record.Nothing}
+	return record.Attempt{RequestID: "a", Server: server, FirstByteAt: came, ArrivedAt: came, Ended: ended, Proof: proof, Answered: proof != record.NothingProven}
 }
 
 // Each row is one request with its attempts and the rule that it breaks, if any. A case just beyond a bound is a breach, a
 // case just within it is not.
 func TestRules(t *testing.T) {
-	served := func(c, e time.Duration) record.Attempt { return attempt("n", c, e, record.WasServed) }
+	served := func(c, e time.Duration) record.Attempt { return attempt("n", c, e, record.Served) }
 	servedWithTimeLeft := func(c, e, timeLeft time.Duration) record.Attempt {
 		s := served(c, e)
-		s.Told = timeLeft
+		s.TimeLeft = timeLeft
 		return s
 	}
 	for name, row := range map[string]struct {
-		call     record.Call
+		call     record.Request
 		attempts []record.Attempt
-		notices  []record.Told
+		notices  []record.HostNotice
 		dark     bool
 		want     Rule
 	}{
 		"served":                {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms)}},
-		"served by nobody":      {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.Nothing)}, want: RightAnswer},
-		"after its time":        {call: call(0, 0, 900*ms, 960*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.Nothing)}, want: OneAnswer},
-		"within the slack":      {call: call(0, 0, 900*ms, 940*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.Nothing)}},
+		"served by nobody":      {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}, want: RightAnswer},
+		"after its time":        {call: call(0, 0, 900*ms, 960*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}, want: OneAnswer},
+		"within the slack":      {call: call(0, 0, 900*ms, 940*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}},
 		"closed":                {call: call(0, 0, 900*ms, 0, record.Closed), want: OneAnswer},
-		"cut by its server":     {call: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.Nothing)}},
+		"cut by its server":     {call: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}},
 		"cut on the way":        {call: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{served(1*ms, 29*ms)}, want: OneAnswer},
 		"an attempt afterwards": {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms), served(90*ms, 99*ms)}, want: NothingLate},
 		"held back":             {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, want: Prompt},
-		"its attempt was out":   {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 705*ms, record.Nothing)}},
+		"its attempt was out":   {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 705*ms, record.NothingProven)}},
 		"dark connections":      {call: call(0, 0, 1900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, dark: true},
 		"held in the dark":      {call: call(0, 0, 1900*ms, 1700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, dark: true, want: Prompt},
-		"pay again":             {call: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.Nothing), served(30*ms, 50*ms)}, want: NoRepeat},
+		"pay again":             {call: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(30*ms, 50*ms)}, want: NoRepeat},
 		"pay that never ran":    {call: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NeverRan), served(30*ms, 50*ms)}},
-		"pay, rate-limited":     {call: call(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.Nothing)}, want: Promise},
-		"once in its window":    {call: call(2, 0, 5000*ms, 1960*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.Nothing), served(1930*ms, 1950*ms)}},
-		"once after it":         {call: call(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.Nothing), served(2100*ms, 2150*ms)}, want: NoRepeat},
-		"two at a time":         {call: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.Nothing), served(30*ms, 150*ms)}, want: Alone},
+		"pay, rate-limited":     {call: call(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven)}, want: Promise},
+		"once in its window":    {call: call(2, 0, 5000*ms, 1960*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(1930*ms, 1950*ms)}},
+		"once after it":         {call: call(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(2100*ms, 2150*ms)}, want: NoRepeat},
+		"two at a time":         {call: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.NothingProven), served(30*ms, 150*ms)}, want: Alone},
 		"a drained host": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
-			notices: []record.Told{{Node: "n", At: 1000 * ms}}, want: Drains},
+			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}}, want: Drains},
 		"told twice": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
-			notices: []record.Told{{Node: "n", At: 1000 * ms}, {Node: "n", At: 1500 * ms}}, want: Drains},
+			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}, {Host: "n", At: 1500 * ms}}, want: Drains},
 		"back again": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
-			notices: []record.Told{{Node: "n", At: 500 * ms}, {Node: "n", Up: true, At: 1500 * ms}}},
+			notices: []record.HostNotice{{Host: "n", At: 500 * ms}, {Host: "n", Available: true, At: 1500 * ms}}},
 		"told what is left":     {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 690*ms)}},
 		"told the client's own": {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 691*ms)}, want: Deadlines},
 		"within the grace": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2040*ms, 2100*ms)},
-			notices: []record.Told{{Node: "n", At: 1000 * ms}}},
+			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}}},
 	} {
 		rec := record.New()
-		rec.Calls, rec.Attempts, rec.Tolds = []record.Call{row.call}, row.attempts, row.notices
+		rec.Requests, rec.Attempts, rec.HostNotices = []record.Request{row.call}, row.attempts, row.notices
 		if row.dark {
-			rec.Darks = []record.Dark{{To: 100 * ms}}
+			rec.ConnectOutages = []record.ConnectOutage{{To: 100 * ms}}
 		}
 		var got Rule
 		v := Judge(rec, testConfig())
@@ -90,18 +90,18 @@
 // case that depends on counts alone is a breach regardless of lateness. A rule without a case counts nothing as checked.
 func TestDoubt(t *testing.T) {
 	rec := record.New()
-	rec.Calls = []record.Call{call(0, 0, 900*ms, 970*ms, record.Errored)}
-	rec.Attempts = []record.Attempt{attempt("n", 1*ms, 960*ms, record.Nothing)}
-	rec.Lates = []record.Late{{At: 500 * ms, By: 15 * ms}}
+	rec.Requests = []record.Request{call(0, 0, 900*ms, 970*ms, record.Errored)}
+	rec.Attempts = []record.Attempt{attempt("n", 1*ms, 960*ms, record.NothingProven)}
+	rec.Latenesses = []record.Lateness{{At: 500 * ms, By: 15 * ms}}
 	v := Judge(rec, testConfig())
 	if v.Broken() || !v.Unsure() {
 		t.Errorf("20 ms beyond the bound, 15 ms late: Broken() = %v, Unsure() = %v, expected false, true", v.Broken(), v.Unsure())
 	}
-	rec.Lates[0].By = 8 * ms
+	rec.Latenesses[0].By = 8 * ms
 	if v = Judge(rec, testConfig()); !v.Broken() {
 		t.Error("20 ms beyond the bound, 8 ms late: Broken() = false, expected true")
 	}
-	rec.Lates[0].By, rec.Calls[0].Reply, rec.Calls[0].Answered = time.Second, record.None, 0
+	rec.Latenesses[0].By, rec.Requests[0].Reply, rec.Requests[0].Answered = time.Second, record.NoAnswer, 0
 	if v = Judge(rec, testConfig()); !v.Broken() {
 		t.Error("no answer at all, one second late: Broken() = false, expected true")
 	}
@@ -116,45 +116,45 @@
 // the host as active again, and across an upgrade to a newer process.
 func TestOperators(t *testing.T) {
 	second := time.Second
-	excluded := record.Told{Node: "n", At: 1 * second, ByHand: true}
-	included := record.Told{Node: "n", At: 5 * second, ByHand: true, Up: true}
-	listed := record.Told{Node: "n", At: 2 * second, Up: true}
+	excluded := record.HostNotice{Host: "n", At: 1 * second, ByOperator: true}
+	included := record.HostNotice{Host: "n", At: 5 * second, ByOperator: true, Available: true}
+	listed := record.HostNotice{Host: "n", At: 2 * second, Available: true}
 	upgrade := record.Upgrade{From: 3 * second, To: 4 * second, Ready: second}
 	lastRequest := call(0, 20*second, 21*second, 20*second+30*ms, record.RateLimited) // so that the run goes on long enough for reuseTimeout
-	attemptAt := func(when time.Duration) record.Attempt { return attempt("n", when, when+5*ms, record.WasServed) }
-	closed := func(id string, when time.Duration) record.Call {
+	attemptAt := func(when time.Duration) record.Attempt { return attempt("n", when, when+5*ms, record.Served) }
+	closed := func(id string, when time.Duration) record.Request {
 		c := call(0, when, when+second, 0, record.Closed)
-		c.ID, c.Excused = id, true
+		c.ID, c.BalancerStopped = id, true
 		return c
 	}
 	for name, row := range map[string]struct {
-		notices    []record.Told
+		notices    []record.HostNotice
 		attempts   []record.Attempt
 		upgrades   []record.Upgrade
-		calls      []record.Call
-		adminCalls []record.Door
+		calls      []record.Request
+		adminCalls []record.AdminCall
 		want       Rule
 	}{
-		"out and back":                 {notices: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
-		"sent to though it is out":     {notices: []record.Told{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
-		"sent to by a newer process":   {notices: []record.Told{excluded}, attempts: []record.Attempt{attemptAt(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
-		"left unused":                  {notices: []record.Told{excluded, included}, want: Used},
-		"used too late":                {notices: []record.Told{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: Used},
-		"two turned back":              {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 3200*ms), closed("c", 3300*ms)}},
-		"three turned back":            {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: NoneBack},
-		"three closed at another time": {upgrades: []record.Upgrade{upgrade}, calls: []record.Call{closed("b", 8*second), closed("c", 8*second), closed("d", 8*second)}},
+		"out and back":                 {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
+		"sent to though it is out":     {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
+		"sent to by a newer process":   {notices: []record.HostNotice{excluded}, attempts: []record.Attempt{attemptAt(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
+		"left unused":                  {notices: []record.HostNotice{excluded, included}, want: Used},
+		"used too late":                {notices: []record.HostNotice{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: Used},
+		"two turned back":              {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms)}},
+		"three turned back":            {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: NoneBack},
+		"three closed at another time": {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 8*second), closed("c", 8*second), closed("d", 8*second)}},
 		"never ready":                  {upgrades: []record.Upgrade{{From: second, To: 9 * second}}, want: NoneBack},
-		"a no at the door":             {adminCalls: []record.Door{{What: "x", Took: 5 * ms}}, want: Doors},
-		"a late yes":                   {adminCalls: []record.Door{{What: "x", Took: 1100 * ms, Yes: true}}, want: Doors},
+		"a no at the door":             {adminCalls: []record.AdminCall{{What: "x", Took: 5 * ms}}, want: Doors},
+		"a late yes":                   {adminCalls: []record.AdminCall{{What: "x", Took: 1100 * ms, OK: true}}, want: Doors},
 	} {
 		rec := record.New()
-		rec.Calls, rec.Tolds, rec.Upgrades, rec.Doors = append(row.calls, lastRequest), row.notices, row.upgrades, row.adminCalls
+		rec.Requests, rec.HostNotices, rec.Upgrades, rec.AdminCalls = append(row.calls, lastRequest), row.notices, row.upgrades, row.adminCalls
 		rec.Attempts = row.attempts
 		for i := range rec.Attempts { // give each attempt a request of its own that it answered
-			c := call(0, rec.Attempts[i].Began-ms, rec.Attempts[i].Began+second, rec.Attempts[i].Ended+ms, record.Fulfilled)
+			c := call(0, rec.Attempts[i].FirstByteAt-ms, rec.Attempts[i].FirstByteAt+second, rec.Attempts[i].Ended+ms, record.Fulfilled)
 			c.ID = "attempt" + string(rune('0'+i))
-			rec.Attempts[i].Call = c.ID
-			rec.Calls = append(rec.Calls, c)
+			rec.Attempts[i].RequestID = c.ID
+			rec.Requests = append(rec.Requests, c)
 		}
 		var got Rule
 		if rules := Judge(rec, testConfig()).BrokenRules(); len(rules) == 1 {
--- a/internal/rehearsal/judge/limits.go
+++ b/internal/rehearsal/judge/limits.go
@@ -29,12 +29,12 @@
 
 // checkLimits checks the shares that the admin APIs reported and the connections that hosts saw being opened.
 func (c *checker) checkLimits() {
-	byName := map[string][]record.Part{}
-	for _, p := range c.rec.Parts {
+	byName := map[string][]record.LimitShare{}
+	for _, p := range c.rec.LimitShares {
 		byName[p.Limit] = append(byName[p.Limit], p)
 	}
 	for name, shares := range byName {
-		slices.SortStableFunc(shares, func(a, b record.Part) int { return int(a.At - b.At) })
+		slices.SortStableFunc(shares, func(a, b record.LimitShare) int { return int(a.At - b.At) })
 		c.checkShareSum(name, shares)
 		c.checkShareUsable(name, shares)
 	}
@@ -42,19 +42,19 @@
 }
 
 // checkShareSum checks that shares sampled at the same time add up to no more than the whole.
-func (c *checker) checkShareSum(name string, shares []record.Part) {
+func (c *checker) checkShareSum(name string, shares []record.LimitShare) {
 	streak, worst := 0, 0.0
 	for i := 0; i < len(shares); {
 		sum, end := 0.0, i
 		for ; end < len(shares) && shares[end].At < shares[i].At+sampleWindow; end++ {
-			sum += shares[end].Part
+			sum += shares[end].Share
 		}
 		worst = max(worst, sum)
 		c.checked[LimitKept]++
 		if streak++; sum <= 1+1e-6 {
 			streak = 0
 		}
-		if streak == maxSamplesAbove || streak == 1 && shares[i].Exact {
+		if streak == maxSamplesAbove || streak == 1 && shares[i].Simultaneous {
 			c.addBreach(LimitKept, "", shares[i].At, 0, "the parts of %q add up to %.4f", name, sum)
 		}
 		i = end
@@ -64,24 +64,24 @@
 
 // checkShareUsable checks that a balancer which alone gets a tenant's requests, near the quota or above it, has nearly the
 // whole quota as its share.
-func (c *checker) checkShareUsable(name string, shares []record.Part) {
+func (c *checker) checkShareUsable(name string, shares []record.LimitShare) {
 	aloneSince := map[int]time.Duration{} // by balancer: since when it alone has gotten nearly all of the quota's requests
 	for i := range shares {
 		p := &shares[i]
 		around := 3 * c.config.Mates.Count
-		othersNeed := slices.ContainsFunc(shares[max(0, i-around):min(len(shares), i+around)], func(o record.Part) bool {
-			return o.Balancer != p.Balancer && o.At > p.At-500*time.Millisecond && o.At < p.At+300*time.Millisecond && o.Need > 0.02*o.Bound
+		othersNeed := slices.ContainsFunc(shares[max(0, i-around):min(len(shares), i+around)], func(o record.LimitShare) bool {
+			return o.Balancer != p.Balancer && o.At > p.At-500*time.Millisecond && o.At < p.At+300*time.Millisecond && o.Demand > 0.02*o.Quota
 		})
 		since, ok := aloneSince[p.Balancer]
 		switch {
-		case othersNeed || p.Need < p.Bound*0.8:
+		case othersNeed || p.Demand < p.Quota*0.8:
 			delete(aloneSince, p.Balancer)
 		case !ok:
 			aloneSince[p.Balancer] = p.At
 		case p.At-since > shareAdaptTime && c.allReachable(p.Balancer, p.At-shareAdaptTime, p.At):
 			c.checked[LimitUsed]++
-			if p.Part < minShareInUse {
-				c.addBreach(LimitUsed, "", p.At, 0, "balancer %d has %.3f of %q, of which %.0f a second of %.0f came there for %v", p.Balancer+1, p.Part, name, p.Need, p.Bound, p.At-since)
+			if p.Share < minShareInUse {
+				c.addBreach(LimitUsed, "", p.At, 0, "balancer %d has %.3f of %q, of which %.0f a second of %.0f came there for %v", p.Balancer+1, p.Share, name, p.Demand, p.Quota, p.At-since)
 			}
 		}
 	}
@@ -97,7 +97,7 @@
 		}
 	}
 	for b := range c.config.Mates.Count {
-		if !c.ranThroughout(b, since-lease, to) || b != from && slices.ContainsFunc(c.rec.MateCuts, func(w record.MateCut) bool {
+		if !c.ranThroughout(b, since-lease, to) || b != from && slices.ContainsFunc(c.rec.LinkOutages, func(w record.LinkOutage) bool {
 			return (w.From == from && w.To == b || w.From == b && w.To == from) && w.Begin < to && w.End > since-c.config.Mates.Heal()
 		}) {
 			return false
@@ -113,7 +113,7 @@
 	}
 	byHost := map[string][]time.Duration{}
 	for _, o := range c.rec.Openings {
-		if o.Server != record.Gateway {
+		if o.Server != record.Origin {
 			byHost[o.Server] = append(byHost[o.Server], o.At)
 		}
 	}
--- a/internal/rehearsal/judge/limits_test.go
+++ b/internal/rehearsal/judge/limits_test.go
@@ -14,9 +14,9 @@
 	judgeRun := func(part func(b int, at time.Duration) float64, need func(b int) float64, openings int) []Rule {
 		rec := record.New()
 		for b := range n {
-			rec.Mates = append(rec.Mates, record.MateLife{Balancer: b, Life: "x"})
+			rec.Memberships = append(rec.Memberships, record.Membership{Balancer: b, ProcessID: "x"})
 			for at := time.Duration(0); at < 20*time.Second; at += 250 * time.Millisecond {
-				rec.Parts = append(rec.Parts, record.Part{Balancer: b, At: at + time.Duration(b)*time.Millisecond, Limit: "a", Part: part(b, at), Need: need(b), Bound: 100})
+				rec.LimitShares = append(rec.LimitShares, record.LimitShare{Balancer: b, At: at + time.Duration(b)*time.Millisecond, Limit: "a", Share: part(b, at), Demand: need(b), Quota: 100})
 			}
 		}
 		for i := range openings {
@@ -65,9 +65,9 @@
 	mates := Mates{Count: 2, Period: 100 * time.Millisecond, Suspect: 400 * time.Millisecond, Budget: 3000}
 	for _, reporting := range [][]int{{0, 1}, {0}, {}} {
 		rec := record.New()
-		rec.Stalls = []record.Stall{{Balancer: 0, Twin: 2, From: time.Second, To: time.Minute}}
+		rec.Pauses = []record.Pause{{Balancer: 0, SameNameAs: 2, From: time.Second, To: time.Minute}}
 		for _, b := range reporting {
-			rec.Views = append(rec.Views, record.View{Balancer: b, At: 2 * time.Second, Rival: true})
+			rec.Views = append(rec.Views, record.MembershipView{Balancer: b, At: 2 * time.Second, NameConflict: true})
 		}
 		v := Judge(rec, Terms{Mates: mates})
 		i := slices.IndexFunc(v.Findings, func(f Finding) bool { return f.Rule == MatesName })
--- a/internal/rehearsal/judge/mates.go
+++ b/internal/rehearsal/judge/mates.go
@@ -61,9 +61,9 @@
 	}
 	healTime, deathTime := m.Heal(), m.Death()
 	processIDAt := func(b int, at time.Duration) (processID string) {
-		for _, l := range c.rec.Mates {
+		for _, l := range c.rec.Memberships {
 			if l.Balancer == b && l.From <= at && (l.To == 0 || at <= l.To) {
-				processID = l.Life
+				processID = l.ProcessID
 			}
 		}
 		return processID
@@ -71,11 +71,11 @@
 	notComparable := make([]bool, len(c.rec.Views)) // views that break another rule by themselves, or are of too new a process to be checked
 	for i, v := range c.rec.Views {
 		notComparable[i] = true
-		if processIDAt(v.Balancer, v.At) != v.Life || !c.ranThroughout(v.Balancer, v.At-healTime, v.At) {
+		if processIDAt(v.Balancer, v.At) != v.ProcessID || !c.ranThroughout(v.Balancer, v.At-healTime, v.At) {
 			continue // the process has just started, or has another's name
 		}
-		entries := map[string]record.Mate{}
-		for _, entry := range v.Mates {
+		entries := map[string]record.Member{}
+		for _, entry := range v.Members {
 			entries[entry.Name] = entry
 		}
 		notComparable[i] = false
@@ -83,14 +83,14 @@
 			if b == v.Balancer {
 				continue
 			}
-			entry, known := entries[record.MateName(b)]
+			entry, known := entries[record.BalancerName(b)]
 			if c.ranThroughout(b, v.At-healTime, v.At) && c.canReach(v.Balancer, b, v.At-healTime, v.At) {
 				c.checked[MatesKnown]++
 				c.checked[MatesAlive]++
 				switch processID := processIDAt(b, v.At); {
-				case !known || entry.Life != processID:
+				case !known || entry.ProcessID != processID:
 					notComparable[i] = true
-					c.addBreach(MatesKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, entry.Life, b+1, processID, healTime)
+					c.addBreach(MatesKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, entry.ProcessID, b+1, processID, healTime)
 				case !entry.Present():
 					notComparable[i] = true
 					c.addBreach(MatesAlive, "", v.At, 0, "balancer %d holds balancer %d %s, which lives and could be reached for %v", v.Balancer+1, b+1, entry.State, healTime)
@@ -99,8 +99,8 @@
 			if !known || !entry.Present() {
 				continue
 			}
-			for _, l := range c.rec.Mates {
-				if l.Balancer == b && l.Life == entry.Life && l.To > 0 && l.To < v.At && c.ranThroughout(v.Balancer, l.To, v.At) {
+			for _, l := range c.rec.Memberships {
+				if l.Balancer == b && l.ProcessID == entry.ProcessID && l.To > 0 && l.To < v.At && c.ranThroughout(v.Balancer, l.To, v.At) {
 					c.checked[MatesDead]++
 					if over := v.At - l.To - deathTime; over > 0 {
 						notComparable[i] = true
@@ -143,17 +143,17 @@
 // or restored.
 func (c *checker) unchanged(from, to time.Duration) bool {
 	in := func(at time.Duration) bool { return at > from && at < to }
-	for _, l := range c.rec.Mates {
+	for _, l := range c.rec.Memberships {
 		if in(l.From) || in(l.To) {
 			return false
 		}
 	}
-	for _, s := range c.rec.Stalls {
+	for _, s := range c.rec.Pauses {
 		if s.From < to && s.To > from {
 			return false
 		}
 	}
-	for _, w := range c.rec.MateCuts {
+	for _, w := range c.rec.LinkOutages {
 		if in(w.Begin) || in(w.End) {
 			return false
 		}
@@ -163,12 +163,12 @@
 
 // ranThroughout reports whether a balancer ran under one process id, without a pause or a name conflict, between two times.
 func (c *checker) ranThroughout(b int, from, to time.Duration) bool {
-	for _, s := range c.rec.Stalls {
-		if (s.Balancer == b || s.Twin == b+1) && s.From < to && s.To > from {
+	for _, s := range c.rec.Pauses {
+		if (s.Balancer == b || s.SameNameAs == b+1) && s.From < to && s.To > from {
 			return false
 		}
 	}
-	return slices.ContainsFunc(c.rec.Mates, func(l record.MateLife) bool {
+	return slices.ContainsFunc(c.rec.Memberships, func(l record.Membership) bool {
 		return l.Balancer == b && l.From <= from && (l.To == 0 || l.To > to)
 	})
 }
@@ -177,7 +177,7 @@
 // that ran throughout.
 func (c *checker) canReach(a, b int, from, to time.Duration) bool {
 	open := func(x, y int) bool {
-		return !slices.ContainsFunc(c.rec.MateCuts, func(w record.MateCut) bool {
+		return !slices.ContainsFunc(c.rec.LinkOutages, func(w record.LinkOutage) bool {
 			return (w.From == x && w.To == y || w.From == y && w.To == x) && w.Begin < to && w.End > from
 		})
 	}
@@ -194,14 +194,14 @@
 
 // checkNameConflicts checks that of two processes with one name each reports the conflict in time.
 func (c *checker) checkNameConflicts(healTime time.Duration) {
-	for _, s := range c.rec.Stalls {
-		if s.Twin == 0 || s.To-s.From < healTime {
+	for _, s := range c.rec.Pauses {
+		if s.SameNameAs == 0 || s.To-s.From < healTime {
 			continue
 		}
-		for _, b := range []int{s.Balancer, s.Twin - 1} {
+		for _, b := range []int{s.Balancer, s.SameNameAs - 1} {
 			c.checked[MatesName]++
-			if !slices.ContainsFunc(c.rec.Views, func(v record.View) bool {
-				return v.Balancer == b && v.Rival && v.At > s.From && v.At <= s.From+healTime
+			if !slices.ContainsFunc(c.rec.Views, func(v record.MembershipView) bool {
+				return v.Balancer == b && v.NameConflict && v.At > s.From && v.At <= s.From+healTime
 			}) {
 				c.addBreach(MatesName, "", s.From+healTime, 0, "balancer %d never tells that another one has its name", b+1)
 			}
@@ -213,8 +213,8 @@
 func (c *checker) checkTraffic() {
 	maxBytes := c.config.Mates.Talk()
 	worst := int64(0)
-	for i, x := range c.rec.Talks {
-		for _, y := range c.rec.Talks[i:] {
+	for i, x := range c.rec.BytesSent {
+		for _, y := range c.rec.BytesSent[i:] {
 			if y.Balancer != x.Balancer || y.At-x.At > trafficWindow {
 				continue
 			}
--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -74,22 +74,22 @@
 const writtenValue = "12345"
 
 // sendRequest sends a request once and waits for its answer or for the client's deadline.
-func (c *Callers) sendRequest(req *record.Call, zone int, write bool) {
+func (c *Callers) sendRequest(req *record.Request, zone int, write bool) {
 	req.Balancer = c.pickBalancer(zone, req.Tenant)
 	target := c.targets[req.Balancer]
 	for {
-		co, addr := target.checkout(req.Crossed < maxClosedConns)
+		co, addr := target.checkout(req.ClosedConnections < maxClosedConns)
 		if co == nil {
 			var err error
 			if co, err = dial(addr, max(time.Millisecond, req.Timeout-c.world.Now())); err != nil {
-				req.NotTaken = true
+				req.NotSent = true
 				return
 			}
 		}
 		if !c.exchange(co, req, write, target) {
 			return
 		}
-		req.Crossed++
+		req.ClosedConnections++
 	}
 }
 
@@ -104,22 +104,22 @@
 
 // exchange sends a request over a connection and reads its answer. It returns true if the balancer had closed the
 // connection while it was idle, before the request arrived.
-func (c *Callers) exchange(co *conn, req *record.Call, write bool, target *balancerTarget) (closedWhileIdle bool) {
+func (c *Callers) exchange(co *conn, req *record.Request, write bool, target *balancerTarget) (closedWhileIdle bool) {
 	fresh := !co.used
 	co.used = true
 	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.world.Day.Products[req.Product].Name, c.world.Day.Tenants[req.Tenant].Name,
 		max(1, (req.Timeout-c.world.Now()).Milliseconds()))
 	text := make([]byte, 0, 256)
 	if write {
-		if req.Mark != "" {
-			attrs += ",k=" + req.Mark
+		if req.DedupToken != "" {
+			attrs += ",k=" + req.DedupToken
 		}
 		text = fmt.Appendf(text, "ms %s %d O%s P%s\r\n%s\r\n", req.Key, len(writtenValue), req.ID, attrs, writtenValue)
 	} else {
 		text = fmt.Appendf(text, "mg %s v O%s P%s\r\n", req.Key, req.ID, attrs)
 	}
 	if req.Sent == 0 {
-		c.recordLateness(req.Due, c.world.Now())
+		c.recordLateness(req.ScheduledAt, c.world.Now())
 	}
 	co.net.SetDeadline(time.Now().Add(req.Timeout - c.world.Now()))
 	_, err := co.net.Write(text)
@@ -140,22 +140,22 @@
 			switch {
 			case r.id == req.ID && r.kind == record.Fulfilled && !errors.Is(err, os.ErrDeadlineExceeded):
 				req.Answered, req.Reply = now, record.CutShort
-				req.Excused = target.isStopping()
+				req.BalancerStopped = target.isStopping()
 			case errors.Is(err, os.ErrDeadlineExceeded):
-				req.Reply = record.None
-				req.Excused = target.isStopping()
+				req.Reply = record.NoAnswer
+				req.BalancerStopped = target.isStopping()
 			case !fresh && now-req.Sent < closeRaceWindow && co.in.Buffered() == 0 &&
 				(errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET)):
 				return true // closed without a byte of an answer: the close crossed the request
 			default:
 				req.Reply, req.Ended = record.Closed, now
-				req.Excused = target.isStopping()
+				req.BalancerStopped = target.isStopping()
 			}
 			return false
 		}
-		req.Answered, req.Reply, req.ComeBack = now, r.kind, r.retryAfter
+		req.Answered, req.Reply, req.RetryAfter = now, r.kind, r.retryAfter
 		if r.kind == record.Fulfilled && !c.isCorrect(req, r, write) {
-			req.Reply = record.Wrong
+			req.Reply = record.WrongAnswer
 		}
 		co.lastID = req.ID
 		target.release(co)
@@ -164,7 +164,7 @@
 }
 
 // isCorrect reports whether an answer belongs to the request and has the expected contents.
-func (c *Callers) isCorrect(req *record.Call, r reply, write bool) bool {
+func (c *Callers) isCorrect(req *record.Request, r reply, write bool) bool {
 	if r.id != req.ID {
 		return false
 	}
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -151,14 +151,14 @@
 	random := model.Stream(c.world.Day.Seed, "client "+arrival.ID)
 	due := arrival.At
 	for try := 1; ; try++ {
-		req := record.Call{ID: arrival.ID, Base: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, Mark: arrival.Mark, Once: arrival.Once,
-			Due: due, Timeout: due + arrival.Patience}
+		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.Mark, KeyUsedOnce: arrival.Once,
+			ScheduledAt: due, Timeout: due + arrival.Patience}
 		if try > 1 {
 			req.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 		}
 		c.world.Sent(req.ID, standin.Want{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
 		if c.inFlight.Add(1) > maxInFlight {
-			req.NotTaken = true
+			req.NotSent = true
 		} else {
 			c.sendRequest(&req, arrival.Zone, p.Write)
 		}
@@ -168,8 +168,8 @@
 			return
 		}
 		// A retry is harmless if no balancer took the request, if it was rate-limited, or if the product is idempotent.
-		harmless := req.Reply == record.RateLimited || req.NotTaken || p.Effect == scenario.Idempotent
-		wait, retry := c.retryPolicy.Next(random, try, harmless, req.ComeBack)
+		harmless := req.Reply == record.RateLimited || req.NotSent || p.Effect == scenario.Idempotent
+		wait, retry := c.retryPolicy.Next(random, try, harmless, req.RetryAfter)
 		if !retry {
 			return
 		}
@@ -179,8 +179,8 @@
 }
 
 // recordResult adds the outcome of one sending to the record and to the tally.
-func (c *Callers) recordResult(req record.Call, due time.Duration) {
-	c.world.Rec.Add(func() { c.world.Rec.Calls = append(c.world.Rec.Calls, req) })
+func (c *Callers) recordResult(req record.Request, due time.Duration) {
+	c.world.Rec.Add(func() { c.world.Rec.Requests = append(c.world.Rec.Requests, req) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tally.Due++
@@ -332,9 +332,9 @@
 // recordExtraAnswer counts an additional answer to a request that was already answered.
 func (c *Callers) recordExtraAnswer(id string) {
 	c.world.Rec.Add(func() {
-		for i := len(c.world.Rec.Calls) - 1; i >= 0; i-- {
-			if req := &c.world.Rec.Calls[i]; req.ID == id {
-				req.Extra++
+		for i := len(c.world.Rec.Requests) - 1; i >= 0; i-- {
+			if req := &c.world.Rec.Requests[i]; req.ID == id {
+				req.ExtraAnswers++
 				return
 			}
 		}
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -54,9 +54,9 @@
 		}
 	}()
 	c := &Callers{world: w, targets: []*balancerTarget{target}, lateness: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
-	req := record.Call{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
+	req := record.Request{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
 	c.sendRequest(&req, 0, false)
-	if req.Reply != record.RateLimited || req.Crossed != maxClosedConns {
-		t.Errorf("%v after %d closed connections, want rate-limited on the newly opened one", req.Reply, req.Crossed)
+	if req.Reply != record.RateLimited || req.ClosedConnections != maxClosedConns {
+		t.Errorf("%v after %d closed connections, want rate-limited on the newly opened one", req.Reply, req.ClosedConnections)
 	}
 }
--- a/internal/rehearsal/load/rude.go
+++ b/internal/rehearsal/load/rude.go
@@ -44,8 +44,10 @@
 		return // without a connection no reaction is expected
 	}
 	defer n.Close()
-	r := record.Rude{What: input.name}
-	defer func() { c.world.Rec.Add(func() { c.world.Rec.Rudes = append(c.world.Rec.Rudes, r) }) }()
+	r := record.MalformedClient{Input: input.name}
+	defer func() {
+		c.world.Rec.Add(func() { c.world.Rec.MalformedClients = append(c.world.Rec.MalformedClients, r) })
+	}()
 	wait := answerTimeout
 	if input.name == "a value of 60 MB" {
 		wait = hugeValueTimeout
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -130,11 +130,11 @@
 			p, rep := &results[i], report.Of(res)
 			p.Service, p.Worst10, p.Broken, p.Took = rep.Service.Whole, rep.Service.Worst10s, len(rep.Verdict.BrokenRules()), rep.Took
 			for _, s := range res.Record.Attempts {
-				if s.Server != record.Gateway && s.Proof != record.WasServed && s.Proof != record.Missed {
+				if s.Server != record.Origin && s.Proof != record.Served && s.Proof != record.CacheMiss {
 					p.Vain++
 				}
 				for _, f := range kind.faults {
-					if slices.Contains(f.Nodes, s.Server) && s.Came >= f.At.Duration() && s.Came < (f.At+f.For).Duration() {
+					if slices.Contains(f.Nodes, s.Server) && s.ArrivedAt >= f.At.Duration() && s.ArrivedAt < (f.At+f.For).Duration() {
 						p.AtBad++
 					}
 				}
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -113,17 +113,17 @@
 	}
 	result.report, result.followDelay = report.Of(res), gather.Never
 	sums := map[time.Duration]float64{}
-	for _, x := range res.Record.Parts {
+	for _, x := range res.Record.LimitShares {
 		if x.Limit != "allowance of kiosks" {
 			continue
 		}
-		sums[x.At] += x.Part
+		sums[x.At] += x.Share
 		result.maxSum = max(result.maxSum, sums[x.At])
-		if move > 0 && x.At > move && x.Balancer == 3 && x.Part >= 0.9 {
+		if move > 0 && x.At > move && x.Balancer == 3 && x.Share >= 0.9 {
 			result.followDelay = min(result.followDelay, x.At-move)
 		}
 	}
-	for _, t := range res.Record.Talks {
+	for _, t := range res.Record.BytesSent {
 		if t.Balancer == 0 {
 			result.bytesPerS = max(result.bytesPerS, float64(t.Bytes)/sc.Length.Duration().Seconds())
 		}
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -123,7 +123,7 @@
 	session.End()
 	tally := session.Callers.Tally()
 	good = Share{Of: tally.Due, Good: tally.Fulfilled}
-	for _, l := range session.Rec.Lives {
+	for _, l := range session.Rec.ProcessRuns {
 		cpu += l.CPU
 	}
 	return session.Callers.Latency(), session.Callers.Lateness(), cpu / time.Duration(max(1, tally.Due)), good, err
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -123,7 +123,7 @@
 	day := res.Day
 	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Took, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
-		Tries: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Bands,
+		Tries: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Faults,
 		Seconds: make([]Second, int(day.Length.Duration()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
@@ -146,35 +146,35 @@
 // addRequests adds outcomes, service and latencies of the clients' requests to the report.
 func (r *Report) addRequests(day *scenario.Day, rec *record.Record) {
 	type firstRequest struct {
-		first *record.Call // nil if the record has only client retries of it
-		good  bool         // it or a client retry was fulfilled within the latency SLO
+		first *record.Request // nil if the record has only client retries of it
+		good  bool            // it or a client retry was fulfilled within the latency SLO
 	}
 	byFirstID := map[string]*firstRequest{}
 	var latencies = map[int][]time.Duration{}
-	for i := range rec.Calls {
-		req := &rec.Calls[i]
-		if outcome := req.Reply.String(); req.NotTaken {
+	for i := range rec.Requests {
+		req := &rec.Requests[i]
+		if outcome := req.Reply.String(); req.NotSent {
 			r.Tries["not taken"]++
 		} else {
 			r.Tries[outcome]++
 		}
-		if byFirstID[req.Base] == nil {
-			byFirstID[req.Base] = &firstRequest{}
+		if byFirstID[req.FirstID] == nil {
+			byFirstID[req.FirstID] = &firstRequest{}
 		}
 		if req.Try == 1 {
-			byFirstID[req.Base].first = req
+			byFirstID[req.FirstID].first = req
 		}
 		if req.Reply == record.RateLimited {
 			r.secondAt(req.Answered).Refused++
 		}
 	}
-	for i := range rec.Calls {
-		req := &rec.Calls[i]
-		a := byFirstID[req.Base]
+	for i := range rec.Requests {
+		req := &rec.Requests[i]
+		a := byFirstID[req.FirstID]
 		if req.Reply == record.Fulfilled && a.first != nil {
-			took := req.Answered - a.first.Due
+			took := req.Answered - a.first.ScheduledAt
 			a.good = a.good || took <= day.Products[req.Product].LatencySLO.Duration()
-			sec := int(a.first.Due / time.Second)
+			sec := int(a.first.ScheduledAt / time.Second)
 			latencies[sec] = append(latencies[sec], took)
 		}
 	}
@@ -192,11 +192,11 @@
 			sum[0] += value
 			sum[1] += served
 		}
-		second := r.secondAt(a.first.Due)
+		second := r.secondAt(a.first.ScheduledAt)
 		second.Asked += value
 		second.Served += served
 		r.Service.Calls++
-		if a.first.Once {
+		if a.first.KeyUsedOnce {
 			r.Once.Of++
 			if a.good {
 				r.Once.Good++
@@ -249,27 +249,27 @@
 	for i := range r.Balancers {
 		r.Balancers[i].Name = fmt.Sprintf("balancer %d", i+1)
 	}
-	for _, l := range rec.Lives {
+	for _, l := range rec.ProcessRuns {
 		b := &r.Balancers[l.Balancer]
 		b.Lives++
 		b.PeakMB, b.Sockets, b.CPU = max(b.PeakMB, l.PeakMB), max(b.Sockets, l.Sockets), b.CPU+l.CPU
 	}
-	for _, k := range rec.Calls {
+	for _, k := range rec.Requests {
 		r.Balancers[k.Balancer].Calls++
 	}
 	servers := map[string]*Server{}
 	serverNamed := func(name string) *Server {
 		if servers[name] == nil {
-			servers[name] = &Server{Name: name, Strain: rec.Strains[name]}
+			servers[name] = &Server{Name: name, Strain: rec.MaxLoads[name]}
 		}
 		return servers[name]
 	}
 	for _, s := range rec.Attempts {
 		serverNamed(s.Server).Attempts++
-		if s.Proof == record.Missed {
+		if s.Proof == record.CacheMiss {
 			serverNamed(s.Server).Missed++
 		}
-		r.secondAt(s.Came).Attempts[s.Server]++
+		r.secondAt(s.ArrivedAt).Attempts[s.Server]++
 	}
 	opened := map[string]map[int]int{}
 	for _, o := range rec.Openings {
--- a/internal/rehearsal/runner/door.go
+++ b/internal/rehearsal/runner/door.go
@@ -48,8 +48,8 @@
 		ok := callAdmin(s.ctx, http.MethodPost, addr, path, fmt.Sprintf(`{"member":%q}`, node), nil)
 		now := s.W.Now()
 		s.Rec.Add(func() {
-			s.Rec.Doors = append(s.Rec.Doors, record.Door{What: fmt.Sprintf("%s %s at balancer %d", path, node, b+1), At: began, Took: now - began, Yes: ok})
-			s.Rec.Tolds = append(s.Rec.Tolds, record.Told{Balancer: b, Node: node, Up: !exclude, At: now, ByHand: true})
+			s.Rec.AdminCalls = append(s.Rec.AdminCalls, record.AdminCall{What: fmt.Sprintf("%s %s at balancer %d", path, node, b+1), At: began, Took: now - began, OK: ok})
+			s.Rec.HostNotices = append(s.Rec.HostNotices, record.HostNotice{Balancer: b, Host: node, Available: !exclude, At: now, ByOperator: true})
 		})
 	}
 }
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		to := m.links.Addr(b, o)
-		via = append(via, fmt.Sprintf("%s = %q", record.MateName(o), to))
+		via = append(via, fmt.Sprintf("%s = %q", record.BalancerName(o), to))
 		if len(peers) < 3 {
 			if m.wrongPeers[b] {
 				to = netip.AddrPortFrom(to.Addr(), 9) // nobody listens on this port
@@ -69,9 +69,9 @@
 // nameOf returns the name of a balancer, or the wrong one under which a fault has started it.
 func (s *Stage) nameOf(b int) string {
 	if other, ok := s.membership.wrongNames[b]; ok {
-		return record.MateName(other)
+		return record.BalancerName(other)
 	}
-	return record.MateName(b)
+	return record.BalancerName(b)
 }
 
 // Ways returns the links between balancers, or nil if they do not communicate with each other.
@@ -102,7 +102,7 @@
 			})
 			if i%4 == 0 {
 				s.Rec.Add(func() {
-					s.Rec.Talks = append(s.Rec.Talks, record.Talk{Balancer: b, At: s.W.Now(), Bytes: s.membership.links.Bytes(b)})
+					s.Rec.BytesSent = append(s.Rec.BytesSent, record.BytesSent{Balancer: b, At: s.W.Now(), Bytes: s.membership.links.Bytes(b)})
 				})
 			}
 		}
@@ -114,9 +114,9 @@
 	if !s.fetchAdmin(b, "/api/members", &v) {
 		return v, false
 	}
-	to := record.View{Balancer: b, At: s.W.Now(), Life: v.Life, Situation: v.Situation, Digest: v.Digest, Rival: v.Rival != ""}
+	to := record.MembershipView{Balancer: b, At: s.W.Now(), ProcessID: v.Life, Situation: v.Situation, Digest: v.Digest, NameConflict: v.Rival != ""}
 	for _, m := range v.Members {
-		to.Mates = append(to.Mates, record.Mate{Name: m.Name, Life: m.Life, State: m.State})
+		to.Members = append(to.Members, record.Member{Name: m.Name, ProcessID: m.Life, State: m.State})
 	}
 	s.Rec.Add(func() { s.Rec.Views = append(s.Rec.Views, to) })
 	return v, true
@@ -131,7 +131,7 @@
 	now := s.W.Now()
 	s.Rec.Add(func() {
 		for _, l := range all.Limits {
-			s.Rec.Parts = append(s.Rec.Parts, record.Part{Balancer: b, At: now, Limit: l.Name, Part: l.Part, Need: l.Need, Bound: l.Bound})
+			s.Rec.LimitShares = append(s.Rec.LimitShares, record.LimitShare{Balancer: b, At: now, Limit: l.Name, Share: l.Part, Demand: l.Need, Quota: l.Bound})
 		}
 	})
 }
@@ -148,21 +148,21 @@
 
 // recordMemberships records under which process id each run of a balancer took part in the fleet.
 func recordMemberships(rec *record.Record) {
-	slices.SortFunc(rec.Views, func(a, b record.View) int { return int(a.At - b.At) })
-	for _, l := range rec.Lives {
-		i := slices.IndexFunc(rec.Views, func(v record.View) bool {
+	slices.SortFunc(rec.Views, func(a, b record.MembershipView) int { return int(a.At - b.At) })
+	for _, l := range rec.ProcessRuns {
+		i := slices.IndexFunc(rec.Views, func(v record.MembershipView) bool {
 			return v.Balancer == l.Balancer && v.At >= l.Ready && (l.End == 0 || v.At <= l.End)
 		})
 		if i < 0 || l.Ready == 0 {
 			continue
 		}
-		life := rec.Views[i].Life
-		if k := slices.IndexFunc(rec.Mates, func(m record.MateLife) bool { return m.Balancer == l.Balancer && m.Life == life }); k >= 0 {
-			m := &rec.Mates[k] // both processes of an upgrade have the same process id
+		life := rec.Views[i].ProcessID
+		if k := slices.IndexFunc(rec.Memberships, func(m record.Membership) bool { return m.Balancer == l.Balancer && m.ProcessID == life }); k >= 0 {
+			m := &rec.Memberships[k] // both processes of an upgrade have the same process id
 			m.From, m.To = min(m.From, l.Ready), max(m.To, l.End)
 			continue
 		}
-		rec.Mates = append(rec.Mates, record.MateLife{Balancer: l.Balancer, Life: life, From: l.Ready, To: l.End})
+		rec.Memberships = append(rec.Memberships, record.Membership{Balancer: l.Balancer, ProcessID: life, From: l.Ready, To: l.End})
 	}
 }
 
@@ -181,7 +181,7 @@
 	from := s.W.Now()
 	p.Pause(true)
 	s.Rec.Add(func() {
-		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length + s.W.Day.Rules.Slack.Duration()})
+		s.Rec.Pauses = append(s.Rec.Pauses, record.Pause{Balancer: b, From: from, To: from + length + s.W.Day.Rules.Slack.Duration()})
 	})
 	s.background.Go(func() {
 		select {
@@ -207,7 +207,7 @@
 	s.mu.Unlock()
 	from := s.W.Now()
 	s.Rec.Add(func() {
-		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length, Twin: other + 1})
+		s.Rec.Pauses = append(s.Rec.Pauses, record.Pause{Balancer: b, From: from, To: from + length, SameNameAs: other + 1})
 	})
 	s.Kill(b, 0)
 	s.background.Go(func() {
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -49,7 +49,7 @@
 	tempDir    string
 	configFile string
 	starts     uint64
-	run        *record.Life // record of the current process
+	run        *record.ProcessRun // record of the current process
 }
 
 // readyTimeout limits how long a balancer may take to start serving.
@@ -116,7 +116,7 @@
 		return err
 	}
 	if sc.Fleet.Mode == scenario.Aside {
-		s.W.Register.Set(model.Entry{Node: record.Gateway, Zone: sc.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
+		s.W.Register.Set(model.Entry{Node: record.Origin, Zone: sc.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
 	}
 	var err error
 	s.Callers, err = load.New(s.W)
@@ -199,7 +199,7 @@
 	if l.instance, err = s.launch(s.ctx, b, Place{l.configFile, s.log(b), l.tempDir}); err != nil {
 		return err
 	}
-	l.run = &record.Life{Balancer: b, Start: s.W.Now()}
+	l.run = &record.ProcessRun{Balancer: b, Start: s.W.Now()}
 	s.background.Add(1)
 	go s.monitor(b, l.run, l.instance)
 	return nil
@@ -209,7 +209,7 @@
 const monitorInterval = 250 * time.Millisecond
 
 // monitor reads the resource usage of one process until it ends and then records its run.
-func (s *Stage) monitor(b int, run *record.Life, inst Instance) {
+func (s *Stage) monitor(b int, run *record.ProcessRun, inst Instance) {
 	defer s.background.Done()
 	t := time.NewTicker(monitorInterval)
 	defer t.Stop()
@@ -229,7 +229,7 @@
 	s.mu.Unlock()
 	ended.End, ended.Exit = s.W.Now(), inst.Exit()
 	ended.PeakMB, ended.Sockets, ended.CPU = peak.MB, peak.Sockets, max(peak.CPU, inst.Usage().CPU)
-	s.Rec.Add(func() { s.Rec.Lives = append(s.Rec.Lives, ended) })
+	s.Rec.Add(func() { s.Rec.ProcessRuns = append(s.Rec.ProcessRuns, ended) })
 	s.mu.Lock()
 	replaced := s.slots[b].instance != inst // another process of this balancer has been started already
 	s.mu.Unlock()
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -249,7 +249,7 @@
 				t.Errorf("%s", describeBreaches(v))
 			}
 			n := 0
-			for _, k := range res.Record.Calls {
+			for _, k := range res.Record.Requests {
 				if k.Answered > 0 {
 					n++
 				}
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -52,7 +52,7 @@
 				if s == http.StateNew {
 					now := w.Now()
 					w.Rec.Add(func() {
-						w.Rec.Openings = append(w.Rec.Openings, record.Opening{Server: record.Gateway, Balancer: b, At: now})
+						w.Rec.Openings = append(w.Rec.Openings, record.Opening{Server: record.Origin, Balancer: b, At: now})
 					})
 				}
 			}}
@@ -137,13 +137,13 @@
 	}
 	for _, e := range g.model.Effects()[g.recordedEffects:] {
 		g.world.Rec.Add(func() {
-			g.world.Rec.Effects = append(g.world.Rec.Effects, record.Effect{Call: e.ID, Mark: e.Mark, At: e.At})
+			g.world.Rec.Effects = append(g.world.Rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.Mark, At: e.At})
 		})
 		g.recordedEffects++
 	}
 	for _, s := range g.model.Stops()[g.recordedStops:] {
 		g.world.Rec.Add(func() {
-			g.world.Rec.Falls = append(g.world.Rec.Falls, record.Fall{Server: record.Gateway, At: s.At, Multiple: s.Multiple})
+			g.world.Rec.OverloadFailures = append(g.world.Rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.Multiple})
 		})
 		g.recordedStops++
 	}
@@ -153,7 +153,7 @@
 func (g *Gateway) Strain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.world.Rec.Strain(record.Gateway, g.model.Strain())
+	g.world.Rec.RecordLoad(record.Origin, g.model.Strain())
 }
 
 // maxBodyBytes limits the value of a write.
@@ -168,16 +168,16 @@
 
 // serve handles one attempt of a balancer.
 func (g *Gateway) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
-	observed := record.Attempt{Call: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Gateway, Began: g.world.Now(), Write: r.Method == http.MethodPut}
+	observed := record.Attempt{RequestID: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Origin, FirstByteAt: g.world.Now(), Write: r.Method == http.MethodPut}
 	delay := g.world.Day.Fleet.Same.Duration()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if readErr != nil {
 		return // an incomplete request does not count as sent
 	}
-	observed.Came = g.world.Now()
-	if err != nil || !g.world.expected(observed.Call, key) {
-		observed.Unexpected = fmt.Sprintf("the id %q with the key %q", observed.Call, key)
+	observed.ArrivedAt = g.world.Now()
+	if err != nil || !g.world.expected(observed.RequestID, key) {
+		observed.Unexpected = fmt.Sprintf("the id %q with the key %q", observed.RequestID, key)
 	}
 	if delay >= minDelay {
 		time.Sleep(delay)
@@ -189,7 +189,7 @@
 		}
 		if v, ok := strings.CutPrefix(pair, "d="); ok {
 			ms, _ := strconv.Atoi(v)
-			observed.Told = time.Duration(ms) * time.Millisecond
+			observed.TimeLeft = time.Duration(ms) * time.Millisecond
 		}
 	}
 	reset, fail := g.drawFaults()
@@ -201,14 +201,14 @@
 		return
 	}
 	outcome := make(chan result, 1)
-	g.submit(model.Job{ID: observed.Call, Key: key, Mark: mark, Write: observed.Write}, func(r result) { outcome <- r })
+	g.submit(model.Job{ID: observed.RequestID, Key: key, Mark: mark, Write: observed.Write}, func(r result) { outcome <- r })
 	var res result
 	select {
 	case res = <-outcome:
 	case <-r.Context().Done(): // the balancer gave up: a queued job is dropped, a running one continues
 		observed.Ended = g.world.Now()
 		g.mu.Lock()
-		dropped := g.model.GiveUp(observed.Call)
+		dropped := g.model.GiveUp(observed.RequestID)
 		g.mu.Unlock()
 		go func() {
 			if !dropped {
@@ -235,11 +235,11 @@
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	observed.Ran, observed.Proof = true, record.WasServed
+	observed.Ran, observed.Proof = true, record.Served
 	addRecord()
 	if observed.Write {
-		io.WriteString(rw, "r-"+observed.Call)
+		io.WriteString(rw, "r-"+observed.RequestID)
 	} else {
-		rw.Write(g.world.Value(key, res.version, observed.Call))
+		rw.Write(g.world.Value(key, res.version, observed.RequestID))
 	}
 }
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -136,7 +136,7 @@
 
 // recordBacklog records the commands written to connections that were established in the backlog of a cut link. The
 // caller holds l.mu.
-func (l *link) recordBacklog(w *World, outage record.Dark) {
+func (l *link) recordBacklog(w *World, outage record.ConnectOutage) {
 	l.listener.SetDeadline(time.Now().Add(backlogTimeout))
 	for {
 		c, err := l.listener.AcceptTCP()
@@ -150,8 +150,8 @@
 		c.Close()
 		for line := range bytes.Lines(buf[:n]) {
 			if cmd, fault := memcache.Parse(bytes.TrimRight(line, "\r\n")); fault == nil && !cmd.Noop {
-				lost := record.Attempt{Call: string(cmd.ID), Balancer: l.balancer, Server: l.hostID, Began: outage.From, Came: outage.From, Ended: outage.To,
-					Write: cmd.Write, Swallowed: true, Untimed: true}
+				lost := record.Attempt{RequestID: string(cmd.ID), Balancer: l.balancer, Server: l.hostID, FirstByteAt: outage.From, ArrivedAt: outage.From, Ended: outage.To,
+					Write: cmd.Write, LostOnLink: true, UnknownTime: true}
 				w.Rec.Add(func() { w.Rec.Attempts = append(w.Rec.Attempts, lost) })
 			}
 		}
@@ -169,8 +169,8 @@
 		return nil
 	}
 	l.cut = false
-	outage := record.Dark{Balancer: l.balancer, From: l.cutSince, To: w.Now()}
-	w.Rec.Add(func() { w.Rec.Darks = append(w.Rec.Darks, outage) })
+	outage := record.ConnectOutage{Balancer: l.balancer, From: l.cutSince, To: w.Now()}
+	w.Rec.Add(func() { w.Rec.ConnectOutages = append(w.Rec.ConnectOutages, outage) })
 	if l.backlogFiller != nil {
 		l.backlogFiller.Close()
 		l.backlogFiller = nil
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -59,7 +59,7 @@
 	n.startedAt, n.cold, n.fetching, n.attempts = 0, cold, map[string][]*attempt{}, map[*attempt]struct{}{}
 	if cold {
 		n.startedAt = now
-		n.world.Rec.Add(func() { n.world.Rec.ColdLast[n.ID] = now + n.Group.WarmFor.Duration() })
+		n.world.Rec.Add(func() { n.world.Rec.WarmAt[n.ID] = now + n.Group.WarmFor.Duration() })
 	}
 	n.mu.Unlock()
 	for _, l := range n.links {
@@ -103,7 +103,7 @@
 	if n.model == nil {
 		return
 	}
-	n.world.Rec.Strain(n.ID, n.model.Strain())
+	n.world.Rec.RecordLoad(n.ID, n.model.Strain())
 	n.model = nil
 	for att := range n.attempts {
 		att.finish(answer{lost: true})
@@ -220,7 +220,7 @@
 	if at, multiple, fell := n.model.Fallen(); fell && n.cold {
 		n.cold = false // recorded only once
 		n.world.Rec.Add(func() {
-			n.world.Rec.Falls = append(n.world.Rec.Falls, record.Fall{Server: n.ID, At: at, Multiple: multiple})
+			n.world.Rec.OverloadFailures = append(n.world.Rec.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
 		})
 		go func() {
 			n.Stop()
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -186,7 +186,7 @@
 	a.available[host] = available
 	now := r.world.Now()
 	r.world.Rec.Add(func() {
-		r.world.Rec.Tolds = append(r.world.Rec.Tolds, record.Told{Balancer: balancer, Node: host, Up: available, At: now})
+		r.world.Rec.HostNotices = append(r.world.Rec.HostNotices, record.HostNotice{Balancer: balancer, Host: host, Available: available, At: now})
 	})
 }
 
@@ -208,7 +208,7 @@
 	rows := []instance{}
 	for _, e := range entries {
 		addr := ""
-		if e.Node == record.Gateway {
+		if e.Node == record.Origin {
 			addr = r.world.Gateway.Addr(balancer)
 		} else if n := r.world.Node(e.Node); n != nil {
 			addr = n.Addr(balancer)
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -249,17 +249,17 @@
 // recordAttempt records an attempt that ended at the given time, with what its answer proves to the balancer.
 func (n *Node) recordAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
 	n.mu.Lock()
-	r := record.Attempt{Call: att.id, Balancer: l.balancer, Server: n.ID, Began: att.startedAt, Came: att.receivedAt, Told: att.timeLeft, Ended: ended, Answered: complete,
-		Ran: att.ran, Cold: att.cold, Work: att.work, Write: att.write, Unexpected: att.unexpected, Swallowed: att.lostOnLink}
+	r := record.Attempt{RequestID: att.id, Balancer: l.balancer, Server: n.ID, FirstByteAt: att.startedAt, ArrivedAt: att.receivedAt, TimeLeft: att.timeLeft, Ended: ended, Answered: complete,
+		Ran: att.ran, Cold: att.cold, Work: att.work, Write: att.write, Unexpected: att.unexpected, LostOnLink: att.lostOnLink}
 	n.mu.Unlock()
 	switch {
 	case !complete || a.failed || a.lost || a.invalid:
 	case a.busy:
 		r.Proof = record.NeverRan
 	case a.miss:
-		r.Proof = record.Missed
+		r.Proof = record.CacheMiss
 	default:
-		r.Proof = record.WasServed
+		r.Proof = record.Served
 	}
 	n.world.Rec.Add(func() { n.world.Rec.Attempts = append(n.world.Rec.Attempts, r) })
 }
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -101,7 +101,7 @@
 	c.Close()
 	n.Stall(false)
 	waitForRecord(t, w, "the attempt that ran", func(r *record.Record) bool {
-		return len(r.Effects) == 1 && r.Effects[0].Call == "w1" && len(r.Attempts) > 0 && r.Attempts[0].Ran && r.Attempts[0].Proof == record.Nothing
+		return len(r.Effects) == 1 && r.Effects[0].RequestID == "w1" && len(r.Attempts) > 0 && r.Attempts[0].Ran && r.Attempts[0].Proof == record.NothingProven
 	})
 }
 
@@ -130,7 +130,7 @@
 	}
 	c.Close()
 	waitForRecord(t, w, "the attempt lost on the link", func(r *record.Record) bool {
-		return len(r.Attempts) == 2 && r.Attempts[1].Call == "b" && r.Attempts[1].Swallowed && !r.Attempts[1].Ran
+		return len(r.Attempts) == 2 && r.Attempts[1].RequestID == "b" && r.Attempts[1].LostOnLink && !r.Attempts[1].Ran
 	})
 	if err := n.Cut(0, false); err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -101,7 +101,7 @@
 // Late records that a stand-in or client acted later than planned.
 func (w *World) Late(due, now time.Duration) {
 	if by := now - due; by > minLateness && now > 0 {
-		w.Rec.Add(func() { w.Rec.Lates = append(w.Rec.Lates, record.Late{At: now, By: by}) })
+		w.Rec.Add(func() { w.Rec.Latenesses = append(w.Rec.Latenesses, record.Lateness{At: now, By: by}) })
 	}
 }
 
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -24,7 +24,7 @@
 	requests         map[policy.RequestID]*request
 	generation       int64 // generation of its host list
 	listedUp         map[string]bool
-	lifeRecord       record.Life
+	lifeRecord       record.ProcessRun
 	getsTraffic      bool // the load balancing in front of the fleet considers it alive
 	noticeSeq        int
 	pausedUntil      time.Duration          // the process is stalled until then
@@ -57,7 +57,7 @@
 	attempts      []*attempt
 	inFlight      int
 	answered      bool
-	record        *record.Call
+	record        *record.Request
 	onAnswer      func(reply record.Reply, retryAfter time.Duration)
 	missedHosts   []*cacheHost
 }
@@ -96,7 +96,7 @@
 	b.startCount++
 	b.pausedUntil = 0
 	b.requests, b.listedUp, b.generation, b.observations, b.peerObservations = map[policy.RequestID]*request{}, map[string]bool{}, 0, nil, nil
-	b.lifeRecord = record.Life{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
+	b.lifeRecord = record.ProcessRun{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
 	seed := model.Stream(b.d.Seed, fmt.Sprint("balancer ", b.index, b.startCount)).Uint64()
 	b.decider = policy.New(policyHost{b, b.startCount}, b.d.policyTerms(b.zone), seed)
 	b.pollDiscovery(true)
@@ -111,7 +111,7 @@
 	}
 	b.decider = nil
 	b.lifeRecord.End, b.lifeRecord.Ordered = b.d.now, true
-	b.d.rec.Lives = append(b.d.rec.Lives, b.lifeRecord)
+	b.d.rec.ProcessRuns = append(b.d.rec.ProcessRuns, b.lifeRecord)
 	for _, id := range sorted(b.requests) {
 		req := b.requests[id]
 		for _, a := range req.attempts {
@@ -119,7 +119,7 @@
 		}
 		if !req.answered {
 			req.answered = true
-			req.record.Excused = true
+			req.record.BalancerStopped = true
 			req.onAnswer(record.Closed, 0)
 		}
 	}
@@ -190,7 +190,7 @@
 	}
 	b.listedUp[hostID] = up
 	b.d.tracef("told %d %s %v", b.index, hostID, up)
-	b.d.rec.Tolds = append(b.d.rec.Tolds, record.Told{Balancer: b.index, Node: hostID, Up: up, At: b.d.now})
+	b.d.rec.HostNotices = append(b.d.rec.HostNotices, record.HostNotice{Balancer: b.index, Host: hostID, Available: up, At: b.d.now})
 }
 
 // receive passes a client's request to the decider. A request without time left is rate-limited at once.
@@ -296,7 +296,7 @@
 	a := &attempt{balancer: b, startCount: h.startCount, request: req, index: len(req.attempts), sentAt: d.now, reportedTimeout: time.Duration(deadline - h.Now()), work: d.drawWork(req)}
 	req.attempts = append(req.attempts, a)
 	req.inFlight++
-	if to != record.Gateway {
+	if to != record.Origin {
 		a.host = d.hosts[string(to)]
 	}
 	d.attempts = append(d.attempts, a)
@@ -346,7 +346,7 @@
 // serverName returns the name of an attempt's server, as it stands in records.
 func (a *attempt) serverName() string {
 	if a.host == nil {
-		return record.Gateway
+		return record.Origin
 	}
 	return a.host.id
 }
@@ -374,7 +374,7 @@
 }
 
 // proofs maps outcomes to what the server's answer proves about the execution of the request.
-var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.WasServed, policy.CacheMiss: record.Missed, policy.Rejected: record.NeverRan}
+var proofs = map[policy.Outcome]record.Proof{policy.Fulfilled: record.Served, policy.CacheMiss: record.CacheMiss, policy.Rejected: record.NeverRan}
 
 // cancel closes the connection of an attempt; the server notices after the network delay.
 func (a *attempt) cancel() {
@@ -384,7 +384,7 @@
 	d := a.balancer.d
 	if a.endedAt == 0 || a.endedAt > d.now { // an answer still in transit proves nothing, since nobody waits for it any more
 		// As on sockets, the end of a connection is recorded when it is closed, whatever the network delay.
-		a.endedAt, a.answerComplete, a.proof = d.now, false, record.Nothing
+		a.endedAt, a.answerComplete, a.proof = d.now, false, record.NothingProven
 	}
 	d.after(a.oneWayDelay(), func() {
 		if !a.answerComplete {
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -86,7 +86,7 @@
 		d.discovery.Set(0, n.listEntry(model.Active))
 	}
 	if s.Fleet.Mode == scenario.Aside {
-		d.discovery.Set(0, model.Entry{Node: record.Gateway, Zone: s.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
+		d.discovery.Set(0, model.Entry{Node: record.Origin, Zone: s.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
 	}
 	d.discovery.Advance(0)
 	if s.Mates.On {
@@ -123,8 +123,8 @@
 
 // sendRequest sends a client's request or, if try is above 1, a client retry of it. It schedules the next client retry, if any.
 func (d *Day) sendRequest(arrival *model.Arrival, try int) {
-	rec := &record.Call{ID: arrival.ID, Base: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, Mark: arrival.Mark, Once: arrival.Once,
-		Due: d.now, Sent: d.now, Timeout: d.now + arrival.Patience}
+	rec := &record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.Mark, KeyUsedOnce: arrival.Once,
+		ScheduledAt: d.now, Sent: d.now, Timeout: d.now + arrival.Patience}
 	if try > 1 {
 		rec.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 	}
@@ -136,15 +136,15 @@
 			return
 		}
 		done = true
-		if rec.Reply, rec.ComeBack = reply, retryAfter; reply != record.None && reply != record.Closed {
+		if rec.Reply, rec.RetryAfter = reply, retryAfter; reply != record.NoAnswer && reply != record.Closed {
 			rec.Answered = d.now
 		}
 		if reply == record.Fulfilled {
-			d.latency.RecordValue(min(60_000_000, max(1, (rec.Answered-rec.Due).Microseconds())))
+			d.latency.RecordValue(min(60_000_000, max(1, (rec.Answered-rec.ScheduledAt).Microseconds())))
 		}
-		d.rec.Calls = append(d.rec.Calls, *rec)
+		d.rec.Requests = append(d.rec.Requests, *rec)
 		d.tracef("answer %s %v %v", rec.ID, reply, retryAfter)
-		harmless := reply == record.RateLimited || rec.NotTaken || d.Products[arrival.Product].Effect == scenario.Idempotent
+		harmless := reply == record.RateLimited || rec.NotSent || d.Products[arrival.Product].Effect == scenario.Idempotent
 		rng := model.Stream(d.Seed, fmt.Sprint("client ", arrival.ID, try))
 		if wait, again := d.retry.Next(rng, try, harmless, retryAfter); again && reply != record.Fulfilled {
 			d.after(wait, func() { d.sendRequest(arrival, try+1) })
@@ -154,8 +154,8 @@
 	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.Mark, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
 	d.after(d.Fleet.Same.Duration(), func() {
 		if b.decider == nil {
-			rec.NotTaken = true
-			finish(record.None, 0)
+			rec.NotSent = true
+			finish(record.NoAnswer, 0)
 			return
 		}
 		b.whenRunning(func() {
@@ -163,7 +163,7 @@
 				b.receive(req)
 			}
 		}, func() {
-			rec.Excused = true
+			rec.BalancerStopped = true
 			finish(record.Closed, 0)
 		})
 	})
@@ -174,7 +174,7 @@
 		if req.balancer != nil && !req.answered {
 			b.whenRunning(func() { b.clientGone(req) }, nil)
 		}
-		finish(record.None, 0)
+		finish(record.NoAnswer, 0)
 	})
 }
 
@@ -269,16 +269,16 @@
 	}
 	for _, h := range d.hostsInOrder {
 		if h.model != nil {
-			d.rec.Strain(h.id, h.model.Strain())
+			d.rec.RecordLoad(h.id, h.model.Strain())
 		}
 	}
-	d.rec.Strain(record.Gateway, d.origin.model.Strain())
+	d.rec.RecordLoad(record.Origin, d.origin.model.Strain())
 	for _, a := range d.attempts {
 		if a.receivedAt == 0 {
 			continue // cancelled in transit: no server received it
 		}
-		r := record.Attempt{Call: a.request.id, Balancer: a.balancer.index, Server: a.serverName(), Began: a.sentAt, Came: a.sentAt, Told: max(0, a.reportedTimeout), Ended: a.endedAt, Proof: a.proof,
-			Answered: a.answerComplete, Ran: a.executed, Cold: a.cold, Work: a.work, Write: a.request.write, Swallowed: a.dropped}
+		r := record.Attempt{RequestID: a.request.id, Balancer: a.balancer.index, Server: a.serverName(), FirstByteAt: a.sentAt, ArrivedAt: a.sentAt, TimeLeft: max(0, a.reportedTimeout), Ended: a.endedAt, Proof: a.proof,
+			Answered: a.answerComplete, Ran: a.executed, Cold: a.cold, Work: a.work, Write: a.request.write, LostOnLink: a.dropped}
 		d.rec.Attempts = append(d.rec.Attempts, r)
 	}
 	res := &runner.Result{Day: d.Day, Record: d.rec, Latency: load.PercentilesOf(d.latency), Took: time.Since(began)}
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -89,7 +89,7 @@
 
 // isCut reports whether the link from one balancer to another is cut now.
 func (d *Day) isCut(from, to int) bool {
-	for _, c := range d.rec.MateCuts {
+	for _, c := range d.rec.LinkOutages {
 		if c.From == from && c.To == to && c.Begin <= d.now && d.now < c.End {
 			return true
 		}
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -124,7 +124,7 @@
 	if len(f.Nodes) > 0 || f.Part > 0 && strings.Contains(" slow stall kill vanish deploy ", " "+f.Do+" ") {
 		label += " " + strings.Join(d.Hit(i), " ")
 	}
-	d.rec.Bands = append(d.rec.Bands, record.Band{Text: label, From: from, To: to})
+	d.rec.Faults = append(d.rec.Faults, record.Band{Text: label, From: from, To: to})
 }
 
 // scheduleDeploy schedules a deployment that drains and replaces hosts in waves, as on sockets.
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -49,7 +49,7 @@
 	h.unreachable, h.cold, h.scheduledAt, h.startedAt = false, cold, never, 0
 	if cold {
 		h.startedAt = h.d.now
-		h.d.rec.ColdLast[h.id] = h.d.now + h.group.WarmFor.Duration()
+		h.d.rec.WarmAt[h.id] = h.d.now + h.group.WarmFor.Duration()
 	}
 }
 
@@ -58,7 +58,7 @@
 	if h.model == nil {
 		return
 	}
-	h.d.rec.Strain(h.id, h.model.Strain())
+	h.d.rec.RecordLoad(h.id, h.model.Strain())
 	h.model, h.unreachable = nil, silent
 	inFlight := h.inFlight
 	h.inFlight = nil
@@ -139,7 +139,7 @@
 	}
 	if at, multiple, fell := h.model.Fallen(); fell && h.cold {
 		h.cold = false
-		h.d.rec.Falls = append(h.d.rec.Falls, record.Fall{Server: h.id, At: at, Multiple: multiple})
+		h.d.rec.OverloadFailures = append(h.d.rec.OverloadFailures, record.OverloadFailure{Server: h.id, At: at, LoadMultiple: multiple})
 		h.stop(false)
 		h.d.setCondition(h, model.Left)
 	}
@@ -263,11 +263,11 @@
 		done.Tag.(func(fetchResult))(fetchResult{lost: done.Lost, version: done.Version})
 	}
 	for _, e := range o.model.Effects()[o.effectsRecorded:] {
-		o.d.rec.Effects = append(o.d.rec.Effects, record.Effect{Call: e.ID, Mark: e.Mark, At: e.At})
+		o.d.rec.Effects = append(o.d.rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.Mark, At: e.At})
 		o.effectsRecorded++
 	}
 	for _, s := range o.model.Stops()[o.stopsRecorded:] {
-		o.d.rec.Falls = append(o.d.rec.Falls, record.Fall{Server: record.Gateway, At: s.At, Multiple: s.Multiple})
+		o.d.rec.OverloadFailures = append(o.d.rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.Multiple})
 		o.stopsRecorded++
 	}
 }
