--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -63,7 +63,7 @@
 		f.members, fleetAddrs = append(f.members, m), append(fleetAddrs, netip.MustParseAddrPort(m.fleetAddr))
 	}
 	var err error
-	if f.relays, err = standin.NewRelays(fleetAddrs, model.WayTerms{}, rand.New(rand.NewPCG(1, 1))); err != nil {
+	if f.relays, err = standin.NewRelays(fleetAddrs, model.LinkConfig{}, rand.New(rand.NewPCG(1, 1))); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.relays.Close)
@@ -262,8 +262,8 @@
 	f := newFleet(t, 5, "", nil)
 	for from := range 5 {
 		for to := range 5 {
-			f.relays.Change(from, to, func(w *model.WayTerms) {
-				*w = model.WayTerms{Loss: 0.25, Jitter: 20 * time.Millisecond, Repeat: 0.1, Reorder: 0.1, Late: 50 * time.Millisecond, Spoil: 0.1}
+			f.relays.Change(from, to, func(w *model.LinkConfig) {
+				*w = model.LinkConfig{LossRatio: 0.25, Jitter: 20 * time.Millisecond, DuplicateRatio: 0.1, ReorderRatio: 0.1, ReorderDelay: 50 * time.Millisecond, CorruptRatio: 0.1}
 			})
 		}
 	}
--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -274,7 +274,7 @@
 	}
 }
 
-func (t *Timeline) setCondition(n *standin.Node, c model.Condition) { t.world.Register.Set(n.Entry(c)) }
+func (t *Timeline) setCondition(n *standin.Node, c model.Lifecycle) { t.world.Register.Set(n.Entry(c)) }
 
 // deploy replaces hosts in waves. The successor starts cold when the old host begins to leave, or, where it takes over the old
 // one's address, after the old one has ended. The old host goes on until every balancer must have been notified, and then for
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -245,6 +245,6 @@
 func (d *Day) changeLinks(i int, end bool) {
 	change := d.day.Harm(i, end)
 	for _, w := range d.day.Ways(i) {
-		change(&d.Way(w[0], w[1]).WayTerms)
+		change(&d.Way(w[0], w[1]).LinkConfig)
 	}
 }
--- a/internal/rehearsal/gather/gather_test.go
+++ b/internal/rehearsal/gather/gather_test.go
@@ -13,7 +13,7 @@
 
 func testTerms(n int, seed uint64, loss float64) Terms {
 	return Terms{Mates: n, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
-		Ways: model.WayTerms{Loss: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
+		Ways: model.LinkConfig{LossRatio: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
 // The same seed must give the same simulation, so that findings of a search can be reproduced.
--- a/internal/rehearsal/gather/measure.go
+++ b/internal/rehearsal/gather/measure.go
@@ -149,14 +149,14 @@
 // for a random time up to stall. Packet loss begins only once all views are equal: with high loss some member is suspected
 // most of the time, so the views would rarely become equal. If they do not, Deaths is -1.
 func Quiet(t Terms, length, stallEvery, stall time.Duration) (c Calm) {
-	loss := t.Ways.Loss
-	t.Ways.Loss = 0
+	loss := t.Ways.LossRatio
+	t.Ways.LossRatio = 0
 	p := New(t)
 	if !p.Whole(time.Minute) {
 		c.Deaths = -1
 		return c
 	}
-	p.defaultLink.Loss = loss
+	p.defaultLink.LossRatio = loss
 	p.Run(p.Now + 10*time.Second)
 	for _, m := range p.Mates {
 		m.Bytes, m.Sent = 0, 0
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -25,7 +25,7 @@
 	Suspect time.Duration
 	Budget  int
 	Seed    uint64
-	Ways    model.WayTerms // initial properties of the link between any two members
+	Ways    model.LinkConfig // initial properties of the link between any two members
 }
 
 // Play is a simulated fleet and its current state.
@@ -45,8 +45,8 @@
 	Wrong  func(index int, m *share.Machine)
 
 	terms          Terms
-	links          map[[2]int]*model.Way
-	defaultLink    *model.Way
+	links          map[[2]int]*model.Link
+	defaultLink    *model.Link
 	cut            func(from, to int) bool
 	queue          queue
 	eventCount     uint64
@@ -83,8 +83,8 @@
 
 // New returns a fleet in which no process runs yet.
 func New(t Terms) *Play {
-	p := &Play{terms: t, links: map[[2]int]*model.Way{}, rng: model.Stream(t.Seed, "gather")}
-	p.defaultLink = model.NewWay(t.Ways, p.rng)
+	p := &Play{terms: t, links: map[[2]int]*model.Link{}, rng: model.NewRand(t.Seed, "gather")}
+	p.defaultLink = model.NewLink(t.Ways, p.rng)
 	for range t.Mates {
 		p.Mates = append(p.Mates, &Mate{})
 	}
@@ -169,8 +169,8 @@
 			link = override
 		}
 		delivery := &shareDelivery{m.Machine.ProcessID(), s.To, s.Msg}
-		for _, d := range link.Pass(p.Now, size) {
-			if !d.Spoilt {
+		for _, d := range link.Send(p.Now, size) {
+			if !d.Corrupt {
 				p.push(event{at: d.At, kind: deliverShare, to: int32(to), from: int32(i), share: delivery})
 			}
 		}
@@ -213,10 +213,10 @@
 
 // Way returns the link from one member to another. From the first call on, this link has its own properties instead of the
 // default ones.
-func (p *Play) Way(from, to int) *model.Way {
+func (p *Play) Way(from, to int) *model.Link {
 	link := p.links[[2]int{from, to}]
 	if link == nil {
-		link = model.NewWay(p.terms.Ways, p.rng)
+		link = model.NewLink(p.terms.Ways, p.rng)
 		p.links[[2]int{from, to}] = link
 	}
 	return link
@@ -326,8 +326,8 @@
 		}
 		msg := new(member.Message)
 		*msg = s.Msg
-		for _, d := range link.Pass(p.Now, size) {
-			if !d.Spoilt { // receivers drop corrupted datagrams because of the checksum
+		for _, d := range link.Send(p.Now, size) {
+			if !d.Corrupt { // receivers drop corrupted datagrams because of the checksum
 				p.push(event{at: d.At, kind: deliver, to: int32(to), from: int32(i), msg: msg})
 			}
 		}
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -24,7 +24,7 @@
 type Callers struct {
 	world       *standin.World
 	arrivals    []model.Arrival
-	retryPolicy model.Retry
+	retryPolicy model.RetryPolicy
 	targets     []*balancerTarget // indexed by balancer
 
 	running    sync.WaitGroup
@@ -148,11 +148,11 @@
 // runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
 func (c *Callers) runRequest(arrival *model.Arrival) {
 	p := &c.world.Day.Products[arrival.Product]
-	random := model.Stream(c.world.Day.Seed, "client "+arrival.ID)
+	random := model.NewRand(c.world.Day.Seed, "client "+arrival.ID)
 	due := arrival.At
 	for try := 1; ; try++ {
-		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.Mark, KeyUsedOnce: arrival.Once,
-			ScheduledAt: due, Timeout: due + arrival.Patience}
+		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
+			ScheduledAt: due, Timeout: due + arrival.Timeout}
 		if try > 1 {
 			req.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 		}
@@ -169,7 +169,7 @@
 		}
 		// A retry is harmless if no balancer took the request, if it was rate-limited, or if the product is idempotent.
 		harmless := req.Reply == record.RateLimited || req.NotSent || p.Effect == scenario.Idempotent
-		wait, retry := c.retryPolicy.Next(random, try, harmless, req.RetryAfter)
+		wait, retry := c.retryPolicy.NextDelay(random, try, harmless, req.RetryAfter)
 		if !retry {
 			return
 		}
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -37,7 +37,7 @@
 // defaultTerms returns a fleet with the defaults of the operator's file.
 func defaultTerms(members int, seed uint64, loss float64) gather.Terms {
 	return gather.Terms{Mates: members, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
-		Ways: model.WayTerms{Loss: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
+		Ways: model.LinkConfig{LossRatio: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
 // maxQuietRun limits one simulation without deaths before the next seed begins: many starts cover more cases than one long run.
--- a/internal/rehearsal/model/chance.go
+++ b/internal/rehearsal/model/chance.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Stream returns a random number generator for a seed and a name. Each part of a model has its own, so that the draws of one
+// NewRand returns a random number generator for a seed and a name. Each part of a model has its own, so that the draws of one
 // part do not affect the others.
-func Stream(seed uint64, name string) *rand.Rand {
+func NewRand(seed uint64, name string) *rand.Rand {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return rand.New(rand.NewPCG(seed, h.Sum64()))
 }
 
-// Law is the distribution of the work of a product's requests.
-type Law string
+// Distribution is the distribution of the work of a product's requests.
+type Distribution string
 
 const (
-	Exponential Law = "exponential"
-	LogNormal   Law = "lognormal"
-	Constant    Law = "constant"
+	Exponential Distribution = "exponential"
+	LogNormal   Distribution = "lognormal"
+	Constant    Distribution = "constant"
 )
 
-// Work draws the work of a request. It depends only on the seed and the request, so each attempt takes the same work on any host
+// RequestWork draws the work of a request. It depends only on the seed and the request, so each attempt takes the same work on any host
 // and in every run with the seed. Variation is the standard deviation divided by the mean; it is 1 for Exponential.
-func Work(seed uint64, id string, law Law, mean time.Duration, variation float64) time.Duration {
+func RequestWork(seed uint64, id string, law Distribution, mean time.Duration, variation float64) time.Duration {
 	if law == Constant || mean <= 0 {
 		return mean
 	}
-	r := Stream(seed, "work "+id)
+	r := NewRand(seed, "work "+id)
 	if law == Exponential {
 		return time.Duration(r.ExpFloat64() * float64(mean))
 	}
--- a/internal/rehearsal/model/engine.go
+++ b/internal/rehearsal/model/engine.go
@@ -15,12 +15,12 @@
 
 // Job is one unit of work at a cache host or the origin.
 type Job struct {
-	ID    string        // of the request that it belongs to; "" for work that nobody waits for
-	Key   string        // the key that it reads or writes
-	Mark  string        // deduplication token of a deduplicated write
-	Write bool          // whether it has an effect
-	Work  time.Duration // time that it takes on a core of speed 1
-	Tag   any           // data of the caller, returned in Done
+	ID         string        // of the request that it belongs to; "" for work that nobody waits for
+	Key        string        // the key that it reads or writes
+	DedupToken string        // deduplication token of a deduplicated write
+	Write      bool          // whether it has an effect
+	WorkTime   time.Duration // time that it takes on a core of speed 1
+	Tag        any           // data of the caller, returned in Done
 }
 
 // Done is a job that a cache host or the origin has ended or lost.
@@ -57,7 +57,7 @@
 // add adds a job at the processor's current time.
 func (p *processor) add(j Job) {
 	if len(p.running) < p.cores {
-		p.running = append(p.running, runningJob{j, float64(j.Work)})
+		p.running = append(p.running, runningJob{j, float64(j.WorkTime)})
 		return
 	}
 	p.waiting = append(p.waiting, j)
@@ -97,7 +97,7 @@
 	for len(p.running) < p.cores && len(p.waiting) > 0 {
 		j := p.waiting[0]
 		p.waiting = slices.Delete(p.waiting, 0, 1)
-		p.running = append(p.running, runningJob{j, float64(j.Work)})
+		p.running = append(p.running, runningJob{j, float64(j.WorkTime)})
 	}
 	return ended
 }
--- a/internal/rehearsal/model/gateway.go
+++ b/internal/rehearsal/model/gateway.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// GatewayTerms configures the origin behind the cache hosts.
-type GatewayTerms struct {
-	Slots        int           // number of requests that it works on at a time
-	Time         time.Duration // mean service time of a request
-	Queue        int           // maximum number of waiting requests; further ones are rejected
-	FallMultiple float64       // it stops when it is offered more than this multiple of its capacity over FallFor; 0: never
-	FallFor      time.Duration
-	StopFor      time.Duration // how long it stays stopped
-	Window       time.Duration // how long it deduplicates writes with the same token
-	SeenMost     int           // number of deduplication tokens above which it removes expired ones; 0: 1<<20
+// OriginConfig configures the origin behind the cache hosts.
+type OriginConfig struct {
+	Slots            int           // number of requests that it works on at a time
+	ServiceTime      time.Duration // mean service time of a request
+	Queue            int           // maximum number of waiting requests; further ones are rejected
+	OverloadMultiple float64       // it stops when it is offered more than this multiple of its capacity over OverloadWindow; 0: never
+	OverloadWindow   time.Duration
+	OutageLength     time.Duration // how long it stays stopped
+	DedupWindow      time.Duration // how long it deduplicates writes with the same token
+	MaxTokens        int           // number of deduplication tokens above which it removes expired ones; 0: 1<<20
 }
 
 // Effect is one applied write.
 type Effect struct {
-	ID, Key, Mark string
-	At            time.Duration
-	Version       uint64
+	ID, Key, DedupToken string
+	At                  time.Duration
+	Version             uint64
 }
 
-// Gateway models the origin, the slow store behind all cache hosts. It is not safe for concurrent use.
-type Gateway struct {
-	terms             GatewayTerms
+// Origin models the origin, the slow store behind all cache hosts. It is not safe for concurrent use.
+type Origin struct {
+	terms             OriginConfig
 	processor         processor
 	slowdown          float64
 	loadMeter         loadMeter
 	loadRecordedUntil time.Duration
 	stoppedUntil      time.Duration // end of the current stop
-	stops             []Stop
+	stops             []Outage
 	appliedTokens     map[string]Effect
 	versions          map[string]uint64
 	effects           []Effect
 	stopped           bool
 }
 
-// Stop is an outage of the origin caused by overload.
-type Stop struct {
-	At       time.Duration
-	Multiple float64 // offered work as a multiple of its capacity
+// Outage is an outage of the origin caused by overload.
+type Outage struct {
+	At           time.Duration
+	LoadMultiple float64 // offered work as a multiple of its capacity
 }
 
 const maxVersionedKeys = 1 << 20
 
-// NewGateway starts an origin.
-func NewGateway(terms GatewayTerms, now time.Duration) *Gateway {
-	return &Gateway{terms: terms, slowdown: 1, processor: processor{cores: terms.Slots, maxWaiting: terms.Queue, rate: 1, now: now}, loadRecordedUntil: now,
-		loadMeter: loadMeter{window: terms.FallFor, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
+// NewOrigin starts an origin.
+func NewOrigin(terms OriginConfig, now time.Duration) *Origin {
+	return &Origin{terms: terms, slowdown: 1, processor: processor{cores: terms.Slots, maxWaiting: terms.Queue, rate: 1, now: now}, loadRecordedUntil: now,
+		loadMeter: loadMeter{window: terms.OverloadWindow, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
 }
 
-// Slow divides the speed of the origin by a factor; a factor of 1 restores it.
-func (g *Gateway) Slow(factor float64) {
+// SetSlowdown divides the speed of the origin by a factor; a factor of 1 restores it.
+func (g *Origin) SetSlowdown(factor float64) {
 	g.slowdown = max(factor, 1e-3)
 	g.setRate()
 }
 
-func (g *Gateway) setRate() {
+func (g *Origin) setRate() {
 	g.processor.rate = 1 / g.slowdown
 	if g.stopped {
 		g.processor.rate = 0
@@ -65,8 +65,8 @@
 
 // Offer sends a job to the origin at a time up to which Advance has been called. It returns false if the job is rejected, so
 // that it never runs.
-func (g *Gateway) Offer(now time.Duration, j Job) bool {
-	g.recordLoad(now, j.Work)
+func (g *Origin) Offer(now time.Duration, j Job) bool {
+	g.recordLoad(now, j.WorkTime)
 	if g.stopped || !g.processor.hasRoom() {
 		return false
 	}
@@ -74,22 +74,22 @@
 	return true
 }
 
-func (g *Gateway) recordLoad(now, work time.Duration) {
-	if g.terms.FallMultiple <= 0 || g.stopped {
+func (g *Origin) recordLoad(now, work time.Duration) {
+	if g.terms.OverloadMultiple <= 0 || g.stopped {
 		return
 	}
 	g.loadMeter.add(now, float64(work), float64(now-g.loadRecordedUntil)*float64(g.terms.Slots)/g.slowdown)
 	g.loadRecordedUntil = now
-	if m := g.loadMeter.multiple(now); m > g.terms.FallMultiple {
-		g.stops = append(g.stops, Stop{now, m})
-		g.stopped, g.stoppedUntil = true, now+g.terms.StopFor
+	if m := g.loadMeter.multiple(now); m > g.terms.OverloadMultiple {
+		g.stops = append(g.stops, Outage{now, m})
+		g.stopped, g.stoppedUntil = true, now+g.terms.OutageLength
 		g.setRate()
 	}
 }
 
 // Advance simulates the origin up to a given time and returns the jobs that ended or were lost, in order. The jobs that it has
 // when it stops are lost.
-func (g *Gateway) Advance(now time.Duration) (done []Done) {
+func (g *Origin) Advance(now time.Duration) (done []Done) {
 	for {
 		if g.stopped {
 			for _, j := range g.processor.removeAll() {
@@ -101,8 +101,8 @@
 			}
 			g.processor.now = max(g.processor.now, g.stoppedUntil)
 			g.stopped = false
-			g.loadRecordedUntil, g.loadMeter = g.stoppedUntil, loadMeter{window: g.terms.FallFor, startedAt: g.stoppedUntil, highest: g.loadMeter.highest,
-				slot: int64(g.stoppedUntil) / max(1, int64(g.terms.FallFor)/loadMeterSlots)}
+			g.loadRecordedUntil, g.loadMeter = g.stoppedUntil, loadMeter{window: g.terms.OverloadWindow, startedAt: g.stoppedUntil, highest: g.loadMeter.highest,
+				slot: int64(g.stoppedUntil) / max(1, int64(g.terms.OverloadWindow)/loadMeterSlots)}
 			g.setRate()
 		}
 		until := min(now, g.processor.nextEnd())
@@ -117,13 +117,13 @@
 }
 
 // finish completes a job. A write whose deduplication token was applied within the window is not applied again.
-func (g *Gateway) finish(j Job) Done {
+func (g *Origin) finish(j Job) Done {
 	d := Done{Job: j, At: g.processor.now, Version: g.versions[j.Key]}
 	if !j.Write {
 		return d
 	}
-	if j.Mark != "" {
-		if old, ok := g.appliedTokens[j.Mark]; ok && d.At-old.At < g.terms.Window {
+	if j.DedupToken != "" {
+		if old, ok := g.appliedTokens[j.DedupToken]; ok && d.At-old.At < g.terms.DedupWindow {
 			d.Version = old.Version
 			return d
 		}
@@ -132,52 +132,52 @@
 		g.versions[j.Key]++
 	}
 	d.Version = g.versions[j.Key]
-	e := Effect{ID: j.ID, Key: j.Key, Mark: j.Mark, At: d.At, Version: d.Version}
+	e := Effect{ID: j.ID, Key: j.Key, DedupToken: j.DedupToken, At: d.At, Version: d.Version}
 	g.effects = append(g.effects, e)
-	if j.Mark != "" {
+	if j.DedupToken != "" {
 		if len(g.appliedTokens) >= g.maxTokens() {
 			g.removeExpiredTokens(d.At)
 		}
-		g.appliedTokens[j.Mark] = e
+		g.appliedTokens[j.DedupToken] = e
 	}
 	return d
 }
 
-func (g *Gateway) maxTokens() int {
-	if g.terms.SeenMost > 0 {
-		return g.terms.SeenMost
+func (g *Origin) maxTokens() int {
+	if g.terms.MaxTokens > 0 {
+		return g.terms.MaxTokens
 	}
 	return 1 << 20
 }
 
 // removeExpiredTokens removes the deduplication tokens whose window has passed.
-func (g *Gateway) removeExpiredTokens(now time.Duration) {
+func (g *Origin) removeExpiredTokens(now time.Duration) {
 	for m, e := range g.appliedTokens {
-		if now-e.At >= g.terms.Window {
+		if now-e.At >= g.terms.DedupWindow {
 			delete(g.appliedTokens, m)
 		}
 	}
 }
 
-// Due returns the time of the next change that needs no call from outside.
-func (g *Gateway) Due() time.Duration {
+// NextEvent returns the time of the next change that needs no call from outside.
+func (g *Origin) NextEvent() time.Duration {
 	if g.stopped {
 		return g.stoppedUntil
 	}
 	return g.processor.nextEnd()
 }
 
-// GiveUp notifies the origin that the caller no longer waits for a job. It removes a waiting job and returns true if it did.
-func (g *Gateway) GiveUp(id string) bool { return g.processor.removeWaiting(id) }
+// Abandon notifies the origin that the caller no longer waits for a job. It removes a waiting job and returns true if it did.
+func (g *Origin) Abandon(id string) bool { return g.processor.removeWaiting(id) }
 
 // Effects returns all applied writes, in order.
-func (g *Gateway) Effects() []Effect { return g.effects }
+func (g *Origin) Effects() []Effect { return g.effects }
 
-// Stops returns the outages caused by overload.
-func (g *Gateway) Stops() []Stop { return g.stops }
+// Outages returns the outages caused by overload.
+func (g *Origin) Outages() []Outage { return g.stops }
 
-// Strain returns the highest multiple of its capacity that it was offered over FallFor.
-func (g *Gateway) Strain() float64 { return g.loadMeter.highest }
+// MaxLoadMultiple returns the highest multiple of its capacity that it was offered over OverloadWindow.
+func (g *Origin) MaxLoadMultiple() float64 { return g.loadMeter.highest }
 
 // InFlight returns the number of running and waiting jobs.
-func (g *Gateway) InFlight() int { return len(g.processor.running) + len(g.processor.waiting) }
+func (g *Origin) InFlight() int { return len(g.processor.running) + len(g.processor.waiting) }
--- a/internal/rehearsal/model/model_test.go
+++ b/internal/rehearsal/model/model_test.go
@@ -11,7 +11,7 @@
 
 const ms, s = time.Millisecond, time.Second
 
-var plainTerms = NodeTerms{Cores: 2, Speed: 1, Queue: 3, KeepBytes: 100}
+var plainTerms = HostConfig{Cores: 2, Speed: 1, Queue: 3, CacheBytes: 100}
 
 func formatDone(done []Done) (text string) {
 	for _, d := range done {
@@ -30,31 +30,31 @@
 // With two cores and a queue of three, further jobs are rejected and the accepted ones end in order: later while the host is
 // slowed down, and none while it is stalled.
 func TestNodeQueues(t *testing.T) {
-	n := NewNode(plainTerms, 0, false, Stream(1, "n"))
+	n := NewHost(plainTerms, 0, false, NewRand(1, "n"))
 	for i, want := range []bool{true, true, true, true, true, false} {
-		expectEqual(t, n.Offer(0, Job{ID: string(rune('a' + i)), Work: 10 * ms}), want)
+		expectEqual(t, n.Offer(0, Job{ID: string(rune('a' + i)), WorkTime: 10 * ms}), want)
 	}
 	expectEqual(t, formatDone(n.Advance(10*ms)), "a@10ms b@10ms ")
 	n.Advance(15 * ms)
-	n.Slow(2)
+	n.SetSlowdown(2)
 	expectEqual(t, formatDone(n.Advance(20*ms)), "c@20ms d@20ms "[:0])
-	expectEqual(t, n.Due(), 25*ms)
-	n.Stall(true)
+	expectEqual(t, n.NextEvent(), 25*ms)
+	n.SetStalled(true)
 	expectEqual(t, formatDone(n.Advance(s)), "")
-	n.Stall(false)
+	n.SetStalled(false)
 	expectEqual(t, formatDone(n.Advance(2*s)), "c@1.005s d@1.005s e@1.025s ")
 }
 
 // A cold host that is offered more than three times its capacity for two seconds fails and stays down. The same load does not
 // make a warm host fail, nor does a lower load make a cold host fail.
 func TestColdNodeFalls(t *testing.T) {
-	terms := NodeTerms{Cores: 2, Speed: 1, Queue: 1000, ColdFrom: 0.2, WarmFor: 20 * s, FallMultiple: 3, FallFor: 2 * s}
+	terms := HostConfig{Cores: 2, Speed: 1, Queue: 1000, ColdCapacity: 0.2, WarmUpTime: 20 * s, OverloadMultiple: 3, OverloadWindow: 2 * s}
 	for _, row := range []struct {
 		cold       bool
 		perS       int
 		wantFailed bool
 	}{{true, 200, true}, {false, 200, false}, {true, 60, false}} {
-		n := NewNode(terms, 5*s, row.cold, Stream(1, "n"))
+		n := NewHost(terms, 5*s, row.cold, NewRand(1, "n"))
 		lost := 0
 		for at := 5 * s; at < 12*s; at += s / time.Duration(row.perS) {
 			for _, d := range n.Advance(at) {
@@ -62,10 +62,10 @@
 					lost++
 				}
 			}
-			n.Offer(at, Job{ID: "x", Work: 10 * ms})
+			n.Offer(at, Job{ID: "x", WorkTime: 10 * ms})
 		}
 		n.Advance(12 * s)
-		at, multiple, failed := n.Fallen()
+		at, multiple, failed := n.OverloadFailure()
 		if failed != row.wantFailed || failed && (at < 7*s || at > 8*s || multiple < 3 || lost == 0) {
 			t.Errorf("%+v: failed %v at %v, load multiple %.1f, %d jobs lost", row, failed, at, multiple, lost)
 		}
@@ -78,13 +78,13 @@
 // A pause only delays the running jobs: over a minute the host does the work of its cores less the time of its pauses.
 func TestNodePauses(t *testing.T) {
 	terms := plainTerms
-	terms.PauseEvery, terms.PauseFor, terms.Queue = 2*s, 200*ms, 1<<20
-	n := NewNode(terms, 0, false, Stream(7, "n"))
+	terms.PauseInterval, terms.PauseLength, terms.Queue = 2*s, 200*ms, 1<<20
+	n := NewHost(terms, 0, false, NewRand(7, "n"))
 	for range 20000 {
-		n.Offer(0, Job{Work: 10 * ms})
+		n.Offer(0, Job{WorkTime: 10 * ms})
 	}
 	done := 0
-	for at := time.Duration(0); at < 60*s; at = min(n.Due(), 60*s) {
+	for at := time.Duration(0); at < 60*s; at = min(n.NextEvent(), 60*s) {
 		done += len(n.Advance(at))
 	}
 	if done < 10200 || done > 11300 { // 12,000 without pauses, about a tenth less with them
@@ -92,24 +92,24 @@
 	}
 }
 
-// The least recently used values are evicted once the total size is above the limit. Void keeps a newer value, and Keep does not
+// The least recently used values are evicted once the total size is above the limit. Invalidate keeps a newer value, and CacheValue does not
 // replace a newer value by an older one.
 func TestNodeKeeps(t *testing.T) {
-	n := NewNode(plainTerms, 0, false, Stream(1, "n"))
-	n.Keep("a", 1, 40)
-	n.Keep("b", 1, 40)
-	n.Offer(0, Job{ID: "r", Key: "a", Work: ms}) // makes a the most recently used
+	n := NewHost(plainTerms, 0, false, NewRand(1, "n"))
+	n.CacheValue("a", 1, 40)
+	n.CacheValue("b", 1, 40)
+	n.Offer(0, Job{ID: "r", Key: "a", WorkTime: ms}) // makes a the most recently used
 	n.Advance(ms)
-	n.Keep("c", 1, 40)
+	n.CacheValue("c", 1, 40)
 	hit := func(key string) bool {
-		n.Offer(n.processor.now, Job{Key: key, Work: ms})
+		n.Offer(n.processor.now, Job{Key: key, WorkTime: ms})
 		return n.Advance(n.processor.now + ms)[0].Hit
 	}
 	expectEqual(t, []bool{hit("a"), hit("b"), hit("c")}, []bool{true, false, true})
-	n.Keep("a", 3, 10)
-	n.Keep("a", 2, 10) // an older value that arrives late
-	n.Void("a", 3)
-	n.Void("c", 2)
+	n.CacheValue("a", 3, 10)
+	n.CacheValue("a", 2, 10) // an older value that arrives late
+	n.Invalidate("a", 3)
+	n.Invalidate("c", 2)
 	expectEqual(t, []bool{hit("a"), hit("c")}, []bool{true, false})
 	expectEqual(t, n.bytes, 10)
 }
@@ -117,10 +117,10 @@
 // Writes with the same deduplication token are applied once within the window and again after it. Three times its capacity stops
 // the origin: its jobs are lost, and it works again after the stop.
 func TestGateway(t *testing.T) {
-	g := NewGateway(GatewayTerms{Slots: 2, Time: 10 * ms, Queue: 1000, FallMultiple: 3, FallFor: s, StopFor: 2 * s, Window: s}, 0)
+	g := NewOrigin(OriginConfig{Slots: 2, ServiceTime: 10 * ms, Queue: 1000, OverloadMultiple: 3, OverloadWindow: s, OutageLength: 2 * s, DedupWindow: s}, 0)
 	write := func(id string, at time.Duration) uint64 {
 		g.Advance(at)
-		g.Offer(at, Job{ID: id, Key: "k", Mark: "m", Write: true, Work: 10 * ms})
+		g.Offer(at, Job{ID: id, Key: "k", DedupToken: "m", Write: true, WorkTime: 10 * ms})
 		return g.Advance(at + 10*ms)[0].Version
 	}
 	expectEqual(t, []uint64{write("a", 0), write("b", 500*ms), write("c", 1500*ms)}, []uint64{1, 1, 2})
@@ -132,21 +132,21 @@
 				lost++
 			}
 		}
-		g.Offer(at, Job{Work: 10 * ms}) // five times its capacity
+		g.Offer(at, Job{WorkTime: 10 * ms}) // five times its capacity
 	}
-	expectEqual(t, len(g.Stops()), 1)
-	if stop := g.Stops()[0]; lost == 0 || stop.At < 2500*ms || stop.At > 3*s {
+	expectEqual(t, len(g.Outages()), 1)
+	if stop := g.Outages()[0]; lost == 0 || stop.At < 2500*ms || stop.At > 3*s {
 		t.Errorf("%d jobs lost, stopped at %v", lost, stop.At)
 	}
 	g.Advance(6 * s)
-	expectEqual(t, g.Offer(6*s, Job{Work: ms}), true)
+	expectEqual(t, g.Offer(6*s, Job{WorkTime: ms}), true)
 }
 
 // An agent returns each change within the delay, in generations that never decrease, and never an older state after a newer one.
 func TestRegister(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := NewRegister(2, [2]time.Duration{100 * ms, 900 * ms}, Stream(rapid.Uint64().Draw(t, "seed"), "r"))
-		r.Set(0, Entry{Node: "a", Condition: Active})
+		r := NewDiscovery(2, [2]time.Duration{100 * ms, 900 * ms}, NewRand(rapid.Uint64().Draw(t, "seed"), "r"))
+		r.Set(0, Entry{Host: "a", Lifecycle: Active})
 		r.Advance(0)
 		last := map[int]int64{}
 		seen := map[int]Entry{}
@@ -154,7 +154,7 @@
 		for i := range 12 {
 			now += time.Duration(rapid.IntRange(1, 300).Draw(t, "wait")) * ms
 			if i < 6 {
-				r.Set(now, Entry{Node: "a", Condition: Leaving, Weight: float64(i + 1)})
+				r.Set(now, Entry{Host: "a", Lifecycle: Leaving, Weight: float64(i + 1)})
 			}
 			r.Advance(now)
 			for b := range 2 {
@@ -182,15 +182,15 @@
 
 // The same seed gives the same requests. A surge of one tenant adds requests of that tenant and leaves the others unchanged.
 func TestArrivals(t *testing.T) {
-	terms := LoadTerms{For: 20 * s, PerS: 500, Keys: 1000, Zipf: 1, Zones: []float64{1, 1}, GiveUpAt: [2]float64{0.5, 1},
-		Products: []Product{{Name: "read", Share: 9, ClientTimeout: s}, {Name: "pay", Share: 1, ClientTimeout: s, Write: true, Marked: true}},
-		Tenants:  []Tenant{{"a", 0.5}, {"b", 0.5}}, Focuses: []Focus{{From: 5 * s, To: 10 * s, Part: 0.2}}}
+	terms := LoadConfig{Length: 20 * s, RequestsPerSecond: 500, Keys: 1000, Zipf: 1, Zones: []float64{1, 1}, GiveUpRange: [2]float64{0.5, 1},
+		Products: []Product{{Name: "read", Share: 9, ClientTimeout: s}, {Name: "pay", Share: 1, ClientTimeout: s, Write: true, Deduplicated: true}},
+		Tenants:  []Tenant{{"a", 0.5}, {"b", 0.5}}, HotKeys: []HotKeys{{From: 5 * s, To: 10 * s, Share: 0.2}}}
 	first, err := Arrivals(3, terms)
 	if err != nil {
 		t.Fatal(err)
 	}
 	second, _ := Arrivals(3, terms)
-	terms.Surges = []Surge{{From: 5 * s, To: 10 * s, Tenant: "b", Times: 3}}
+	terms.Surges = []Surge{{From: 5 * s, To: 10 * s, Tenant: "b", Factor: 3}}
 	withSurge, _ := Arrivals(3, terms)
 	expectEqual(t, first, second)
 	summarize := func(all []Arrival, tenant int) (n int, text string, once map[string]int) {
@@ -200,7 +200,7 @@
 				n++
 				text += a.ID + a.Key + a.At.String()
 			}
-			if a.Once {
+			if a.KeyUsedOnce {
 				once[a.Key]++
 			}
 		}
--- a/internal/rehearsal/model/node.go
+++ b/internal/rehearsal/model/node.go
@@ -7,25 +7,25 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// NodeTerms configures a cache host.
-type NodeTerms struct {
-	Cores        int
-	Speed        float64       // of each core; a core of speed 1 does one second of work in a second
-	Queue        int           // maximum number of waiting jobs; further ones are rejected
-	KeepBytes    int64         // limit of the cached values' total size
-	ColdFrom     float64       // fraction of its full capacity that a freshly started host has
-	WarmFor      time.Duration // time until it has its full capacity; 0: it starts warm
-	FallMultiple float64       // a cold host fails when it is offered more than this multiple of its capacity over FallFor; 0: never
-	FallFor      time.Duration
-	PauseEvery   time.Duration // average time between pauses, in which it does no work; 0: no pauses
-	PauseFor     time.Duration
-	DropsGivenUp bool    // a job that the caller has given up is removed while it still waits
-	MissPart     float64 // fraction of a read's work that a cache miss takes; 0: all of it
+// HostConfig configures a cache host.
+type HostConfig struct {
+	Cores            int
+	Speed            float64       // of each core; a core of speed 1 does one second of work in a second
+	Queue            int           // maximum number of waiting jobs; further ones are rejected
+	CacheBytes       int64         // limit of the cached values' total size
+	ColdCapacity     float64       // fraction of its full capacity that a freshly started host has
+	WarmUpTime       time.Duration // time until it has its full capacity; 0: it starts warm
+	OverloadMultiple float64       // a cold host fails when it is offered more than this multiple of its capacity over OverloadWindow; 0: never
+	OverloadWindow   time.Duration
+	PauseInterval    time.Duration // average time between pauses, in which it does no work; 0: no pauses
+	PauseLength      time.Duration
+	DropsAbandoned   bool    // a job that the caller has given up is removed while it still waits
+	MissWorkRatio    float64 // fraction of a read's work that a cache miss takes; 0: all of it
 }
 
-// Node models a cache host. It is not safe for concurrent use. The times passed to its methods must not decrease.
-type Node struct {
-	terms             NodeTerms
+// Host models a cache host. It is not safe for concurrent use. The times passed to its methods must not decrease.
+type Host struct {
+	terms             HostConfig
 	processor         processor
 	cache             *simplelru.LRU[string, cachedValue]
 	bytes             int64
@@ -56,42 +56,42 @@
 // warmUpSteps is the number of steps in which a host warms up. Each step is 2% of the way, less than the variation of the work.
 const warmUpSteps = 50
 
-// NewNode starts a host. A cold host has an empty cache and warms up from now on; any other has its full capacity at once.
-func NewNode(terms NodeTerms, now time.Duration, cold bool, rng *rand.Rand) *Node {
-	n := &Node{terms: terms, rng: rng, startedAt: now, startedCold: cold && terms.WarmFor > 0, slowdown: 1, pauseChangeAt: never, warmStepAt: never,
+// NewHost starts a host. A cold host has an empty cache and warms up from now on; any other has its full capacity at once.
+func NewHost(terms HostConfig, now time.Duration, cold bool, rng *rand.Rand) *Host {
+	n := &Host{terms: terms, rng: rng, startedAt: now, startedCold: cold && terms.WarmUpTime > 0, slowdown: 1, pauseChangeAt: never, warmStepAt: never,
 		processor: processor{cores: terms.Cores, maxWaiting: terms.Queue, now: now}, loadRecordedUntil: now,
-		loadMeter: loadMeter{window: terms.FallFor, startedAt: now}}
-	n.loadMeter.slot = int64(now) / max(1, int64(terms.FallFor)/loadMeterSlots)
+		loadMeter: loadMeter{window: terms.OverloadWindow, startedAt: now}}
+	n.loadMeter.slot = int64(now) / max(1, int64(terms.OverloadWindow)/loadMeterSlots)
 	n.cache, _ = simplelru.NewLRU[string, cachedValue](maxCachedValues, func(_ string, k cachedValue) { n.bytes -= int64(k.size) })
-	if terms.PauseEvery > 0 {
+	if terms.PauseInterval > 0 {
 		n.pauseChangeAt = now + n.nextPause()
 	}
 	if n.startedCold {
-		n.warmStepAt = now + terms.WarmFor/warmUpSteps
+		n.warmStepAt = now + terms.WarmUpTime/warmUpSteps
 	}
 	n.setRate()
 	return n
 }
 
 // nextPause draws the time until the next pause, so that the hosts do not all pause at the same time.
-func (n *Node) nextPause() time.Duration {
-	return uniform(n.rng, n.terms.PauseEvery/2, n.terms.PauseEvery*3/2)
+func (n *Host) nextPause() time.Duration {
+	return uniform(n.rng, n.terms.PauseInterval/2, n.terms.PauseInterval*3/2)
 }
 
 // Warmth returns the fraction of its full capacity that the host has.
-func (n *Node) Warmth(now time.Duration) float64 {
+func (n *Host) Warmth(now time.Duration) float64 {
 	if !n.Cold(now) {
 		return 1
 	}
-	return n.terms.ColdFrom + (1-n.terms.ColdFrom)*float64(now-n.startedAt)/float64(n.terms.WarmFor)
+	return n.terms.ColdCapacity + (1-n.terms.ColdCapacity)*float64(now-n.startedAt)/float64(n.terms.WarmUpTime)
 }
 
 // Cold reports whether the host is still warming up.
-func (n *Node) Cold(now time.Duration) bool {
-	return n.startedCold && now-n.startedAt < n.terms.WarmFor
+func (n *Host) Cold(now time.Duration) bool {
+	return n.startedCold && now-n.startedAt < n.terms.WarmUpTime
 }
 
-func (n *Node) setRate() {
+func (n *Host) setRate() {
 	n.processor.rate = n.terms.Speed * n.Warmth(n.processor.now) / n.slowdown
 	if n.stalled || n.paused || n.failed {
 		n.processor.rate = 0
@@ -99,39 +99,39 @@
 }
 
 // capacity returns the work that the host can do per second at a given time. Pauses do not reduce it.
-func (n *Node) capacity(now time.Duration) float64 {
+func (n *Host) capacity(now time.Duration) float64 {
 	return n.terms.Speed * n.Warmth(now) / n.slowdown * float64(n.terms.Cores)
 }
 
 // recordLoad adds the capacity since the last call and the newly offered work to the load meter. It marks a cold host as failed
-// when the load is above FallMultiple.
-func (n *Node) recordLoad(now, work time.Duration) {
-	if !n.startedCold || n.failed || n.terms.FallMultiple <= 0 {
+// when the load is above OverloadMultiple.
+func (n *Host) recordLoad(now, work time.Duration) {
+	if !n.startedCold || n.failed || n.terms.OverloadMultiple <= 0 {
 		return
 	}
 	n.loadMeter.add(now, float64(work), n.capacity(now)*float64(now-n.loadRecordedUntil))
 	n.loadRecordedUntil = now
-	if n.Cold(now) && n.loadMeter.multiple(now) > n.terms.FallMultiple {
+	if n.Cold(now) && n.loadMeter.multiple(now) > n.terms.OverloadMultiple {
 		n.failed, n.failedAt, n.failedMultiple = true, now, n.loadMeter.multiple(now)
 	}
 }
 
 // Offer sends a job to the host at a time up to which Advance has been called. It returns false if the queue is full or the host
 // has failed.
-func (n *Node) Offer(now time.Duration, j Job) bool {
-	n.recordLoad(now, j.Work)
+func (n *Host) Offer(now time.Duration, j Job) bool {
+	n.recordLoad(now, j.WorkTime)
 	if n.failed || !n.processor.hasRoom() {
 		return false
 	}
-	if n.terms.MissPart > 0 && !j.Write && j.Key != "" && !n.cache.Contains(j.Key) {
-		j.Work = time.Duration(float64(j.Work) * n.terms.MissPart)
+	if n.terms.MissWorkRatio > 0 && !j.Write && j.Key != "" && !n.cache.Contains(j.Key) {
+		j.WorkTime = time.Duration(float64(j.WorkTime) * n.terms.MissWorkRatio)
 	}
 	n.processor.add(j)
 	return true
 }
 
 // Advance simulates the host up to a given time and returns the jobs that ended or were lost, in order.
-func (n *Node) Advance(now time.Duration) (done []Done) {
+func (n *Host) Advance(now time.Duration) (done []Done) {
 	for {
 		if n.failed {
 			n.processor.now = max(n.processor.now, now)
@@ -156,7 +156,7 @@
 	}
 }
 
-func (n *Node) finish(j Job) Done {
+func (n *Host) finish(j Job) Done {
 	d := Done{Job: j, At: n.processor.now}
 	if k, ok := n.cache.Get(j.Key); ok && !j.Write {
 		d.Hit, d.Version, d.Size = true, k.version, k.size
@@ -165,9 +165,9 @@
 }
 
 // applyChange begins or ends a pause, takes a step of the warm-up, or both.
-func (n *Node) applyChange(at time.Duration) {
+func (n *Host) applyChange(at time.Duration) {
 	if at == n.warmStepAt {
-		n.warmStepAt = at + n.terms.WarmFor/warmUpSteps
+		n.warmStepAt = at + n.terms.WarmUpTime/warmUpSteps
 		if !n.Cold(at) {
 			n.warmStepAt = never
 		}
@@ -176,14 +176,14 @@
 		n.paused = !n.paused
 		n.pauseChangeAt = at + n.nextPause()
 		if n.paused {
-			n.pauseChangeAt = at + uniform(n.rng, n.terms.PauseFor/2, n.terms.PauseFor*3/2)
+			n.pauseChangeAt = at + uniform(n.rng, n.terms.PauseLength/2, n.terms.PauseLength*3/2)
 		}
 	}
 	n.setRate()
 }
 
-// Due returns the time of the next change that needs no call from outside.
-func (n *Node) Due() time.Duration {
+// NextEvent returns the time of the next change that needs no call from outside.
+func (n *Host) NextEvent() time.Duration {
 	if n.failed {
 		return never
 	}
@@ -194,11 +194,13 @@
 	return due
 }
 
-// GiveUp notifies the host that the caller no longer waits for a job. It returns true if that removed the job.
-func (n *Node) GiveUp(id string) bool { return n.terms.DropsGivenUp && n.processor.removeWaiting(id) }
+// Abandon notifies the host that the caller no longer waits for a job. It returns true if that removed the job.
+func (n *Host) Abandon(id string) bool {
+	return n.terms.DropsAbandoned && n.processor.removeWaiting(id)
+}
 
-// Keep caches a value, unless a newer version is cached.
-func (n *Node) Keep(key string, version uint64, size int) {
+// CacheValue caches a value, unless a newer version is cached.
+func (n *Host) CacheValue(key string, version uint64, size int) {
 	if old, ok := n.cache.Peek(key); ok {
 		if old.version > version {
 			return
@@ -207,50 +209,50 @@
 	}
 	n.bytes += int64(size)
 	n.cache.Add(key, cachedValue{version, size})
-	for n.bytes > n.terms.KeepBytes && n.cache.Len() > 0 {
+	for n.bytes > n.terms.CacheBytes && n.cache.Len() > 0 {
 		n.cache.RemoveOldest()
 	}
 }
 
-// Void removes the cached value of a key if it is older than a version.
-func (n *Node) Void(key string, version uint64) {
+// Invalidate removes the cached value of a key if it is older than a version.
+func (n *Host) Invalidate(key string, version uint64) {
 	if old, ok := n.cache.Peek(key); ok && old.version < version {
 		n.cache.Remove(key)
 	}
 }
 
-// Slow divides the speed of the host by a factor, from the time up to which Advance has been called; a factor of 1 restores it.
-func (n *Node) Slow(factor float64) {
+// SetSlowdown divides the speed of the host by a factor, from the time up to which Advance has been called; a factor of 1 restores it.
+func (n *Host) SetSlowdown(factor float64) {
 	n.slowdown = max(factor, 1e-3)
 	n.setRate()
 }
 
-// Stall makes the host accept jobs without working on any, or ends that.
-func (n *Node) Stall(on bool) {
+// SetStalled makes the host accept jobs without working on any, or ends that.
+func (n *Host) SetStalled(on bool) {
 	n.stalled = on
 	n.setRate()
 }
 
-// Fallen reports whether the host failed from overload while it was cold, when, and the multiple of its capacity that it was
+// OverloadFailure reports whether the host failed from overload while it was cold, when, and the multiple of its capacity that it was
 // offered.
-func (n *Node) Fallen() (at time.Duration, multiple float64, fallen bool) {
+func (n *Host) OverloadFailure() (at time.Duration, multiple float64, fallen bool) {
 	return n.failedAt, n.failedMultiple, n.failed
 }
 
-// Strain returns the highest multiple of its capacity that the host was offered over FallFor while it was cold.
-func (n *Node) Strain() float64 { return n.loadMeter.highest }
+// MaxLoadMultiple returns the highest multiple of its capacity that the host was offered over OverloadWindow while it was cold.
+func (n *Host) MaxLoadMultiple() float64 { return n.loadMeter.highest }
 
 // Load is the load that a host reports.
 type Load struct {
 	InFlight, Queue int
-	Util            float64 // fraction of the cores that are busy
+	Utilization     float64 // fraction of the cores that are busy
 }
 
 // Load returns the current load.
-func (n *Node) Load() Load {
+func (n *Host) Load() Load {
 	return Load{InFlight: len(n.processor.running) + len(n.processor.waiting), Queue: len(n.processor.waiting),
-		Util: float64(len(n.processor.running)) / float64(max(1, n.terms.Cores))}
+		Utilization: float64(len(n.processor.running)) / float64(max(1, n.terms.Cores))}
 }
 
-// Busy returns the core time that the host has spent on jobs.
-func (n *Node) Busy() time.Duration { return n.processor.busyTime }
+// BusyTime returns the core time that the host has spent on jobs.
+func (n *Host) BusyTime() time.Duration { return n.processor.busyTime }
--- a/internal/rehearsal/model/register.go
+++ b/internal/rehearsal/model/register.go
@@ -8,28 +8,28 @@
 	"time"
 )
 
-// Condition is the lifecycle state of a cache host in discovery.
-type Condition string
+// Lifecycle is the lifecycle state of a cache host in discovery.
+type Lifecycle string
 
 const (
-	Active  Condition = "active"
-	Leaving Condition = "leaving"
-	Left    Condition = "left"
+	Active  Lifecycle = "active"
+	Leaving Lifecycle = "leaving"
+	Left    Lifecycle = "left"
 )
 
 // Entry is a cache host as discovery lists it.
 type Entry struct {
-	Node       string
-	Zone, Kind string
-	Cell       int
-	Condition  Condition
-	Weight     float64
-	Born       time.Duration // start of the host; 0: before the run
+	Host              string
+	Zone, MachineType string
+	Cell              int
+	Lifecycle         Lifecycle
+	Weight            float64
+	StartedAt         time.Duration // start of the host; 0: before the run
 }
 
-// Register models discovery. It holds the list of cache hosts and passes changes to the agent of each balancer with a delay. It
+// Discovery models discovery. It holds the list of cache hosts and passes changes to the agent of each balancer with a delay. It
 // is not safe for concurrent use.
-type Register struct {
+type Discovery struct {
 	rng        *rand.Rand
 	delays     [2]time.Duration
 	generation int64
@@ -52,9 +52,9 @@
 	entry      Entry
 }
 
-// NewRegister returns a discovery model for a number of balancers, which passes on each change after a delay from a range.
-func NewRegister(balancers int, delays [2]time.Duration, rng *rand.Rand) *Register {
-	r := &Register{rng: rng, delays: delays, generation: 1, entries: map[string]Entry{}}
+// NewDiscovery returns a discovery model for a number of balancers, which passes on each change after a delay from a range.
+func NewDiscovery(balancers int, delays [2]time.Duration, rng *rand.Rand) *Discovery {
+	r := &Discovery{rng: rng, delays: delays, generation: 1, entries: map[string]Entry{}}
 	for range balancers {
 		r.agents = append(r.agents, &agent{generation: 1, entries: map[string]Entry{}, lastChange: map[string]int64{}})
 	}
@@ -62,11 +62,11 @@
 }
 
 // Set changes an entry. It returns for each balancer when its agent will have the change; at time 0 all have it at once.
-func (r *Register) Set(now time.Duration, e Entry) (at []time.Duration) {
+func (r *Discovery) Set(now time.Duration, e Entry) (at []time.Duration) {
 	r.generation++
-	r.entries[e.Node] = e
-	if e.Condition == Left {
-		delete(r.entries, e.Node)
+	r.entries[e.Host] = e
+	if e.Lifecycle == Left {
+		delete(r.entries, e.Host)
 	}
 	for _, a := range r.agents {
 		n := pendingChange{now, r.generation, e}
@@ -75,7 +75,7 @@
 		}
 		// Changes of the same host stay in order: a delayed change must not restore an older state.
 		for _, d := range a.pending {
-			if d.entry.Node == e.Node {
+			if d.entry.Host == e.Host {
 				n.at = max(n.at, d.at)
 			}
 		}
@@ -91,14 +91,14 @@
 	return at
 }
 
-// Silence stops the agent of a balancer from answering, or ends that.
-func (r *Register) Silence(balancer int, on bool) { r.agents[balancer].silent = on }
+// SetSilent stops the agent of a balancer from answering, or ends that.
+func (r *Discovery) SetSilent(balancer int, on bool) { r.agents[balancer].silent = on }
 
 // Silent reports whether the agent of a balancer does not answer.
-func (r *Register) Silent(balancer int) bool { return r.agents[balancer].silent }
+func (r *Discovery) Silent(balancer int) bool { return r.agents[balancer].silent }
 
-// Rewind restarts the generations of the agent of a balancer, as a restart of discovery does.
-func (r *Register) Rewind(balancer int) {
+// ResetGenerations restarts the generations of the agent of a balancer, as a restart of discovery does.
+func (r *Discovery) ResetGenerations(balancer int) {
 	a := r.agents[balancer]
 	a.generation = 1
 	for node := range a.lastChange {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Due returns when the agent of a balancer receives the next change.
-func (r *Register) Due(balancer int) time.Duration {
+// NextChange returns when the agent of a balancer receives the next change.
+func (r *Discovery) NextChange(balancer int) time.Duration {
 	if a := r.agents[balancer]; len(a.pending) > 0 {
 		return a.pending[0].at
 	}
@@ -115,14 +115,14 @@
 }
 
 // Advance applies the changes that the agents receive up to a given time. It returns the balancers whose list changed.
-func (r *Register) Advance(now time.Duration) (changed []int) {
+func (r *Discovery) Advance(now time.Duration) (changed []int) {
 	for i, a := range r.agents {
 		updated := false
 		for len(a.pending) > 0 && a.pending[0].at <= now {
 			d := a.pending[0]
 			a.pending = a.pending[1:]
-			a.generation++ // each agent counts its own generations, which only Rewind sets back
-			a.entries[d.entry.Node], a.lastChange[d.entry.Node] = d.entry, a.generation
+			a.generation++ // each agent counts its own generations, which only ResetGenerations sets back
+			a.entries[d.entry.Host], a.lastChange[d.entry.Host] = d.entry, a.generation
 			updated = true
 		}
 		if updated {
@@ -134,11 +134,11 @@
 
 // List returns the answer of a balancer's agent: all entries if full is set or the given generation is unknown, else those that
 // changed after the given generation.
-func (r *Register) List(balancer int, after int64, full bool) (generation int64, reset bool, entries []Entry) {
+func (r *Discovery) List(balancer int, after int64, full bool) (generation int64, reset bool, entries []Entry) {
 	a := r.agents[balancer]
 	reset = full || after > a.generation
-	for _, e := range slices.SortedFunc(maps.Values(a.entries), func(x, y Entry) int { return strings.Compare(x.Node, y.Node) }) {
-		if reset && e.Condition != Left || !reset && a.lastChange[e.Node] > after {
+	for _, e := range slices.SortedFunc(maps.Values(a.entries), func(x, y Entry) int { return strings.Compare(x.Host, y.Host) }) {
+		if reset && e.Lifecycle != Left || !reset && a.lastChange[e.Host] > after {
 			entries = append(entries, e)
 		}
 	}
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -41,7 +41,7 @@
 		defer c.Close() // all stay open until the last port is chosen, so that no port is chosen twice
 	}
 	var err error
-	m.links, err = standin.NewRelays(m.addrs, sc.Mates.Way(), model.Stream(sc.Seed, "mates"))
+	m.links, err = standin.NewRelays(m.addrs, sc.Mates.Way(), model.NewRand(sc.Seed, "mates"))
 	return err
 }
 
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -116,7 +116,7 @@
 		return err
 	}
 	if sc.Fleet.Mode == scenario.Aside {
-		s.W.Register.Set(model.Entry{Node: record.Origin, Zone: sc.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
+		s.W.Register.Set(model.Entry{Host: record.Origin, Zone: sc.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
 	}
 	var err error
 	s.Callers, err = load.New(s.W)
@@ -193,7 +193,7 @@
 	if err = s.writeOperatorFile(l.configFile, b); err != nil {
 		return err
 	}
-	if err = writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.Stream(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err = writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
 	if l.instance, err = s.launch(s.ctx, b, Place{l.configFile, s.log(b), l.tempDir}); err != nil {
@@ -306,7 +306,7 @@
 	s.mu.Lock()
 	l := s.slots[b]
 	s.mu.Unlock()
-	if err := writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.Stream(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err := writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
 	l.instance.Hup()
--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -233,8 +233,8 @@
 	checkRange(c, "load.value_size", sc.Load.ValueSize, 64, 4<<20) // a value has to hold the key, the version and the id
 	checkRange(c, "load.quota", sc.Load.Quota, 0.01, 10)
 	checkRange(c, "load.warm", sc.Load.Warm, 0, 1)
-	if n := sc.Load.PerS * sc.Length.Duration().Seconds(); n > model.MostArrivals/4 {
-		c.AddFault("load.per_s", "%.0f requests in %v exceed the maximum of %d", n, sc.Length, model.MostArrivals/4)
+	if n := sc.Load.PerS * sc.Length.Duration().Seconds(); n > model.MaxArrivals/4 {
+		c.AddFault("load.per_s", "%.0f requests in %v exceed the maximum of %d", n, sc.Length, model.MaxArrivals/4)
 	}
 	checkRange(c, "client.tries", sc.Clients.Tries, 0, 10)
 	checkRange(c, "client.wait", sc.Clients.Wait, Span(time.Millisecond), maxDuration)
@@ -417,7 +417,7 @@
 		}
 		return affected
 	}
-	r := model.Stream(sc.Seed, "fault "+strconv.Itoa(i))
+	r := model.NewRand(sc.Seed, "fault "+strconv.Itoa(i))
 	r.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 	affected = ids[:max(1, int(f.Part*float64(len(ids))+0.5))]
 	slices.Sort(affected)
@@ -472,27 +472,27 @@
 
 // Harm returns the change that a fault makes to the link between two balancers; with end set, the change restores the
 // scenario's usual link.
-func (sc *Day) Harm(i int, end bool) func(*model.WayTerms) {
+func (sc *Day) Harm(i int, end bool) func(*model.LinkConfig) {
 	f, normal := &sc.Faults[i], sc.Mates.Way()
 	if end {
 		f = &Fault{Do: f.Do}
 	}
-	return func(w *model.WayTerms) {
+	return func(w *model.LinkConfig) {
 		switch f.Do {
 		case "mate-cut", "mate-flap":
 			w.Cut = !end
 		case "mate-loss":
-			w.Loss = max(normal.Loss, f.Part)
+			w.LossRatio = max(normal.LossRatio, f.Part)
 		case "mate-delay":
 			w.Jitter = normal.Jitter + f.Delay.Duration()
 		case "mate-repeat":
-			w.Repeat = f.Part
+			w.DuplicateRatio = f.Part
 		case "mate-reorder":
-			w.Reorder, w.Late = f.Part, f.Delay.Duration()
+			w.ReorderRatio, w.ReorderDelay = f.Part, f.Delay.Duration()
 		case "mate-spoil":
-			w.Spoil = f.Part
+			w.CorruptRatio = f.Part
 		case "mate-narrow":
-			w.BytesPerS = f.By
+			w.BytesPerSecond = f.By
 		}
 	}
 }
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -120,17 +120,17 @@
 
 // Product describes a class of requests.
 type Product struct {
-	Name          string    `toml:"name"`
-	Share         float64   `toml:"share"`
-	Work          Span      `toml:"work"`
-	Law           model.Law `toml:"law"`
-	Variation     float64   `toml:"variation"`
-	LatencySLO    Span      `toml:"latency_slo"`
-	ClientTimeout Span      `toml:"client_timeout"`
-	BilledValue   float64   `toml:"billed_value"`
-	Effect        string    `toml:"effect"` // idempotent, deduplicated or non-idempotent
-	Window        Span      `toml:"window"` // the span in which repeats of a deduplicated request are dropped
-	Write         bool      `toml:"write"`
+	Name          string             `toml:"name"`
+	Share         float64            `toml:"share"`
+	Work          Span               `toml:"work"`
+	Law           model.Distribution `toml:"law"`
+	Variation     float64            `toml:"variation"`
+	LatencySLO    Span               `toml:"latency_slo"`
+	ClientTimeout Span               `toml:"client_timeout"`
+	BilledValue   float64            `toml:"billed_value"`
+	Effect        string             `toml:"effect"` // idempotent, deduplicated or non-idempotent
+	Window        Span               `toml:"window"` // the span in which repeats of a deduplicated request are dropped
+	Write         bool               `toml:"write"`
 }
 
 // Tenant describes a customer and its traffic.
@@ -168,8 +168,8 @@
 }
 
 // Way returns the usual properties of the link between any two balancers.
-func (m *Mates) Way() model.WayTerms {
-	return model.WayTerms{Loss: m.Loss, Delay: m.Delay.Duration(), Jitter: m.Jitter.Duration()}
+func (m *Mates) Way() model.LinkConfig {
+	return model.LinkConfig{LossRatio: m.Loss, Delay: m.Delay.Duration(), Jitter: m.Jitter.Duration()}
 }
 
 // Fault describes one injected fault.
@@ -360,15 +360,15 @@
 // produced.
 const missCostRatio = 0.2
 
-// NodeTerms returns the model's parameters of a node of the group.
-func (sc *Day) NodeTerms(n *Node) model.NodeTerms {
+// HostConfig returns the model's parameters of a node of the group.
+func (sc *Day) NodeTerms(n *Node) model.HostConfig {
 	r, miss := sc.Rules, missCostRatio
 	if sc.Fleet.Mode == Through {
 		miss = 0
 	}
-	return model.NodeTerms{Cores: n.Cores, Speed: n.Speed, Queue: n.Queue, KeepBytes: int64(n.KeepMB * (1 << 20)),
-		ColdFrom: n.ColdFrom, WarmFor: n.WarmFor.Duration(), FallMultiple: r.FallMultiple, FallFor: r.FallFor.Duration(),
-		PauseEvery: n.PauseEvery.Duration(), PauseFor: n.PauseFor.Duration(), DropsGivenUp: n.DropsGivenUp, MissPart: miss}
+	return model.HostConfig{Cores: n.Cores, Speed: n.Speed, Queue: n.Queue, CacheBytes: int64(n.KeepMB * (1 << 20)),
+		ColdCapacity: n.ColdFrom, WarmUpTime: n.WarmFor.Duration(), OverloadMultiple: r.FallMultiple, OverloadWindow: r.FallFor.Duration(),
+		PauseInterval: n.PauseEvery.Duration(), PauseLength: n.PauseFor.Duration(), DropsAbandoned: n.DropsGivenUp, MissWorkRatio: miss}
 }
 
 // Told returns the idle timeout of the node that balancers are configured with.
@@ -392,20 +392,20 @@
 	return effectiveCores / (work / shares)
 }
 
-// GatewayTerms returns the model's parameters of the gateway.
-func (sc *Day) GatewayTerms() model.GatewayTerms {
-	t := model.GatewayTerms{Slots: sc.Gateway.Slots, Time: sc.Gateway.Time.Duration(), Queue: sc.Gateway.Queue,
-		FallMultiple: sc.Gateway.FallMultiple, FallFor: sc.Gateway.FallFor.Duration(), StopFor: sc.Gateway.StopFor.Duration()}
+// OriginConfig returns the model's parameters of the gateway.
+func (sc *Day) GatewayTerms() model.OriginConfig {
+	t := model.OriginConfig{Slots: sc.Gateway.Slots, ServiceTime: sc.Gateway.Time.Duration(), Queue: sc.Gateway.Queue,
+		OverloadMultiple: sc.Gateway.FallMultiple, OverloadWindow: sc.Gateway.FallFor.Duration(), OutageLength: sc.Gateway.StopFor.Duration()}
 	for _, p := range sc.Products {
-		t.Window = max(t.Window, p.Window.Duration())
+		t.DedupWindow = max(t.DedupWindow, p.Window.Duration())
 	}
 	return t
 }
 
-// LoadTerms returns the model's parameters of clients and traffic.
-func (sc *Day) LoadTerms() model.LoadTerms {
-	t := model.LoadTerms{For: sc.Length.Duration(), PerS: sc.Load.PerS, Swing: sc.Load.Swing, SwingFor: sc.Load.SwingFor.Duration(),
-		Keys: sc.Load.Keys, Zipf: sc.Load.Zipf, GiveUpAt: sc.Clients.GiveUpAt, Zones: sc.Clients.ZoneParts}
+// LoadConfig returns the model's parameters of clients and traffic.
+func (sc *Day) LoadTerms() model.LoadConfig {
+	t := model.LoadConfig{Length: sc.Length.Duration(), RequestsPerSecond: sc.Load.PerS, SwingAmplitude: sc.Load.Swing, SwingPeriod: sc.Load.SwingFor.Duration(),
+		Keys: sc.Load.Keys, Zipf: sc.Load.Zipf, GiveUpRange: sc.Clients.GiveUpAt, Zones: sc.Clients.ZoneParts}
 	if len(t.Zones) == 0 {
 		for range sc.Fleet.Zones {
 			t.Zones = append(t.Zones, 1)
@@ -413,7 +413,7 @@
 	}
 	for _, p := range sc.Products {
 		t.Products = append(t.Products, model.Product{Name: p.Name, Share: p.Share, LatencySLO: p.LatencySLO.Duration(),
-			ClientTimeout: p.ClientTimeout.Duration(), BilledValue: p.BilledValue, Write: p.Write, Marked: p.Effect == Deduplicated})
+			ClientTimeout: p.ClientTimeout.Duration(), BilledValue: p.BilledValue, Write: p.Write, Deduplicated: p.Effect == Deduplicated})
 	}
 	for _, x := range sc.Tenants {
 		t.Tenants = append(t.Tenants, model.Tenant{Name: x.Name, Share: x.Share * x.Usage})
@@ -422,11 +422,11 @@
 		from, to := f.At.Duration(), (f.At + f.For).Duration()
 		switch f.Do {
 		case "surge":
-			t.Surges = append(t.Surges, model.Surge{From: from, To: to, Tenant: f.Tenant, Times: f.By})
+			t.Surges = append(t.Surges, model.Surge{From: from, To: to, Tenant: f.Tenant, Factor: f.By})
 		case "scan":
-			t.Focuses = append(t.Focuses, model.Focus{From: from, To: to, Part: f.Part})
+			t.HotKeys = append(t.HotKeys, model.HotKeys{From: from, To: to, Share: f.Part})
 		case "hot":
-			t.Focuses = append(t.Focuses, model.Focus{From: from, To: to, Part: f.Part, Keys: f.Keys})
+			t.HotKeys = append(t.HotKeys, model.HotKeys{From: from, To: to, Share: f.Part, Keys: f.Keys})
 		}
 	}
 	return t
@@ -444,9 +444,9 @@
 }
 
 // Retry returns what clients do after a request that was not fulfilled.
-func (sc *Day) Retry() model.Retry {
+func (sc *Day) Retry() model.RetryPolicy {
 	c := sc.Clients
-	return model.Retry{Tries: c.Tries, Wait: c.Wait.Duration(), Honour: c.Honour, HonourTo: c.ComeBack.Duration()}
+	return model.RetryPolicy{MaxRetries: c.Tries, InitialDelay: c.Wait.Duration(), HonourRatio: c.Honour, MaxRetryAfter: c.ComeBack.Duration()}
 }
 
 // ErrFaulty is wrapped by all errors about a file's content.
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -129,7 +129,7 @@
 	d := *base
 	d.Seed = seed
 	d.Name = fmt.Sprintf("found-%d", seed)
-	rng := model.Stream(seed, "search")
+	rng := model.NewRand(seed, "search")
 	d.Faults = slices.Clone(base.Faults)
 	for range 1 + rng.IntN(maxFaults) {
 		d.Faults = append(d.Faults, drawFault(rng, &d))
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -23,7 +23,7 @@
 	modelRunner
 
 	mu              sync.Mutex
-	model           *model.Gateway
+	model           *model.Origin
 	recordedEffects int // number of effects already copied to the record; recordedStops likewise
 	recordedStops   int
 	resetRatio      float64 // fraction of answers replaced by a connection reset
@@ -39,8 +39,8 @@
 
 // AddGateway adds the origin, with one listener for each balancer.
 func (w *World) AddGateway() error {
-	g := &Gateway{world: w, modelRunner: newModelRunner(), model: model.NewGateway(w.Day.GatewayTerms(), 0),
-		random: model.Stream(w.Day.Seed, "faults gateway")}
+	g := &Gateway{world: w, modelRunner: newModelRunner(), model: model.NewOrigin(w.Day.GatewayTerms(), 0),
+		random: model.NewRand(w.Day.Seed, "faults gateway")}
 	for b := range w.Day.Fleet.Balancers {
 		l, err := w.Listen()
 		if err != nil {
@@ -70,7 +70,7 @@
 func (g *Gateway) Slow(factor float64) {
 	g.mu.Lock()
 	g.advance(g.world.Now())
-	g.model.Slow(factor)
+	g.model.SetSlowdown(factor)
 	g.mu.Unlock()
 	g.wake()
 }
@@ -99,7 +99,7 @@
 
 // submit passes a job to the model. onDone is called with its result, without the origin's lock held.
 func (g *Gateway) submit(job model.Job, onDone func(result)) {
-	job.Work = model.Work(g.world.Day.Seed, "gateway "+job.ID, model.Exponential, g.world.Day.Gateway.Time.Duration(), 1)
+	job.WorkTime = model.RequestWork(g.world.Day.Seed, "gateway "+job.ID, model.Exponential, g.world.Day.Gateway.Time.Duration(), 1)
 	job.Tag = onDone
 	g.mu.Lock()
 	now := g.world.Now()
@@ -118,7 +118,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(g.world.Now())
-	return min(time.Hour, max(0, g.model.Due()-g.world.Now()))
+	return min(time.Hour, max(0, g.model.NextEvent()-g.world.Now()))
 }
 
 // advance runs the model up to the given time. The caller holds g.mu; results are delivered in goroutines of their own,
@@ -137,13 +137,13 @@
 	}
 	for _, e := range g.model.Effects()[g.recordedEffects:] {
 		g.world.Rec.Add(func() {
-			g.world.Rec.Effects = append(g.world.Rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.Mark, At: e.At})
+			g.world.Rec.Effects = append(g.world.Rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
 		})
 		g.recordedEffects++
 	}
-	for _, s := range g.model.Stops()[g.recordedStops:] {
+	for _, s := range g.model.Outages()[g.recordedStops:] {
 		g.world.Rec.Add(func() {
-			g.world.Rec.OverloadFailures = append(g.world.Rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.Multiple})
+			g.world.Rec.OverloadFailures = append(g.world.Rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
 		})
 		g.recordedStops++
 	}
@@ -153,7 +153,7 @@
 func (g *Gateway) Strain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.world.Rec.RecordLoad(record.Origin, g.model.Strain())
+	g.world.Rec.RecordLoad(record.Origin, g.model.MaxLoadMultiple())
 }
 
 // maxBodyBytes limits the value of a write.
@@ -201,14 +201,14 @@
 		return
 	}
 	outcome := make(chan result, 1)
-	g.submit(model.Job{ID: observed.RequestID, Key: key, Mark: mark, Write: observed.Write}, func(r result) { outcome <- r })
+	g.submit(model.Job{ID: observed.RequestID, Key: key, DedupToken: mark, Write: observed.Write}, func(r result) { outcome <- r })
 	var res result
 	select {
 	case res = <-outcome:
 	case <-r.Context().Done(): // the balancer gave up: a queued job is dropped, a running one continues
 		observed.Ended = g.world.Now()
 		g.mu.Lock()
-		dropped := g.model.GiveUp(observed.RequestID)
+		dropped := g.model.Abandon(observed.RequestID)
 		g.mu.Unlock()
 		go func() {
 			if !dropped {
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -21,7 +21,7 @@
 	modelRunner
 
 	mu           sync.Mutex
-	model        *model.Node // nil while the host is down
+	model        *model.Host // nil while the host is down
 	startedAt    time.Duration
 	cold         bool
 	openConns    int
@@ -36,7 +36,7 @@
 // AddNode adds a cache host and opens its links, at the addresses of the previous host if one is given. A host that is
 // not cold counts as having been up for a long time.
 func (w *World) AddNode(id string, g *scenario.Node, cold bool, previous *Node) (*Node, error) {
-	n := &Node{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.Stream(w.Day.Seed, "faults "+id)}
+	n := &Node{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.NewRand(w.Day.Seed, "faults "+id)}
 	for b := range w.Day.Fleet.Balancers {
 		l := &link{balancer: b, hostID: id, delay: w.linkDelay(b, g.Zone), serve: n.serve}
 		if previous != nil {
@@ -55,7 +55,7 @@
 func (n *Node) Start(cold bool) error {
 	n.mu.Lock()
 	now := n.world.Now()
-	n.model = model.NewNode(n.world.Day.NodeTerms(n.Group), now, cold, model.Stream(n.world.Day.Seed, "pauses "+n.ID))
+	n.model = model.NewHost(n.world.Day.NodeTerms(n.Group), now, cold, model.NewRand(n.world.Day.Seed, "pauses "+n.ID))
 	n.startedAt, n.cold, n.fetching, n.attempts = 0, cold, map[string][]*attempt{}, map[*attempt]struct{}{}
 	if cold {
 		n.startedAt = now
@@ -103,7 +103,7 @@
 	if n.model == nil {
 		return
 	}
-	n.world.Rec.RecordLoad(n.ID, n.model.Strain())
+	n.world.Rec.RecordLoad(n.ID, n.model.MaxLoadMultiple())
 	n.model = nil
 	for att := range n.attempts {
 		att.finish(answer{lost: true})
@@ -114,17 +114,17 @@
 func (n *Node) Addr(balancer int) string { return n.links[balancer].addr.String() }
 
 // Entry returns the host's entry in the host list, with the given condition.
-func (n *Node) Entry(condition model.Condition) model.Entry {
+func (n *Node) Entry(condition model.Lifecycle) model.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return model.Entry{Node: n.ID, Zone: n.Zone, Kind: "cache", Condition: condition, Weight: n.Group.Speed * float64(n.Group.Cores), Born: n.startedAt}
+	return model.Entry{Host: n.ID, Zone: n.Zone, MachineType: "cache", Lifecycle: condition, Weight: n.Group.Speed * float64(n.Group.Cores), StartedAt: n.startedAt}
 }
 
 // Slow slows the host's work down by a factor. It and the following methods inject faults; a zero argument ends them.
-func (n *Node) Slow(factor float64) { n.update(func() { n.model.Slow(max(factor, 1)) }) }
+func (n *Node) Slow(factor float64) { n.update(func() { n.model.SetSlowdown(max(factor, 1)) }) }
 
 // Stall makes the host accept commands without executing any.
-func (n *Node) Stall(on bool) { n.update(func() { n.model.Stall(on) }) }
+func (n *Node) Stall(on bool) { n.update(func() { n.model.SetStalled(on) }) }
 
 // Spoil makes the host corrupt a fraction of its answers.
 func (n *Node) Spoil(ratio float64) { n.update(func() { n.corruptRatio = ratio }) }
@@ -165,7 +165,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model != nil {
-		n.model.Keep(key, version, n.world.Day.Load.ValueSize)
+		n.model.CacheValue(key, version, n.world.Day.Load.ValueSize)
 	}
 }
 
@@ -174,7 +174,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model != nil {
-		n.model.Void(key, version)
+		n.model.Invalidate(key, version)
 	}
 }
 
@@ -189,7 +189,7 @@
 		return time.Hour
 	}
 	n.advance(n.world.Now())
-	return min(time.Hour, max(0, n.model.Due()-n.world.Now()))
+	return min(time.Hour, max(0, n.model.NextEvent()-n.world.Now()))
 }
 
 // advance runs the model up to the given time and finishes the attempts that are done. The caller holds n.mu.
@@ -217,7 +217,7 @@
 			att.finish(answer{miss: true})
 		}
 	}
-	if at, multiple, fell := n.model.Fallen(); fell && n.cold {
+	if at, multiple, fell := n.model.OverloadFailure(); fell && n.cold {
 		n.cold = false // recorded only once
 		n.world.Rec.Add(func() {
 			n.world.Rec.OverloadFailures = append(n.world.Rec.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
@@ -232,7 +232,7 @@
 // forwardToOrigin passes a write to the origin, or fetches a read's value once for all attempts that wait for its key. The
 // caller holds n.mu.
 func (n *Node) forwardToOrigin(att *attempt, d model.Done) {
-	job := model.Job{ID: d.ID, Key: d.Key, Mark: d.Mark, Write: d.Write}
+	job := model.Job{ID: d.ID, Key: d.Key, DedupToken: d.DedupToken, Write: d.Write}
 	if d.Write {
 		go n.world.Gateway.submit(job, func(r result) { // in its own goroutine, as the origin's lock must be taken before a host's
 			att.finish(answer{failed: r.lost, busy: r.refused, receipt: !r.lost && !r.refused})
@@ -249,7 +249,7 @@
 		waiting := n.fetching[job.Key]
 		delete(n.fetching, job.Key)
 		if n.model != nil && !r.lost && !r.refused {
-			n.model.Keep(job.Key, r.version, n.world.Day.Load.ValueSize)
+			n.model.CacheValue(job.Key, r.version, n.world.Day.Load.ValueSize)
 		}
 		n.mu.Unlock()
 		for _, att := range waiting {
@@ -277,7 +277,7 @@
 	n.advance(now)
 	att.cold = n.model.Cold(now)
 	n.attempts[att] = struct{}{}
-	job := model.Job{ID: att.id, Key: att.key, Mark: att.mark, Write: att.write, Work: att.work, Tag: att}
+	job := model.Job{ID: att.id, Key: att.key, DedupToken: att.mark, Write: att.write, WorkTime: att.work, Tag: att}
 	if !n.model.Offer(now, job) {
 		att.finish(answer{busy: true})
 	} else {
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -20,7 +20,7 @@
 	agents []*discoveryAgent
 
 	mu    sync.Mutex
-	model *model.Register
+	model *model.Discovery
 }
 
 // discoveryAgent serves the host list to one balancer. The lock of its Register guards the fields marked below.
@@ -38,7 +38,7 @@
 // AddRegister adds discovery.
 func (w *World) AddRegister() error {
 	delay := [2]time.Duration{w.Day.Register.Late[0].Duration(), w.Day.Register.Late[1].Duration()}
-	r := &Register{world: w, model: model.NewRegister(w.Day.Fleet.Balancers, delay, model.Stream(w.Day.Seed, "register"))}
+	r := &Register{world: w, model: model.NewDiscovery(w.Day.Fleet.Balancers, delay, model.NewRand(w.Day.Seed, "register"))}
 	for b := range w.Day.Fleet.Balancers {
 		a := &discoveryAgent{register: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
 		if err := a.listen(); err != nil {
@@ -96,8 +96,8 @@
 	r.advance()
 	for b, at := range times {
 		time.AfterFunc(max(0, at-r.world.Now()), r.advance)
-		if e.Condition != model.Active {
-			time.AfterFunc(max(0, at-r.world.Now()), func() { r.assumeNotified(b, e.Node) })
+		if e.Lifecycle != model.Active {
+			time.AfterFunc(max(0, at-r.world.Now()), func() { r.assumeNotified(b, e.Host) })
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	}
 	_, _, entries := r.model.List(balancer, 0, true)
 	for _, e := range entries {
-		if e.Node == host && e.Condition == model.Active {
+		if e.Host == host && e.Lifecycle == model.Active {
 			return // the host is active again
 		}
 	}
@@ -142,7 +142,7 @@
 func (r *Register) Silence(balancer int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.model.Silence(balancer, on)
+	r.model.SetSilent(balancer, on)
 	r.wakeWatches(balancer)
 	if a := r.agents[balancer]; !on {
 		for host, available := range a.available {
@@ -166,7 +166,7 @@
 func (r *Register) Rewind(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.model.Rewind(balancer)
+	r.model.ResetGenerations(balancer)
 	r.wakeWatches(balancer)
 }
 
@@ -208,14 +208,14 @@
 	rows := []instance{}
 	for _, e := range entries {
 		addr := ""
-		if e.Node == record.Origin {
+		if e.Host == record.Origin {
 			addr = r.world.Gateway.Addr(balancer)
-		} else if n := r.world.Node(e.Node); n != nil {
+		} else if n := r.world.Node(e.Host); n != nil {
 			addr = n.Addr(balancer)
 		}
-		row := instance{InstanceID: e.Node, HostPort: addr, Zone: e.Zone, MachineType: e.Kind, Cell: e.Cell, Lifecycle: string(e.Condition), Weight: e.Weight}
-		if e.Born > 0 {
-			row.StartedAtMs = r.world.Unix(e.Born)
+		row := instance{InstanceID: e.Host, HostPort: addr, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Lifecycle: string(e.Lifecycle), Weight: e.Weight}
+		if e.StartedAt > 0 {
+			row.StartedAtMs = r.world.Unix(e.StartedAt)
 		}
 		rows = append(rows, row)
 	}
@@ -283,8 +283,8 @@
 	text, reset, entries := r.list(a.balancer, after, full)
 	listed := map[string]bool{}
 	for _, e := range entries {
-		listed[e.Node] = true
-		r.recordNotice(a.balancer, e.Node, e.Condition == model.Active)
+		listed[e.Host] = true
+		r.recordNotice(a.balancer, e.Host, e.Lifecycle == model.Active)
 	}
 	if reset {
 		for host, available := range a.available {
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -28,12 +28,12 @@
 	target   netip.AddrPort
 
 	mu    sync.Mutex
-	link  *model.Way
+	link  *model.Link
 	bytes int64
 }
 
 // NewRelays opens a link for each ordered pair of balancers; targets are their addresses.
-func NewRelays(targets []netip.AddrPort, terms model.WayTerms, random *rand.Rand) (*Relays, error) {
+func NewRelays(targets []netip.AddrPort, terms model.LinkConfig, random *rand.Rand) (*Relays, error) {
 	rs := &Relays{startedAt: time.Now()}
 	for from := range targets {
 		row := make([]*relay, len(targets))
@@ -48,7 +48,7 @@
 				return nil, fmt.Errorf("link between balancers: %w", err)
 			}
 			row[to] = &relay{owner: rs, from: from, to: to, conn: conn, target: targets[to],
-				link: model.NewWay(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
+				link: model.NewLink(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
 		}
 	}
 	for _, row := range rs.relays {
@@ -67,14 +67,14 @@
 }
 
 // Change alters how a link treats datagrams from now on.
-func (rs *Relays) Change(from, to int, change func(*model.WayTerms)) {
+func (rs *Relays) Change(from, to int, change func(*model.LinkConfig)) {
 	if from == to {
 		return
 	}
 	r := rs.relays[from][to]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.link.WayTerms)
+	change(&r.link.LinkConfig)
 }
 
 // Cut makes the selected links lose everything, or ends that.
@@ -82,7 +82,7 @@
 	for from, row := range rs.relays {
 		for to := range row {
 			if from != to && which(from, to) {
-				rs.Change(from, to, func(t *model.WayTerms) { t.Cut = on })
+				rs.Change(from, to, func(t *model.LinkConfig) { t.Cut = on })
 			}
 		}
 	}
@@ -136,13 +136,13 @@
 	r.mu.Lock()
 	r.bytes += int64(len(datagram))
 	now := time.Since(r.owner.startedAt)
-	copies := append([]model.Passed(nil), r.link.Pass(now, len(datagram))...)
+	copies := append([]model.Delivery(nil), r.link.Send(now, len(datagram))...)
 	r.mu.Unlock()
 	for _, c := range copies {
 		out := datagram
-		if c.Spoilt {
+		if c.Corrupt {
 			out = append([]byte(nil), datagram...)
-			out[int(c.SpoilAt*float64(len(out)))] ^= 0x55
+			out[int(c.CorruptAt*float64(len(out)))] ^= 0x55
 		}
 		if wait := c.At - now; wait > 0 {
 			time.AfterFunc(wait, func() { r.conn.WriteToUDPAddrPort(out, r.target) })
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -55,7 +55,7 @@
 	up := n.model != nil
 	if up && n.Group.ConnectWork > 0 {
 		n.advance(now)
-		n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ConnectWork.Duration()})
+		n.model.Offer(n.world.Now(), model.Job{WorkTime: n.Group.ConnectWork.Duration()})
 	}
 	n.mu.Unlock()
 	defer func() { n.mu.Lock(); n.openConns--; n.mu.Unlock() }()
@@ -161,11 +161,11 @@
 		return
 	}
 	n.advance(n.world.Now())
-	n.model.Offer(n.world.Now(), model.Job{Work: n.Group.ProbeWork.Duration()})
+	n.model.Offer(n.world.Now(), model.Job{WorkTime: n.Group.ProbeWork.Duration()})
 	text := memcache.NoopAnswer
 	if att.key == "stats" {
 		l := n.model.Load()
-		text = fmt.Sprintf("STAT inflight %d\r\nSTAT queue %d\r\nSTAT util %.2f\r\nEND\r\n", l.InFlight, l.Queue, l.Util)
+		text = fmt.Sprintf("STAT inflight %d\r\nSTAT queue %d\r\nSTAT util %.2f\r\nEND\r\n", l.InFlight, l.Queue, l.Utilization)
 	}
 	att.finish(answer{text: text})
 }
@@ -222,7 +222,7 @@
 		return
 	}
 	n.mu.Lock()
-	dropped := n.model != nil && n.model.GiveUp(att.id)
+	dropped := n.model != nil && n.model.Abandon(att.id)
 	n.mu.Unlock()
 	if dropped {
 		att.finish(answer{busy: true})
@@ -273,7 +273,7 @@
 	report := ""
 	if n.world.Day.Fleet.Reports && n.model != nil {
 		load := n.model.Load()
-		report = fmt.Sprintf(" Linflight=%d,queue=%d,util=%.2f", load.InFlight, load.Queue, load.Util)
+		report = fmt.Sprintf(" Linflight=%d,queue=%d,util=%.2f", load.InFlight, load.Queue, load.Utilization)
 	}
 	n.mu.Unlock()
 	if a.lost {
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -166,8 +166,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(next.Stop)
-	if next.Addr(0) != n.Addr(0) || next.Entry(model.Active).Born == 0 {
-		t.Errorf("the successor is at %s, started at %v", next.Addr(0), next.Entry(model.Active).Born)
+	if next.Addr(0) != n.Addr(0) || next.Entry(model.Active).StartedAt == 0 {
+		t.Errorf("the successor is at %s, started at %v", next.Addr(0), next.Entry(model.Active).StartedAt)
 	}
 	c3, in3 := dial(t, next.Addr(0))
 	if got := roundTrip(t, c3, in3, "stats load\r\n"); !strings.HasPrefix(got, "STAT inflight") {
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -135,7 +135,7 @@
 	w.mu.Lock()
 	p := w.Day.Products[w.requests[id].Product]
 	w.mu.Unlock()
-	return model.Work(w.Day.Seed, id, p.Law, p.Work.Duration(), p.Variation)
+	return model.RequestWork(w.Day.Seed, id, p.Law, p.Work.Duration(), p.Variation)
 }
 
 // recordMiss remembers that a cache host lacked a request's key.
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -97,7 +97,7 @@
 	b.pausedUntil = 0
 	b.requests, b.listedUp, b.generation, b.observations, b.peerObservations = map[policy.RequestID]*request{}, map[string]bool{}, 0, nil, nil
 	b.lifeRecord = record.ProcessRun{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
-	seed := model.Stream(b.d.Seed, fmt.Sprint("balancer ", b.index, b.startCount)).Uint64()
+	seed := model.NewRand(b.d.Seed, fmt.Sprint("balancer ", b.index, b.startCount)).Uint64()
 	b.decider = policy.New(policyHost{b, b.startCount}, b.d.policyTerms(b.zone), seed)
 	b.pollDiscovery(true)
 	b.getsTraffic = true
@@ -167,8 +167,8 @@
 	var list []policy.HostEntry
 	named := map[string]bool{}
 	for _, e := range entries {
-		named[e.Node] = true
-		b.recordNotice(e.Node, e.Condition == model.Active)
+		named[e.Host] = true
+		b.recordNotice(e.Host, e.Lifecycle == model.Active)
 		list = append(list, b.d.policyEntry(e))
 	}
 	kind := policy.ListUpdate
@@ -388,10 +388,10 @@
 	}
 	d.after(a.oneWayDelay(), func() {
 		if !a.answerComplete {
-			if a.host != nil && a.host.model != nil && a.host.model.GiveUp(a.request.id) {
+			if a.host != nil && a.host.model != nil && a.host.model.Abandon(a.request.id) {
 				a.host.remove(a)
 			} else if a.host == nil {
-				d.origin.model.GiveUp(a.request.id)
+				d.origin.model.Abandon(a.request.id)
 			}
 		}
 	})
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -26,10 +26,10 @@
 	hostsInOrder     []*cacheHost          // in the order of their first start
 	currentHost      map[string]*cacheHost // by the scenario's node name; a deploy replaces the host
 	origin           *origin
-	discovery        *model.Register
+	discovery        *model.Discovery
 	balancers        []*balancer
 	attempts         []*attempt
-	retry            model.Retry
+	retry            model.RetryPolicy
 	roundRobin       int
 	latency          *hdrhistogram.Histogram
 	trace            io.Writer // receives one line for each event; nil: no trace
@@ -71,8 +71,8 @@
 	d := &Day{Day: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.Retry(),
 		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: w}
 	late := [2]time.Duration{s.Register.Late[0].Duration(), s.Register.Late[1].Duration()}
-	d.discovery = model.NewRegister(s.Fleet.Balancers, late, model.Stream(s.Seed, "register"))
-	d.origin = &origin{d: d, model: model.NewGateway(s.GatewayTerms(), 0), scheduledAt: never, rng: model.Stream(s.Seed, "faults gateway")}
+	d.discovery = model.NewDiscovery(s.Fleet.Balancers, late, model.NewRand(s.Seed, "register"))
+	d.origin = &origin{d: d, model: model.NewOrigin(s.GatewayTerms(), 0), scheduledAt: never, rng: model.NewRand(s.Seed, "faults gateway")}
 	for b := range s.Fleet.Balancers {
 		d.balancers = append(d.balancers, &balancer{d: d, index: b, zone: b % len(s.Fleet.Zones)})
 	}
@@ -81,12 +81,12 @@
 		n := d.addHost(id, groups[id], false)
 		d.currentHost[id] = n
 		for k := range int(s.Load.Warm * float64(s.Load.Keys)) {
-			n.model.Keep(model.KeyName(k), 0, s.Load.ValueSize)
+			n.model.CacheValue(model.KeyName(k), 0, s.Load.ValueSize)
 		}
 		d.discovery.Set(0, n.listEntry(model.Active))
 	}
 	if s.Fleet.Mode == scenario.Aside {
-		d.discovery.Set(0, model.Entry{Node: record.Origin, Zone: s.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
+		d.discovery.Set(0, model.Entry{Host: record.Origin, Zone: s.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
 	}
 	d.discovery.Advance(0)
 	if s.Mates.On {
@@ -123,8 +123,8 @@
 
 // sendRequest sends a client's request or, if try is above 1, a client retry of it. It schedules the next client retry, if any.
 func (d *Day) sendRequest(arrival *model.Arrival, try int) {
-	rec := &record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.Mark, KeyUsedOnce: arrival.Once,
-		ScheduledAt: d.now, Sent: d.now, Timeout: d.now + arrival.Patience}
+	rec := &record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
+		ScheduledAt: d.now, Sent: d.now, Timeout: d.now + arrival.Timeout}
 	if try > 1 {
 		rec.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 	}
@@ -145,13 +145,13 @@
 		d.rec.Requests = append(d.rec.Requests, *rec)
 		d.tracef("answer %s %v %v", rec.ID, reply, retryAfter)
 		harmless := reply == record.RateLimited || rec.NotSent || d.Products[arrival.Product].Effect == scenario.Idempotent
-		rng := model.Stream(d.Seed, fmt.Sprint("client ", arrival.ID, try))
-		if wait, again := d.retry.Next(rng, try, harmless, retryAfter); again && reply != record.Fulfilled {
+		rng := model.NewRand(d.Seed, fmt.Sprint("client ", arrival.ID, try))
+		if wait, again := d.retry.NextDelay(rng, try, harmless, retryAfter); again && reply != record.Fulfilled {
 			d.after(wait, func() { d.sendRequest(arrival, try+1) })
 		}
 	}
 	d.tracef("call %s %s to %d until %v", rec.ID, arrival.Key, b.index, rec.Timeout)
-	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.Mark, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
+	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.DedupToken, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
 	d.after(d.Fleet.Same.Duration(), func() {
 		if b.decider == nil {
 			rec.NotSent = true
@@ -203,16 +203,16 @@
 // drawWork returns the service time that a request needs at a cache host, drawn by the product's distribution.
 func (d *Day) drawWork(req *request) time.Duration {
 	p := &d.Products[req.record.Product]
-	return model.Work(d.Seed, req.id, p.Law, p.Work.Duration(), p.Variation)
+	return model.RequestWork(d.Seed, req.id, p.Law, p.Work.Duration(), p.Variation)
 }
 
 // policyEntry converts an entry of the discovery model to the form of package policy.
 func (d *Day) policyEntry(e model.Entry) policy.HostEntry {
-	p := policy.HostEntry{HostID: policy.HostID(e.Node), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
-	if e.Kind == "origin" {
+	p := policy.HostEntry{HostID: policy.HostID(e.Host), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
+	if e.MachineType == "origin" {
 		p.Kind = 1
 	}
-	switch e.Condition {
+	switch e.Lifecycle {
 	case model.Leaving:
 		p.Condition = policy.Draining
 	case model.Left:
@@ -221,8 +221,8 @@
 	if d.deliberateFaults.hideDrains {
 		p.Condition = policy.Up
 	}
-	if e.Born > 0 && !d.deliberateFaults.hideColdStarts {
-		p.ListedStart = epoch + policy.Nanos(e.Born)
+	if e.StartedAt > 0 && !d.deliberateFaults.hideColdStarts {
+		p.ListedStart = epoch + policy.Nanos(e.StartedAt)
 	}
 	return p
 }
@@ -269,10 +269,10 @@
 	}
 	for _, h := range d.hostsInOrder {
 		if h.model != nil {
-			d.rec.RecordLoad(h.id, h.model.Strain())
+			d.rec.RecordLoad(h.id, h.model.MaxLoadMultiple())
 		}
 	}
-	d.rec.RecordLoad(record.Origin, d.origin.model.Strain())
+	d.rec.RecordLoad(record.Origin, d.origin.model.MaxLoadMultiple())
 	for _, a := range d.attempts {
 		if a.receivedAt == 0 {
 			continue // cancelled in transit: no server received it
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -33,7 +33,7 @@
 
 // startObservationExchange schedules each balancer's periodic exchange, with a random offset.
 func (d *Day) startObservationExchange(alterReports Liars) {
-	e := &observationExchange{d: d, rng: model.Stream(d.Seed, "evidence"), alterReports: alterReports}
+	e := &observationExchange{d: d, rng: model.NewRand(d.Seed, "evidence"), alterReports: alterReports}
 	d.observations = e
 	for i := range d.balancers {
 		d.at(time.Duration(e.rng.Int64N(int64(evidence.TickInterval))), func() { e.tick(i) })
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -13,7 +13,7 @@
 )
 
 // setCondition changes a host's condition in discovery; the discovery model decides when each balancer is notified.
-func (d *Day) setCondition(h *cacheHost, condition model.Condition) {
+func (d *Day) setCondition(h *cacheHost, condition model.Lifecycle) {
 	for _, at := range d.discovery.Set(d.now, h.listEntry(condition)) {
 		d.at(at, d.notifyBalancers)
 	}
@@ -45,9 +45,9 @@
 	restart := func(h *cacheHost) { h.start(true); d.setCondition(h, model.Active) }
 	switch f.Do {
 	case "slow":
-		duringFault(func(h *cacheHost) { h.update(func() { h.model.Slow(f.By) }) }, func(h *cacheHost) { h.update(func() { h.model.Slow(1) }) })
+		duringFault(func(h *cacheHost) { h.update(func() { h.model.SetSlowdown(f.By) }) }, func(h *cacheHost) { h.update(func() { h.model.SetSlowdown(1) }) })
 	case "stall":
-		duringFault(func(h *cacheHost) { h.update(func() { h.model.Stall(true) }) }, func(h *cacheHost) { h.update(func() { h.model.Stall(false) }) })
+		duringFault(func(h *cacheHost) { h.update(func() { h.model.SetStalled(true) }) }, func(h *cacheHost) { h.update(func() { h.model.SetStalled(false) }) })
 	case "spoil":
 		setProbability(func(h *cacheHost) *float64 { return &h.spoilProbability })
 	case "reset":
@@ -70,22 +70,22 @@
 		d.scheduleDeploy(f, d.Hit(i))
 	case "register-silent":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.discovery.Silence(b, true) })
-			d.at(to, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
+			d.at(from, func() { d.discovery.SetSilent(b, true) })
+			d.at(to, func() { d.discovery.SetSilent(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "watch-silent": // the balancer notices and reopens the watch after the same time as on sockets
 		pace := discovery.NewTimeouts(d.Rules.DrainGrace.Duration()*9/10, true)
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.discovery.Silence(b, true) })
-			d.at(from+pace.LongPoll+pace.ResponseGrace, func() { d.discovery.Silence(b, false); d.balancers[b].pollDiscovery(false) })
+			d.at(from, func() { d.discovery.SetSilent(b, true) })
+			d.at(from+pace.LongPoll+pace.ResponseGrace, func() { d.discovery.SetSilent(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "register-rewind":
 		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.discovery.Rewind(b); d.balancers[b].pollDiscovery(true) })
+			d.at(from, func() { d.discovery.ResetGenerations(b); d.balancers[b].pollDiscovery(true) })
 		}
 	case "gateway-slow":
 		slow := func(factor float64) func() {
-			return func() { d.origin.advance(); d.origin.model.Slow(factor); d.origin.scheduleAdvance() }
+			return func() { d.origin.advance(); d.origin.model.SetSlowdown(factor); d.origin.scheduleAdvance() }
 		}
 		d.at(from, slow(f.By))
 		d.at(to, slow(1))
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -15,7 +15,7 @@
 	d           *Day
 	id          string
 	group       *scenario.Node
-	model       *model.Node // nil while its process is down
+	model       *model.Host // nil while its process is down
 	unreachable bool        // requests get neither an answer nor a refused connection
 	startedAt   time.Duration
 	cold        bool
@@ -37,7 +37,7 @@
 const never = time.Duration(1<<63 - 1)
 
 func (d *Day) addHost(id string, group *scenario.Node, cold bool) *cacheHost {
-	h := &cacheHost{d: d, id: id, group: group, rng: model.Stream(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
+	h := &cacheHost{d: d, id: id, group: group, rng: model.NewRand(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
 	d.hosts[id] = h
 	d.hostsInOrder = append(d.hostsInOrder, h)
 	h.start(cold)
@@ -45,7 +45,7 @@
 }
 
 func (h *cacheHost) start(cold bool) {
-	h.model = model.NewNode(h.d.NodeTerms(h.group), h.d.now, cold, model.Stream(h.d.Seed, "pauses "+h.id))
+	h.model = model.NewHost(h.d.NodeTerms(h.group), h.d.now, cold, model.NewRand(h.d.Seed, "pauses "+h.id))
 	h.unreachable, h.cold, h.scheduledAt, h.startedAt = false, cold, never, 0
 	if cold {
 		h.startedAt = h.d.now
@@ -58,7 +58,7 @@
 	if h.model == nil {
 		return
 	}
-	h.d.rec.RecordLoad(h.id, h.model.Strain())
+	h.d.rec.RecordLoad(h.id, h.model.MaxLoadMultiple())
 	h.model, h.unreachable = nil, silent
 	inFlight := h.inFlight
 	h.inFlight = nil
@@ -70,8 +70,8 @@
 }
 
 // listEntry is the host's entry in discovery.
-func (h *cacheHost) listEntry(condition model.Condition) model.Entry {
-	return model.Entry{Node: h.id, Zone: h.group.Zone, Kind: "cache", Condition: condition, Weight: h.group.Speed * float64(h.group.Cores), Born: h.startedAt}
+func (h *cacheHost) listEntry(condition model.Lifecycle) model.Entry {
+	return model.Entry{Host: h.id, Zone: h.group.Zone, MachineType: "cache", Lifecycle: condition, Weight: h.group.Speed * float64(h.group.Cores), StartedAt: h.startedAt}
 }
 
 // update changes the host's model, after advancing it to the current time.
@@ -100,7 +100,7 @@
 		return
 	}
 	a.cold = h.model.Cold(h.d.now)
-	if !h.model.Offer(h.d.now, model.Job{ID: a.request.id, Key: a.request.key, Mark: a.request.mark, Write: a.request.write, Work: a.work, Tag: a}) {
+	if !h.model.Offer(h.d.now, model.Job{ID: a.request.id, Key: a.request.key, DedupToken: a.request.mark, Write: a.request.write, WorkTime: a.work, Tag: a}) {
 		a.answer(policy.Rejected, 0)
 	} else {
 		h.inFlight = append(h.inFlight, a)
@@ -137,7 +137,7 @@
 			a.answer(policy.CacheMiss, 2)
 		}
 	}
-	if at, multiple, fell := h.model.Fallen(); fell && h.cold {
+	if at, multiple, fell := h.model.OverloadFailure(); fell && h.cold {
 		h.cold = false
 		h.d.rec.OverloadFailures = append(h.d.rec.OverloadFailures, record.OverloadFailure{Server: h.id, At: at, LoadMultiple: multiple})
 		h.stop(false)
@@ -166,7 +166,7 @@
 			a.answer(policy.Errored, 2)
 		default:
 			if h.model != nil && !done.Write {
-				h.model.Keep(a.request.key, r.version, h.d.Load.ValueSize)
+				h.model.CacheValue(a.request.key, r.version, h.d.Load.ValueSize)
 			}
 			a.answer(policy.Fulfilled, 2)
 		}
@@ -178,7 +178,7 @@
 	if h.model == nil {
 		return
 	}
-	due := h.model.Due()
+	due := h.model.NextEvent()
 	if due >= h.scheduledAt || due == never {
 		return
 	}
@@ -197,7 +197,7 @@
 // origin is the simulated origin behind the caches.
 type origin struct {
 	d                                 *Day
-	model                             *model.Gateway
+	model                             *model.Origin
 	scheduledAt                       time.Duration
 	effectsRecorded, stopsRecorded    int
 	resetProbability, failProbability float64
@@ -213,8 +213,8 @@
 // submit gives the origin a job; done is called with its result.
 func (o *origin) submit(req *request, write bool, done func(fetchResult)) {
 	o.advance()
-	work := model.Work(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Gateway.Time.Duration(), 1)
-	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, Mark: req.mark, Write: write, Work: work, Tag: done}) {
+	work := model.RequestWork(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Gateway.Time.Duration(), 1)
+	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, DedupToken: req.mark, Write: write, WorkTime: work, Tag: done}) {
 		o.d.after(0, func() { done(fetchResult{rejected: true}) })
 	}
 	o.scheduleAdvance()
@@ -241,7 +241,7 @@
 		if a.executed && !a.request.write {
 			for _, h := range a.request.missedHosts {
 				if h.model != nil {
-					h.model.Keep(a.request.key, r.version, o.d.Load.ValueSize)
+					h.model.CacheValue(a.request.key, r.version, o.d.Load.ValueSize)
 				}
 			}
 			a.request.missedHosts = nil
@@ -256,25 +256,25 @@
 		if done.Write && !done.Lost {
 			for _, h := range o.d.hostsInOrder {
 				if h.model != nil {
-					h.model.Void(done.Key, done.Version)
+					h.model.Invalidate(done.Key, done.Version)
 				}
 			}
 		}
 		done.Tag.(func(fetchResult))(fetchResult{lost: done.Lost, version: done.Version})
 	}
 	for _, e := range o.model.Effects()[o.effectsRecorded:] {
-		o.d.rec.Effects = append(o.d.rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.Mark, At: e.At})
+		o.d.rec.Effects = append(o.d.rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
 		o.effectsRecorded++
 	}
-	for _, s := range o.model.Stops()[o.stopsRecorded:] {
-		o.d.rec.OverloadFailures = append(o.d.rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.Multiple})
+	for _, s := range o.model.Outages()[o.stopsRecorded:] {
+		o.d.rec.OverloadFailures = append(o.d.rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
 		o.stopsRecorded++
 	}
 }
 
 // scheduleAdvance schedules the next advance of the origin's model.
 func (o *origin) scheduleAdvance() {
-	due := o.model.Due()
+	due := o.model.NextEvent()
 	if due >= o.scheduledAt || due == never {
 		return
 	}
