--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -215,10 +215,10 @@
 
 // showProgress shows the progress of a running scenario on a terminal.
 func showProgress(s *runner.Stage) {
-	for now := s.W.Now(); now < s.W.Day.Length.Duration(); now = s.W.Now() {
+	for now := s.W.Now(); now < s.W.Scenario.Length.Duration(); now = s.W.Now() {
 		t := s.Callers.Tally()
 		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d requests: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
-			s.W.Day.Length.Duration().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
+			s.W.Scenario.Length.Duration().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
 		time.Sleep(time.Second / 2)
 	}
 	fmt.Fprintln(os.Stderr)
@@ -249,7 +249,7 @@
 	}
 	defer s.End()
 	s.W.Begin()
-	s.W.Open() // accept requests that are not part of the scenario
+	s.W.AcceptAll() // accept requests that are not part of the scenario
 	for b := range d.Fleet.Balancers {
 		fmt.Printf("balancer %d serves at %s\n", b+1, s.Addr(b))
 	}
--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -262,7 +262,7 @@
 	f := newFleet(t, 5, "", nil)
 	for from := range 5 {
 		for to := range 5 {
-			f.relays.Change(from, to, func(w *model.LinkConfig) {
+			f.relays.AlterLink(from, to, func(w *model.LinkConfig) {
 				*w = model.LinkConfig{LossRatio: 0.25, Jitter: 20 * time.Millisecond, DuplicateRatio: 0.1, ReorderRatio: 0.1, ReorderDelay: 50 * time.Millisecond, CorruptRatio: 0.1}
 			})
 		}
--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -32,7 +32,7 @@
 
 // Timeline holds the faults of a scenario as steps to run at given times.
 type Timeline struct {
-	world     *standin.World
+	world     *standin.Environment
 	balancers Balancers
 	steps     []step
 	pending   sync.WaitGroup
@@ -49,9 +49,9 @@
 }
 
 // New returns the timeline of a scenario's faults.
-func New(w *standin.World, b Balancers) *Timeline {
+func New(w *standin.Environment, b Balancers) *Timeline {
 	t := &Timeline{world: w, balancers: b, currentID: map[string]string{}}
-	for i := range w.Day.Faults {
+	for i := range w.Scenario.Faults {
 		t.schedule(i)
 	}
 	slices.SortStableFunc(t.steps, func(x, y step) int { return int(x.at - y.at) })
@@ -66,7 +66,7 @@
 		timer.Reset(max(0, s.at-t.world.Now()))
 		select {
 		case <-timer.C:
-			t.world.Late(s.at, t.world.Now())
+			t.world.RecordLateness(s.at, t.world.Now())
 			s.run()
 		case <-stop:
 			return t.err
@@ -89,17 +89,17 @@
 }
 
 // nodeAt returns the host that now has the place of one that existed at the start: itself or its latest replacement.
-func (t *Timeline) nodeAt(place string) *standin.Node {
+func (t *Timeline) nodeAt(place string) *standin.Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if id, ok := t.currentID[place]; ok {
-		return t.world.Node(id)
+		return t.world.Host(id)
 	}
-	return t.world.Node(place)
+	return t.world.Host(place)
 }
 
 // addInterval schedules one action on hosts for a fault's begin and another for its end.
-func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Node)) {
+func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Host)) {
 	for _, p := range places {
 		t.addStep(fault.At.Duration(), func() { begin(t.nodeAt(p)) })
 		t.addStep((fault.At + fault.For).Duration(), func() { end(t.nodeAt(p)) })
@@ -108,29 +108,29 @@
 
 // schedule adds the steps of the scenario's i-th fault to the timeline, and the fault to the record.
 func (t *Timeline) schedule(i int) {
-	fault := &t.world.Day.Faults[i]
+	fault := &t.world.Scenario.Faults[i]
 	from, to := fault.At.Duration(), (fault.At + fault.For).Duration()
-	places, balancers := t.world.Day.Hit(i), t.world.Day.HitBalancers(i)
+	places, balancers := t.world.Scenario.Hit(i), t.world.Scenario.HitBalancers(i)
 	description := fault.Do
 	switch fault.Do {
 	case "slow":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Slow(fault.By) }, func(n *standin.Node) { n.Slow(1) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Slow(fault.By) }, func(n *standin.Host) { n.Slow(1) })
 	case "stall":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Stall(true) }, func(n *standin.Node) { n.Stall(false) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Stall(true) }, func(n *standin.Host) { n.Stall(false) })
 	case "spoil":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Spoil(fault.Part) }, func(n *standin.Node) { n.Spoil(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Corrupt(fault.Part) }, func(n *standin.Host) { n.Corrupt(0) })
 	case "reset":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Reset(fault.Part) }, func(n *standin.Node) { n.Reset(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Reset(fault.Part) }, func(n *standin.Host) { n.Reset(0) })
 	case "fail":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Fail(fault.Part) }, func(n *standin.Node) { n.Fail(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Fail(fault.Part) }, func(n *standin.Host) { n.Fail(0) })
 	case "kill":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Stop(); t.setCondition(n, model.Left) },
-			func(n *standin.Node) { t.check(n.Start(true)); t.setCondition(n, model.Active) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Stop(); t.setCondition(n, model.Left) },
+			func(n *standin.Host) { t.check(n.Start(true)); t.setCondition(n, model.Active) })
 	case "vanish", "zone-dark":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Vanish(); t.setCondition(n, model.Left) },
-			func(n *standin.Node) { t.check(n.Return()); t.setCondition(n, model.Active) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Disconnect(); t.setCondition(n, model.Left) },
+			func(n *standin.Host) { t.check(n.Reconnect()); t.setCondition(n, model.Active) })
 	case "link-delay":
-		t.addLinkFault(fault, places, balancers, func(n *standin.Node, b int, active bool) {
+		t.addLinkFault(fault, places, balancers, func(n *standin.Host, b int, active bool) {
 			if active {
 				n.Delay(b, fault.Delay.Duration())
 			} else {
@@ -138,31 +138,31 @@
 			}
 		})
 	case "link-cut":
-		t.addLinkFault(fault, places, balancers, func(n *standin.Node, b int, active bool) { t.check(n.Cut(b, active)) })
+		t.addLinkFault(fault, places, balancers, func(n *standin.Host, b int, active bool) { t.check(n.Cut(b, active)) })
 	case "deploy":
 		t.deploy(fault, places)
 	case "register-silent":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Register.Silence(b, true) })
-			t.addStep(to, func() { t.world.Register.Silence(b, false) })
+			t.addStep(from, func() { t.world.Discovery.Silence(b, true) })
+			t.addStep(to, func() { t.world.Discovery.Silence(b, false) })
 		}
 	case "watch-silent":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Register.BreakWatches(b) })
+			t.addStep(from, func() { t.world.Discovery.StallWatches(b) })
 		}
 	case "register-rewind":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Register.Rewind(b) })
+			t.addStep(from, func() { t.world.Discovery.ResetGenerations(b) })
 		}
 	case "gateway-slow":
-		t.addStep(from, func() { t.world.Gateway.Slow(fault.By) })
-		t.addStep(to, func() { t.world.Gateway.Slow(1) })
+		t.addStep(from, func() { t.world.Origin.Slow(fault.By) })
+		t.addStep(to, func() { t.world.Origin.Slow(1) })
 	case "gateway-reset":
-		t.addStep(from, func() { t.world.Gateway.Reset(fault.Part) })
-		t.addStep(to, func() { t.world.Gateway.Reset(0) })
+		t.addStep(from, func() { t.world.Origin.Reset(fault.Part) })
+		t.addStep(to, func() { t.world.Origin.Reset(0) })
 	case "gateway-fail":
-		t.addStep(from, func() { t.world.Gateway.Fail(fault.Part) })
-		t.addStep(to, func() { t.world.Gateway.Fail(0) })
+		t.addStep(from, func() { t.world.Origin.Fail(fault.Part) })
+		t.addStep(to, func() { t.world.Origin.Fail(0) })
 	case "balancer-kill":
 		for _, b := range balancers {
 			t.addStep(from, func() { t.balancers.Kill(b, fault.For.Duration()) })
@@ -221,17 +221,17 @@
 	} else if fault.Zone != "" || fault.Tenant != "" {
 		description += " " + fault.Zone + fault.Tenant
 	}
-	t.world.Rec.Add(func() {
-		t.world.Rec.Faults = append(t.world.Rec.Faults, record.Band{Text: description, From: from, To: to})
+	t.world.Record.Add(func() {
+		t.world.Record.Faults = append(t.world.Record.Faults, record.Band{Text: description, From: from, To: to})
 	})
 }
 
 // scheduleBalancerLinks schedules a fault of the links between balancers.
 func (t *Timeline) scheduleBalancerLinks(i int, fault *scenario.Fault) {
-	from, to, links := fault.At.Duration(), (fault.At + fault.For).Duration(), t.world.Day.Ways(i)
+	from, to, links := fault.At.Duration(), (fault.At + fault.For).Duration(), t.world.Scenario.Ways(i)
 	change := func(end bool) {
 		for _, link := range links {
-			t.balancers.Ways().Change(link[0], link[1], t.world.Day.Harm(i, end))
+			t.balancers.Ways().AlterLink(link[0], link[1], t.world.Scenario.Harm(i, end))
 		}
 	}
 	if fault.Do == "mate-flap" {
@@ -244,7 +244,7 @@
 		t.addStep(from, func() { change(false) })
 	}
 	t.addStep(to, func() { change(true) })
-	t.world.Rec.Add(func() { t.world.Rec.LinkOutages = append(t.world.Rec.LinkOutages, Cuts(fault, links)...) })
+	t.world.Record.Add(func() { t.world.Record.LinkOutages = append(t.world.Record.LinkOutages, Cuts(fault, links)...) })
 }
 
 // Cuts returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
@@ -262,9 +262,9 @@
 // maxUsableLoss is the share of lost datagrams up to which a link between balancers counts as usable.
 const maxUsableLoss = 0.35
 
-func (t *Timeline) addLinkFault(fault *scenario.Fault, places []string, balancers []int, apply func(n *standin.Node, b int, active bool)) {
+func (t *Timeline) addLinkFault(fault *scenario.Fault, places []string, balancers []int, apply func(n *standin.Host, b int, active bool)) {
 	for _, b := range balancers {
-		t.addInterval(fault, places, func(n *standin.Node) { apply(n, b, true) }, func(n *standin.Node) { apply(n, b, false) })
+		t.addInterval(fault, places, func(n *standin.Host) { apply(n, b, true) }, func(n *standin.Host) { apply(n, b, false) })
 	}
 }
 
@@ -274,7 +274,9 @@
 	}
 }
 
-func (t *Timeline) setCondition(n *standin.Node, c model.Lifecycle) { t.world.Register.Set(n.Entry(c)) }
+func (t *Timeline) setCondition(n *standin.Host, c model.Lifecycle) {
+	t.world.Discovery.Update(n.Entry(c))
+}
 
 // deploy replaces hosts in waves. The successor starts cold when the old host begins to leave, or, where it takes over the old
 // one's address, after the old one has ended. The old host goes on until every balancer must have been notified, and then for
@@ -283,8 +285,8 @@
 	waves := (len(places) + fault.AtOnce - 1) / fault.AtOnce
 	for i, p := range places {
 		at := fault.At.Duration() + fault.For.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
-		stopDelay := t.world.Day.Register.Late[1].Duration() + fault.Drain.Duration()
-		var old, next *standin.Node
+		stopDelay := t.world.Scenario.Register.Late[1].Duration() + fault.Drain.Duration()
+		var old, next *standin.Host
 		t.addStep(at, func() {
 			old = t.nodeAt(p)
 			t.setCondition(old, model.Leaving)
@@ -308,13 +310,13 @@
 }
 
 // startSuccessor starts a cold host in place of an old one and lists it as active.
-func (t *Timeline) startSuccessor(place string, old *standin.Node, sameAddress bool) *standin.Node {
+func (t *Timeline) startSuccessor(place string, old *standin.Host, sameAddress bool) *standin.Host {
 	id := fmt.Sprintf("%s.%d", place, strings.Count(old.ID, ".")+2)
-	var inherit *standin.Node
+	var inherit *standin.Host
 	if sameAddress {
 		inherit = old
 	}
-	n, err := t.world.AddNode(id, old.Group, true, inherit)
+	n, err := t.world.AddHost(id, old.Group, true, inherit)
 	if err != nil {
 		t.recordError(err)
 		return nil
--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -107,7 +107,7 @@
 func (c *Callers) exchange(co *conn, req *record.Request, write bool, target *balancerTarget) (closedWhileIdle bool) {
 	fresh := !co.used
 	co.used = true
-	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.world.Day.Products[req.Product].Name, c.world.Day.Tenants[req.Tenant].Name,
+	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.world.Scenario.Products[req.Product].Name, c.world.Scenario.Tenants[req.Tenant].Name,
 		max(1, (req.Timeout-c.world.Now()).Milliseconds()))
 	text := make([]byte, 0, 256)
 	if write {
@@ -172,5 +172,5 @@
 		return string(r.body) == "r-"+req.ID
 	}
 	words := bytes.SplitN(r.body, []byte(" "), 4)
-	return len(words) == 4 && string(words[0]) == req.Key && string(words[2]) == req.ID && len(r.body) == c.world.Day.Load.ValueSize
+	return len(words) == 4 && string(words[0]) == req.Key && string(words[2]) == req.ID && len(r.body) == c.world.Scenario.Load.ValueSize
 }
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -22,7 +22,7 @@
 
 // Callers simulates all clients of a rehearsal.
 type Callers struct {
-	world       *standin.World
+	world       *standin.Environment
 	arrivals    []model.Arrival
 	retryPolicy model.RetryPolicy
 	targets     []*balancerTarget // indexed by balancer
@@ -53,15 +53,15 @@
 const maxInFlight = 50_000
 
 // New plans the requests of a rehearsal.
-func New(w *standin.World) (*Callers, error) {
-	arrivals, err := model.Arrivals(w.Day.Seed, w.Day.LoadTerms())
+func New(w *standin.Environment) (*Callers, error) {
+	arrivals, err := model.Arrivals(w.Scenario.Seed, w.Scenario.LoadTerms())
 	if err != nil {
 		return nil, err
 	}
-	c := &Callers{world: w, arrivals: arrivals, retryPolicy: w.Day.Retry(),
+	c := &Callers{world: w, arrivals: arrivals, retryPolicy: w.Scenario.Retry(),
 		lateness:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		latencies: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
-	for range w.Day.Fleet.Balancers {
+	for range w.Scenario.Fleet.Balancers {
 		c.targets = append(c.targets, &balancerTarget{})
 	}
 	return c, nil
@@ -88,7 +88,7 @@
 	target.stopping = true
 	target.stateChanges++
 	stateChanges := target.stateChanges
-	time.AfterFunc(c.world.Day.Clients.Notice.Duration(), func() {
+	time.AfterFunc(c.world.Scenario.Clients.Notice.Duration(), func() {
 		target.mu.Lock()
 		defer target.mu.Unlock()
 		if target.stopping && target.stateChanges == stateChanges {
@@ -147,8 +147,8 @@
 
 // runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
 func (c *Callers) runRequest(arrival *model.Arrival) {
-	p := &c.world.Day.Products[arrival.Product]
-	random := model.NewRand(c.world.Day.Seed, "client "+arrival.ID)
+	p := &c.world.Scenario.Products[arrival.Product]
+	random := model.NewRand(c.world.Scenario.Seed, "client "+arrival.ID)
 	due := arrival.At
 	for try := 1; ; try++ {
 		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
@@ -156,7 +156,7 @@
 		if try > 1 {
 			req.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 		}
-		c.world.Sent(req.ID, standin.Want{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
+		c.world.ExpectRequest(req.ID, standin.ExpectedRequest{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
 		if c.inFlight.Add(1) > maxInFlight {
 			req.NotSent = true
 		} else {
@@ -180,7 +180,7 @@
 
 // recordResult adds the outcome of one sending to the record and to the tally.
 func (c *Callers) recordResult(req record.Request, due time.Duration) {
-	c.world.Rec.Add(func() { c.world.Rec.Requests = append(c.world.Rec.Requests, req) })
+	c.world.Record.Add(func() { c.world.Record.Requests = append(c.world.Record.Requests, req) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tally.Due++
@@ -199,7 +199,7 @@
 
 // recordLateness records how late a request was sent.
 func (c *Callers) recordLateness(due, now time.Duration) {
-	c.world.Late(due, now)
+	c.world.RecordLateness(due, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lateness.RecordValue(min(maxMicros, max(minMicros, (now-due).Microseconds())))
@@ -241,7 +241,7 @@
 // pickBalancer chooses the balancer for a request, in rotation among those believed to be up: first those that its tenant
 // uses, then those of the client's zone, then any. If none is up it returns balancer 0.
 func (c *Callers) pickBalancer(zone, tenant int) int {
-	if allowed := c.world.Day.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
+	if allowed := c.world.Scenario.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
 		n := int(c.roundRobin.Add(1))
 		for i := range allowed {
 			if b := allowed[(n+i)%len(allowed)]; c.targets[b].isUp() {
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	zones := len(c.world.Day.Fleet.Zones)
+	zones := len(c.world.Scenario.Fleet.Zones)
 	for _, sameZone := range []bool{true, false} {
 		n := int(c.roundRobin.Add(1))
 		for i := range c.targets {
@@ -331,9 +331,9 @@
 
 // recordExtraAnswer counts an additional answer to a request that was already answered.
 func (c *Callers) recordExtraAnswer(id string) {
-	c.world.Rec.Add(func() {
-		for i := len(c.world.Rec.Requests) - 1; i >= 0; i-- {
-			if req := &c.world.Rec.Requests[i]; req.ID == id {
+	c.world.Record.Add(func() {
+		for i := len(c.world.Record.Requests) - 1; i >= 0; i-- {
+			if req := &c.world.Record.Requests[i]; req.ID == id {
 				req.ExtraAnswers++
 				return
 			}
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -24,7 +24,7 @@
 	defer l.Close()
 	day := &scenario.Day{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
 	day.Fleet.Balancers, day.Fleet.Zones = 1, []string{"z"}
-	w := standin.NewWorld(day, record.New())
+	w := standin.NewEnvironment(day, record.New())
 	target := &balancerTarget{up: true, addr: l.Addr().String()}
 	for range maxClosedConns + 30 {
 		n, err := net.Dial("tcp4", target.addr)
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -167,7 +167,7 @@
 	awaitEqualViews()
 	bytes := func() (n int64) {
 		for b := range balancers {
-			n += session.Ways().Bytes(b)
+			n += session.Ways().BytesSent(b)
 		}
 		return n
 	}
--- a/internal/rehearsal/runner/config.go
+++ b/internal/rehearsal/runner/config.go
@@ -18,8 +18,8 @@
 const timerResolutionNs = 5_000_000
 
 // writeConfig writes the configuration file of a balancer.
-func writeConfig(path string, w *standin.World, balancer int, name, listen, adminAddr string, seed uint64) error {
-	sc := w.Day
+func writeConfig(path string, w *standin.Environment, balancer int, name, listen, adminAddr string, seed uint64) error {
+	sc := w.Scenario
 	zone := 0
 	for i, z := range sc.Fleet.Zones {
 		if z == w.ZoneOf(balancer) {
@@ -53,9 +53,9 @@
 			"fallNs": int64(sc.Rules.FallFor), "drainGraceNs": int64(sc.Rules.DrainGrace), "askEveryNs": int64(10 * time.Second)},
 		"products": products, "customers": customers,
 	}
-	text, err := json.Marshal(m{"name": name, "listen": listen, "admin_addr": adminAddr, "discovery": w.Register.Addr(balancer),
+	text, err := json.Marshal(m{"name": name, "listen": listen, "admin_addr": adminAddr, "discovery": w.Discovery.Addr(balancer),
 		"seed": fmt.Sprintf("%016x", seed), "limits": m{"cores": 1.0, "memory_mb": sc.Fleet.MemoryMB, "sockets": sc.Fleet.Sockets},
-		"known": w.Register.Known(balancer), "settings": settings})
+		"known": w.Discovery.FullList(balancer), "settings": settings})
 	if err != nil {
 		return err
 	}
@@ -71,7 +71,7 @@
 
 // writeOperatorFile writes the operator file of a balancer if the scenario needs one.
 func (s *Stage) writeOperatorFile(config string, b int) error {
-	text := s.W.Day.Operator
+	text := s.W.Scenario.Operator
 	if s.membership.links != nil {
 		text += s.fleetSection(b)
 	}
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -26,7 +26,7 @@
 
 // openLinks chooses addresses for the balancers and starts the relays between them.
 func (s *Stage) openLinks() error {
-	sc := s.W.Day
+	sc := s.W.Scenario
 	if !sc.Mates.On {
 		return nil
 	}
@@ -47,7 +47,7 @@
 
 // fleetSection returns the section [fleet] of a balancer's operator file.
 func (s *Stage) fleetSection(b int) string {
-	sc, m := s.W.Day, &s.membership
+	sc, m := s.W.Scenario, &s.membership
 	var peers, via []string
 	for o := range m.addrs {
 		if o == b {
@@ -96,13 +96,13 @@
 		for b := range s.membership.addrs {
 			s.background.Go(func() {
 				s.View(b)
-				if s.W.Day.Mates.Limits {
+				if s.W.Scenario.Mates.Limits {
 					s.pollLimits(b)
 				}
 			})
 			if i%4 == 0 {
 				s.Rec.Add(func() {
-					s.Rec.BytesSent = append(s.Rec.BytesSent, record.BytesSent{Balancer: b, At: s.W.Now(), Bytes: s.membership.links.Bytes(b)})
+					s.Rec.BytesSent = append(s.Rec.BytesSent, record.BytesSent{Balancer: b, At: s.W.Now(), Bytes: s.membership.links.BytesSent(b)})
 				})
 			}
 		}
@@ -181,7 +181,7 @@
 	from := s.W.Now()
 	p.Pause(true)
 	s.Rec.Add(func() {
-		s.Rec.Pauses = append(s.Rec.Pauses, record.Pause{Balancer: b, From: from, To: from + length + s.W.Day.Rules.Slack.Duration()})
+		s.Rec.Pauses = append(s.Rec.Pauses, record.Pause{Balancer: b, From: from, To: from + length + s.W.Scenario.Rules.Slack.Duration()})
 	})
 	s.background.Go(func() {
 		select {
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -25,7 +25,7 @@
 
 // Stage is a rehearsal that has been started: cache nodes, gateway, discovery stand-in, clients and balancers.
 type Stage struct {
-	W          *standin.World
+	W          *standin.Environment
 	Rec        *record.Record
 	Callers    *load.Callers
 	launch     Launch
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	rec := record.New()
-	s := &Stage{W: standin.NewWorld(sc, rec), Rec: rec, launch: launch, dir: dir}
+	s := &Stage{W: standin.NewEnvironment(sc, rec), Rec: rec, launch: launch, dir: dir}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	if err := s.setUp(addNodes); err != nil {
 		s.cancel()
@@ -105,18 +105,18 @@
 }
 
 func (s *Stage) setUp(addNodes func(*Stage) error) error {
-	sc := s.W.Day
-	if err := s.W.AddRegister(); err != nil {
+	sc := s.W.Scenario
+	if err := s.W.AddDiscovery(); err != nil {
 		return err
 	}
-	if err := s.W.AddGateway(); err != nil {
+	if err := s.W.AddOrigin(); err != nil {
 		return err
 	}
 	if err := addNodes(s); err != nil {
 		return err
 	}
 	if sc.Fleet.Mode == scenario.Aside {
-		s.W.Register.Set(model.Entry{Host: record.Origin, Zone: sc.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
+		s.W.Discovery.Update(model.Entry{Host: record.Origin, Zone: sc.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
 	}
 	var err error
 	s.Callers, err = load.New(s.W)
@@ -125,18 +125,18 @@
 
 // addNodes starts the scenario's cache nodes.
 func (s *Stage) addNodes() error {
-	sc := s.W.Day
+	sc := s.W.Scenario
 	ids, groups := sc.NodeIDs()
 	for _, id := range ids {
-		n, err := s.W.AddNode(id, groups[id], false, nil)
+		n, err := s.W.AddHost(id, groups[id], false, nil)
 		if err != nil {
 			return err
 		}
 		// Every warm node holds all popular keys, because the balancers decide which node is asked for which key.
 		for k := range int(sc.Load.Warm * float64(sc.Load.Keys)) {
-			n.Keep(model.KeyName(k))
+			n.Preload(model.KeyName(k))
 		}
-		s.W.Register.Set(n.Entry(model.Active))
+		s.W.Discovery.Update(n.Entry(model.Active))
 	}
 	return nil
 }
@@ -183,17 +183,17 @@
 // launchAt starts a process for a balancer and keeps its temporary directory, which an upgrade needs. The caller holds s.mu.
 func (s *Stage) launchAt(b int) (err error) {
 	l := s.slots[b]
-	if s.W.Day.Door() {
+	if s.W.Scenario.Door() {
 		if l.adminAddr, err = s.W.FreeAddr(); err != nil {
 			return err
 		}
 	}
-	s.W.Register.Restarted(b)
+	s.W.Discovery.BalancerRestarted(b)
 	l.starts++
 	if err = s.writeOperatorFile(l.configFile, b); err != nil {
 		return err
 	}
-	if err = writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err = writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
 	if l.instance, err = s.launch(s.ctx, b, Place{l.configFile, s.log(b), l.tempDir}); err != nil {
@@ -300,13 +300,13 @@
 
 // Reload moves a balancer's discovery stand-in to another address and makes the balancer reload its configuration.
 func (s *Stage) Reload(b int) error {
-	if err := s.W.Register.Move(b); err != nil {
+	if err := s.W.Discovery.ChangeAddress(b); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	l := s.slots[b]
 	s.mu.Unlock()
-	if err := writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Day.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err := writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
 	l.instance.Hup()
@@ -389,7 +389,7 @@
 		t.Reset(latenessInterval)
 		select {
 		case <-t.C:
-			s.W.Late(due, s.W.Now())
+			s.W.RecordLateness(due, s.W.Now())
 		case <-stop:
 			return
 		}
@@ -411,20 +411,20 @@
 	for _, l := range s.slots {
 		os.RemoveAll(l.tempDir)
 	}
-	for _, n := range s.W.Nodes() {
+	for _, n := range s.W.Hosts() {
 		n.Stop()
 	}
 	if s.membership.links != nil {
 		s.membership.links.Close()
 	}
-	if s.W.Gateway != nil {
-		s.W.Gateway.Strain()
+	if s.W.Origin != nil {
+		s.W.Origin.RecordLoad()
 	}
 	time.Sleep(20 * time.Millisecond) // until the ends of the last attempts are recorded
 }
 
 // Straight makes clients send requests directly to a cache node instead of the balancers.
-func (s *Stage) Straight(node string) { s.Callers.Up(0, s.W.Node(node).Addr(0)) }
+func (s *Stage) Straight(node string) { s.Callers.Up(0, s.W.Host(node).Addr(0)) }
 
 // Terms returns the limits that the judge applies to a rehearsal of the scenario.
 func Terms(sc *scenario.Day) judge.Terms {
--- a/internal/rehearsal/standin/echo.go
+++ b/internal/rehearsal/standin/echo.go
@@ -13,10 +13,10 @@
 
 // AddEcho adds a cache host that answers each read at once with a value and neither simulates nor records anything. It
 // uses as little CPU time as possible, so that measurements show the cost of the balancer.
-func (w *World) AddEcho(id string, g *scenario.Node) (*Node, error) {
-	n := &Node{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner()}
-	for b := range w.Day.Fleet.Balancers {
-		l := &link{balancer: b, hostID: id, serve: func(_ *link, c *net.TCPConn) { echo(c, w.Day.Load.ValueSize) }}
+func (w *Environment) AddEcho(id string, g *scenario.Node) (*Host, error) {
+	n := &Host{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner()}
+	for b := range w.Scenario.Fleet.Balancers {
+		l := &link{balancer: b, hostID: id, serve: func(_ *link, c *net.TCPConn) { echo(c, w.Scenario.Load.ValueSize) }}
 		n.links = append(n.links, l)
 		if err := l.open(w); err != nil {
 			return nil, err
@@ -25,7 +25,7 @@
 	w.mu.Lock()
 	w.hosts[id] = n
 	w.mu.Unlock()
-	w.Register.Set(n.Entry(model.Active))
+	w.Discovery.Update(n.Entry(model.Active))
 	return n, nil
 }
 
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -16,9 +16,9 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Gateway is the stand-in for the origin behind the cache hosts. It speaks HTTP/1.1: GET reads, PUT writes.
-type Gateway struct {
-	world *World
+// Origin is the stand-in for the origin behind the cache hosts. It speaks HTTP/1.1: GET reads, PUT writes.
+type Origin struct {
+	world *Environment
 	addrs []string // by balancer
 	modelRunner
 
@@ -37,11 +37,11 @@
 	version       uint64
 }
 
-// AddGateway adds the origin, with one listener for each balancer.
-func (w *World) AddGateway() error {
-	g := &Gateway{world: w, modelRunner: newModelRunner(), model: model.NewOrigin(w.Day.GatewayTerms(), 0),
-		random: model.NewRand(w.Day.Seed, "faults gateway")}
-	for b := range w.Day.Fleet.Balancers {
+// AddOrigin adds the origin, with one listener for each balancer.
+func (w *Environment) AddOrigin() error {
+	g := &Origin{world: w, modelRunner: newModelRunner(), model: model.NewOrigin(w.Scenario.GatewayTerms(), 0),
+		random: model.NewRand(w.Scenario.Seed, "faults gateway")}
+	for b := range w.Scenario.Fleet.Balancers {
 		l, err := w.Listen()
 		if err != nil {
 			return fmt.Errorf("gateway: %w", err)
@@ -51,23 +51,23 @@
 			IdleTimeout: time.Minute, ConnState: func(_ net.Conn, s http.ConnState) {
 				if s == http.StateNew {
 					now := w.Now()
-					w.Rec.Add(func() {
-						w.Rec.Openings = append(w.Rec.Openings, record.Opening{Server: record.Origin, Balancer: b, At: now})
+					w.Record.Add(func() {
+						w.Record.Openings = append(w.Record.Openings, record.Opening{Server: record.Origin, Balancer: b, At: now})
 					})
 				}
 			}}
 		go server.Serve(l)
 	}
-	w.Gateway = g
+	w.Origin = g
 	go g.run(g.step)
 	return nil
 }
 
 // Addr returns the address at which a balancer reaches the origin.
-func (g *Gateway) Addr(balancer int) string { return g.addrs[balancer] }
+func (g *Origin) Addr(balancer int) string { return g.addrs[balancer] }
 
 // Slow slows the origin down by a factor; 1 ends the slowdown.
-func (g *Gateway) Slow(factor float64) {
+func (g *Origin) Slow(factor float64) {
 	g.mu.Lock()
 	g.advance(g.world.Now())
 	g.model.SetSlowdown(factor)
@@ -76,7 +76,7 @@
 }
 
 // Reset makes the origin reset the connection instead of sending a fraction of its answers. The requests are executed.
-func (g *Gateway) Reset(ratio float64) {
+func (g *Origin) Reset(ratio float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.resetRatio = ratio
@@ -84,22 +84,22 @@
 
 // Fail makes the origin answer a fraction of its requests with an error without executing them. A balancer cannot tell
 // that they were not executed.
-func (g *Gateway) Fail(ratio float64) {
+func (g *Origin) Fail(ratio float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.failRatio = ratio
 }
 
 // drawFaults draws at random whether the connection is reset instead of an answer and whether the request fails.
-func (g *Gateway) drawFaults() (reset, fail bool) {
+func (g *Origin) drawFaults() (reset, fail bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.resetRatio > 0 && g.random.Float64() < g.resetRatio, g.failRatio > 0 && g.random.Float64() < g.failRatio
 }
 
 // submit passes a job to the model. onDone is called with its result, without the origin's lock held.
-func (g *Gateway) submit(job model.Job, onDone func(result)) {
-	job.WorkTime = model.RequestWork(g.world.Day.Seed, "gateway "+job.ID, model.Exponential, g.world.Day.Gateway.Time.Duration(), 1)
+func (g *Origin) submit(job model.Job, onDone func(result)) {
+	job.WorkTime = model.RequestWork(g.world.Scenario.Seed, "gateway "+job.ID, model.Exponential, g.world.Scenario.Gateway.Time.Duration(), 1)
 	job.Tag = onDone
 	g.mu.Lock()
 	now := g.world.Now()
@@ -114,7 +114,7 @@
 }
 
 // step advances the model to the present and returns the time until its next event.
-func (g *Gateway) step() time.Duration {
+func (g *Origin) step() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.advance(g.world.Now())
@@ -123,9 +123,9 @@
 
 // advance runs the model up to the given time. The caller holds g.mu; results are delivered in goroutines of their own,
 // without that lock.
-func (g *Gateway) advance(now time.Duration) {
+func (g *Origin) advance(now time.Duration) {
 	for _, d := range g.model.Advance(now) {
-		g.world.Late(d.At, now)
+		g.world.RecordLateness(d.At, now)
 		if !d.Lost {
 			if d.Write {
 				g.world.invalidate(d.Key, d.Version)
@@ -136,24 +136,24 @@
 		go d.Tag.(func(result))(result{lost: d.Lost, version: d.Version})
 	}
 	for _, e := range g.model.Effects()[g.recordedEffects:] {
-		g.world.Rec.Add(func() {
-			g.world.Rec.Effects = append(g.world.Rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
+		g.world.Record.Add(func() {
+			g.world.Record.Effects = append(g.world.Record.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
 		})
 		g.recordedEffects++
 	}
 	for _, s := range g.model.Outages()[g.recordedStops:] {
-		g.world.Rec.Add(func() {
-			g.world.Rec.OverloadFailures = append(g.world.Rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
+		g.world.Record.Add(func() {
+			g.world.Record.OverloadFailures = append(g.world.Record.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
 		})
 		g.recordedStops++
 	}
 }
 
-// Strain records the highest load that the origin was sent, as a multiple of its capacity.
-func (g *Gateway) Strain() {
+// RecordLoad records the highest load that the origin was sent, as a multiple of its capacity.
+func (g *Origin) RecordLoad() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.world.Rec.RecordLoad(record.Origin, g.model.MaxLoadMultiple())
+	g.world.Record.RecordLoad(record.Origin, g.model.MaxLoadMultiple())
 }
 
 // maxBodyBytes limits the value of a write.
@@ -167,9 +167,9 @@
 )
 
 // serve handles one attempt of a balancer.
-func (g *Gateway) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
+func (g *Origin) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
 	observed := record.Attempt{RequestID: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Origin, FirstByteAt: g.world.Now(), Write: r.Method == http.MethodPut}
-	delay := g.world.Day.Fleet.Same.Duration()
+	delay := g.world.Scenario.Fleet.Same.Duration()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if readErr != nil {
@@ -193,7 +193,9 @@
 		}
 	}
 	reset, fail := g.drawFaults()
-	addRecord := func() { g.world.Rec.Add(func() { g.world.Rec.Attempts = append(g.world.Rec.Attempts, observed) }) }
+	addRecord := func() {
+		g.world.Record.Add(func() { g.world.Record.Attempts = append(g.world.Record.Attempts, observed) })
+	}
 	if fail {
 		observed.Ended, observed.Answered = g.world.Now(), true
 		addRecord()
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -31,7 +31,7 @@
 }
 
 // open starts listening, at the previous address if there was one.
-func (l *link) open(w *World) (err error) {
+func (l *link) open(w *Environment) (err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener != nil {
@@ -88,7 +88,7 @@
 }
 
 // close closes the listener and resets all connections, as happens when a process ends.
-func (l *link) close(w *World) {
+func (l *link) close(w *Environment) {
 	l.restore(w, false)
 	l.mu.Lock()
 	listener := l.listener
@@ -112,7 +112,7 @@
 
 // blackhole cuts the link: data sent over it is lost silently and no connection can be established. With a backlog of
 // zero whose single slot is occupied, the kernel drops connection requests.
-func (l *link) blackhole(w *World) {
+func (l *link) blackhole(w *Environment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.cut || l.listener == nil {
@@ -136,7 +136,7 @@
 
 // recordBacklog records the commands written to connections that were established in the backlog of a cut link. The
 // caller holds l.mu.
-func (l *link) recordBacklog(w *World, outage record.ConnectOutage) {
+func (l *link) recordBacklog(w *Environment, outage record.ConnectOutage) {
 	l.listener.SetDeadline(time.Now().Add(backlogTimeout))
 	for {
 		c, err := l.listener.AcceptTCP()
@@ -152,14 +152,14 @@
 			if cmd, fault := memcache.Parse(bytes.TrimRight(line, "\r\n")); fault == nil && !cmd.Noop {
 				lost := record.Attempt{RequestID: string(cmd.ID), Balancer: l.balancer, Server: l.hostID, FirstByteAt: outage.From, ArrivedAt: outage.From, Ended: outage.To,
 					Write: cmd.Write, LostOnLink: true, UnknownTime: true}
-				w.Rec.Add(func() { w.Rec.Attempts = append(w.Rec.Attempts, lost) })
+				w.Record.Add(func() { w.Record.Attempts = append(w.Record.Attempts, lost) })
 			}
 		}
 	}
 }
 
 // restore ends the cut. With resetConns, open connections are reset, as by a machine that has restarted.
-func (l *link) restore(w *World, resetConns bool) error {
+func (l *link) restore(w *Environment, resetConns bool) error {
 	if resetConns {
 		l.resetConnections()
 	}
@@ -170,7 +170,7 @@
 	}
 	l.cut = false
 	outage := record.ConnectOutage{Balancer: l.balancer, From: l.cutSince, To: w.Now()}
-	w.Rec.Add(func() { w.Rec.ConnectOutages = append(w.Rec.ConnectOutages, outage) })
+	w.Record.Add(func() { w.Record.ConnectOutages = append(w.Record.ConnectOutages, outage) })
 	if l.backlogFiller != nil {
 		l.backlogFiller.Close()
 		l.backlogFiller = nil
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -11,9 +11,9 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Node is the stand-in for a cache host: one model of the host, reached over one link per balancer.
-type Node struct {
-	world *World
+// Host is the stand-in for a cache host: one model of the host, reached over one link per balancer.
+type Host struct {
+	world *Environment
 	ID    string
 	Zone  string
 	Group *scenario.Node
@@ -33,11 +33,11 @@
 	attempts     map[*attempt]struct{} // not yet finished
 }
 
-// AddNode adds a cache host and opens its links, at the addresses of the previous host if one is given. A host that is
+// AddHost adds a cache host and opens its links, at the addresses of the previous host if one is given. A host that is
 // not cold counts as having been up for a long time.
-func (w *World) AddNode(id string, g *scenario.Node, cold bool, previous *Node) (*Node, error) {
-	n := &Node{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.NewRand(w.Day.Seed, "faults "+id)}
-	for b := range w.Day.Fleet.Balancers {
+func (w *Environment) AddHost(id string, g *scenario.Node, cold bool, previous *Host) (*Host, error) {
+	n := &Host{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.NewRand(w.Scenario.Seed, "faults "+id)}
+	for b := range w.Scenario.Fleet.Balancers {
 		l := &link{balancer: b, hostID: id, delay: w.linkDelay(b, g.Zone), serve: n.serve}
 		if previous != nil {
 			l.addr = previous.links[b].addr
@@ -52,14 +52,14 @@
 }
 
 // Start brings the host up as a new process.
-func (n *Node) Start(cold bool) error {
+func (n *Host) Start(cold bool) error {
 	n.mu.Lock()
 	now := n.world.Now()
-	n.model = model.NewHost(n.world.Day.NodeTerms(n.Group), now, cold, model.NewRand(n.world.Day.Seed, "pauses "+n.ID))
+	n.model = model.NewHost(n.world.Scenario.NodeTerms(n.Group), now, cold, model.NewRand(n.world.Scenario.Seed, "pauses "+n.ID))
 	n.startedAt, n.cold, n.fetching, n.attempts = 0, cold, map[string][]*attempt{}, map[*attempt]struct{}{}
 	if cold {
 		n.startedAt = now
-		n.world.Rec.Add(func() { n.world.Rec.WarmAt[n.ID] = now + n.Group.WarmFor.Duration() })
+		n.world.Record.Add(func() { n.world.Record.WarmAt[n.ID] = now + n.Group.WarmFor.Duration() })
 	}
 	n.mu.Unlock()
 	for _, l := range n.links {
@@ -71,23 +71,23 @@
 }
 
 // Stop ends the host like the end of its process: connections are reset and new ones are refused.
-func (n *Node) Stop() {
+func (n *Host) Stop() {
 	n.stopModel()
 	for _, l := range n.links {
 		l.close(n.world)
 	}
 }
 
-// Vanish makes the host and its machine unreachable: nothing is answered and nothing is refused.
-func (n *Node) Vanish() {
+// Disconnect makes the host and its machine unreachable: nothing is answered and nothing is refused.
+func (n *Host) Disconnect() {
 	for _, l := range n.links {
 		l.blackhole(n.world)
 	}
 	n.stopModel()
 }
 
-// Return brings a vanished host back as a new process.
-func (n *Node) Return() error {
+// Reconnect brings a vanished host back as a new process.
+func (n *Host) Reconnect() error {
 	for _, l := range n.links {
 		if err := l.restore(n.world, true); err != nil {
 			return err
@@ -97,13 +97,13 @@
 }
 
 // stopModel discards the model and finishes all open attempts as lost.
-func (n *Node) stopModel() {
+func (n *Host) stopModel() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model == nil {
 		return
 	}
-	n.world.Rec.RecordLoad(n.ID, n.model.MaxLoadMultiple())
+	n.world.Record.RecordLoad(n.ID, n.model.MaxLoadMultiple())
 	n.model = nil
 	for att := range n.attempts {
 		att.finish(answer{lost: true})
@@ -111,37 +111,37 @@
 }
 
 // Addr returns the address at which a balancer reaches the host.
-func (n *Node) Addr(balancer int) string { return n.links[balancer].addr.String() }
+func (n *Host) Addr(balancer int) string { return n.links[balancer].addr.String() }
 
 // Entry returns the host's entry in the host list, with the given condition.
-func (n *Node) Entry(condition model.Lifecycle) model.Entry {
+func (n *Host) Entry(condition model.Lifecycle) model.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return model.Entry{Host: n.ID, Zone: n.Zone, MachineType: "cache", Lifecycle: condition, Weight: n.Group.Speed * float64(n.Group.Cores), StartedAt: n.startedAt}
 }
 
 // Slow slows the host's work down by a factor. It and the following methods inject faults; a zero argument ends them.
-func (n *Node) Slow(factor float64) { n.update(func() { n.model.SetSlowdown(max(factor, 1)) }) }
+func (n *Host) Slow(factor float64) { n.update(func() { n.model.SetSlowdown(max(factor, 1)) }) }
 
 // Stall makes the host accept commands without executing any.
-func (n *Node) Stall(on bool) { n.update(func() { n.model.SetStalled(on) }) }
+func (n *Host) Stall(on bool) { n.update(func() { n.model.SetStalled(on) }) }
 
-// Spoil makes the host corrupt a fraction of its answers.
-func (n *Node) Spoil(ratio float64) { n.update(func() { n.corruptRatio = ratio }) }
+// Corrupt makes the host corrupt a fraction of its answers.
+func (n *Host) Corrupt(ratio float64) { n.update(func() { n.corruptRatio = ratio }) }
 
 // Reset makes the host reset the connection in the middle of a fraction of its answers.
-func (n *Node) Reset(ratio float64) { n.update(func() { n.resetRatio = ratio }) }
+func (n *Host) Reset(ratio float64) { n.update(func() { n.resetRatio = ratio }) }
 
 // Fail makes the host answer a fraction of its commands with an error.
-func (n *Node) Fail(ratio float64) { n.update(func() { n.failRatio = ratio }) }
+func (n *Host) Fail(ratio float64) { n.update(func() { n.failRatio = ratio }) }
 
 // Delay adds to the usual one-way delay of the link from a balancer.
-func (n *Node) Delay(balancer int, extra time.Duration) {
+func (n *Host) Delay(balancer int, extra time.Duration) {
 	n.links[balancer].setDelay(n.world.linkDelay(balancer, n.Zone) + extra)
 }
 
 // Cut makes the link from a balancer lose everything, or ends that.
-func (n *Node) Cut(balancer int, on bool) error {
+func (n *Host) Cut(balancer int, on bool) error {
 	if on {
 		n.links[balancer].blackhole(n.world)
 		return nil
@@ -150,7 +150,7 @@
 }
 
 // update advances the model to the present and then applies a change, unless the host is down.
-func (n *Node) update(apply func()) {
+func (n *Host) update(apply func()) {
 	n.mu.Lock()
 	if n.model != nil {
 		n.advance(n.world.Now())
@@ -161,16 +161,16 @@
 }
 
 // store caches a value, unless the host is down.
-func (n *Node) store(key string, version uint64) {
+func (n *Host) store(key string, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model != nil {
-		n.model.CacheValue(key, version, n.world.Day.Load.ValueSize)
+		n.model.CacheValue(key, version, n.world.Scenario.Load.ValueSize)
 	}
 }
 
 // invalidate drops the cached value of a key if it is older than the given version.
-func (n *Node) invalidate(key string, version uint64) {
+func (n *Host) invalidate(key string, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model != nil {
@@ -178,11 +178,11 @@
 	}
 }
 
-// Keep caches a value before the rehearsal begins.
-func (n *Node) Keep(key string) { n.store(key, 0) }
+// Preload caches a value before the rehearsal begins.
+func (n *Host) Preload(key string) { n.store(key, 0) }
 
 // step advances the model to the present and returns the time until its next event.
-func (n *Node) step() time.Duration {
+func (n *Host) step() time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model == nil {
@@ -193,20 +193,20 @@
 }
 
 // advance runs the model up to the given time and finishes the attempts that are done. The caller holds n.mu.
-func (n *Node) advance(now time.Duration) {
+func (n *Host) advance(now time.Duration) {
 	for _, d := range n.model.Advance(now) {
 		att, ok := d.Tag.(*attempt)
 		if !ok {
 			continue
 		}
 		att.ran = !d.Lost
-		n.world.Late(d.At, now)
+		n.world.RecordLateness(d.At, now)
 		switch {
 		case d.Lost:
 			att.finish(answer{lost: true})
 		case n.failRatio > 0 && n.random.Float64() < n.failRatio:
 			att.finish(answer{failed: true})
-		case n.world.Day.Fleet.Mode == scenario.Through && (d.Write || !d.Hit):
+		case n.world.Scenario.Fleet.Mode == scenario.Through && (d.Write || !d.Hit):
 			n.forwardToOrigin(att, d)
 		case d.Write: // the caches take no writes if balancers contact the origin themselves
 			att.finish(answer{failed: true})
@@ -219,22 +219,22 @@
 	}
 	if at, multiple, fell := n.model.OverloadFailure(); fell && n.cold {
 		n.cold = false // recorded only once
-		n.world.Rec.Add(func() {
-			n.world.Rec.OverloadFailures = append(n.world.Rec.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
+		n.world.Record.Add(func() {
+			n.world.Record.OverloadFailures = append(n.world.Record.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
 		})
 		go func() {
 			n.Stop()
-			n.world.Register.Set(n.Entry(model.Left))
+			n.world.Discovery.Update(n.Entry(model.Left))
 		}()
 	}
 }
 
 // forwardToOrigin passes a write to the origin, or fetches a read's value once for all attempts that wait for its key. The
 // caller holds n.mu.
-func (n *Node) forwardToOrigin(att *attempt, d model.Done) {
+func (n *Host) forwardToOrigin(att *attempt, d model.Done) {
 	job := model.Job{ID: d.ID, Key: d.Key, DedupToken: d.DedupToken, Write: d.Write}
 	if d.Write {
-		go n.world.Gateway.submit(job, func(r result) { // in its own goroutine, as the origin's lock must be taken before a host's
+		go n.world.Origin.submit(job, func(r result) { // in its own goroutine, as the origin's lock must be taken before a host's
 			att.finish(answer{failed: r.lost, busy: r.refused, receipt: !r.lost && !r.refused})
 		})
 		return
@@ -244,12 +244,12 @@
 	if len(waiting) > 0 {
 		return
 	}
-	go n.world.Gateway.submit(job, func(r result) {
+	go n.world.Origin.submit(job, func(r result) {
 		n.mu.Lock()
 		waiting := n.fetching[job.Key]
 		delete(n.fetching, job.Key)
 		if n.model != nil && !r.lost && !r.refused {
-			n.model.CacheValue(job.Key, r.version, n.world.Day.Load.ValueSize)
+			n.model.CacheValue(job.Key, r.version, n.world.Scenario.Load.ValueSize)
 		}
 		n.mu.Unlock()
 		for _, att := range waiting {
@@ -266,7 +266,7 @@
 }
 
 // submit passes an attempt to the model.
-func (n *Node) submit(att *attempt) {
+func (n *Host) submit(att *attempt) {
 	n.mu.Lock()
 	if n.model == nil {
 		n.mu.Unlock()
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -13,40 +13,40 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Register is the stand-in for discovery. It serves the host list over HTTP/1.1 through one agent per balancer; each agent
+// Discovery is the stand-in for discovery. It serves the host list over HTTP/1.1 through one agent per balancer; each agent
 // answers with the changes that have reached it so far.
-type Register struct {
-	world  *World
+type Discovery struct {
+	world  *Environment
 	agents []*discoveryAgent
 
 	mu    sync.Mutex
 	model *model.Discovery
 }
 
-// discoveryAgent serves the host list to one balancer. The lock of its Register guards the fields marked below.
+// discoveryAgent serves the host list to one balancer. The lock of its Discovery guards the fields marked below.
 type discoveryAgent struct {
-	register       *Register
+	register       *Discovery
 	balancer       int
 	addr           string
 	server         *http.Server
-	changed        chan struct{}   // closed at the next change; guarded by Register.mu
-	watchesStalled chan struct{}   // closed to make all open watches stop answering; guarded by Register.mu
-	notifiedBy     time.Duration   // when changes missed by a stalled watch count as known to the balancer; guarded by Register.mu
-	available      map[string]bool // by host: whether last reported to the balancer as active; guarded by Register.mu
+	changed        chan struct{}   // closed at the next change; guarded by Discovery.mu
+	watchesStalled chan struct{}   // closed to make all open watches stop answering; guarded by Discovery.mu
+	notifiedBy     time.Duration   // when changes missed by a stalled watch count as known to the balancer; guarded by Discovery.mu
+	available      map[string]bool // by host: whether last reported to the balancer as active; guarded by Discovery.mu
 }
 
-// AddRegister adds discovery.
-func (w *World) AddRegister() error {
-	delay := [2]time.Duration{w.Day.Register.Late[0].Duration(), w.Day.Register.Late[1].Duration()}
-	r := &Register{world: w, model: model.NewDiscovery(w.Day.Fleet.Balancers, delay, model.NewRand(w.Day.Seed, "register"))}
-	for b := range w.Day.Fleet.Balancers {
+// AddDiscovery adds discovery.
+func (w *Environment) AddDiscovery() error {
+	delay := [2]time.Duration{w.Scenario.Register.Late[0].Duration(), w.Scenario.Register.Late[1].Duration()}
+	r := &Discovery{world: w, model: model.NewDiscovery(w.Scenario.Fleet.Balancers, delay, model.NewRand(w.Scenario.Seed, "register"))}
+	for b := range w.Scenario.Fleet.Balancers {
 		a := &discoveryAgent{register: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
 		if err := a.listen(); err != nil {
 			return err
 		}
 		r.agents = append(r.agents, a)
 	}
-	w.Register = r
+	w.Discovery = r
 	return nil
 }
 
@@ -63,13 +63,13 @@
 }
 
 // Addr returns the address at which a balancer reaches discovery.
-func (r *Register) Addr(balancer int) string { return r.agents[balancer].addr }
+func (r *Discovery) Addr(balancer int) string { return r.agents[balancer].addr }
 
 // oldAddressGrace is how long a former address is still served.
 const oldAddressGrace = 1500 * time.Millisecond
 
-// Move gives a balancer's agent a new address. The old one is closed with its connections after oldAddressGrace.
-func (r *Register) Move(balancer int) error {
+// ChangeAddress gives a balancer's agent a new address. The old one is closed with its connections after oldAddressGrace.
+func (r *Discovery) ChangeAddress(balancer int) error {
 	a := r.agents[balancer]
 	old := a.server
 	if err := a.listen(); err != nil {
@@ -87,8 +87,8 @@
 	notifiedAfterWait  = 2 * time.Second
 )
 
-// Set changes a host's entry. The model decides when the change reaches each agent.
-func (r *Register) Set(e model.Entry) {
+// Update changes a host's entry. The model decides when the change reaches each agent.
+func (r *Discovery) Update(e model.Entry) {
 	now := r.world.Now()
 	r.mu.Lock()
 	times := r.model.Set(now, e)
@@ -103,7 +103,7 @@
 }
 
 // advance runs the model up to the present and wakes the watches of agents that a change has reached.
-func (r *Register) advance() {
+func (r *Discovery) advance() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, b := range r.model.Advance(r.world.Now()) {
@@ -112,14 +112,14 @@
 }
 
 // wakeWatches wakes all requests waiting at an agent. The caller holds r.mu.
-func (r *Register) wakeWatches(balancer int) {
+func (r *Discovery) wakeWatches(balancer int) {
 	a := r.agents[balancer]
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
 // assumeNotified records that a balancer knows that a host is no longer active, even if it never asked for the change.
-func (r *Register) assumeNotified(balancer int, host string) {
+func (r *Discovery) assumeNotified(balancer int, host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.model.Silent(balancer) { // counts as known once the agent answers again
@@ -139,7 +139,7 @@
 }
 
 // Silence makes a balancer's agent stop answering, or ends that.
-func (r *Register) Silence(balancer int, on bool) {
+func (r *Discovery) Silence(balancer int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.model.SetSilent(balancer, on)
@@ -153,8 +153,8 @@
 	}
 }
 
-// BreakWatches makes all open watches at a balancer's agent stop answering. Watches opened later work.
-func (r *Register) BreakWatches(balancer int) {
+// StallWatches makes all open watches at a balancer's agent stop answering. Watches opened later work.
+func (r *Discovery) StallWatches(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	a := r.agents[balancer]
@@ -162,31 +162,31 @@
 	a.watchesStalled = make(chan struct{})
 }
 
-// Rewind makes the generations of a balancer's agent start over.
-func (r *Register) Rewind(balancer int) {
+// ResetGenerations makes the generations of a balancer's agent start over.
+func (r *Discovery) ResetGenerations(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.model.ResetGenerations(balancer)
 	r.wakeWatches(balancer)
 }
 
-// Restarted is called when a balancer restarts and knows no hosts.
-func (r *Register) Restarted(balancer int) {
+// BalancerRestarted is called when a balancer restarts and knows no hosts.
+func (r *Discovery) BalancerRestarted(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.agents[balancer].available)
 }
 
 // recordNotice records that a balancer was informed of a host's state, if that is a change. The caller holds r.mu.
-func (r *Register) recordNotice(balancer int, host string, available bool) {
+func (r *Discovery) recordNotice(balancer int, host string, available bool) {
 	a := r.agents[balancer]
 	if was, known := a.available[host]; known && was == available || !known && !available {
 		return
 	}
 	a.available[host] = available
 	now := r.world.Now()
-	r.world.Rec.Add(func() {
-		r.world.Rec.HostNotices = append(r.world.Rec.HostNotices, record.HostNotice{Balancer: balancer, Host: host, Available: available, At: now})
+	r.world.Record.Add(func() {
+		r.world.Record.HostNotices = append(r.world.Record.HostNotices, record.HostNotice{Balancer: balancer, Host: host, Available: available, At: now})
 	})
 }
 
@@ -203,19 +203,19 @@
 }
 
 // list returns an agent's answer as JSON and the entries in it. The caller holds r.mu.
-func (r *Register) list(balancer int, after int64, full bool) (text []byte, reset bool, entries []model.Entry) {
+func (r *Discovery) list(balancer int, after int64, full bool) (text []byte, reset bool, entries []model.Entry) {
 	generation, reset, entries := r.model.List(balancer, after, full)
 	rows := []instance{}
 	for _, e := range entries {
 		addr := ""
 		if e.Host == record.Origin {
-			addr = r.world.Gateway.Addr(balancer)
-		} else if n := r.world.Node(e.Host); n != nil {
+			addr = r.world.Origin.Addr(balancer)
+		} else if n := r.world.Host(e.Host); n != nil {
 			addr = n.Addr(balancer)
 		}
 		row := instance{InstanceID: e.Host, HostPort: addr, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Lifecycle: string(e.Lifecycle), Weight: e.Weight}
 		if e.StartedAt > 0 {
-			row.StartedAtMs = r.world.Unix(e.StartedAt)
+			row.StartedAtMs = r.world.UnixMilli(e.StartedAt)
 		}
 		rows = append(rows, row)
 	}
@@ -223,8 +223,8 @@
 	return text, reset, entries
 }
 
-// Known returns the full host list as a balancer's agent has it.
-func (r *Register) Known(balancer int) json.RawMessage {
+// FullList returns the full host list as a balancer's agent has it.
+func (r *Discovery) FullList(balancer int) json.RawMessage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	text, _, _ := r.list(balancer, 0, true)
@@ -298,7 +298,7 @@
 }
 
 // FreeAddr returns an unused loopback address for a balancer to listen on.
-func (w *World) FreeAddr() (string, error) {
+func (w *Environment) FreeAddr() (string, error) {
 	l, err := w.Listen()
 	if err != nil {
 		return "", err
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -66,8 +66,8 @@
 	return rs.relays[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Change alters how a link treats datagrams from now on.
-func (rs *Relays) Change(from, to int, change func(*model.LinkConfig)) {
+// AlterLink alters how a link treats datagrams from now on.
+func (rs *Relays) AlterLink(from, to int, change func(*model.LinkConfig)) {
 	if from == to {
 		return
 	}
@@ -82,14 +82,14 @@
 	for from, row := range rs.relays {
 		for to := range row {
 			if from != to && which(from, to) {
-				rs.Change(from, to, func(t *model.LinkConfig) { t.Cut = on })
+				rs.AlterLink(from, to, func(t *model.LinkConfig) { t.Cut = on })
 			}
 		}
 	}
 }
 
-// Bytes returns how many bytes a balancer has sent to the others so far.
-func (rs *Relays) Bytes(from int) (sum int64) {
+// BytesSent returns how many bytes a balancer has sent to the others so far.
+func (rs *Relays) BytesSent(from int) (sum int64) {
 	for _, r := range rs.relays[from] {
 		if r != nil {
 			r.mu.Lock()
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -25,7 +25,7 @@
 	startedAt, receivedAt time.Duration
 	timeLeft              time.Duration
 	unexpected            string
-	ran, cold             bool // guarded by Node.mu
+	ran, cold             bool // guarded by Host.mu
 	lostOnLink            bool
 
 	once sync.Once
@@ -47,7 +47,7 @@
 const maxPending = 32
 
 // serve reads the commands of one connection, starts each as it arrives and answers them in order.
-func (n *Node) serve(l *link, conn *net.TCPConn) {
+func (n *Host) serve(l *link, conn *net.TCPConn) {
 	now := n.world.Now()
 	n.mu.Lock()
 	n.openConns++
@@ -59,8 +59,8 @@
 	}
 	n.mu.Unlock()
 	defer func() { n.mu.Lock(); n.openConns--; n.mu.Unlock() }()
-	n.world.Rec.Add(func() {
-		n.world.Rec.Openings = append(n.world.Rec.Openings, record.Opening{Server: n.ID, Balancer: l.balancer, At: now, Refused: tooMany})
+	n.world.Record.Add(func() {
+		n.world.Record.Openings = append(n.world.Record.Openings, record.Opening{Server: n.ID, Balancer: l.balancer, At: now, Refused: tooMany})
 	})
 	queue := make(chan *attempt, maxPending)
 	var pending atomic.Int32
@@ -116,7 +116,7 @@
 }
 
 // read reads the next command.
-func (n *Node) read(l *link, conn *net.TCPConn, in *bufio.Reader) (*attempt, error) {
+func (n *Host) read(l *link, conn *net.TCPConn, in *bufio.Reader) (*attempt, error) {
 	att := &attempt{startedAt: n.world.Now(), done: make(chan answer, 1)}
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // for the rest of a command whose first byte has arrived
 	line, err := in.ReadSlice('\n')
@@ -153,7 +153,7 @@
 }
 
 // answerProbe answers a health probe or a request for load figures.
-func (n *Node) answerProbe(att *attempt) {
+func (n *Host) answerProbe(att *attempt) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model == nil {
@@ -171,7 +171,7 @@
 }
 
 // writeAnswers writes the answers to a connection's attempts in order.
-func (n *Node) writeAnswers(l *link, conn *net.TCPConn, queue chan *attempt, closed chan struct{}, pending *atomic.Int32) {
+func (n *Host) writeAnswers(l *link, conn *net.TCPConn, queue chan *attempt, closed chan struct{}, pending *atomic.Int32) {
 	broken := false
 	for att := range queue {
 		broken = n.writeAnswer(l, conn, att, closed, broken)
@@ -180,7 +180,7 @@
 }
 
 // writeAnswer waits for the answer to an attempt and writes it. It reports whether the connection is unusable afterwards.
-func (n *Node) writeAnswer(l *link, conn *net.TCPConn, att *attempt, closed chan struct{}, broken bool) bool {
+func (n *Host) writeAnswer(l *link, conn *net.TCPConn, att *attempt, closed chan struct{}, broken bool) bool {
 	var a answer
 	select {
 	case a = <-att.done:
@@ -215,7 +215,7 @@
 }
 
 // abandon handles an attempt that the balancer gave up. The attempt may still run; it is recorded once its result is known.
-func (n *Node) abandon(l *link, att *attempt, a *answer) {
+func (n *Host) abandon(l *link, att *attempt, a *answer) {
 	ended := n.world.Now()
 	if a != nil {
 		n.finishAttempt(l, att, *a, false, ended)
@@ -234,7 +234,7 @@
 }
 
 // finishAttempt removes an ended attempt from the open ones and records it.
-func (n *Node) finishAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
+func (n *Host) finishAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
 	n.mu.Lock()
 	delete(n.attempts, att)
 	n.mu.Unlock()
@@ -242,12 +242,12 @@
 }
 
 // recordEnded records an attempt that ends now.
-func (n *Node) recordEnded(l *link, att *attempt, a answer, complete bool) {
+func (n *Host) recordEnded(l *link, att *attempt, a answer, complete bool) {
 	n.recordAttempt(l, att, a, complete, n.world.Now())
 }
 
 // recordAttempt records an attempt that ended at the given time, with what its answer proves to the balancer.
-func (n *Node) recordAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
+func (n *Host) recordAttempt(l *link, att *attempt, a answer, complete bool, ended time.Duration) {
 	n.mu.Lock()
 	r := record.Attempt{RequestID: att.id, Balancer: l.balancer, Server: n.ID, FirstByteAt: att.startedAt, ArrivedAt: att.receivedAt, TimeLeft: att.timeLeft, Ended: ended, Answered: complete,
 		Ran: att.ran, Cold: att.cold, Work: att.work, Write: att.write, Unexpected: att.unexpected, LostOnLink: att.lostOnLink}
@@ -261,17 +261,17 @@
 	default:
 		r.Proof = record.Served
 	}
-	n.world.Rec.Add(func() { n.world.Rec.Attempts = append(n.world.Rec.Attempts, r) })
+	n.world.Record.Add(func() { n.world.Record.Attempts = append(n.world.Record.Attempts, r) })
 }
 
 // sendAnswer writes an answer, subject to the host's injected faults. complete reports that the balancer can read the
 // answer as intended, keepOpen that the connection remains usable.
-func (n *Node) sendAnswer(conn *net.TCPConn, att *attempt, a answer) (complete, keepOpen bool) {
+func (n *Host) sendAnswer(conn *net.TCPConn, att *attempt, a answer) (complete, keepOpen bool) {
 	n.mu.Lock()
 	corrupt, reset := n.corruptRatio > 0 && n.random.Float64() < n.corruptRatio, n.resetRatio > 0 && n.random.Float64() < n.resetRatio
 	kind := n.random.IntN(len(corruptions))
 	report := ""
-	if n.world.Day.Fleet.Reports && n.model != nil {
+	if n.world.Scenario.Fleet.Reports && n.model != nil {
 		load := n.model.Load()
 		report = fmt.Sprintf(" Linflight=%d,queue=%d,util=%.2f", load.InFlight, load.Queue, load.Utilization)
 	}
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -19,25 +19,25 @@
 const waitTimeout = 10 * time.Second
 
 // newWorld starts a cache host, the origin and discovery for one balancer.
-func newWorld(t *testing.T, settings string) (*World, *Node) {
+func newWorld(t *testing.T, settings string) (*Environment, *Host) {
 	t.Helper()
 	d, err := scenario.Parse("test", []byte("[fleet]\nbalancers = 1\nsame = \"0s\"\n"+settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := NewWorld(d, record.New())
-	if err := w.AddRegister(); err != nil {
+	w := NewEnvironment(d, record.New())
+	if err := w.AddDiscovery(); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.AddGateway(); err != nil {
+	if err := w.AddOrigin(); err != nil {
 		t.Fatal(err)
 	}
-	n, err := w.AddNode("node-1", &d.Nodes[0], false, nil)
+	n, err := w.AddHost("node-1", &d.Nodes[0], false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(n.Stop)
-	w.Register.Set(n.Entry(model.Active))
+	w.Discovery.Update(n.Entry(model.Active))
 	w.Begin()
 	return w, n
 }
@@ -64,18 +64,18 @@
 	return c, bufio.NewReader(c)
 }
 
-func (n *Node) inFlight() int {
+func (n *Host) inFlight() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.model.Load().InFlight
 }
 
 // waitForRecord waits until the record meets a condition.
-func waitForRecord(t *testing.T, w *World, what string, found func(r *record.Record) bool) {
+func waitForRecord(t *testing.T, w *Environment, what string, found func(r *record.Record) bool) {
 	t.Helper()
 	for start := time.Now(); ; time.Sleep(time.Millisecond) {
 		ok := false
-		w.Rec.Add(func() { ok = found(w.Rec) })
+		w.Record.Add(func() { ok = found(w.Record) })
 		if ok {
 			return
 		}
@@ -89,7 +89,7 @@
 // and its effect.
 func TestGivenUpStillRuns(t *testing.T) {
 	w, n := newWorld(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
-	w.Sent("w1", Want{Key: "k", Product: 2})
+	w.ExpectRequest("w1", ExpectedRequest{Key: "k", Product: 2})
 	c, _ := dial(t, n.Addr(0))
 	n.Stall(true)
 	io.WriteString(c, "ms k 2 Ow1 Pc=credit,t=shops,d=900\r\nhi\r\n")
@@ -108,9 +108,9 @@
 // Over a cut link no connection is established and nothing is answered; after the cut, new connections work again.
 func TestCutLink(t *testing.T) {
 	w, n := newWorld(t, "[[node]]\nname = \"node\"\n[load]\nwarm = 0.1")
-	n.Keep("k")
+	n.Preload("k")
 	for _, id := range []string{"a", "b", "c"} {
-		w.Sent(id, Want{Key: "k"})
+		w.ExpectRequest(id, ExpectedRequest{Key: "k"})
 	}
 	c, in := dial(t, n.Addr(0))
 	get := func(id string) string { return "mg k v O" + id + " Pc=balance,t=shops,d=900\r\n" }
@@ -144,7 +144,7 @@
 // A cache host rejects commands on connections above its limit. A successor at the same address counts as a new process.
 func TestConnections(t *testing.T) {
 	w, n := newWorld(t, "[[node]]\nname = \"node\"\nconnections = 1\nwarm_for = \"10s\"")
-	w.Sent("a", Want{Key: "k"})
+	w.ExpectRequest("a", ExpectedRequest{Key: "k"})
 	c, in := dial(t, n.Addr(0))
 	if got := roundTrip(t, c, in, "mn\r\n"); got != "MN" {
 		t.Fatal(got)
@@ -161,7 +161,7 @@
 	if _, err := net.Dial("tcp", n.Addr(0)); err == nil {
 		t.Error("a stopped cache host accepts connections")
 	}
-	next, err := w.AddNode("node-1.2", n.Group, true, n)
+	next, err := w.AddHost("node-1.2", n.Group, true, n)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -181,7 +181,7 @@
 	w, _ := newWorld(t, "")
 	get := func(query string, wait time.Duration) string {
 		c := http.Client{Timeout: wait}
-		r, err := c.Get("http://" + w.Register.Addr(0) + "/api/targets" + query)
+		r, err := c.Get("http://" + w.Discovery.Addr(0) + "/api/targets" + query)
 		if err != nil {
 			return "silent"
 		}
@@ -192,12 +192,12 @@
 	if got := get("", waitTimeout); !strings.Contains(got, `"reset":true`) || !strings.Contains(got, `"instanceId":"node-1"`) {
 		t.Error(got)
 	}
-	w.Register.Silence(0, true)
+	w.Discovery.Silence(0, true)
 	if got := get("", 100*time.Millisecond); got != "silent" {
 		t.Error(got)
 	}
-	w.Register.Silence(0, false)
-	w.Register.Rewind(0)
+	w.Discovery.Silence(0, false)
+	w.Discovery.ResetGenerations(0)
 	if got := get(fmt.Sprintf("?after=%d&wait_ms=5000", 7), waitTimeout); !strings.Contains(got, `"reset":true`) {
 		t.Error(got)
 	}
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -16,26 +16,26 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// World holds what all stand-ins of one rehearsal share.
-type World struct {
-	Day       *scenario.Day
-	Rec       *record.Record
+// Environment holds what all stand-ins of one rehearsal share.
+type Environment struct {
+	Scenario  *scenario.Day
+	Record    *record.Record
 	begin     atomic.Pointer[time.Time] // start of the rehearsal, with its monotonic clock reading; nil before
 	subnet    byte                      // second octet of the loopback addresses, to separate concurrent rehearsals
 	listeners atomic.Uint32
 
-	Gateway  *Gateway
-	Register *Register
+	Origin    *Origin
+	Discovery *Discovery
 
 	mu        sync.Mutex
-	hosts     map[string]*Node
-	requests  map[string]Want    // by request id
-	acceptAll bool               // accept requests that no simulated client sent
-	misses    map[string][]*Node // by request id: cache hosts that lacked its key
+	hosts     map[string]*Host
+	requests  map[string]ExpectedRequest // by request id
+	acceptAll bool                       // accept requests that no simulated client sent
+	misses    map[string][]*Host         // by request id: cache hosts that lacked its key
 }
 
-// Want is what a client requested, as far as the servers check it.
-type Want struct {
+// ExpectedRequest is what a client requested, as far as the servers check it.
+type ExpectedRequest struct {
 	Key     string
 	Product int
 	Tenant  int
@@ -45,32 +45,32 @@
 // value.
 const maxMisses = 1 << 16
 
-// NewWorld returns a World without any stand-ins. The rehearsal's clock starts with Begin.
-func NewWorld(day *scenario.Day, rec *record.Record) *World {
-	return &World{Day: day, Rec: rec, subnet: byte(100 + os.Getpid()%100), hosts: map[string]*Node{},
-		requests: map[string]Want{}, misses: map[string][]*Node{}}
+// NewEnvironment returns an Environment without any stand-ins. The rehearsal's clock starts with Begin.
+func NewEnvironment(day *scenario.Day, rec *record.Record) *Environment {
+	return &Environment{Scenario: day, Record: rec, subnet: byte(100 + os.Getpid()%100), hosts: map[string]*Host{},
+		requests: map[string]ExpectedRequest{}, misses: map[string][]*Host{}}
 }
 
 // Begin starts the rehearsal's clock. Until then no time passes for the stand-ins.
-func (w *World) Begin() {
+func (w *Environment) Begin() {
 	now := time.Now()
 	w.begin.Store(&now)
-	for _, n := range w.Nodes() {
+	for _, n := range w.Hosts() {
 		n.wake()
 	}
-	w.Gateway.wake()
+	w.Origin.wake()
 }
 
 // Now returns the time since Begin. It is monotonic, so changes of the system clock have no effect.
-func (w *World) Now() time.Duration {
+func (w *Environment) Now() time.Duration {
 	if begin := w.begin.Load(); begin != nil {
 		return time.Since(*begin)
 	}
 	return 0
 }
 
-// Unix converts a time since Begin to Unix time in milliseconds.
-func (w *World) Unix(at time.Duration) int64 { return w.begin.Load().Add(at).UnixMilli() }
+// UnixMilli converts a time since Begin to Unix time in milliseconds.
+func (w *Environment) UnixMilli(at time.Duration) int64 { return w.begin.Load().Add(at).UnixMilli() }
 
 // modelRunner advances a stand-in's model when its next event is due, and earlier when wake is called.
 type modelRunner chan struct{}
@@ -98,32 +98,32 @@
 	}
 }
 
-// Late records that a stand-in or client acted later than planned.
-func (w *World) Late(due, now time.Duration) {
+// RecordLateness records that a stand-in or client acted later than planned.
+func (w *Environment) RecordLateness(due, now time.Duration) {
 	if by := now - due; by > minLateness && now > 0 {
-		w.Rec.Add(func() { w.Rec.Latenesses = append(w.Rec.Latenesses, record.Lateness{At: now, By: by}) })
+		w.Record.Add(func() { w.Record.Latenesses = append(w.Record.Latenesses, record.Lateness{At: now, By: by}) })
 	}
 }
 
 // minLateness is the smallest delay that is recorded; shorter timer delays of a busy machine do not affect the results.
 const minLateness = 2 * time.Millisecond
 
-// Sent registers what a client requests under an id, for the servers to check.
-func (w *World) Sent(id string, want Want) {
+// ExpectRequest registers what a client requests under an id, for the servers to check.
+func (w *Environment) ExpectRequest(id string, want ExpectedRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.requests[id] = want
 }
 
-// Open makes the servers accept any request, for manual use.
-func (w *World) Open() {
+// AcceptAll makes the servers accept any request, for manual use.
+func (w *Environment) AcceptAll() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.acceptAll = true
 }
 
 // expected reports whether a client requested the key under the id.
-func (w *World) expected(id, key string) bool {
+func (w *Environment) expected(id, key string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	want, ok := w.requests[id]
@@ -131,15 +131,15 @@
 }
 
 // drawWork draws the work that a request causes at a cache host.
-func (w *World) drawWork(id string) time.Duration {
+func (w *Environment) drawWork(id string) time.Duration {
 	w.mu.Lock()
-	p := w.Day.Products[w.requests[id].Product]
+	p := w.Scenario.Products[w.requests[id].Product]
 	w.mu.Unlock()
-	return model.RequestWork(w.Day.Seed, id, p.Law, p.Work.Duration(), p.Variation)
+	return model.RequestWork(w.Scenario.Seed, id, p.Law, p.Work.Duration(), p.Variation)
 }
 
 // recordMiss remembers that a cache host lacked a request's key.
-func (w *World) recordMiss(id string, n *Node) {
+func (w *Environment) recordMiss(id string, n *Host) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.misses) >= maxMisses {
@@ -149,7 +149,7 @@
 }
 
 // storeMissed stores a value at the cache hosts that lacked it for a request.
-func (w *World) storeMissed(id, key string, version uint64) {
+func (w *Environment) storeMissed(id, key string, version uint64) {
 	w.mu.Lock()
 	hosts := w.misses[id]
 	delete(w.misses, id)
@@ -160,45 +160,45 @@
 }
 
 // invalidate drops the cached copies of a key that are older than the given version.
-func (w *World) invalidate(key string, version uint64) {
-	for _, n := range w.Nodes() {
+func (w *Environment) invalidate(key string, version uint64) {
+	for _, n := range w.Hosts() {
 		n.invalidate(key, version)
 	}
 }
 
-// Nodes returns all cache hosts, including those that have ended.
-func (w *World) Nodes() []*Node {
+// Hosts returns all cache hosts, including those that have ended.
+func (w *Environment) Hosts() []*Host {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	list := make([]*Node, 0, len(w.hosts))
+	list := make([]*Host, 0, len(w.hosts))
 	for _, n := range w.hosts {
 		list = append(list, n)
 	}
 	return list
 }
 
-// Node returns the cache host with the given id, or nil.
-func (w *World) Node(id string) *Node {
+// Host returns the cache host with the given id, or nil.
+func (w *Environment) Host(id string) *Host {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.hosts[id]
 }
 
 // ZoneOf returns the zone of a balancer.
-func (w *World) ZoneOf(balancer int) string {
-	return w.Day.Fleet.Zones[balancer%len(w.Day.Fleet.Zones)]
+func (w *Environment) ZoneOf(balancer int) string {
+	return w.Scenario.Fleet.Zones[balancer%len(w.Scenario.Fleet.Zones)]
 }
 
 // linkDelay returns the usual one-way delay from a balancer to a zone.
-func (w *World) linkDelay(balancer int, zone string) time.Duration {
+func (w *Environment) linkDelay(balancer int, zone string) time.Duration {
 	if w.ZoneOf(balancer) == zone {
-		return w.Day.Fleet.Same.Duration()
+		return w.Scenario.Fleet.Same.Duration()
 	}
-	return w.Day.Fleet.Cross.Duration()
+	return w.Scenario.Fleet.Cross.Duration()
 }
 
 // Listen opens a listener on an otherwise unused loopback address.
-func (w *World) Listen() (*net.TCPListener, error) {
+func (w *Environment) Listen() (*net.TCPListener, error) {
 	n := w.listeners.Add(1)
 	ip := net.IPv4(127, w.subnet, byte(n/250), byte(1+n%250))
 	return listen(&net.TCPAddr{IP: ip})
@@ -213,9 +213,9 @@
 }
 
 // Value returns the answer to a read: its key, version and id, padded to the scenario's value size.
-func (w *World) Value(key string, version uint64, id string) []byte {
-	v := fmt.Appendf(make([]byte, 0, w.Day.Load.ValueSize), "%s v%d %s ", key, version, id)
-	for len(v) < w.Day.Load.ValueSize {
+func (w *Environment) Value(key string, version uint64, id string) []byte {
+	v := fmt.Appendf(make([]byte, 0, w.Scenario.Load.ValueSize), "%s v%d %s ", key, version, id)
+	for len(v) < w.Scenario.Load.ValueSize {
 		v = append(v, '.')
 	}
 	return v
