--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -218,7 +218,7 @@
 	for now := s.W.Now(); now < s.W.Scenario.Length.Duration(); now = s.W.Now() {
 		t := s.Callers.Tally()
 		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d requests: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
-			s.W.Scenario.Length.Duration().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
+			s.W.Scenario.Length.Duration().Seconds(), t.Finished, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
 		time.Sleep(time.Second / 2)
 	}
 	fmt.Fprintln(os.Stderr)
--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -74,7 +74,7 @@
 const writtenValue = "12345"
 
 // sendRequest sends a request once and waits for its answer or for the client's deadline.
-func (c *Callers) sendRequest(req *record.Request, zone int, write bool) {
+func (c *Clients) sendRequest(req *record.Request, zone int, write bool) {
 	req.Balancer = c.pickBalancer(zone, req.Tenant)
 	target := c.targets[req.Balancer]
 	for {
@@ -104,7 +104,7 @@
 
 // exchange sends a request over a connection and reads its answer. It returns true if the balancer had closed the
 // connection while it was idle, before the request arrived.
-func (c *Callers) exchange(co *conn, req *record.Request, write bool, target *balancerTarget) (closedWhileIdle bool) {
+func (c *Clients) exchange(co *conn, req *record.Request, write bool, target *balancerTarget) (closedWhileIdle bool) {
 	fresh := !co.used
 	co.used = true
 	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.world.Scenario.Products[req.Product].Name, c.world.Scenario.Tenants[req.Tenant].Name,
@@ -164,7 +164,7 @@
 }
 
 // isCorrect reports whether an answer belongs to the request and has the expected contents.
-func (c *Callers) isCorrect(req *record.Request, r reply, write bool) bool {
+func (c *Clients) isCorrect(req *record.Request, r reply, write bool) bool {
 	if r.id != req.ID {
 		return false
 	}
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -20,8 +20,8 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Callers simulates all clients of a rehearsal.
-type Callers struct {
+// Clients simulates all clients of a rehearsal.
+type Clients struct {
 	world       *standin.Environment
 	arrivals    []model.Arrival
 	retryPolicy model.RetryPolicy
@@ -39,7 +39,7 @@
 
 // Tally counts the outcomes of requests so far; each client retry counts as one more.
 type Tally struct {
-	Due, Fulfilled, RateLimited, Errored, Lost int
+	Finished, Fulfilled, RateLimited, Errored, Lost int
 }
 
 // The histograms cover 1 microsecond to a minute with three significant digits.
@@ -53,12 +53,12 @@
 const maxInFlight = 50_000
 
 // New plans the requests of a rehearsal.
-func New(w *standin.Environment) (*Callers, error) {
+func New(w *standin.Environment) (*Clients, error) {
 	arrivals, err := model.Arrivals(w.Scenario.Seed, w.Scenario.LoadTerms())
 	if err != nil {
 		return nil, err
 	}
-	c := &Callers{world: w, arrivals: arrivals, retryPolicy: w.Scenario.Retry(),
+	c := &Clients{world: w, arrivals: arrivals, retryPolicy: w.Scenario.Retry(),
 		lateness:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		latencies: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 	for range w.Scenario.Fleet.Balancers {
@@ -67,11 +67,11 @@
 	return c, nil
 }
 
-// Planned returns the number of planned requests, without client retries.
-func (c *Callers) Planned() int { return len(c.arrivals) }
+// PlannedRequests returns the number of planned requests, without client retries.
+func (c *Clients) PlannedRequests() int { return len(c.arrivals) }
 
-// Up sets the address at which a balancer serves. Clients send requests to it from now on.
-func (c *Callers) Up(balancer int, addr string) {
+// BalancerUp sets the address at which a balancer serves. Clients send requests to it from now on.
+func (c *Clients) BalancerUp(balancer int, addr string) {
 	target := c.targets[balancer]
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -79,9 +79,9 @@
 	target.addr, target.up, target.stopping = addr, true, false
 }
 
-// Down marks a balancer that has ended or was ordered to end at once; it is not blamed for the requests it loses. Clients
+// BalancerDown marks a balancer that has ended or was ordered to end at once; it is not blamed for the requests it loses. Clients
 // notice after a delay and send to it until then.
-func (c *Callers) Down(balancer int) {
+func (c *Clients) BalancerDown(balancer int) {
 	target := c.targets[balancer]
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -97,8 +97,8 @@
 	})
 }
 
-// Leaves marks a balancer that was ordered to end gracefully. Clients stop sending to it after drainNoticeDelay.
-func (c *Callers) Leaves(balancer int) {
+// BalancerDraining marks a balancer that was ordered to end gracefully. Clients stop sending to it after drainNoticeDelay.
+func (c *Clients) BalancerDraining(balancer int) {
 	target := c.targets[balancer]
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -117,8 +117,8 @@
 // notified at the same time.
 const drainNoticeDelay = 300 * time.Millisecond
 
-// Play sends the planned requests and returns when the last one has been answered or given up, or earlier when stopped.
-func (c *Callers) Play(stop <-chan struct{}) {
+// Run sends the planned requests and returns when the last one has been answered or given up, or earlier when stopped.
+func (c *Clients) Run(stop <-chan struct{}) {
 	defer c.running.Wait()
 	// Sleeps by system call on a thread of its own, as the Go runtime's timers are up to a millisecond late.
 	runtime.LockOSThread()
@@ -146,7 +146,7 @@
 const maxSleep = 100 * time.Millisecond
 
 // runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
-func (c *Callers) runRequest(arrival *model.Arrival) {
+func (c *Clients) runRequest(arrival *model.Arrival) {
 	p := &c.world.Scenario.Products[arrival.Product]
 	random := model.NewRand(c.world.Scenario.Seed, "client "+arrival.ID)
 	due := arrival.At
@@ -179,11 +179,11 @@
 }
 
 // recordResult adds the outcome of one sending to the record and to the tally.
-func (c *Callers) recordResult(req record.Request, due time.Duration) {
+func (c *Clients) recordResult(req record.Request, due time.Duration) {
 	c.world.Record.Add(func() { c.world.Record.Requests = append(c.world.Record.Requests, req) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Due++
+	c.tally.Finished++
 	switch req.Reply {
 	case record.Fulfilled:
 		c.tally.Fulfilled++
@@ -198,7 +198,7 @@
 }
 
 // recordLateness records how late a request was sent.
-func (c *Callers) recordLateness(due, now time.Duration) {
+func (c *Clients) recordLateness(due, now time.Duration) {
 	c.world.RecordLateness(due, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +206,7 @@
 }
 
 // Tally returns the counts so far.
-func (c *Callers) Tally() Tally {
+func (c *Clients) Tally() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally
@@ -225,14 +225,14 @@
 }
 
 // Latency returns the latencies of fulfilled requests, counted from their scheduled time.
-func (c *Callers) Latency() Percentiles {
+func (c *Clients) Latency() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.latencies)
 }
 
 // Lateness returns how late requests were sent.
-func (c *Callers) Lateness() Percentiles {
+func (c *Clients) Lateness() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.lateness)
@@ -240,7 +240,7 @@
 
 // pickBalancer chooses the balancer for a request, in rotation among those believed to be up: first those that its tenant
 // uses, then those of the client's zone, then any. If none is up it returns balancer 0.
-func (c *Callers) pickBalancer(zone, tenant int) int {
+func (c *Clients) pickBalancer(zone, tenant int) int {
 	if allowed := c.world.Scenario.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
 		n := int(c.roundRobin.Add(1))
 		for i := range allowed {
@@ -303,8 +303,8 @@
 	return t.stopping
 }
 
-// Rest closes the idle connections and records answers that arrived on them unrequested.
-func (c *Callers) Rest() {
+// CloseIdle closes the idle connections and records answers that arrived on them unrequested.
+func (c *Clients) CloseIdle() {
 	for _, target := range c.targets {
 		target.mu.Lock()
 		idle := target.idle
@@ -319,7 +319,7 @@
 }
 
 // readExtraAnswers records answers on a connection that no request waits for.
-func (c *Callers) readExtraAnswers(conn *conn) {
+func (c *Clients) readExtraAnswers(conn *conn) {
 	for {
 		a, err := conn.read()
 		if err != nil {
@@ -330,7 +330,7 @@
 }
 
 // recordExtraAnswer counts an additional answer to a request that was already answered.
-func (c *Callers) recordExtraAnswer(id string) {
+func (c *Clients) recordExtraAnswer(id string) {
 	c.world.Record.Add(func() {
 		for i := len(c.world.Record.Requests) - 1; i >= 0; i-- {
 			if req := &c.world.Record.Requests[i]; req.ID == id {
--- a/internal/rehearsal/load/rude.go
+++ b/internal/rehearsal/load/rude.go
@@ -35,8 +35,8 @@
 	hugeValueBytes   = 60 << 20
 )
 
-// Rude simulates the i-th client with malformed input and records how the balancer reacted.
-func (c *Callers) Rude(i int) {
+// MalformedClient simulates the i-th client with malformed input and records how the balancer reacted.
+func (c *Clients) MalformedClient(i int) {
 	input := malformedInputs[i%len(malformedInputs)]
 	_, addr := c.targets[i%len(c.targets)].state()
 	n, err := net.DialTimeout("tcp", addr, answerTimeout)
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -122,11 +122,11 @@
 	err = session.Play(ctx)
 	session.End()
 	tally := session.Callers.Tally()
-	good = Share{Of: tally.Due, Good: tally.Fulfilled}
+	good = Share{Of: tally.Finished, Good: tally.Fulfilled}
 	for _, l := range session.Rec.ProcessRuns {
 		cpu += l.CPU
 	}
-	return session.Callers.Latency(), session.Callers.Lateness(), cpu / time.Duration(max(1, tally.Due)), good, err
+	return session.Callers.Latency(), session.Callers.Lateness(), cpu / time.Duration(max(1, tally.Finished)), good, err
 }
 
 // Head writes the head of the table whose rows Line writes.
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -244,14 +244,14 @@
 	case <-time.After(after):
 	case <-s.ctx.Done():
 	}
-	s.Callers.Down(b)
+	s.Callers.BalancerDown(b)
 	s.mu.Lock()
 	nextRun.Ready = ready
 	l.instance, l.run, l.adminAddr = old, oldRun, oldAdminAddr
 	s.mu.Unlock()
 	next.Kill()
 	<-next.Done()
-	s.Callers.Up(b, l.addr)
+	s.Callers.BalancerUp(b, l.addr)
 	return nil
 }
 
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -27,7 +27,7 @@
 type Stage struct {
 	W          *standin.Environment
 	Rec        *record.Record
-	Callers    *load.Callers
+	Callers    *load.Clients
 	launch     Launch
 	dir        string
 	ctx        context.Context
@@ -234,7 +234,7 @@
 	replaced := s.slots[b].instance != inst // another process of this balancer has been started already
 	s.mu.Unlock()
 	if !replaced {
-		s.Callers.Down(b)
+		s.Callers.BalancerDown(b)
 	}
 }
 
@@ -254,7 +254,7 @@
 			s.mu.Lock()
 			l.run.Ready = max(1, s.W.Now())
 			s.mu.Unlock()
-			s.Callers.Up(b, addr)
+			s.Callers.BalancerUp(b, addr)
 			return true
 		}
 	}
@@ -285,7 +285,7 @@
 // Kill kills a balancer and starts it again after restartDelay.
 func (s *Stage) Kill(b int, restartDelay time.Duration) {
 	inst := s.expectExit(b)
-	s.Callers.Down(b)
+	s.Callers.BalancerDown(b)
 	inst.Kill()
 	s.startAgain(b, inst, restartDelay)
 }
@@ -293,7 +293,7 @@
 // Restart shuts a balancer down gracefully and starts it again.
 func (s *Stage) Restart(b int) {
 	inst := s.expectExit(b)
-	s.Callers.Leaves(b)
+	s.Callers.BalancerDraining(b)
 	inst.Term()
 	s.startAgain(b, inst, 0)
 }
@@ -314,10 +314,10 @@
 }
 
 // Stray runs one connection of a crowd, most of which never finish a request.
-func (s *Stage) Stray(i int) { s.Callers.Stray(i) }
+func (s *Stage) Stray(i int) { s.Callers.CrowdConnection(i) }
 
 // Rude runs one client that sends malformed input or nothing.
-func (s *Stage) Rude(i int) { s.Callers.Rude(i) }
+func (s *Stage) Rude(i int) { s.Callers.MalformedClient(i) }
 
 // startAgain waits until a process has ended and starts the balancer again after a delay.
 func (s *Stage) startAgain(b int, inst Instance, delay time.Duration) {
@@ -360,8 +360,8 @@
 	var fault error
 	go func() { defer tasks.Done(); fault = faults.New(s.W, s).Play(stop) }()
 	go func() { defer tasks.Done(); s.measureLateness(finished) }()
-	s.Callers.Play(stop)
-	s.Callers.Rest()
+	s.Callers.Run(stop)
+	s.Callers.CloseIdle()
 	close(finished)
 	tasks.Wait()
 	time.Sleep(settleDelay)
@@ -424,7 +424,7 @@
 }
 
 // Straight makes clients send requests directly to a cache node instead of the balancers.
-func (s *Stage) Straight(node string) { s.Callers.Up(0, s.W.Host(node).Addr(0)) }
+func (s *Stage) Straight(node string) { s.Callers.BalancerUp(0, s.W.Host(node).Addr(0)) }
 
 // Terms returns the limits that the judge applies to a rehearsal of the scenario.
 func Terms(sc *scenario.Day) judge.Terms {
