--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -54,7 +54,7 @@
 			}
 			msg.Records = slices.DeleteFunc(msg.Records, func(r member.Record) bool { return ignored(r.Life) })
 			msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return ignored(r.Life) })
-		}, []judge.Rule{judge.MatesKnown}},
+		}, []judge.Rule{judge.MembersKnown}},
 		"declares a live member dead": {func(p *Play, index int, in bool, msg *member.Message) {
 			if index == faulty && in && p.Now > 15*time.Second && p.Mates[2].Machine != nil {
 				l := p.Mates[2].ProcessID()
@@ -66,7 +66,7 @@
 			} else if index == faulty && !in {
 				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.State == member.Dead })
 			}
-		}, []judge.Rule{judge.MatesAlive}},
+		}, []judge.Rule{judge.NoFalseDeath}},
 		"never removes dead members": {func(p *Play, index int, in bool, msg *member.Message) {
 			if index != faulty || !in {
 				return
@@ -75,19 +75,19 @@
 			if msg.Kind == member.Nack {
 				msg.Kind = member.Ack // counts a failed indirect probe as a success
 			}
-		}, []judge.Rule{judge.MatesDead}},
+		}, []judge.Rule{judge.DeathDetected}},
 		"lists a member that no other lists": {func(p *Play, index int, in bool, msg *member.Message) {
 			if index == faulty && in && p.Now > 10*time.Second {
 				msg.Records = append(msg.Records, member.Record{Life: 1<<40 + member.ProcessID(p.Now/time.Second)<<2, Name: "ghost", Addr: addr(2)})
 			} else if index == faulty {
 				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return memberOf(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
 			}
-		}, []judge.Rule{judge.MatesSame}},
+		}, []judge.Rule{judge.ViewsEqual}},
 		"sends too much": {func(p *Play, index int, in bool, msg *member.Message) {
 			if index == faulty && !in {
 				p.Mates[index].Bytes += 20_000
 			}
-		}, []judge.Rule{judge.MatesTalk}},
+		}, []judge.Rule{judge.TrafficBounded}},
 	} {
 		rec := record.New()
 		NewDay(day, rec, func(p *Play) {
@@ -103,7 +103,7 @@
 			}
 		}
 		for _, f := range v.Findings {
-			if f.Group == "between balancers" && f.Rule != judge.MatesName && f.Checked == 0 {
+			if f.Group == "between balancers" && f.Rule != judge.NameConflictReported && f.Checked == 0 {
 				t.Errorf("%s: %s is not exercised", name, f.Rule)
 			}
 		}
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -31,41 +31,41 @@
 	Write  bool
 }
 
-// Terms are the numeric bounds of the rules.
-type Terms struct {
-	Products   []Product
-	Attempts   int           // maximum number of attempts per request
-	DrainGrace time.Duration // how long a draining host may still get attempts after the notice
-	Slack      time.Duration // added to each time limit for the time that bytes are in transit
-	Prompt     time.Duration // how soon a request that is given up must be answered, in addition to Slack
-	ColdBlame  float64       // share of misses at cold hosts in the gateway's load from which its stop counts as a breach
-	FallFor    time.Duration // span over which the load that pushed a server over is counted
-	Mates      Mates         // bounds of the rules for the balancers' membership
-	Openings   float64       // connections a second that all balancers together may open to one host; 0: no bound
-	Connect    time.Duration // how long an attempt to connect may take before it fails
+// Config holds the numeric bounds of the rules.
+type Config struct {
+	Products          []Product
+	MaxAttempts       int              // maximum number of attempts per request
+	DrainGrace        time.Duration    // how long a draining host may still get attempts after the notice
+	Slack             time.Duration    // added to each time limit for the time that bytes are in transit
+	PromptTimeout     time.Duration    // how soon a request that is given up must be answered, in addition to Slack
+	ColdMissThreshold float64          // share of misses at cold hosts in the origin's load from which its outage counts as a breach
+	OverloadWindow    time.Duration    // span over which the load that made a server fail is counted
+	Membership        MembershipConfig // bounds of the rules for the balancers' membership
+	OpeningsPerSecond float64          // connections a second that all balancers together may open to one host; 0: no bound
+	ConnectTimeout    time.Duration    // how long an attempt to connect may take before it fails
 }
 
 // Rule is the text that identifies one rule, as reports print it.
 type Rule string
 
 const (
-	OneAnswer   Rule = "one answer in time"
-	RightAnswer Rule = "the answer made for the call"
-	NothingLate Rule = "nothing sent after the answer"
-	Prompt      Rule = "given up is answered at once"
-	Deadlines   Rule = "servers told no more time than is left"
-	NoRepeat    Rule = "no attempt that could run twice"
-	OneEffect   Rule = "no effect twice"
-	Promise     Rule = "rate-limited only if harmless"
-	Alone       Rule = "one attempt at a time, no more than allowed"
-	Drains      Rule = "nothing new to a draining host"
-	ColdHosts   Rule = "no cold host pushed over"
-	GatewayUp   Rule = "gateway not stopped by cold misses"
-	Used        Rule = "a host put back by hand is used"
-	NoneBack    Rule = "an upgrade turns nobody back"
-	Doors       Rule = "operators are answered in time"
-	RudeEnds    Rule = "nonsense gets an error or a close"
-	Alive       Rule = "no balancer ends unasked"
+	OneAnswer              Rule = "one answer in time"
+	RightAnswer            Rule = "the answer made for the call"
+	NothingLate            Rule = "nothing sent after the answer"
+	PromptGiveUp           Rule = "given up is answered at once"
+	Deadlines              Rule = "servers told no more time than is left"
+	NoRepeat               Rule = "no attempt that could run twice"
+	OneEffect              Rule = "no effect twice"
+	HarmlessRetry          Rule = "rate-limited only if harmless"
+	AttemptsInSequence     Rule = "one attempt at a time, no more than allowed"
+	Drains                 Rule = "nothing new to a draining host"
+	ColdHosts              Rule = "no cold host pushed over"
+	NoColdMissOverload     Rule = "gateway not stopped by cold misses"
+	IncludedHostUsed       Rule = "a host put back by hand is used"
+	UpgradeTurnsNoneAway   Rule = "an upgrade turns nobody back"
+	AdminInTime            Rule = "operators are answered in time"
+	MalformedInputRejected Rule = "nonsense gets an error or a close"
+	NoUnexpectedExit       Rule = "no balancer ends unasked"
 )
 
 // Rules lists all rules in report order: first the operators' four main groups (answers, effects, drains, cold hosts),
@@ -74,14 +74,14 @@
 	Rule  Rule
 	Group string
 }{
-	{OneAnswer, "1 answers"}, {RightAnswer, "1 answers"}, {NothingLate, "1 answers"}, {Prompt, "1 answers"},
+	{OneAnswer, "1 answers"}, {RightAnswer, "1 answers"}, {NothingLate, "1 answers"}, {PromptGiveUp, "1 answers"},
 	{Deadlines, "1 answers"},
-	{NoRepeat, "2 effects"}, {OneEffect, "2 effects"}, {Promise, "2 effects"}, {Alone, "2 effects"},
-	{Drains, "3 drains"}, {ColdHosts, "4 cold hosts"}, {GatewayUp, "4 cold hosts"},
-	{MatesKnown, "between balancers"}, {MatesAlive, "between balancers"}, {MatesDead, "between balancers"},
-	{MatesSame, "between balancers"}, {MatesName, "between balancers"}, {MatesTalk, "between balancers"},
-	{LimitKept, "limits"}, {LimitUsed, "limits"}, {OpensKept, "limits"},
-	{Used, "service"}, {NoneBack, "service"}, {Doors, "service"}, {RudeEnds, "service"}, {Alive, "service"},
+	{NoRepeat, "2 effects"}, {OneEffect, "2 effects"}, {HarmlessRetry, "2 effects"}, {AttemptsInSequence, "2 effects"},
+	{Drains, "3 drains"}, {ColdHosts, "4 cold hosts"}, {NoColdMissOverload, "4 cold hosts"},
+	{MembersKnown, "between balancers"}, {NoFalseDeath, "between balancers"}, {DeathDetected, "between balancers"},
+	{ViewsEqual, "between balancers"}, {NameConflictReported, "between balancers"}, {TrafficBounded, "between balancers"},
+	{SharesWithinLimit, "limits"}, {ShareFollowsTraffic, "limits"}, {OpeningsBounded, "limits"},
+	{IncludedHostUsed, "service"}, {UpgradeTurnsNoneAway, "service"}, {AdminInTime, "service"}, {MalformedInputRejected, "service"}, {NoUnexpectedExit, "service"},
 }
 
 // Breach is one case in which a rule was broken, or may have been.
@@ -108,8 +108,8 @@
 
 // Verdict is the result of checking one rehearsal.
 type Verdict struct {
-	Findings []Finding     `json:"findings"`
-	LateMost time.Duration `json:"late_most_ns"` // the most by which the rehearsal itself ran late
+	Findings    []Finding     `json:"findings"`
+	MaxLateness time.Duration `json:"late_most_ns"` // the most by which the rehearsal itself ran late
 	// Notes are remarks that are not breaches: measured extremes, and harm that the balancers could not have prevented by
 	// keeping the rules.
 	Notes []string `json:"notes,omitempty"`
@@ -140,7 +140,7 @@
 
 // checker holds the recorded events, indexed by request, and the results so far.
 type checker struct {
-	config      Terms
+	config      Config
 	rec         *record.Record
 	checked     map[Rule]int
 	examples    map[Rule][]Breach
@@ -153,7 +153,7 @@
 }
 
 // Judge checks a record against all rules.
-func Judge(rec *record.Record, config Terms) *Verdict {
+func Judge(rec *record.Record, config Config) *Verdict {
 	c := &checker{config: config, rec: rec, checked: map[Rule]int{}, examples: map[Rule][]Breach{}, doubtful: map[Rule]int{},
 		breachCount: map[Rule]int{}, attempts: map[string][]record.Attempt{}, requests: map[string]*record.Request{}, effects: map[string][]record.Effect{}}
 	slices.SortStableFunc(rec.Latenesses, func(x, y record.Lateness) int { return cmp.Compare(x.At, y.At) })
@@ -188,7 +188,7 @@
 func (c *checker) buildVerdict() *Verdict {
 	v := &Verdict{Notes: c.notes}
 	for _, l := range c.rec.Latenesses {
-		v.LateMost = max(v.LateMost, l.By)
+		v.MaxLateness = max(v.MaxLateness, l.By)
 	}
 	for _, r := range Rules {
 		f := Finding{Rule: r.Rule, Group: r.Group, Checked: c.checked[r.Rule], Breaches: c.breachCount[r.Rule],
@@ -321,7 +321,7 @@
 
 // checkPromptness checks that a request which is given up is answered soon after it came and after its last attempt ended.
 func (c *checker) checkPromptness(req *record.Request) {
-	c.checked[Prompt]++
+	c.checked[PromptGiveUp]++
 	lastEvent := req.Sent
 	for _, a := range c.attempts[req.ID] {
 		if a.Ended == 0 || a.Ended > req.Answered {
@@ -332,12 +332,12 @@
 	// While connections cannot be opened, failed connection attempts are seen by the balancer alone.
 	unseenTime := time.Duration(0)
 	if slices.ContainsFunc(c.rec.ConnectOutages, func(d record.ConnectOutage) bool {
-		return d.Balancer == req.Balancer && d.From <= req.Answered && (d.To == 0 || req.Sent <= d.To+c.config.Connect)
+		return d.Balancer == req.Balancer && d.From <= req.Answered && (d.To == 0 || req.Sent <= d.To+c.config.ConnectTimeout)
 	}) {
-		unseenTime = time.Duration(max(0, c.config.Attempts-len(c.attempts[req.ID]))) * c.config.Connect
+		unseenTime = time.Duration(max(0, c.config.MaxAttempts-len(c.attempts[req.ID]))) * c.config.ConnectTimeout
 	}
-	if over := req.Answered - lastEvent - c.config.Prompt - c.config.Slack - unseenTime; over > 0 {
-		c.addBreach(Prompt, req.ID, req.Answered, over, "given up %v after anything last happened to it", formatTime(req.Answered-lastEvent))
+	if over := req.Answered - lastEvent - c.config.PromptTimeout - c.config.Slack - unseenTime; over > 0 {
+		c.addBreach(PromptGiveUp, req.ID, req.Answered, over, "given up %v after anything last happened to it", formatTime(req.Answered-lastEvent))
 	}
 }
 
@@ -346,9 +346,9 @@
 func (c *checker) checkRepeats(req *record.Request) {
 	product, attempts := c.productOf(req), c.attempts[req.ID]
 	for i, a := range attempts {
-		c.checked[Alone]++
-		if i >= c.config.Attempts {
-			c.addBreach(Alone, req.ID, a.ArrivedAt, 0, "attempt %d of %d allowed", i+1, c.config.Attempts)
+		c.checked[AttemptsInSequence]++
+		if i >= c.config.MaxAttempts {
+			c.addBreach(AttemptsInSequence, req.ID, a.ArrivedAt, 0, "attempt %d of %d allowed", i+1, c.config.MaxAttempts)
 		}
 		for _, earlier := range attempts[:i] {
 			if earlier.UnknownTime || a.UnknownTime {
@@ -356,7 +356,7 @@
 			}
 			// The end of an abandoned attempt is seen late, because closing its connection is a message of its own.
 			if over := earlier.Ended - a.ArrivedAt - c.config.Slack; earlier.Ended == 0 || over > 0 {
-				c.addBreach(Alone, req.ID, a.ArrivedAt, over, "an attempt came while another one was out")
+				c.addBreach(AttemptsInSequence, req.ID, a.ArrivedAt, over, "an attempt came while another one was out")
 				break
 			}
 		}
@@ -391,16 +391,16 @@
 	if req.Reply != record.RateLimited {
 		return
 	}
-	c.checked[Promise]++
+	c.checked[HarmlessRetry]++
 	for _, a := range attempts {
 		if a.Proof == record.NeverRan || a.Proof == record.CacheMiss {
 			continue
 		}
 		if over := req.Answered - a.ArrivedAt - product.Window; product.Effect == NonIdempotent {
-			c.addBreach(Promise, req.ID, req.Answered, 0, "rate-limited though an attempt may have run")
+			c.addBreach(HarmlessRetry, req.ID, req.Answered, 0, "rate-limited though an attempt may have run")
 			return
 		} else if over > c.config.Slack {
-			c.addBreach(Promise, req.ID, req.Answered, over-c.config.Slack, "rate-limited %v after an attempt that may have run, beyond its window", formatTime(req.Answered-a.ArrivedAt))
+			c.addBreach(HarmlessRetry, req.ID, req.Answered, over-c.config.Slack, "rate-limited %v after an attempt that may have run, beyond its window", formatTime(req.Answered-a.ArrivedAt))
 			return
 		}
 	}
@@ -516,19 +516,19 @@
 		if !notice.ByOperator || !notice.Available || notice.At+reuseTimeout > c.rec.LastScheduled() {
 			continue
 		}
-		c.checked[Used]++
+		c.checked[IncludedHostUsed]++
 		if !slices.ContainsFunc(c.rec.Attempts, func(a record.Attempt) bool {
 			return a.Balancer == notice.Balancer && a.Server == notice.Host && a.FirstByteAt > notice.At && a.FirstByteAt <= notice.At+reuseTimeout
 		}) {
-			c.addBreach(Used, "", notice.At, 0, "%s got nothing from balancer %d in %v after it was put back", notice.Host, notice.Balancer+1, reuseTimeout)
+			c.addBreach(IncludedHostUsed, "", notice.At, 0, "%s got nothing from balancer %d in %v after it was put back", notice.Host, notice.Balancer+1, reuseTimeout)
 		}
 	}
 	for _, adminCall := range c.rec.AdminCalls {
-		c.checked[Doors]++
+		c.checked[AdminInTime]++
 		if !adminCall.OK {
-			c.addBreach(Doors, "", adminCall.At, 0, "%s: no, or no answer", adminCall.What)
+			c.addBreach(AdminInTime, "", adminCall.At, 0, "%s: no, or no answer", adminCall.What)
 		} else if over := adminCall.Took - adminTimeout; over > 0 {
-			c.addBreach(Doors, "", adminCall.At, over, "%s: answered after %v", adminCall.What, formatTime(adminCall.Took))
+			c.addBreach(AdminInTime, "", adminCall.At, over, "%s: answered after %v", adminCall.What, formatTime(adminCall.Took))
 		}
 	}
 }
@@ -545,9 +545,9 @@
 // away or has its connection closed without an answer.
 func (c *checker) checkUpgrades() {
 	for _, u := range c.rec.Upgrades {
-		c.checked[NoneBack]++
+		c.checked[UpgradeTurnsNoneAway]++
 		if u.Ready == 0 || u.Ready > readyTimeout {
-			c.addBreach(NoneBack, "", u.From, 0, "the newer process of balancer %d was not ready in %v", u.Balancer+1, readyTimeout)
+			c.addBreach(UpgradeTurnsNoneAway, "", u.From, 0, "the newer process of balancer %d was not ready in %v", u.Balancer+1, readyTimeout)
 			continue
 		}
 		turnedAway := 0
@@ -557,7 +557,7 @@
 			}
 		}
 		if turnedAway > maxTurnedAway {
-			c.addBreach(NoneBack, "", u.From, 0, "balancer %d turned %d calls back", u.Balancer+1, turnedAway)
+			c.addBreach(UpgradeTurnsNoneAway, "", u.From, 0, "balancer %d turned %d calls back", u.Balancer+1, turnedAway)
 		}
 	}
 }
@@ -582,12 +582,12 @@
 	}
 }
 
-// describeSenders returns as text how many attempts and how much work each balancer sent to a server in the FallFor before
+// describeSenders returns as text how many attempts and how much work each balancer sent to a server in the OverloadWindow before
 // a time.
 func (c *checker) describeSenders(server string, before time.Duration) string {
 	attempts, work := map[int]int{}, map[int]time.Duration{}
 	for _, a := range c.rec.Attempts {
-		if a.Server == server && a.ArrivedAt <= before && a.ArrivedAt > before-c.config.FallFor {
+		if a.Server == server && a.ArrivedAt <= before && a.ArrivedAt > before-c.config.OverloadWindow {
 			attempts[a.Balancer]++
 			work[a.Balancer] += a.Work
 		}
@@ -602,7 +602,7 @@
 // checkGatewayStops checks that misses at cold hosts did not cause much of the load by which the gateway stopped.
 func (c *checker) checkGatewayStops() {
 	if len(c.rec.WarmAt) > 0 {
-		c.checked[GatewayUp]++ // misses at cold hosts happened, or could have
+		c.checked[NoColdMissOverload]++ // misses at cold hosts happened, or could have
 	}
 	for _, f := range c.rec.OverloadFailures {
 		if f.Server != record.Origin {
@@ -610,7 +610,7 @@
 		}
 		total, coldMisses := 0, 0
 		for _, a := range c.rec.Attempts {
-			if a.Server != record.Origin || a.ArrivedAt > f.At || a.ArrivedAt <= f.At-c.config.FallFor {
+			if a.Server != record.Origin || a.ArrivedAt > f.At || a.ArrivedAt <= f.At-c.config.OverloadWindow {
 				continue
 			}
 			total++
@@ -618,31 +618,31 @@
 				coldMisses++
 			}
 		}
-		c.checked[GatewayUp]++
-		if share := float64(coldMisses) / float64(max(1, total)); share >= c.config.ColdBlame {
-			c.addBreach(GatewayUp, "", f.At, 0, "the gateway stopped, sent %.1f times what it could do; %.0f%% of it missed at cold nodes", f.LoadMultiple, 100*share)
+		c.checked[NoColdMissOverload]++
+		if share := float64(coldMisses) / float64(max(1, total)); share >= c.config.ColdMissThreshold {
+			c.addBreach(NoColdMissOverload, "", f.At, 0, "the gateway stopped, sent %.1f times what it could do; %.0f%% of it missed at cold nodes", f.LoadMultiple, 100*share)
 		}
 	}
 }
 
 func (c *checker) checkMalformedClients() {
 	for _, r := range c.rec.MalformedClients {
-		c.checked[RudeEnds]++
+		c.checked[MalformedInputRejected]++
 		if r.Served {
-			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s was served", r.Input)
+			c.addBreach(MalformedInputRejected, "", 0, 0, "a client that sent %s was served", r.Input)
 		} else if !r.Answered {
-			c.addBreach(RudeEnds, "", 0, 0, "a client that sent %s got neither an error nor a close", r.Input)
+			c.addBreach(MalformedInputRejected, "", 0, 0, "a client that sent %s got neither an error nor a close", r.Input)
 		}
 	}
 }
 
 func (c *checker) checkBalancerExits() {
 	for _, l := range c.rec.ProcessRuns {
-		c.checked[Alive]++
+		c.checked[NoUnexpectedExit]++
 		if !l.Ordered {
-			c.addBreach(Alive, "", l.End, 0, "balancer %d ended by itself at %v with exit code %d", l.Balancer+1, formatTime(l.End), l.Exit)
+			c.addBreach(NoUnexpectedExit, "", l.End, 0, "balancer %d ended by itself at %v with exit code %d", l.Balancer+1, formatTime(l.End), l.Exit)
 		} else if l.Ready == 0 {
-			c.addBreach(Alive, "", l.Start, 0, "balancer %d never served", l.Balancer+1)
+			c.addBreach(NoUnexpectedExit, "", l.Start, 0, "balancer %d never served", l.Balancer+1)
 		}
 	}
 }
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -9,10 +9,10 @@
 
 const ms = time.Millisecond
 
-func testConfig() Terms {
-	return Terms{Products: []Product{{Name: "read"}, {Name: "pay", Effect: NonIdempotent, Write: true},
-		{Name: "once", Effect: Deduplicated, Window: 2000 * ms, Write: true}}, Attempts: 4, DrainGrace: 1000 * ms, Slack: 50 * ms,
-		Prompt: 300 * ms, ColdBlame: 0.3, FallFor: 2000 * ms, Connect: 200 * ms}
+func testConfig() Config {
+	return Config{Products: []Product{{Name: "read"}, {Name: "pay", Effect: NonIdempotent, Write: true},
+		{Name: "once", Effect: Deduplicated, Window: 2000 * ms, Write: true}}, MaxAttempts: 4, DrainGrace: 1000 * ms, Slack: 50 * ms,
+		PromptTimeout: 300 * ms, ColdMissThreshold: 0.3, OverloadWindow: 2000 * ms, ConnectTimeout: 200 * ms}
 }
 
 func call(product int, sent, timeout, answered time.Duration, reply record.Reply) record.Request {
@@ -47,16 +47,16 @@
 		"cut by its server":     {call: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}},
 		"cut on the way":        {call: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{served(1*ms, 29*ms)}, want: OneAnswer},
 		"an attempt afterwards": {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms), served(90*ms, 99*ms)}, want: NothingLate},
-		"held back":             {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, want: Prompt},
+		"held back":             {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, want: PromptGiveUp},
 		"its attempt was out":   {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 705*ms, record.NothingProven)}},
 		"dark connections":      {call: call(0, 0, 1900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, dark: true},
-		"held in the dark":      {call: call(0, 0, 1900*ms, 1700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, dark: true, want: Prompt},
+		"held in the dark":      {call: call(0, 0, 1900*ms, 1700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, dark: true, want: PromptGiveUp},
 		"pay again":             {call: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(30*ms, 50*ms)}, want: NoRepeat},
 		"pay that never ran":    {call: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NeverRan), served(30*ms, 50*ms)}},
-		"pay, rate-limited":     {call: call(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven)}, want: Promise},
+		"pay, rate-limited":     {call: call(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven)}, want: HarmlessRetry},
 		"once in its window":    {call: call(2, 0, 5000*ms, 1960*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(1930*ms, 1950*ms)}},
 		"once after it":         {call: call(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(2100*ms, 2150*ms)}, want: NoRepeat},
-		"two at a time":         {call: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.NothingProven), served(30*ms, 150*ms)}, want: Alone},
+		"two at a time":         {call: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.NothingProven), served(30*ms, 150*ms)}, want: AttemptsInSequence},
 		"a drained host": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}}, want: Drains},
 		"told twice": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
@@ -138,14 +138,14 @@
 		"out and back":                 {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
 		"sent to though it is out":     {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
 		"sent to by a newer process":   {notices: []record.HostNotice{excluded}, attempts: []record.Attempt{attemptAt(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
-		"left unused":                  {notices: []record.HostNotice{excluded, included}, want: Used},
-		"used too late":                {notices: []record.HostNotice{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: Used},
+		"left unused":                  {notices: []record.HostNotice{excluded, included}, want: IncludedHostUsed},
+		"used too late":                {notices: []record.HostNotice{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: IncludedHostUsed},
 		"two turned back":              {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms)}},
-		"three turned back":            {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: NoneBack},
+		"three turned back":            {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: UpgradeTurnsNoneAway},
 		"three closed at another time": {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 8*second), closed("c", 8*second), closed("d", 8*second)}},
-		"never ready":                  {upgrades: []record.Upgrade{{From: second, To: 9 * second}}, want: NoneBack},
-		"a no at the door":             {adminCalls: []record.AdminCall{{What: "x", Took: 5 * ms}}, want: Doors},
-		"a late yes":                   {adminCalls: []record.AdminCall{{What: "x", Took: 1100 * ms, OK: true}}, want: Doors},
+		"never ready":                  {upgrades: []record.Upgrade{{From: second, To: 9 * second}}, want: UpgradeTurnsNoneAway},
+		"a no at the door":             {adminCalls: []record.AdminCall{{What: "x", Took: 5 * ms}}, want: AdminInTime},
+		"a late yes":                   {adminCalls: []record.AdminCall{{What: "x", Took: 1100 * ms, OK: true}}, want: AdminInTime},
 	} {
 		rec := record.New()
 		rec.Requests, rec.HostNotices, rec.Upgrades, rec.AdminCalls = append(row.calls, lastRequest), row.notices, row.upgrades, row.adminCalls
--- a/internal/rehearsal/judge/limits.go
+++ b/internal/rehearsal/judge/limits.go
@@ -10,9 +10,9 @@
 
 // Rules for limits that are shared out between balancers, in shares that change, and for the rate of opening connections.
 const (
-	LimitKept Rule = "parts of a limit add up to no more than the whole"
-	LimitUsed Rule = "an allowance can be used where its traffic is"
-	OpensKept Rule = "no host is opened more often than all may"
+	SharesWithinLimit   Rule = "parts of a limit add up to no more than the whole"
+	ShareFollowsTraffic Rule = "an allowance can be used where its traffic is"
+	OpeningsBounded     Rule = "no host is opened more often than all may"
 )
 
 const (
@@ -50,12 +50,12 @@
 			sum += shares[end].Share
 		}
 		worst = max(worst, sum)
-		c.checked[LimitKept]++
+		c.checked[SharesWithinLimit]++
 		if streak++; sum <= 1+1e-6 {
 			streak = 0
 		}
 		if streak == maxSamplesAbove || streak == 1 && shares[i].Simultaneous {
-			c.addBreach(LimitKept, "", shares[i].At, 0, "the parts of %q add up to %.4f", name, sum)
+			c.addBreach(SharesWithinLimit, "", shares[i].At, 0, "the parts of %q add up to %.4f", name, sum)
 		}
 		i = end
 	}
@@ -68,7 +68,7 @@
 	aloneSince := map[int]time.Duration{} // by balancer: since when it alone has gotten nearly all of the quota's requests
 	for i := range shares {
 		p := &shares[i]
-		around := 3 * c.config.Mates.Count
+		around := 3 * c.config.Membership.Balancers
 		othersNeed := slices.ContainsFunc(shares[max(0, i-around):min(len(shares), i+around)], func(o record.LimitShare) bool {
 			return o.Balancer != p.Balancer && o.At > p.At-500*time.Millisecond && o.At < p.At+300*time.Millisecond && o.Demand > 0.02*o.Quota
 		})
@@ -79,9 +79,9 @@
 		case !ok:
 			aloneSince[p.Balancer] = p.At
 		case p.At-since > shareAdaptTime && c.allReachable(p.Balancer, p.At-shareAdaptTime, p.At):
-			c.checked[LimitUsed]++
+			c.checked[ShareFollowsTraffic]++
 			if p.Share < minShareInUse {
-				c.addBreach(LimitUsed, "", p.At, 0, "balancer %d has %.3f of %q, of which %.0f a second of %.0f came there for %v", p.Balancer+1, p.Share, name, p.Demand, p.Quota, p.At-since)
+				c.addBreach(ShareFollowsTraffic, "", p.At, 0, "balancer %d has %.3f of %q, of which %.0f a second of %.0f came there for %v", p.Balancer+1, p.Share, name, p.Demand, p.Quota, p.At-since)
 			}
 		}
 	}
@@ -90,15 +90,15 @@
 // allReachable reports whether all balancers ran throughout, none of them as two processes, and were reachable from the
 // given one, so that it could have borrowed all shares.
 func (c *checker) allReachable(from int, since, to time.Duration) bool {
-	lease := c.config.Mates.Lease
+	lease := c.config.Membership.Lease
 	for _, u := range c.rec.Upgrades { // the two processes lend nothing during the upgrade, and then the newer one still counts as new
 		if u.From-u.Ready < to && u.To+lease > since-lease {
 			return false
 		}
 	}
-	for b := range c.config.Mates.Count {
+	for b := range c.config.Membership.Balancers {
 		if !c.ranThroughout(b, since-lease, to) || b != from && slices.ContainsFunc(c.rec.LinkOutages, func(w record.LinkOutage) bool {
-			return (w.From == from && w.To == b || w.From == b && w.To == from) && w.Begin < to && w.End > since-c.config.Mates.Heal()
+			return (w.From == from && w.To == b || w.From == b && w.To == from) && w.Begin < to && w.End > since-c.config.Membership.ConvergenceTime()
 		}) {
 			return false
 		}
@@ -108,7 +108,7 @@
 
 // checkOpenings checks the number of connections opened to each host in every window of openingsWindow.
 func (c *checker) checkOpenings() {
-	if c.config.Openings <= 0 {
+	if c.config.OpeningsPerSecond <= 0 {
 		return
 	}
 	byHost := map[string][]time.Duration{}
@@ -125,14 +125,14 @@
 			for times[first] <= at-openingsWindow {
 				first++
 			}
-			c.checked[OpensKept]++
+			c.checked[OpeningsBounded]++
 			n := i - first + 1
 			worst = max(worst, n)
-			if float64(n) > c.config.Openings+1 {
-				c.addBreach(OpensKept, "", at, 0, "%s was opened %d times in %v, where all together may %.0f times", host, n, openingsWindow, c.config.Openings)
+			if float64(n) > c.config.OpeningsPerSecond+1 {
+				c.addBreach(OpeningsBounded, "", at, 0, "%s was opened %d times in %v, where all together may %.0f times", host, n, openingsWindow, c.config.OpeningsPerSecond)
 				break
 			}
 		}
 	}
-	c.notes = append(c.notes, fmt.Sprintf("openings: most at one host in %v were %d of %.0f", openingsWindow, worst, c.config.Openings))
+	c.notes = append(c.notes, fmt.Sprintf("openings: most at one host in %v were %d of %.0f", openingsWindow, worst, c.config.OpeningsPerSecond))
 }
--- a/internal/rehearsal/judge/limits_test.go
+++ b/internal/rehearsal/judge/limits_test.go
@@ -22,7 +22,7 @@
 		for i := range openings {
 			rec.Openings = append(rec.Openings, record.Opening{Server: "h", Balancer: i % n, At: 5*time.Second + time.Duration(i)*time.Millisecond})
 		}
-		config := Terms{Openings: 40, Mates: Mates{Count: n, Period: 100 * time.Millisecond, Suspect: 400 * time.Millisecond, Budget: 3000, Lease: time.Second}}
+		config := Config{OpeningsPerSecond: 40, Membership: MembershipConfig{Balancers: n, ProbePeriod: 100 * time.Millisecond, SuspicionTimeout: 400 * time.Millisecond, GossipBytesPerSecond: 3000, Lease: time.Second}}
 		return Judge(rec, config).BrokenRules()
 	}
 	needAtFirst := func(b int) float64 {
@@ -42,19 +42,19 @@
 				return 0.3 // still uses a share that it has lent
 			}
 			return sharesFollowNeed(b, at)
-		}, needAtFirst, 0), []Rule{LimitKept}},
+		}, needAtFirst, 0), []Rule{SharesWithinLimit}},
 		"a part that moves between two looks": {judgeRun(func(b int, at time.Duration) float64 {
 			if b == 1 && at == 10*time.Second {
 				return 0.3
 			}
 			return sharesFollowNeed(b, at)
 		}, needAtFirst, 0), nil},
-		"equal parts":       {judgeRun(func(int, time.Duration) float64 { return 1.0 / n }, needAtFirst, 0), []Rule{LimitUsed}},
+		"equal parts":       {judgeRun(func(int, time.Duration) float64 { return 1.0 / n }, needAtFirst, 0), []Rule{ShareFollowsTraffic}},
 		"equal needs":       {judgeRun(func(int, time.Duration) float64 { return 1.0 / n }, func(int) float64 { return 90 }, 0), nil},
-		"too many openings": {judgeRun(sharesFollowNeed, needAtFirst, 60), []Rule{OpensKept}},
+		"too many openings": {judgeRun(sharesFollowNeed, needAtFirst, 60), []Rule{OpeningsBounded}},
 	} {
 		// Views of other members are missing here, which breaks rules that this test is not about.
-		if got := slices.DeleteFunc(row.got, func(r Rule) bool { return r != LimitKept && r != LimitUsed && r != OpensKept }); !slices.Equal(got, row.want) {
+		if got := slices.DeleteFunc(row.got, func(r Rule) bool { return r != SharesWithinLimit && r != ShareFollowsTraffic && r != OpeningsBounded }); !slices.Equal(got, row.want) {
 			t.Errorf("%s: broke rules %q, expected %q", name, got, row.want)
 		}
 	}
@@ -62,15 +62,15 @@
 
 // Of two processes with one name each has to report the conflict at its admin API within the bound.
 func TestSharedName(t *testing.T) {
-	mates := Mates{Count: 2, Period: 100 * time.Millisecond, Suspect: 400 * time.Millisecond, Budget: 3000}
+	mates := MembershipConfig{Balancers: 2, ProbePeriod: 100 * time.Millisecond, SuspicionTimeout: 400 * time.Millisecond, GossipBytesPerSecond: 3000}
 	for _, reporting := range [][]int{{0, 1}, {0}, {}} {
 		rec := record.New()
 		rec.Pauses = []record.Pause{{Balancer: 0, SameNameAs: 2, From: time.Second, To: time.Minute}}
 		for _, b := range reporting {
 			rec.Views = append(rec.Views, record.MembershipView{Balancer: b, At: 2 * time.Second, NameConflict: true})
 		}
-		v := Judge(rec, Terms{Mates: mates})
-		i := slices.IndexFunc(v.Findings, func(f Finding) bool { return f.Rule == MatesName })
+		v := Judge(rec, Config{Membership: mates})
+		i := slices.IndexFunc(v.Findings, func(f Finding) bool { return f.Rule == NameConflictReported })
 		if f := v.Findings[i]; f.Checked != 2 || f.Breaches != 2-len(reporting) {
 			t.Errorf("reported by %v: %d checked, %d breaches, expected 2 and one for each process that did not report", reporting, f.Checked, f.Breaches)
 		}
--- a/internal/rehearsal/judge/mates.go
+++ b/internal/rehearsal/judge/mates.go
@@ -10,35 +10,35 @@
 
 // Rules for the membership views of balancers in one fleet.
 const (
-	MatesKnown Rule = "each live balancer is known in each view that can reach it"
-	MatesAlive Rule = "no live, reachable balancer is dead in a view"
-	MatesDead  Rule = "nobody dead is alive in a view after the bound"
-	MatesSame  Rule = "views of one side are equal"
-	MatesName  Rule = "two of one name are told at both doors"
-	MatesTalk  Rule = "balancers' talk keeps its bound"
+	MembersKnown         Rule = "each live balancer is known in each view that can reach it"
+	NoFalseDeath         Rule = "no live, reachable balancer is dead in a view"
+	DeathDetected        Rule = "nobody dead is alive in a view after the bound"
+	ViewsEqual           Rule = "views of one side are equal"
+	NameConflictReported Rule = "two of one name are told at both doors"
+	TrafficBounded       Rule = "balancers' talk keeps its bound"
 )
 
-// Mates are the settings of the balancers' membership, from which the bounds of these rules follow. A Period of 0 means that
+// MembershipConfig holds the settings of the balancers' membership, from which the bounds of these rules follow. A ProbePeriod of 0 means that
 // the balancers do not exchange messages.
-type Mates struct {
-	Count           int
-	Period, Suspect time.Duration // between probes; from suspicion to death
-	Budget          int           // gossip bytes a second
-	Loss            float64       // share of datagrams that get lost
-	Lease           time.Duration // for which shares of limits are lent
+type MembershipConfig struct {
+	Balancers                     int
+	ProbePeriod, SuspicionTimeout time.Duration // between probes; from suspicion to death
+	GossipBytesPerSecond          int           // gossip bytes a second
+	LossRatio                     float64       // share of datagrams that get lost
+	Lease                         time.Duration // for which shares of limits are lent
 }
 
-// Heal bounds how long after the last disturbance between two balancers each of their views holds the other. It allows for
+// ConvergenceTime bounds how long after the last disturbance between two balancers each of their views holds the other. It allows for
 // one contact attempt of each in 5 periods, the refutation, suspicions that began by then, and indirect paths where
 // datagrams get lost.
-func (m Mates) Heal() time.Duration {
-	return time.Duration(float64(20*m.Period+2*m.Suspect)*(1+4*m.Loss)) + time.Second
+func (m MembershipConfig) ConvergenceTime() time.Duration {
+	return time.Duration(float64(20*m.ProbePeriod+2*m.SuspicionTimeout)*(1+4*m.LossRatio)) + time.Second
 }
 
-// Death bounds how long an ended process may be alive in a view; docs/notes/members.md derives the bound.
-func (m Mates) Death() time.Duration {
-	bound := 2.1*float64(m.Count-1)*float64(m.Period) + 3*float64(m.Period+2*m.Suspect) + 8*float64(m.Period)
-	return time.Duration(bound*(1+4*m.Loss)) + time.Second
+// FailureDetectionTime bounds how long an ended process may be alive in a view; docs/notes/members.md derives the bound.
+func (m MembershipConfig) FailureDetectionTime() time.Duration {
+	bound := 2.1*float64(m.Balancers-1)*float64(m.ProbePeriod) + 3*float64(m.ProbePeriod+2*m.SuspicionTimeout) + 8*float64(m.ProbePeriod)
+	return time.Duration(bound*(1+4*m.LossRatio)) + time.Second
 }
 
 const (
@@ -47,19 +47,19 @@
 	burstSeconds  = 24  // seconds' worth of the budget that may be sent at once
 )
 
-// Talk bounds the bytes that a balancer sends in a window of trafficWindow.
-func (m Mates) Talk() int64 {
-	probeTraffic := (trafficWindow.Seconds() / m.Period.Seconds()) * (2 + 4*3*2) * probeBytes
-	return int64(probeTraffic + float64(m.Budget)*(trafficWindow.Seconds()+burstSeconds))
+// MaxTraffic bounds the bytes that a balancer sends in a window of trafficWindow.
+func (m MembershipConfig) MaxTraffic() int64 {
+	probeTraffic := (trafficWindow.Seconds() / m.ProbePeriod.Seconds()) * (2 + 4*3*2) * probeBytes
+	return int64(probeTraffic + float64(m.GossipBytesPerSecond)*(trafficWindow.Seconds()+burstSeconds))
 }
 
 // checkMembership checks the membership views that the balancers reported.
 func (c *checker) checkMembership() {
-	m := c.config.Mates
-	if m.Period == 0 {
+	m := c.config.Membership
+	if m.ProbePeriod == 0 {
 		return
 	}
-	healTime, deathTime := m.Heal(), m.Death()
+	healTime, deathTime := m.ConvergenceTime(), m.FailureDetectionTime()
 	processIDAt := func(b int, at time.Duration) (processID string) {
 		for _, l := range c.rec.Memberships {
 			if l.Balancer == b && l.From <= at && (l.To == 0 || at <= l.To) {
@@ -79,21 +79,21 @@
 			entries[entry.Name] = entry
 		}
 		notComparable[i] = false
-		for b := range m.Count {
+		for b := range m.Balancers {
 			if b == v.Balancer {
 				continue
 			}
 			entry, known := entries[record.BalancerName(b)]
 			if c.ranThroughout(b, v.At-healTime, v.At) && c.canReach(v.Balancer, b, v.At-healTime, v.At) {
-				c.checked[MatesKnown]++
-				c.checked[MatesAlive]++
+				c.checked[MembersKnown]++
+				c.checked[NoFalseDeath]++
 				switch processID := processIDAt(b, v.At); {
 				case !known || entry.ProcessID != processID:
 					notComparable[i] = true
-					c.addBreach(MatesKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, entry.ProcessID, b+1, processID, healTime)
+					c.addBreach(MembersKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, entry.ProcessID, b+1, processID, healTime)
 				case !entry.Present():
 					notComparable[i] = true
-					c.addBreach(MatesAlive, "", v.At, 0, "balancer %d holds balancer %d %s, which lives and could be reached for %v", v.Balancer+1, b+1, entry.State, healTime)
+					c.addBreach(NoFalseDeath, "", v.At, 0, "balancer %d holds balancer %d %s, which lives and could be reached for %v", v.Balancer+1, b+1, entry.State, healTime)
 				}
 			}
 			if !known || !entry.Present() {
@@ -101,10 +101,10 @@
 			}
 			for _, l := range c.rec.Memberships {
 				if l.Balancer == b && l.ProcessID == entry.ProcessID && l.To > 0 && l.To < v.At && c.ranThroughout(v.Balancer, l.To, v.At) {
-					c.checked[MatesDead]++
+					c.checked[DeathDetected]++
 					if over := v.At - l.To - deathTime; over > 0 {
 						notComparable[i] = true
-						c.addBreach(MatesDead, "", v.At, over, "balancer %d holds balancer %d %s, which ended %v before", v.Balancer+1, b+1, entry.State, v.At-l.To)
+						c.addBreach(DeathDetected, "", v.At, over, "balancer %d holds balancer %d %s, which ended %v before", v.Balancer+1, b+1, entry.State, v.At-l.To)
 					}
 				}
 			}
@@ -132,9 +132,9 @@
 		if notComparable[i] || o.Balancer == v.Balancer || !c.canReach(v.Balancer, o.Balancer, v.At-healTime, o.At) {
 			continue
 		}
-		c.checked[MatesSame]++
+		c.checked[ViewsEqual]++
 		if o.Digest != v.Digest {
-			c.addBreach(MatesSame, "", v.At, 0, "balancers %d and %d hold other views, %v after anything last happened", v.Balancer+1, o.Balancer+1, quietTime)
+			c.addBreach(ViewsEqual, "", v.At, 0, "balancers %d and %d hold other views, %v after anything last happened", v.Balancer+1, o.Balancer+1, quietTime)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 	if open(a, b) {
 		return true
 	}
-	for x := range c.config.Mates.Count {
+	for x := range c.config.Membership.Balancers {
 		if x != a && x != b && open(a, x) && open(x, b) && c.ranThroughout(x, from, to) {
 			return true
 		}
@@ -199,11 +199,11 @@
 			continue
 		}
 		for _, b := range []int{s.Balancer, s.SameNameAs - 1} {
-			c.checked[MatesName]++
+			c.checked[NameConflictReported]++
 			if !slices.ContainsFunc(c.rec.Views, func(v record.MembershipView) bool {
 				return v.Balancer == b && v.NameConflict && v.At > s.From && v.At <= s.From+healTime
 			}) {
-				c.addBreach(MatesName, "", s.From+healTime, 0, "balancer %d never tells that another one has its name", b+1)
+				c.addBreach(NameConflictReported, "", s.From+healTime, 0, "balancer %d never tells that another one has its name", b+1)
 			}
 		}
 	}
@@ -211,20 +211,20 @@
 
 // checkTraffic checks the bytes that each balancer sent to the others in every window.
 func (c *checker) checkTraffic() {
-	maxBytes := c.config.Mates.Talk()
+	maxBytes := c.config.Membership.MaxTraffic()
 	worst := int64(0)
 	for i, x := range c.rec.BytesSent {
 		for _, y := range c.rec.BytesSent[i:] {
 			if y.Balancer != x.Balancer || y.At-x.At > trafficWindow {
 				continue
 			}
-			c.checked[MatesTalk]++
+			c.checked[TrafficBounded]++
 			n := y.Bytes - x.Bytes
 			worst = max(worst, n)
 			if n > maxBytes {
-				c.addBreach(MatesTalk, "", y.At, 0, "balancer %d sent %d bytes to others in %v, where %d are the most", x.Balancer+1, n, y.At-x.At, maxBytes)
+				c.addBreach(TrafficBounded, "", y.At, 0, "balancer %d sent %d bytes to others in %v, where %d are the most", x.Balancer+1, n, y.At-x.At, maxBytes)
 			}
 		}
 	}
-	c.notes = append(c.notes, fmt.Sprintf("between balancers: most in %v by one %d bytes of %d; a death within %v, views equal within %v", trafficWindow, worst, maxBytes, c.config.Mates.Death(), c.config.Mates.Heal()))
+	c.notes = append(c.notes, fmt.Sprintf("between balancers: most in %v by one %d bytes of %d; a death within %v, views equal within %v", trafficWindow, worst, maxBytes, c.config.Membership.FailureDetectionTime(), c.config.Membership.ConvergenceTime()))
 }
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -335,7 +335,7 @@
 	l := r.Latency
 	fmt.Fprintf(to, "fulfilled after p50 %v, p90 %v, p99 %v, p99.9 %v\n", l.P50, l.P90, l.P99, l.P999)
 	fmt.Fprintf(to, "the kit sent late by p99 %v, p99.9 %v, at most %v; ran late by at most %v\n", r.Late.P99, r.Late.P999, r.Late.Max,
-		r.Verdict.LateMost.Round(time.Microsecond))
+		r.Verdict.MaxLateness.Round(time.Microsecond))
 	for _, b := range r.Balancers {
 		fmt.Fprintf(to, "%s: %d calls, %d lives, %.0f MB, %d descriptors, %v of processor\n", b.Name, b.Calls, b.Lives, b.PeakMB, b.Sockets, b.CPU)
 	}
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -427,17 +427,17 @@
 func (s *Stage) Straight(node string) { s.Callers.BalancerUp(0, s.W.Host(node).Addr(0)) }
 
 // Terms returns the limits that the judge applies to a rehearsal of the scenario.
-func Terms(sc *scenario.Day) judge.Terms {
-	var membership judge.Mates
+func Terms(sc *scenario.Day) judge.Config {
+	var membership judge.MembershipConfig
 	if m := sc.Mates; m.On {
-		membership = judge.Mates{Count: sc.Fleet.Balancers, Period: m.Period.Duration(), Suspect: m.Suspect.Duration(), Budget: m.Budget, Loss: m.Loss, Lease: m.Lease.Duration()}
+		membership = judge.MembershipConfig{Balancers: sc.Fleet.Balancers, ProbePeriod: m.Period.Duration(), SuspicionTimeout: m.Suspect.Duration(), GossipBytesPerSecond: m.Budget, LossRatio: m.Loss, Lease: m.Lease.Duration()}
 	}
 	operatorSettings, err := operator.Parse("operator", []byte(sc.Operator))
 	if err != nil {
 		operatorSettings = &operator.File{} // the balancers report the mistakes in the file
 	}
-	t := judge.Terms{Mates: membership, Openings: operatorSettings.Connections.Openings, Attempts: sc.Fleet.Attempts, DrainGrace: sc.Rules.DrainGrace.Duration(), Slack: sc.Rules.Slack.Duration(), Prompt: sc.Rules.Prompt.Duration(),
-		ColdBlame: sc.Rules.ColdBlame, FallFor: sc.Rules.FallFor.Duration(), Connect: connectTimeout}
+	t := judge.Config{Membership: membership, OpeningsPerSecond: operatorSettings.Connections.Openings, MaxAttempts: sc.Fleet.Attempts, DrainGrace: sc.Rules.DrainGrace.Duration(), Slack: sc.Rules.Slack.Duration(), PromptTimeout: sc.Rules.Prompt.Duration(),
+		ColdMissThreshold: sc.Rules.ColdBlame, OverloadWindow: sc.Rules.FallFor.Duration(), ConnectTimeout: connectTimeout}
 	effects := map[string]judge.Effect{scenario.Idempotent: judge.Idempotent, scenario.Deduplicated: judge.Deduplicated,
 		scenario.NonIdempotent: judge.NonIdempotent}
 	for _, p := range sc.Products {
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -172,15 +172,15 @@
 // With the defect "flood", the two balancers overload a cold node only together.
 func TestJudgeReportsEachFault(t *testing.T) {
 	// Not exercised here: these need rare coincidences, malformed clients or an admin API, which faultyBalancer lacks.
-	notExercised := []judge.Rule{judge.NoRepeat, judge.Promise, judge.RudeEnds, judge.Used, judge.NoneBack, judge.Doors}
+	notExercised := []judge.Rule{judge.NoRepeat, judge.HarmlessRetry, judge.MalformedInputRejected, judge.IncludedHostUsed, judge.UpgradeTurnsNoneAway, judge.AdminInTime}
 	for defect, want := range map[string][]judge.Rule{
 		"nothing": nil,
 		"lose":    {judge.OneAnswer},
 		"twice":   {judge.OneAnswer},
-		"hold":    {judge.Prompt},
+		"hold":    {judge.PromptGiveUp},
 		"resend":  {judge.NoRepeat, judge.OneEffect},
 		"window":  {judge.NoRepeat, judge.OneEffect},
-		"promise": {judge.Promise},
+		"promise": {judge.HarmlessRetry},
 		"drain":   {judge.Drains},
 		"flood":   {judge.ColdHosts},
 		"other":   {judge.RightAnswer},
@@ -240,7 +240,7 @@
 			}
 			res := playScenario(t, Program(program), text)
 			for _, f := range res.Verdict.Findings {
-				if name == "operators" && slices.Contains([]judge.Rule{judge.Used, judge.NoneBack, judge.Doors, judge.Drains}, f.Rule) && f.Checked == 0 ||
+				if name == "operators" && slices.Contains([]judge.Rule{judge.IncludedHostUsed, judge.UpgradeTurnsNoneAway, judge.AdminInTime, judge.Drains}, f.Rule) && f.Checked == 0 ||
 					name == "silent" && f.Rule == judge.Drains && f.Checked < 3*5 {
 					t.Errorf("%q was not exercised", f.Rule)
 				}
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -61,7 +61,7 @@
 				return policy.Rejected
 			}
 			return o
-		}}, []judge.Rule{judge.Promise}},
+		}}, []judge.Rule{judge.HarmlessRetry}},
 		"drains hidden":      {"cold-deploy-surge", deliberateFaults{hideDrains: true}, []judge.Rule{judge.Drains}},
 		"cold starts hidden": {"payday-cold", deliberateFaults{hideColdStarts: true}, []judge.Rule{judge.ColdHosts}},
 	} {
