--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -14,26 +14,26 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Balancers is how faults act on the balancers. Balancers are counted from 0.
-type Balancers interface {
+// BalancerControl is how faults act on the balancers. Balancers are counted from 0.
+type BalancerControl interface {
 	Kill(balancer int, back time.Duration)               // kills its process and starts it again after the given time
 	Restart(balancer int)                                // ends its process with a drain and starts it again
 	Reload(balancer int) error                           // gives it a new configuration with another discovery address
-	Rude(i int)                                          // runs a client that sends malformed input; returns when it has ended
-	ByHand(node string, out bool)                        // excludes a host, or includes it again, at every balancer's admin API
+	MalformedClient(i int)                               // runs a client that sends malformed input; returns when it has ended
+	SetExcluded(node string, out bool)                   // excludes a host, or includes it again, at every balancer's admin API
 	Upgrade(balancer int) error                          // has a newer process take over
-	Stall(balancer int, length time.Duration)            // pauses its process
-	Astray(balancer int)                                 // kills it and starts it with wrong addresses of the other balancers
-	Twin(balancer, other int, length time.Duration)      // starts it again under the other one's name, for that long
+	Pause(balancer int, length time.Duration)            // pauses its process
+	RestartWithWrongPeers(balancer int)                  // kills it and starts it with wrong addresses of the other balancers
+	RestartAs(balancer, other int, length time.Duration) // starts it again under the other one's name, for that long
 	UpgradeKill(balancer int, after time.Duration) error // kills the newer process of an upgrade after it is ready
-	Ways() *standin.Relays                               // the links between balancers
-	Stray(i int)                                         // opens one of many connections and returns when it has ended
+	Links() *standin.Relays                              // the links between balancers
+	CrowdConnection(i int)                               // opens one of many connections and returns when it has ended
 }
 
 // Timeline holds the faults of a scenario as steps to run at given times.
 type Timeline struct {
 	world     *standin.Environment
-	balancers Balancers
+	balancers BalancerControl
 	steps     []step
 	pending   sync.WaitGroup
 
@@ -49,7 +49,7 @@
 }
 
 // New returns the timeline of a scenario's faults.
-func New(w *standin.Environment, b Balancers) *Timeline {
+func New(w *standin.Environment, b BalancerControl) *Timeline {
 	t := &Timeline{world: w, balancers: b, currentID: map[string]string{}}
 	for i := range w.Scenario.Faults {
 		t.schedule(i)
@@ -177,25 +177,25 @@
 		}
 	case "by-hand":
 		for _, p := range places {
-			t.addStep(from, func() { t.balancers.ByHand(t.nodeAt(p).ID, true) })
+			t.addStep(from, func() { t.balancers.SetExcluded(t.nodeAt(p).ID, true) })
 			t.addStep((from+to)/2, func() {
 				n := t.nodeAt(p)
 				n.Stop()
 				t.check(n.Start(true))
 				t.setCondition(n, model.Active)
 			})
-			t.addStep(to, func() { t.balancers.ByHand(t.nodeAt(p).ID, false) })
+			t.addStep(to, func() { t.balancers.SetExcluded(t.nodeAt(p).ID, false) })
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Stall(b, fault.For.Duration()) })
+			t.addStep(from, func() { t.balancers.Pause(b, fault.For.Duration()) })
 		}
 	case "balancer-astray":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Astray(b) })
+			t.addStep(from, func() { t.balancers.RestartWithWrongPeers(b) })
 		}
 	case "balancer-twin":
-		t.addStep(from, func() { t.balancers.Twin(fault.Balancers[0]-1, fault.To[0]-1, fault.For.Duration()) })
+		t.addStep(from, func() { t.balancers.RestartAs(fault.Balancers[0]-1, fault.To[0]-1, fault.For.Duration()) })
 	case "upgrade-kill":
 		for _, b := range balancers {
 			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.For.Duration())) }) })
@@ -205,9 +205,9 @@
 			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.Upgrade(b)) }) })
 		}
 	case "crowd", "rude":
-		play := t.balancers.Rude
+		play := t.balancers.MalformedClient
 		if fault.Do == "crowd" {
-			play = t.balancers.Stray
+			play = t.balancers.CrowdConnection
 		}
 		for n := range fault.Count {
 			t.addStep(from+fault.For.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
@@ -231,7 +231,7 @@
 	from, to, links := fault.At.Duration(), (fault.At + fault.For).Duration(), t.world.Scenario.Ways(i)
 	change := func(end bool) {
 		for _, link := range links {
-			t.balancers.Ways().AlterLink(link[0], link[1], t.world.Scenario.Harm(i, end))
+			t.balancers.Links().AlterLink(link[0], link[1], t.world.Scenario.Harm(i, end))
 		}
 	}
 	if fault.Do == "mate-flap" {
@@ -244,12 +244,12 @@
 		t.addStep(from, func() { change(false) })
 	}
 	t.addStep(to, func() { change(true) })
-	t.world.Record.Add(func() { t.world.Record.LinkOutages = append(t.world.Record.LinkOutages, Cuts(fault, links)...) })
+	t.world.Record.Add(func() { t.world.Record.LinkOutages = append(t.world.Record.LinkOutages, LinkOutages(fault, links)...) })
 }
 
-// Cuts returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
+// LinkOutages returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
 // reorders or corrupts datagrams, or loses few of them, cuts nothing.
-func Cuts(fault *scenario.Fault, links [][2]int) (cuts []record.LinkOutage) {
+func LinkOutages(fault *scenario.Fault, links [][2]int) (cuts []record.LinkOutage) {
 	if fault.Do != "mate-cut" && fault.Do != "mate-flap" && !(fault.Do == "mate-loss" && fault.Part > maxUsableLoss) && fault.Do != "mate-narrow" {
 		return nil
 	}
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -238,7 +238,7 @@
 		d.at(from, func() { d.changeLinks(i, false) })
 		d.at(to, func() { d.changeLinks(i, true) })
 	}
-	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.Cuts(f, d.day.Ways(i))...)
+	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.LinkOutages(f, d.day.Ways(i))...)
 }
 
 // changeLinks applies a fault to the links that it concerns, or ends it there.
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -167,7 +167,7 @@
 	awaitEqualViews()
 	bytes := func() (n int64) {
 		for b := range balancers {
-			n += session.Ways().BytesSent(b)
+			n += session.Links().BytesSent(b)
 		}
 		return n
 	}
@@ -202,9 +202,9 @@
 		birth = append(birth, awaitEqualViews())
 		if i%3 == 0 {
 			side := func(x int) int { return x * 3 / balancers }
-			session.Ways().Cut(true, func(from, to int) bool { return side(from) != side(to) })
+			session.Links().Cut(true, func(from, to int) bool { return side(from) != side(to) })
 			time.Sleep(15 * time.Second)
-			session.Ways().Cut(false, func(int, int) bool { return true })
+			session.Links().Cut(false, func(int, int) bool { return true })
 			heal = append(heal, awaitEqualViews())
 		}
 	}
--- a/internal/rehearsal/runner/door.go
+++ b/internal/rehearsal/runner/door.go
@@ -34,8 +34,8 @@
 	return resp.StatusCode/100 == 2
 }
 
-// ByHand excludes a cache node, or includes it again, through the admin API of every balancer.
-func (s *Stage) ByHand(node string, exclude bool) {
+// SetExcluded excludes a cache node, or includes it again, through the admin API of every balancer.
+func (s *Stage) SetExcluded(node string, exclude bool) {
 	path := "/api/include"
 	if exclude {
 		path = "/api/exclude"
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -74,8 +74,8 @@
 	return record.BalancerName(b)
 }
 
-// Ways returns the links between balancers, or nil if they do not communicate with each other.
-func (s *Stage) Ways() *standin.Relays { return s.membership.links }
+// Links returns the links between balancers, or nil if they do not communicate with each other.
+func (s *Stage) Links() *standin.Relays { return s.membership.links }
 
 // pollInterval is how often each balancer is asked for its membership view.
 const pollInterval = 250 * time.Millisecond
@@ -169,8 +169,8 @@
 // pauser is an Instance that can be paused.
 type pauser interface{ Pause(on bool) }
 
-// Stall pauses a balancer for a time.
-func (s *Stage) Stall(b int, length time.Duration) {
+// Pause pauses a balancer for a time.
+func (s *Stage) Pause(b int, length time.Duration) {
 	s.mu.Lock()
 	inst := s.slots[b].instance
 	s.mu.Unlock()
@@ -192,16 +192,16 @@
 	})
 }
 
-// Astray kills a balancer and starts it again with peer addresses that nobody listens on.
-func (s *Stage) Astray(b int) {
+// RestartWithWrongPeers kills a balancer and starts it again with peer addresses that nobody listens on.
+func (s *Stage) RestartWithWrongPeers(b int) {
 	s.mu.Lock()
 	s.membership.wrongPeers[b] = true
 	s.mu.Unlock()
 	s.Kill(b, 0)
 }
 
-// Twin restarts a balancer under the name of another one, and later under its own.
-func (s *Stage) Twin(b, other int, length time.Duration) {
+// RestartAs restarts a balancer under the name of another one, and later under its own.
+func (s *Stage) RestartAs(b, other int, length time.Duration) {
 	s.mu.Lock()
 	s.membership.wrongNames[b] = other
 	s.mu.Unlock()
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -313,11 +313,11 @@
 	return nil
 }
 
-// Stray runs one connection of a crowd, most of which never finish a request.
-func (s *Stage) Stray(i int) { s.Callers.CrowdConnection(i) }
+// CrowdConnection runs one connection of a crowd, most of which never finish a request.
+func (s *Stage) CrowdConnection(i int) { s.Callers.CrowdConnection(i) }
 
-// Rude runs one client that sends malformed input or nothing.
-func (s *Stage) Rude(i int) { s.Callers.MalformedClient(i) }
+// MalformedClient runs one client that sends malformed input or nothing.
+func (s *Stage) MalformedClient(i int) { s.Callers.MalformedClient(i) }
 
 // startAgain waits until a process has ended and starts the balancer again after a delay.
 func (s *Stage) startAgain(b int, inst Instance, delay time.Duration) {
