--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
-	r := report.Of(res)
+	r := report.New(res)
 	if p.Out == "" {
 		return r, nil
 	}
--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return report.Of(res), nil
+	return report.New(res), nil
 }
 
 // printSummary prints the range of the service over all seeds and every seed that broke a rule.
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -127,7 +127,7 @@
 			if err != nil {
 				return err
 			}
-			p, rep := &results[i], report.Of(res)
+			p, rep := &results[i], report.New(res)
 			p.Service, p.Worst10, p.Broken, p.Took = rep.Service.Whole, rep.Service.Worst10s, len(rep.Verdict.BrokenRules()), rep.Took
 			for _, s := range res.Record.Attempts {
 				if s.Server != record.Origin && s.Proof != record.Served && s.Proof != record.CacheMiss {
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return result, err
 	}
-	result.report, result.followDelay = report.Of(res), gather.Never
+	result.report, result.followDelay = report.New(res), gather.Never
 	sums := map[time.Duration]float64{}
 	for _, x := range res.Record.LimitShares {
 		if x.Limit != "allowance of kiosks" {
@@ -182,7 +182,7 @@
 	}
 	s.Service += r.Service.Whole / days
 	s.Worst10 = min(s.Worst10, r.Service.Worst10s)
-	s.Refused += float64(r.Tries["rate-limited"]) / days
+	s.Refused += float64(r.Outcomes["rate-limited"]) / days
 	s.Took += r.Took / time.Duration(days)
 	s.Broken += len(r.Verdict.BrokenRules())
 }
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -51,7 +51,7 @@
 	Outcome   Outcome          `json:"outcome"`
 	Verdict   *judge.Verdict   `json:"verdict"`
 	Service   Service          `json:"service"`
-	Tries     map[string]int   `json:"tries"` // requests, client retries included, by outcome
+	Outcomes  map[string]int   `json:"tries"` // requests, client retries included, by outcome
 	Latency   load.Percentiles `json:"latency"`
 	Late      load.Percentiles `json:"sent_late"`
 	Balancers []Balancer       `json:"balancers"`
@@ -118,12 +118,12 @@
 	Refused  int            `json:"rate_limited"`
 }
 
-// Of returns the report of a rehearsal.
-func Of(res *runner.Result) *Report {
+// New returns the report of a rehearsal.
+func New(res *runner.Result) *Report {
 	day := res.Day
 	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Took, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
-		Tries: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Faults,
+		Outcomes: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Faults,
 		Seconds: make([]Second, int(day.Length.Duration()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
@@ -154,9 +154,9 @@
 	for i := range rec.Requests {
 		req := &rec.Requests[i]
 		if outcome := req.Reply.String(); req.NotSent {
-			r.Tries["not taken"]++
+			r.Outcomes["not taken"]++
 		} else {
-			r.Tries[outcome]++
+			r.Outcomes[outcome]++
 		}
 		if byFirstID[req.FirstID] == nil {
 			byFirstID[req.FirstID] = &firstRequest{}
@@ -327,7 +327,7 @@
 		fmt.Fprintf(to, "keys wanted once: %d of %d in time\n", r.Once.Good, r.Once.Of)
 	}
 	var tries []string
-	for outcome, n := range r.Tries {
+	for outcome, n := range r.Outcomes {
 		tries = append(tries, fmt.Sprintf("%s %d", outcome, n))
 	}
 	slices.Sort(tries)
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		return Found{}, nil, err
 	}
-	return Found{Day: d, Service: report.Of(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
+	return Found{Day: d, Service: report.New(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
 }
 
 // faultKinds are the kinds of faults that a search draws: kinds that package virtual simulates.
