--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -36,7 +36,7 @@
 	}
 	fmt.Println("\nkinds of faults")
 	for _, k := range scenario.Kinds() {
-		fmt.Printf("%-20s %s\n", k, scenario.KindAbout(k))
+		fmt.Printf("%-20s %s\n", k, scenario.DescribeKind(k))
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 }
 
 // openScenario reads a scenario and applies the changes from the command line.
-func (p *runOptions) openScenario(name string) (*scenario.Day, error) {
+func (p *runOptions) openScenario(name string) (*scenario.Scenario, error) {
 	d, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
@@ -111,13 +111,13 @@
 		if p.For < time.Second {
 			return nil, fmt.Errorf("--for: %w: expected a second at least, got %v", scenario.ErrFaulty, p.For)
 		}
-		d.Shorten(p.For)
+		d.SetLength(p.For)
 	}
 	return d, nil
 }
 
 // prepare finds the balancer program and reads a scenario.
-func (p *runOptions) prepare(name string) (program string, d *scenario.Day, err error) {
+func (p *runOptions) prepare(name string) (program string, d *scenario.Scenario, err error) {
 	if program, err = p.findBalancer(); err == nil {
 		d, err = p.openScenario(name)
 	}
@@ -135,7 +135,7 @@
 }
 
 // runOne runs a scenario and writes its report if --out is set.
-func (p *runOptions) runOne(ctx context.Context, d *scenario.Day, program string, monitor func(*runner.Stage)) (*report.Report, error) {
+func (p *runOptions) runOne(ctx context.Context, d *scenario.Scenario, program string, monitor func(*runner.Stage)) (*report.Report, error) {
 	dir, cleanup, err := p.outputDir(d.Name)
 	if err != nil {
 		return nil, err
@@ -253,7 +253,7 @@
 	for b := range d.Fleet.Balancers {
 		fmt.Printf("balancer %d serves at %s\n", b+1, s.Addr(b))
 	}
-	if d.Mates.On {
+	if d.Membership.Enabled {
 		printMemberViews(s, d.Fleet.Balancers)
 	}
 	readRequest := fmt.Sprintf("mg line-1 v Otry1 Pc=%s,t=%s,d=1000", d.Products[0].Name, d.Tenants[0].Name)
@@ -284,7 +284,7 @@
 }
 
 // tryRequests sends some requests to a balancer and prints the requests and the answers.
-func tryRequests(addr string, d *scenario.Day, readRequest string) error {
+func tryRequests(addr string, d *scenario.Scenario, readRequest string) error {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return err
@@ -340,7 +340,7 @@
 	if len(names) == 0 {
 		names = scenario.Names()
 	}
-	var scenarios []*scenario.Day
+	var scenarios []*scenario.Scenario
 	for _, n := range names {
 		d, err := c.openScenario(n)
 		if err != nil {
@@ -386,7 +386,7 @@
 
 // runAll runs scenarios, several at a time. It skips those for which the budget leaves too little time. The reports are in
 // the order of the scenarios.
-func (c suiteCommand) runAll(ctx context.Context, scenarios []*scenario.Day, program string) (reports []*report.Report, err error) {
+func (c suiteCommand) runAll(ctx context.Context, scenarios []*scenario.Scenario, program string) (reports []*report.Report, err error) {
 	lanes := c.Lanes
 	if lanes <= 0 {
 		lanes = max(1, runtime.GOMAXPROCS(0)/coresPerLane)
--- a/cmd/rehearse/search.go
+++ b/cmd/rehearse/search.go
@@ -65,9 +65,9 @@
 	}
 	fmt.Printf("; shrunk to %d balancers, %v, service %.3f:\n", shrunk.Day.Fleet.Balancers, shrunk.Day.Length, shrunk.Service)
 	for _, fault := range shrunk.Day.Faults {
-		fmt.Printf("  %s from %v for %v", fault.Do, fault.At, fault.For)
-		if len(fault.Nodes) > 0 {
-			fmt.Printf(" at %d hosts", len(fault.Nodes))
+		fmt.Printf("  %s from %v for %v", fault.Kind, fault.At, fault.Length)
+		if len(fault.Hosts) > 0 {
+			fmt.Printf(" at %d hosts", len(fault.Hosts))
 		}
 		fmt.Println()
 	}
--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -102,27 +102,27 @@
 func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Host)) {
 	for _, p := range places {
 		t.addStep(fault.At.Duration(), func() { begin(t.nodeAt(p)) })
-		t.addStep((fault.At + fault.For).Duration(), func() { end(t.nodeAt(p)) })
+		t.addStep((fault.At + fault.Length).Duration(), func() { end(t.nodeAt(p)) })
 	}
 }
 
 // schedule adds the steps of the scenario's i-th fault to the timeline, and the fault to the record.
 func (t *Timeline) schedule(i int) {
 	fault := &t.world.Scenario.Faults[i]
-	from, to := fault.At.Duration(), (fault.At + fault.For).Duration()
-	places, balancers := t.world.Scenario.Hit(i), t.world.Scenario.HitBalancers(i)
-	description := fault.Do
-	switch fault.Do {
+	from, to := fault.At.Duration(), (fault.At + fault.Length).Duration()
+	places, balancers := t.world.Scenario.AffectedHosts(i), t.world.Scenario.AffectedBalancers(i)
+	description := fault.Kind
+	switch fault.Kind {
 	case "slow":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Slow(fault.By) }, func(n *standin.Host) { n.Slow(1) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Slow(fault.Factor) }, func(n *standin.Host) { n.Slow(1) })
 	case "stall":
 		t.addInterval(fault, places, func(n *standin.Host) { n.Stall(true) }, func(n *standin.Host) { n.Stall(false) })
 	case "spoil":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Corrupt(fault.Part) }, func(n *standin.Host) { n.Corrupt(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Corrupt(fault.Share) }, func(n *standin.Host) { n.Corrupt(0) })
 	case "reset":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Reset(fault.Part) }, func(n *standin.Host) { n.Reset(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Reset(fault.Share) }, func(n *standin.Host) { n.Reset(0) })
 	case "fail":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Fail(fault.Part) }, func(n *standin.Host) { n.Fail(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Fail(fault.Share) }, func(n *standin.Host) { n.Fail(0) })
 	case "kill":
 		t.addInterval(fault, places, func(n *standin.Host) { n.Stop(); t.setCondition(n, model.Left) },
 			func(n *standin.Host) { t.check(n.Start(true)); t.setCondition(n, model.Active) })
@@ -155,17 +155,17 @@
 			t.addStep(from, func() { t.world.Discovery.ResetGenerations(b) })
 		}
 	case "gateway-slow":
-		t.addStep(from, func() { t.world.Origin.Slow(fault.By) })
+		t.addStep(from, func() { t.world.Origin.Slow(fault.Factor) })
 		t.addStep(to, func() { t.world.Origin.Slow(1) })
 	case "gateway-reset":
-		t.addStep(from, func() { t.world.Origin.Reset(fault.Part) })
+		t.addStep(from, func() { t.world.Origin.Reset(fault.Share) })
 		t.addStep(to, func() { t.world.Origin.Reset(0) })
 	case "gateway-fail":
-		t.addStep(from, func() { t.world.Origin.Fail(fault.Part) })
+		t.addStep(from, func() { t.world.Origin.Fail(fault.Share) })
 		t.addStep(to, func() { t.world.Origin.Fail(0) })
 	case "balancer-kill":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Kill(b, fault.For.Duration()) })
+			t.addStep(from, func() { t.balancers.Kill(b, fault.Length.Duration()) })
 		}
 	case "balancer-restart":
 		for _, b := range balancers {
@@ -188,17 +188,17 @@
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Pause(b, fault.For.Duration()) })
+			t.addStep(from, func() { t.balancers.Pause(b, fault.Length.Duration()) })
 		}
 	case "balancer-astray":
 		for _, b := range balancers {
 			t.addStep(from, func() { t.balancers.RestartWithWrongPeers(b) })
 		}
 	case "balancer-twin":
-		t.addStep(from, func() { t.balancers.RestartAs(fault.Balancers[0]-1, fault.To[0]-1, fault.For.Duration()) })
+		t.addStep(from, func() { t.balancers.RestartAs(fault.Balancers[0]-1, fault.To[0]-1, fault.Length.Duration()) })
 	case "upgrade-kill":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.For.Duration())) }) })
+			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.Length.Duration())) }) })
 		}
 	case "upgrade":
 		for _, b := range balancers {
@@ -206,17 +206,17 @@
 		}
 	case "crowd", "rude":
 		play := t.balancers.MalformedClient
-		if fault.Do == "crowd" {
+		if fault.Kind == "crowd" {
 			play = t.balancers.CrowdConnection
 		}
 		for n := range fault.Count {
-			t.addStep(from+fault.For.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
+			t.addStep(from+fault.Length.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
 		}
 	}
-	if strings.HasPrefix(fault.Do, "mate-") {
+	if strings.HasPrefix(fault.Kind, "mate-") {
 		t.scheduleBalancerLinks(i, fault)
 	}
-	if strings.Contains(" slow stall kill vanish link-delay link-cut deploy by-hand ", " "+fault.Do+" ") {
+	if strings.Contains(" slow stall kill vanish link-delay link-cut deploy by-hand ", " "+fault.Kind+" ") {
 		description += " " + strings.Join(places, " ")
 	} else if fault.Zone != "" || fault.Tenant != "" {
 		description += " " + fault.Zone + fault.Tenant
@@ -228,13 +228,13 @@
 
 // scheduleBalancerLinks schedules a fault of the links between balancers.
 func (t *Timeline) scheduleBalancerLinks(i int, fault *scenario.Fault) {
-	from, to, links := fault.At.Duration(), (fault.At + fault.For).Duration(), t.world.Scenario.Ways(i)
+	from, to, links := fault.At.Duration(), (fault.At + fault.Length).Duration(), t.world.Scenario.AffectedLinks(i)
 	change := func(end bool) {
 		for _, link := range links {
-			t.balancers.Links().AlterLink(link[0], link[1], t.world.Scenario.Harm(i, end))
+			t.balancers.Links().AlterLink(link[0], link[1], t.world.Scenario.LinkChange(i, end))
 		}
 	}
-	if fault.Do == "mate-flap" {
+	if fault.Kind == "mate-flap" {
 		active := false
 		for at := from; at < to; at += fault.Delay.Duration() {
 			active = !active
@@ -250,11 +250,11 @@
 // LinkOutages returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
 // reorders or corrupts datagrams, or loses few of them, cuts nothing.
 func LinkOutages(fault *scenario.Fault, links [][2]int) (cuts []record.LinkOutage) {
-	if fault.Do != "mate-cut" && fault.Do != "mate-flap" && !(fault.Do == "mate-loss" && fault.Part > maxUsableLoss) && fault.Do != "mate-narrow" {
+	if fault.Kind != "mate-cut" && fault.Kind != "mate-flap" && !(fault.Kind == "mate-loss" && fault.Share > maxUsableLoss) && fault.Kind != "mate-narrow" {
 		return nil
 	}
 	for _, link := range links {
-		cuts = append(cuts, record.LinkOutage{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.For).Duration()})
+		cuts = append(cuts, record.LinkOutage{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.Length).Duration()})
 	}
 	return cuts
 }
@@ -284,20 +284,20 @@
 func (t *Timeline) deploy(fault *scenario.Fault, places []string) {
 	waves := (len(places) + fault.AtOnce - 1) / fault.AtOnce
 	for i, p := range places {
-		at := fault.At.Duration() + fault.For.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
-		stopDelay := t.world.Scenario.Register.Late[1].Duration() + fault.Drain.Duration()
+		at := fault.At.Duration() + fault.Length.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
+		stopDelay := t.world.Scenario.Discovery.Delay[1].Duration() + fault.Drain.Duration()
 		var old, next *standin.Host
 		t.addStep(at, func() {
 			old = t.nodeAt(p)
 			t.setCondition(old, model.Leaving)
-			if !fault.Same {
+			if !fault.SameAddress {
 				next = t.startSuccessor(p, old, false)
 			}
 		})
 		t.addStep(at+stopDelay, func() {
 			old.Stop()
 			t.setCondition(old, model.Left)
-			if fault.Same {
+			if fault.SameAddress {
 				next = t.startSuccessor(p, old, true)
 			}
 			if next != nil {
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -21,7 +21,7 @@
 // Day simulates the communication between the balancers of a scenario in virtual time and records it for the judge.
 type Day struct {
 	*Play
-	day           *scenario.Day
+	day           *scenario.Scenario
 	rec           *record.Record
 	actions       []action
 	memberLife    []int // by balancer: index into rec.Mates of its last process; -1: none was started
@@ -62,12 +62,12 @@
 
 // NewDay starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
 // not nil, it may change the simulation before the balancers start; tests use it.
-func NewDay(day *scenario.Day, rec *record.Record, configure func(*Play)) *Day {
-	m := day.Mates
-	d := &Day{day: day, rec: rec, wrongSeeds: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.Duration(), Suspect: m.Suspect.Duration(),
-		Budget: m.Budget, Seed: day.Seed, Ways: m.Way()})}
+func NewDay(day *scenario.Scenario, rec *record.Record, configure func(*Play)) *Day {
+	m := day.Membership
+	d := &Day{day: day, rec: rec, wrongSeeds: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.ProbePeriod.Duration(), Suspect: m.SuspicionTimeout.Duration(),
+		Budget: m.GossipBytesPerSecond, Seed: day.Seed, Ways: m.LinkConfig()})}
 	d.nameOverrides = map[int]int{}
-	if m.Limits {
+	if m.ShareLimits {
 		d.Shares = d.newShares()
 	}
 	if configure != nil {
@@ -149,9 +149,9 @@
 // newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by Came.
 func (d *Day) newShares() *Shares {
 	n := len(d.day.Tenants)
-	s := &Shares{Lease: d.day.Mates.Lease.Duration(), Floor: make([]float64, n)}
+	s := &Shares{Lease: d.day.Membership.LeaseDuration.Duration(), Floor: make([]float64, n)}
 	for t := range n {
-		s.Names, s.Bound, s.Grain = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Bound, d.day.Allowance(t)), append(s.Grain, 1)
+		s.Names, s.Bound, s.Grain = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Bound, d.day.TenantQuota(t)), append(s.Grain, 1)
 	}
 	for range d.day.Fleet.Balancers {
 		d.requestCounts = append(d.requestCounts, make([]requestCounter, n))
@@ -189,8 +189,8 @@
 // them have no effect here.
 func (d *Day) scheduleFault(i int) {
 	f := &d.day.Faults[i]
-	from, to, targets := f.At.Duration(), (f.At + f.For).Duration(), d.day.HitBalancers(i)
-	switch f.Do {
+	from, to, targets := f.At.Duration(), (f.At + f.Length).Duration(), d.day.AffectedBalancers(i)
+	switch f.Kind {
 	case "balancer-kill":
 		for _, b := range targets {
 			d.at(from, func() { d.stop(b, false) })
@@ -207,7 +207,7 @@
 	case "balancer-stall":
 		for _, b := range targets {
 			d.at(from, func() {
-				d.Stall(b, f.For.Duration())
+				d.Stall(b, f.Length.Duration())
 				d.rec.Pauses = append(d.rec.Pauses, record.Pause{Balancer: b, From: from, To: to})
 			})
 		}
@@ -238,13 +238,13 @@
 		d.at(from, func() { d.changeLinks(i, false) })
 		d.at(to, func() { d.changeLinks(i, true) })
 	}
-	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.LinkOutages(f, d.day.Ways(i))...)
+	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.LinkOutages(f, d.day.AffectedLinks(i))...)
 }
 
 // changeLinks applies a fault to the links that it concerns, or ends it there.
 func (d *Day) changeLinks(i int, end bool) {
-	change := d.day.Harm(i, end)
-	for _, w := range d.day.Ways(i) {
+	change := d.day.LinkChange(i, end)
+	for _, w := range d.day.AffectedLinks(i) {
 		change(&d.Way(w[0], w[1]).LinkConfig)
 	}
 }
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -54,11 +54,11 @@
 
 // New plans the requests of a rehearsal.
 func New(w *standin.Environment) (*Clients, error) {
-	arrivals, err := model.Arrivals(w.Scenario.Seed, w.Scenario.LoadTerms())
+	arrivals, err := model.Arrivals(w.Scenario.Seed, w.Scenario.LoadConfig())
 	if err != nil {
 		return nil, err
 	}
-	c := &Clients{world: w, arrivals: arrivals, retryPolicy: w.Scenario.Retry(),
+	c := &Clients{world: w, arrivals: arrivals, retryPolicy: w.Scenario.RetryPolicy(),
 		lateness:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		latencies: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 	for range w.Scenario.Fleet.Balancers {
@@ -88,7 +88,7 @@
 	target.stopping = true
 	target.stateChanges++
 	stateChanges := target.stateChanges
-	time.AfterFunc(c.world.Scenario.Clients.Notice.Duration(), func() {
+	time.AfterFunc(c.world.Scenario.Clients.FailureNoticeDelay.Duration(), func() {
 		target.mu.Lock()
 		defer target.mu.Unlock()
 		if target.stopping && target.stateChanges == stateChanges {
@@ -241,7 +241,7 @@
 // pickBalancer chooses the balancer for a request, in rotation among those believed to be up: first those that its tenant
 // uses, then those of the client's zone, then any. If none is up it returns balancer 0.
 func (c *Clients) pickBalancer(zone, tenant int) int {
-	if allowed := c.world.Scenario.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
+	if allowed := c.world.Scenario.TenantBalancers(tenant, c.world.Now()); len(allowed) > 0 {
 		n := int(c.roundRobin.Add(1))
 		for i := range allowed {
 			if b := allowed[(n+i)%len(allowed)]; c.targets[b].isUp() {
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	day := &scenario.Day{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
+	day := &scenario.Scenario{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
 	day.Fleet.Balancers, day.Fleet.Zones = 1, []string{"z"}
 	w := standin.NewEnvironment(day, record.New())
 	target := &balancerTarget{up: true, addr: l.Addr().String()}
--- a/internal/rehearsal/measure/closed.go
+++ b/internal/rehearsal/measure/closed.go
@@ -39,7 +39,7 @@
 	}
 	defer os.RemoveAll(dir)
 	sc := baseScenario(1, time.Hour, 1)
-	sc.Nodes = []scenario.Node{{Name: "n", Zone: "here", Count: hosts, Cores: 64, Speed: 1, Connections: 1 << 15, Idle: scenario.Span(time.Minute), ColdFrom: 1}}
+	sc.Hosts = []scenario.Host{{Name: "n", Zone: "here", Count: hosts, Cores: 64, Speed: 1, Connections: 1 << 15, IdleTimeout: scenario.Span(time.Minute), ColdCapacity: 1}}
 	session, err := runner.UpEcho(ctx, sc, launch, dir)
 	if err != nil {
 		return c, err
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -90,7 +90,7 @@
 		return hosts
 	}
 	s := func(n int) scenario.Span { return scenario.Span(time.Duration(n) * time.Second) }
-	return []scenario.Fault{{Do: do, At: s(5), For: s(9), Part: part, Nodes: group(0)}, {Do: do, At: s(20), For: s(12), Part: part, Nodes: group(1)}}
+	return []scenario.Fault{{Kind: do, At: s(5), Length: s(9), Share: part, Hosts: group(0)}, {Kind: do, At: s(20), Length: s(12), Share: part, Hosts: group(1)}}
 }
 
 // alteredByThreeInEight makes three in eight balancers alter the observations that they report.
@@ -134,7 +134,7 @@
 					p.Vain++
 				}
 				for _, f := range kind.faults {
-					if slices.Contains(f.Nodes, s.Server) && s.ArrivedAt >= f.At.Duration() && s.ArrivedAt < (f.At+f.For).Duration() {
+					if slices.Contains(f.Hosts, s.Server) && s.ArrivedAt >= f.At.Duration() && s.ArrivedAt < (f.At+f.Length).Duration() {
 						p.AtBad++
 					}
 				}
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -105,8 +105,8 @@
 	if err != nil {
 		return result, err
 	}
-	sc.Seed, sc.Mates.Limits = seed, moving
-	sc.Load.PerS, sc.Load.Quota = demand*sc.Capacity(), allowanceFactor*demand
+	sc.Seed, sc.Membership.ShareLimits = seed, moving
+	sc.Load.RequestsPerSecond, sc.Load.QuotaRatio = demand*sc.Capacity(), allowanceFactor*demand
 	res, err := virtual.Play(sc, nil)
 	if err != nil {
 		return result, err
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -43,17 +43,17 @@
 )
 
 // baseScenario returns a scenario with one balancer, one product and hosts that answer immediately.
-func baseScenario(perS float64, length time.Duration, seed uint64) *scenario.Day {
-	d := &scenario.Day{Name: fmt.Sprintf("%.0f-per-s", perS), Length: scenario.Span(length), Seed: seed,
-		Fleet: scenario.Fleet{Zones: []string{"here"}, Balancers: 1, MemoryMB: 1024, Sockets: 8192, Attempts: 4, Mode: scenario.Aside},
-		Nodes: []scenario.Node{{Name: "n", Zone: "here", Count: hostCount, Cores: 64, Speed: 1, Queue: 1 << 16, KeepMB: 64, Connections: 1 << 15,
-			Idle: scenario.Span(time.Minute), ColdFrom: 1}},
-		Gateway:  scenario.Gateway{Slots: 64, Time: scenario.Span(time.Millisecond), Queue: 1 << 12},
-		Load:     scenario.Load{PerS: perS, Keys: 1000, ValueSize: 300, Warm: 1, Quota: 1000},
-		Clients:  scenario.Clients{GiveUpAt: [2]float64{1, 1}, Notice: scenario.Span(time.Second)},
-		Products: []scenario.Product{{Name: "read", Share: 1, Law: model.Constant, Work: instantWork, LatencySLO: scenario.Span(time.Second), ClientTimeout: scenario.Span(2 * time.Second), BilledValue: 1, Effect: scenario.Idempotent}},
+func baseScenario(perS float64, length time.Duration, seed uint64) *scenario.Scenario {
+	d := &scenario.Scenario{Name: fmt.Sprintf("%.0f-per-s", perS), Length: scenario.Span(length), Seed: seed,
+		Fleet: scenario.Fleet{Zones: []string{"here"}, Balancers: 1, MemoryMB: 1024, Sockets: 8192, Attempts: 4, Mode: scenario.ModeAside},
+		Hosts: []scenario.Host{{Name: "n", Zone: "here", Count: hostCount, Cores: 64, Speed: 1, Queue: 1 << 16, CacheMB: 64, Connections: 1 << 15,
+			IdleTimeout: scenario.Span(time.Minute), ColdCapacity: 1}},
+		Origin:   scenario.Origin{Slots: 64, ServiceTime: scenario.Span(time.Millisecond), Queue: 1 << 12},
+		Load:     scenario.Load{RequestsPerSecond: perS, Keys: 1000, ValueSize: 300, WarmRatio: 1, QuotaRatio: 1000},
+		Clients:  scenario.Clients{GiveUpAt: [2]float64{1, 1}, FailureNoticeDelay: scenario.Span(time.Second)},
+		Products: []scenario.Product{{Name: "read", Share: 1, Distribution: model.Constant, Work: instantWork, LatencySLO: scenario.Span(time.Second), ClientTimeout: scenario.Span(2 * time.Second), BilledValue: 1, Effect: scenario.Idempotent}},
 		Tenants:  []scenario.Tenant{{Name: "all", Share: 1, Usage: 1}},
-		Rules:    scenario.Rules{DrainGrace: scenario.Span(time.Second), FallMultiple: 3, FallFor: scenario.Span(2 * time.Second)},
+		Rules:    scenario.Rules{DrainGrace: scenario.Span(time.Second), OverloadMultiple: 3, OverloadWindow: scenario.Span(2 * time.Second)},
 	}
 	return d
 }
@@ -106,7 +106,7 @@
 }
 
 // measureOnce runs a scenario, with the requests sent directly to a cache host or through the balancer.
-func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Day, direct bool) (latency, late load.Percentiles, cpu time.Duration, good Share, err error) {
+func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Scenario, direct bool) (latency, late load.Percentiles, cpu time.Duration, good Share, err error) {
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
 		return latency, late, 0, good, err
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -117,8 +117,8 @@
 	}
 	defer os.RemoveAll(dir)
 	sc := baseScenario(1, time.Hour, 1)
-	sc.Nodes[0].Count, sc.Fleet.Balancers = 1, balancers
-	sc.Mates = scenario.Mates{On: true, Period: scenario.Span(400 * time.Millisecond), Suspect: scenario.Span(2 * time.Second), Budget: 3000}
+	sc.Hosts[0].Count, sc.Fleet.Balancers = 1, balancers
+	sc.Membership = scenario.Membership{Enabled: true, ProbePeriod: scenario.Span(400 * time.Millisecond), SuspicionTimeout: scenario.Span(2 * time.Second), GossipBytesPerSecond: 3000}
 	session, err := runner.Up(ctx, sc, launch, dir)
 	if err != nil {
 		return m, err
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -144,7 +144,7 @@
 }
 
 // addRequests adds outcomes, service and latencies of the clients' requests to the report.
-func (r *Report) addRequests(day *scenario.Day, rec *record.Record) {
+func (r *Report) addRequests(day *scenario.Scenario, rec *record.Record) {
 	type firstRequest struct {
 		first *record.Request // nil if the record has only client retries of it
 		good  bool            // it or a client retry was fulfilled within the latency SLO
@@ -244,7 +244,7 @@
 	return by, worst
 }
 
-func (r *Report) addBalancersAndServers(day *scenario.Day, rec *record.Record) {
+func (r *Report) addBalancersAndServers(day *scenario.Scenario, rec *record.Record) {
 	r.Balancers = make([]Balancer, day.Fleet.Balancers)
 	for i := range r.Balancers {
 		r.Balancers[i].Name = fmt.Sprintf("balancer %d", i+1)
--- a/internal/rehearsal/runner/config.go
+++ b/internal/rehearsal/runner/config.go
@@ -33,24 +33,24 @@
 			"billedValue": p.BilledValue, "effect": effectNames[p.Effect], "group": "all", "windowNs": int64(p.Window)})
 	}
 	for i, t := range sc.Tenants {
-		customers = append(customers, m{"name": t.Name, "allowancePerS": sc.Allowance(i)})
+		customers = append(customers, m{"name": t.Name, "allowancePerS": sc.TenantQuota(i)})
 	}
 	extra := m{"mode": sc.Fleet.Mode, "originKind": -1}
-	if sc.Fleet.Mode == scenario.Aside {
+	if sc.Fleet.Mode == scenario.ModeAside {
 		extra["originKind"] = 1
 	}
 	coldFrom, warmFor, idle := 1.0, time.Duration(0), time.Hour
-	for _, n := range sc.Nodes {
-		coldFrom, warmFor, idle = min(coldFrom, n.ColdFrom), max(warmFor, n.WarmFor.Duration()), min(idle, n.Told())
+	for _, n := range sc.Hosts {
+		coldFrom, warmFor, idle = min(coldFrom, n.ColdCapacity), max(warmFor, n.WarmUpTime.Duration()), min(idle, n.BalancerIdleTimeout())
 	}
 	settings := m{
 		"balancers": sc.Fleet.Balancers, "areas": sc.Fleet.Zones, "locality": zone, "hostTypes": []string{"cache", "origin"},
 		"discovery": "automatic", "weights": "nominal", "tickNs": timerResolutionNs, "extra": extra,
-		"caps": m{"mayCancel": true, "mostShots": sc.Fleet.Attempts, "secondCopies": false, "retryAfter": sc.Clients.ComeBack > 0,
-			"maxRetryAfterNs": int64(sc.Clients.ComeBack), "connectTimeoutNs": int64(connectTimeout), "keepaliveNs": int64(idle),
+		"caps": m{"mayCancel": true, "mostShots": sc.Fleet.Attempts, "secondCopies": false, "retryAfter": sc.Clients.MaxRetryAfter > 0,
+			"maxRetryAfterNs": int64(sc.Clients.MaxRetryAfter), "connectTimeoutNs": int64(connectTimeout), "keepaliveNs": int64(idle),
 			"maxOpen": 20000},
-		"rules": m{"coldFrom": coldFrom, "rampTimeNs": int64(warmFor), "fallMultiple": sc.Rules.FallMultiple,
-			"fallNs": int64(sc.Rules.FallFor), "drainGraceNs": int64(sc.Rules.DrainGrace), "askEveryNs": int64(10 * time.Second)},
+		"rules": m{"coldFrom": coldFrom, "rampTimeNs": int64(warmFor), "fallMultiple": sc.Rules.OverloadMultiple,
+			"fallNs": int64(sc.Rules.OverloadWindow), "drainGraceNs": int64(sc.Rules.DrainGrace), "askEveryNs": int64(10 * time.Second)},
 		"products": products, "customers": customers,
 	}
 	text, err := json.Marshal(m{"name": name, "listen": listen, "admin_addr": adminAddr, "discovery": w.Discovery.Addr(balancer),
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -27,7 +27,7 @@
 // openLinks chooses addresses for the balancers and starts the relays between them.
 func (s *Stage) openLinks() error {
 	sc := s.W.Scenario
-	if !sc.Mates.On {
+	if !sc.Membership.Enabled {
 		return nil
 	}
 	m := &s.membership
@@ -41,7 +41,7 @@
 		defer c.Close() // all stay open until the last port is chosen, so that no port is chosen twice
 	}
 	var err error
-	m.links, err = standin.NewRelays(m.addrs, sc.Mates.Way(), model.NewRand(sc.Seed, "mates"))
+	m.links, err = standin.NewRelays(m.addrs, sc.Membership.LinkConfig(), model.NewRand(sc.Seed, "mates"))
 	return err
 }
 
@@ -63,7 +63,7 @@
 		}
 	}
 	return fmt.Sprintf("\n[fleet]\nname = \"rehearsal\"\naddress = %q\nperiod = %q\nsuspect = %q\nbudget = %d\nlimits = %v\nevidence = %v\nlease = %q\npeers = [%s]\nvia = {%s}\n", m.addrs[b],
-		sc.Mates.Period, sc.Mates.Suspect, sc.Mates.Budget, sc.Mates.Limits, sc.Mates.Evidence, sc.Mates.Lease, strings.Join(peers, ", "), strings.Join(via, ", "))
+		sc.Membership.ProbePeriod, sc.Membership.SuspicionTimeout, sc.Membership.GossipBytesPerSecond, sc.Membership.ShareLimits, sc.Membership.ShareObservations, sc.Membership.LeaseDuration, strings.Join(peers, ", "), strings.Join(via, ", "))
 }
 
 // nameOf returns the name of a balancer, or the wrong one under which a fault has started it.
@@ -96,7 +96,7 @@
 		for b := range s.membership.addrs {
 			s.background.Go(func() {
 				s.View(b)
-				if s.W.Scenario.Mates.Limits {
+				if s.W.Scenario.Membership.ShareLimits {
 					s.pollLimits(b)
 				}
 			})
--- a/internal/rehearsal/runner/room.go
+++ b/internal/rehearsal/runner/room.go
@@ -25,9 +25,9 @@
 )
 
 // Needs returns the resources that a rehearsal with balancer processes needs.
-func Needs(sc *scenario.Day) Room {
+func Needs(sc *scenario.Scenario) Room {
 	nodes := 0
-	for _, g := range sc.Nodes {
+	for _, g := range sc.Hosts {
 		nodes += g.Count
 	}
 	pairs, n := uint64(nodes)*uint64(sc.Fleet.Balancers), uint64(sc.Fleet.Balancers)
@@ -35,7 +35,7 @@
 }
 
 // check returns an error that names the first insufficient resource, or nil.
-func (available Room) check(required Room, sc *scenario.Day) error {
+func (available Room) check(required Room, sc *scenario.Scenario) error {
 	for _, x := range []struct {
 		what                string
 		required, available uint64
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -56,14 +56,14 @@
 const readyTimeout = 10 * time.Second
 
 // Up starts the stand-ins and the balancers of a scenario and waits until all balancers serve.
-func Up(ctx context.Context, sc *scenario.Day, launch Launch, dir string) (*Stage, error) {
+func Up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
 	return up(ctx, sc, launch, dir, (*Stage).addNodes)
 }
 
 // UpEcho is Up with cache nodes that answer all reads immediately.
-func UpEcho(ctx context.Context, sc *scenario.Day, launch Launch, dir string) (*Stage, error) {
+func UpEcho(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
 	return up(ctx, sc, launch, dir, func(s *Stage) error {
-		ids, groups := sc.NodeIDs()
+		ids, groups := sc.HostIDs()
 		for _, id := range ids {
 			if _, err := s.W.AddEcho(id, groups[id]); err != nil {
 				return err
@@ -73,7 +73,7 @@
 	})
 }
 
-func up(ctx context.Context, sc *scenario.Day, launch Launch, dir string, addNodes func(*Stage) error) (*Stage, error) {
+func up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, addNodes func(*Stage) error) (*Stage, error) {
 	if err := availableResources().check(Needs(sc), sc); err != nil {
 		return nil, err
 	}
@@ -115,7 +115,7 @@
 	if err := addNodes(s); err != nil {
 		return err
 	}
-	if sc.Fleet.Mode == scenario.Aside {
+	if sc.Fleet.Mode == scenario.ModeAside {
 		s.W.Discovery.Update(model.Entry{Host: record.Origin, Zone: sc.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
 	}
 	var err error
@@ -126,14 +126,14 @@
 // addNodes starts the scenario's cache nodes.
 func (s *Stage) addNodes() error {
 	sc := s.W.Scenario
-	ids, groups := sc.NodeIDs()
+	ids, groups := sc.HostIDs()
 	for _, id := range ids {
 		n, err := s.W.AddHost(id, groups[id], false, nil)
 		if err != nil {
 			return err
 		}
 		// Every warm node holds all popular keys, because the balancers decide which node is asked for which key.
-		for k := range int(sc.Load.Warm * float64(sc.Load.Keys)) {
+		for k := range int(sc.Load.WarmRatio * float64(sc.Load.Keys)) {
 			n.Preload(model.KeyName(k))
 		}
 		s.W.Discovery.Update(n.Entry(model.Active))
@@ -183,7 +183,7 @@
 // launchAt starts a process for a balancer and keeps its temporary directory, which an upgrade needs. The caller holds s.mu.
 func (s *Stage) launchAt(b int) (err error) {
 	l := s.slots[b]
-	if s.W.Scenario.Door() {
+	if s.W.Scenario.NeedsAdminAPI() {
 		if l.adminAddr, err = s.W.FreeAddr(); err != nil {
 			return err
 		}
@@ -427,17 +427,17 @@
 func (s *Stage) Straight(node string) { s.Callers.BalancerUp(0, s.W.Host(node).Addr(0)) }
 
 // Terms returns the limits that the judge applies to a rehearsal of the scenario.
-func Terms(sc *scenario.Day) judge.Config {
+func Terms(sc *scenario.Scenario) judge.Config {
 	var membership judge.MembershipConfig
-	if m := sc.Mates; m.On {
-		membership = judge.MembershipConfig{Balancers: sc.Fleet.Balancers, ProbePeriod: m.Period.Duration(), SuspicionTimeout: m.Suspect.Duration(), GossipBytesPerSecond: m.Budget, LossRatio: m.Loss, Lease: m.Lease.Duration()}
+	if m := sc.Membership; m.Enabled {
+		membership = judge.MembershipConfig{Balancers: sc.Fleet.Balancers, ProbePeriod: m.ProbePeriod.Duration(), SuspicionTimeout: m.SuspicionTimeout.Duration(), GossipBytesPerSecond: m.GossipBytesPerSecond, LossRatio: m.LossRatio, Lease: m.LeaseDuration.Duration()}
 	}
 	operatorSettings, err := operator.Parse("operator", []byte(sc.Operator))
 	if err != nil {
 		operatorSettings = &operator.File{} // the balancers report the mistakes in the file
 	}
-	t := judge.Config{Membership: membership, OpeningsPerSecond: operatorSettings.Connections.Openings, MaxAttempts: sc.Fleet.Attempts, DrainGrace: sc.Rules.DrainGrace.Duration(), Slack: sc.Rules.Slack.Duration(), PromptTimeout: sc.Rules.Prompt.Duration(),
-		ColdMissThreshold: sc.Rules.ColdBlame, OverloadWindow: sc.Rules.FallFor.Duration(), ConnectTimeout: connectTimeout}
+	t := judge.Config{Membership: membership, OpeningsPerSecond: operatorSettings.Connections.Openings, MaxAttempts: sc.Fleet.Attempts, DrainGrace: sc.Rules.DrainGrace.Duration(), Slack: sc.Rules.Slack.Duration(), PromptTimeout: sc.Rules.PromptTimeout.Duration(),
+		ColdMissThreshold: sc.Rules.ColdMissThreshold, OverloadWindow: sc.Rules.OverloadWindow.Duration(), ConnectTimeout: connectTimeout}
 	effects := map[string]judge.Effect{scenario.Idempotent: judge.Idempotent, scenario.Deduplicated: judge.Deduplicated,
 		scenario.NonIdempotent: judge.NonIdempotent}
 	for _, p := range sc.Products {
@@ -448,7 +448,7 @@
 
 // Result is the outcome of a rehearsal.
 type Result struct {
-	Day     *scenario.Day
+	Day     *scenario.Scenario
 	Record  *record.Record
 	Verdict *judge.Verdict
 	Latency load.Percentiles
@@ -457,7 +457,7 @@
 }
 
 // Run runs a rehearsal from its start to the verdict. If watch is not nil, it runs beside the rehearsal.
-func Run(ctx context.Context, sc *scenario.Day, launch Launch, dir string, watch func(*Stage)) (*Result, error) {
+func Run(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, watch func(*Stage)) (*Result, error) {
 	began := time.Now()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -29,7 +29,7 @@
 }
 
 // Open reads a built-in rehearsal by its name, or a scenario file.
-func Open(nameOrFile string) (*Day, error) {
+func Open(nameOrFile string) (*Scenario, error) {
 	if slices.Contains(Names(), nameOrFile) {
 		text, err := library.ReadFile("library/" + nameOrFile + ".toml")
 		if err != nil {
@@ -48,7 +48,7 @@
 }
 
 // Parse reads and checks the text of a scenario file. Its error lists every mistake found, one per line.
-func Parse(file string, text []byte) (*Day, error) {
+func Parse(file string, text []byte) (*Scenario, error) {
 	sc := defaults()
 	f := strict.Decode(file, text, &sc)
 	if !f.Valid() {
@@ -58,11 +58,11 @@
 	presenceIn := func(list string, i int) keyPresence {
 		return func(key string) bool { return f.IsSet(fmt.Sprintf("%s[%d].%s", list, i+1, key)) }
 	}
-	if len(sc.Nodes) == 0 {
-		sc.Nodes = []Node{{Name: "node", Count: 4}}
+	if len(sc.Hosts) == 0 {
+		sc.Hosts = []Host{{Name: "node", Count: 4}}
 	}
-	for i := range sc.Nodes {
-		sc.Nodes[i].applyDefaults(presenceIn("node", i))
+	for i := range sc.Hosts {
+		sc.Hosts[i].applyDefaults(presenceIn("node", i))
 	}
 	if len(sc.Products) == 0 {
 		sc.Products = defaultProducts()
@@ -98,7 +98,7 @@
 // checker checks the values of a scenario and collects the mistakes.
 type checker struct {
 	*strict.File
-	scenario *Day
+	scenario *Scenario
 }
 
 // checkRange reports a value outside a range.
@@ -117,12 +117,12 @@
 	sc := c.scenario
 	checkRange(c, "length", sc.Length, Span(time.Second), maxLength)
 	checkRange(c, "fleet.balancers", sc.Fleet.Balancers, 1, maxBalancers)
-	checkRange(c, "fleet.same", sc.Fleet.Same, 0, Span(time.Second))
-	checkRange(c, "fleet.cross", sc.Fleet.Cross, 0, Span(time.Second))
+	checkRange(c, "fleet.same", sc.Fleet.SameZoneDelay, 0, Span(time.Second))
+	checkRange(c, "fleet.cross", sc.Fleet.CrossZoneDelay, 0, Span(time.Second))
 	checkRange(c, "fleet.memory_mb", sc.Fleet.MemoryMB, 16, 1<<16)
 	checkRange(c, "fleet.sockets", sc.Fleet.Sockets, 64, 1<<16)
 	checkRange(c, "fleet.shots", sc.Fleet.Attempts, 1, 16)
-	if sc.Fleet.Mode != Aside && sc.Fleet.Mode != Through {
+	if sc.Fleet.Mode != ModeAside && sc.Fleet.Mode != ModeThrough {
 		c.AddFault("fleet.mode", "expected aside or through, got %q", sc.Fleet.Mode)
 	}
 	if len(sc.Fleet.Zones) == 0 {
@@ -134,22 +134,22 @@
 	c.checkLoad()
 	c.checkProducts()
 	tenants := c.checkTenants()
-	if m := sc.Mates; m.On {
-		checkRange(c, "mates.period", m.Period, Span(50*time.Millisecond), maxDuration)
-		checkRange(c, "mates.suspect", m.Suspect, 2*m.Period, maxDuration)
-		checkRange(c, "mates.budget", m.Budget, 500, 1<<20)
-		checkRange(c, "mates.lease", m.Lease, Span(time.Second), maxDuration)
-		checkRange(c, "mates.loss", m.Loss, 0, 0.9)
+	if m := sc.Membership; m.Enabled {
+		checkRange(c, "mates.period", m.ProbePeriod, Span(50*time.Millisecond), maxDuration)
+		checkRange(c, "mates.suspect", m.SuspicionTimeout, 2*m.ProbePeriod, maxDuration)
+		checkRange(c, "mates.budget", m.GossipBytesPerSecond, 500, 1<<20)
+		checkRange(c, "mates.lease", m.LeaseDuration, Span(time.Second), maxDuration)
+		checkRange(c, "mates.loss", m.LossRatio, 0, 0.9)
 		checkRange(c, "mates.delay", m.Delay, 0, Span(time.Second))
 		checkRange(c, "mates.jitter", m.Jitter, 0, Span(time.Second))
 	}
 	checkRange(c, "rules.drain_grace", sc.Rules.DrainGrace, Span(100*time.Millisecond), maxDuration)
-	checkRange(c, "rules.fall_multiple", sc.Rules.FallMultiple, 0, 100)
-	checkRange(c, "rules.fall_for", sc.Rules.FallFor, Span(100*time.Millisecond), maxDuration)
+	checkRange(c, "rules.fall_multiple", sc.Rules.OverloadMultiple, 0, 100)
+	checkRange(c, "rules.fall_for", sc.Rules.OverloadWindow, Span(100*time.Millisecond), maxDuration)
 	checkRange(c, "rules.slack", sc.Rules.Slack, 0, Span(time.Second))
-	checkRange(c, "rules.prompt", sc.Rules.Prompt, Span(20*time.Millisecond), Span(10*time.Second))
-	checkRange(c, "rules.cold_blame", sc.Rules.ColdBlame, 0.01, 1)
-	ids, _ := sc.NodeIDs()
+	checkRange(c, "rules.prompt", sc.Rules.PromptTimeout, Span(20*time.Millisecond), Span(10*time.Second))
+	checkRange(c, "rules.cold_blame", sc.Rules.ColdMissThreshold, 0.01, 1)
+	ids, _ := sc.HostIDs()
 	for i := range sc.Faults {
 		c.checkFault(i, ids, zones, tenants)
 	}
@@ -173,8 +173,8 @@
 func (c *checker) checkNodes(zones map[string]bool) {
 	sc, n := c.scenario, 0
 	names := map[string]bool{}
-	for i := range sc.Nodes {
-		g, prefix := &sc.Nodes[i], fmt.Sprintf("node[%d].", i+1)
+	for i := range sc.Hosts {
+		g, prefix := &sc.Hosts[i], fmt.Sprintf("node[%d].", i+1)
 		if g.Name == "" || strings.ContainsAny(g.Name, " ,=*") || names[g.Name] {
 			c.AddFault(prefix+"name", "expected a name of its own without blanks, got %q", g.Name)
 		}
@@ -189,17 +189,17 @@
 		checkRange(c, prefix+"cores", g.Cores, 1, 1024)
 		checkRange(c, prefix+"speed", g.Speed, 0.01, 100)
 		checkRange(c, prefix+"queue", g.Queue, 0, 1<<20)
-		checkRange(c, prefix+"keep_mb", g.KeepMB, 0.001, 4096)
+		checkRange(c, prefix+"keep_mb", g.CacheMB, 0.001, 4096)
 		checkRange(c, prefix+"connections", g.Connections, 1, 1<<16)
 		checkRange(c, prefix+"connect_work", g.ConnectWork, 0, Span(time.Second))
 		checkRange(c, prefix+"probe_work", g.ProbeWork, 0, Span(time.Second))
-		checkRange(c, prefix+"idle", g.Idle, Span(100*time.Millisecond), maxLength)
-		checkRange(c, prefix+"idle_told", g.IdleTold, 0, maxLength)
-		checkRange(c, prefix+"cold_from", g.ColdFrom, 0.01, 1)
-		checkRange(c, prefix+"warm_for", g.WarmFor, 0, maxLength)
-		if g.PauseEvery > 0 {
-			checkRange(c, prefix+"pause_every", g.PauseEvery, Span(100*time.Millisecond), maxLength)
-			checkRange(c, prefix+"pause_for", g.PauseFor, Span(time.Millisecond), g.PauseEvery)
+		checkRange(c, prefix+"idle", g.IdleTimeout, Span(100*time.Millisecond), maxLength)
+		checkRange(c, prefix+"idle_told", g.ConfiguredIdleTimeout, 0, maxLength)
+		checkRange(c, prefix+"cold_from", g.ColdCapacity, 0.01, 1)
+		checkRange(c, prefix+"warm_for", g.WarmUpTime, 0, maxLength)
+		if g.PauseInterval > 0 {
+			checkRange(c, prefix+"pause_every", g.PauseInterval, Span(100*time.Millisecond), maxLength)
+			checkRange(c, prefix+"pause_for", g.PauseLength, Span(time.Millisecond), g.PauseInterval)
 		}
 		n += g.Count
 	}
@@ -209,42 +209,42 @@
 }
 
 func (c *checker) checkGateway() {
-	g := c.scenario.Gateway
+	g := c.scenario.Origin
 	checkRange(c, "gateway.slots", g.Slots, 1, 1<<16)
-	checkRange(c, "gateway.time", g.Time, Span(time.Millisecond), maxDuration)
+	checkRange(c, "gateway.time", g.ServiceTime, Span(time.Millisecond), maxDuration)
 	checkRange(c, "gateway.queue", g.Queue, 0, 1<<16)
-	checkRange(c, "gateway.fall_multiple", g.FallMultiple, 0, 100)
-	checkRange(c, "gateway.fall_for", g.FallFor, Span(100*time.Millisecond), maxDuration)
-	checkRange(c, "gateway.stop_for", g.StopFor, Span(100*time.Millisecond), maxDuration)
-	late := c.scenario.Register.Late
+	checkRange(c, "gateway.fall_multiple", g.OverloadMultiple, 0, 100)
+	checkRange(c, "gateway.fall_for", g.OverloadWindow, Span(100*time.Millisecond), maxDuration)
+	checkRange(c, "gateway.stop_for", g.OutageLength, Span(100*time.Millisecond), maxDuration)
+	late := c.scenario.Discovery.Delay
 	checkRange(c, "register.late", late[0], 0, late[1])
 	checkRange(c, "register.late", late[1], 0, maxDuration)
 }
 
 func (c *checker) checkLoad() {
 	sc := c.scenario
-	checkRange(c, "load.per_s", sc.Load.PerS, 0.1, 1e6)
-	checkRange(c, "load.swing", sc.Load.Swing, 0, 0.95)
-	if sc.Load.Swing > 0 {
-		checkRange(c, "load.swing_for", sc.Load.SwingFor, Span(time.Second), maxLength)
+	checkRange(c, "load.per_s", sc.Load.RequestsPerSecond, 0.1, 1e6)
+	checkRange(c, "load.swing", sc.Load.SwingAmplitude, 0, 0.95)
+	if sc.Load.SwingAmplitude > 0 {
+		checkRange(c, "load.swing_for", sc.Load.SwingPeriod, Span(time.Second), maxLength)
 	}
 	checkRange(c, "load.keys", sc.Load.Keys, 1, 1<<22)
 	checkRange(c, "load.zipf", sc.Load.Zipf, 0, 4)
 	checkRange(c, "load.value_size", sc.Load.ValueSize, 64, 4<<20) // a value has to hold the key, the version and the id
-	checkRange(c, "load.quota", sc.Load.Quota, 0.01, 10)
-	checkRange(c, "load.warm", sc.Load.Warm, 0, 1)
-	if n := sc.Load.PerS * sc.Length.Duration().Seconds(); n > model.MaxArrivals/4 {
+	checkRange(c, "load.quota", sc.Load.QuotaRatio, 0.01, 10)
+	checkRange(c, "load.warm", sc.Load.WarmRatio, 0, 1)
+	if n := sc.Load.RequestsPerSecond * sc.Length.Duration().Seconds(); n > model.MaxArrivals/4 {
 		c.AddFault("load.per_s", "%.0f requests in %v exceed the maximum of %d", n, sc.Length, model.MaxArrivals/4)
 	}
-	checkRange(c, "client.tries", sc.Clients.Tries, 0, 10)
-	checkRange(c, "client.wait", sc.Clients.Wait, Span(time.Millisecond), maxDuration)
-	checkRange(c, "client.honour", sc.Clients.Honour, 0, 1)
-	checkRange(c, "client.come_back", sc.Clients.ComeBack, 0, maxDuration)
-	checkRange(c, "client.notice", sc.Clients.Notice, 0, maxDuration)
+	checkRange(c, "client.tries", sc.Clients.MaxRetries, 0, 10)
+	checkRange(c, "client.wait", sc.Clients.RetryDelay, Span(time.Millisecond), maxDuration)
+	checkRange(c, "client.honour", sc.Clients.HonourRatio, 0, 1)
+	checkRange(c, "client.come_back", sc.Clients.MaxRetryAfter, 0, maxDuration)
+	checkRange(c, "client.notice", sc.Clients.FailureNoticeDelay, 0, maxDuration)
 	g := sc.Clients.GiveUpAt
 	checkRange(c, "client.give_up_at", g[0], 0.05, g[1])
 	checkRange(c, "client.give_up_at", g[1], 0.05, 1)
-	if n := len(sc.Clients.ZoneParts); n != 0 && n != len(sc.Fleet.Zones) {
+	if n := len(sc.Clients.ZoneShares); n != 0 && n != len(sc.Fleet.Zones) {
 		c.AddFault("client.zone_parts", "expected a part for each of the %d zones, got %d", len(sc.Fleet.Zones), n)
 	}
 }
@@ -265,8 +265,8 @@
 			c.AddFault(prefix+"client_timeout", "expected the latency SLO (%v) to %v, got %v", p.LatencySLO, maxDuration, p.ClientTimeout)
 		}
 		checkRange(c, prefix+"billed_value", p.BilledValue, 0.0001, 1e9)
-		if p.Law != model.Exponential && p.Law != model.LogNormal && p.Law != model.Constant {
-			c.AddFault(prefix+"law", "expected exponential, lognormal or constant, got %q", p.Law)
+		if p.Distribution != model.Exponential && p.Distribution != model.LogNormal && p.Distribution != model.Constant {
+			c.AddFault(prefix+"law", "expected exponential, lognormal or constant, got %q", p.Distribution)
 		}
 		switch p.Effect {
 		case Idempotent, NonIdempotent:
@@ -294,7 +294,7 @@
 		names[t.Name] = true
 		checkRange(c, prefix+"share", t.Share, 0.0001, 1)
 		checkRange(c, prefix+"usage", t.Usage, 0.0001, 100)
-		for _, b := range t.At {
+		for _, b := range t.Balancers {
 			checkRange(c, prefix+"at", b, 1, c.scenario.Fleet.Balancers)
 		}
 	}
@@ -303,9 +303,9 @@
 
 func (c *checker) checkFault(i int, ids []string, zones, tenants map[string]bool) {
 	f, prefix := &c.scenario.Faults[i], fmt.Sprintf("fault[%d].", i+1)
-	k, ok := faultKinds[f.Do]
+	k, ok := faultKinds[f.Kind]
 	if !ok {
-		c.AddFault(prefix+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Do)
+		c.AddFault(prefix+"do", "expected one of %s, got %q", strings.Join(Kinds(), ", "), f.Kind)
 		return
 	}
 	for _, key := range []string{"for", "nodes", "part", "by", "delay", "zone", "balancers", "tenant", "keys", "at_once", "drain",
@@ -313,43 +313,43 @@
 		isSet := c.IsSet(prefix + key)
 		switch {
 		case slices.Contains(k.required, key) && !isSet:
-			c.AddFault(prefix+key, "%s needs it", f.Do)
+			c.AddFault(prefix+key, "%s needs it", f.Kind)
 		case isSet && !slices.Contains(k.required, key) && !slices.Contains(k.optional, key):
-			c.AddFault(prefix+key, "%s has no such key", f.Do)
+			c.AddFault(prefix+key, "%s has no such key", f.Kind)
 		}
 	}
 	checkRange(c, prefix+"at", f.At, 0, c.scenario.Length)
-	if f.For < 0 || f.At+f.For > c.scenario.Length {
-		c.AddFault(prefix+"for", "the fault would end at %v, after the end of the rehearsal (%v)", f.At+f.For, c.scenario.Length)
+	if f.Length < 0 || f.At+f.Length > c.scenario.Length {
+		c.AddFault(prefix+"for", "the fault would end at %v, after the end of the rehearsal (%v)", f.At+f.Length, c.scenario.Length)
 	}
 	if c.IsSet(prefix + "part") {
-		checkRange(c, prefix+"part", f.Part, 0.001, 1)
+		checkRange(c, prefix+"part", f.Share, 0.001, 1)
 	}
 	if slices.Contains(k.required, "by") {
-		checkRange(c, prefix+"by", f.By, 0.01, 1000)
+		checkRange(c, prefix+"by", f.Factor, 0.01, 1000)
 	}
-	if f.Do == "hot" {
+	if f.Kind == "hot" {
 		checkRange(c, prefix+"keys", f.Keys, 1, 1000)
 	}
-	if f.Do == "link-delay" {
+	if f.Kind == "link-delay" {
 		checkRange(c, prefix+"delay", f.Delay, Span(time.Millisecond), maxDuration)
 	}
-	if f.Do == "mate-flap" || f.Do == "mate-delay" || f.Do == "mate-reorder" {
+	if f.Kind == "mate-flap" || f.Kind == "mate-delay" || f.Kind == "mate-reorder" {
 		checkRange(c, prefix+"delay", f.Delay, Span(time.Millisecond), maxDuration)
 	}
-	if betweenBalancers := strings.HasPrefix(f.Do, "mate-"); (betweenBalancers || f.Do == "balancer-astray" || f.Do == "balancer-twin") && !c.scenario.Mates.On {
-		c.AddFault(prefix+"do", "%s needs balancers that communicate with each other (mates.on)", f.Do)
+	if betweenBalancers := strings.HasPrefix(f.Kind, "mate-"); (betweenBalancers || f.Kind == "balancer-astray" || f.Kind == "balancer-twin") && !c.scenario.Membership.Enabled {
+		c.AddFault(prefix+"do", "%s needs balancers that communicate with each other (mates.on)", f.Kind)
 	}
-	if f.Do == "balancer-twin" && (len(f.Balancers) != 1 || len(f.To) != 1 || f.Balancers[0] == f.To[0]) {
+	if f.Kind == "balancer-twin" && (len(f.Balancers) != 1 || len(f.To) != 1 || f.Balancers[0] == f.To[0]) {
 		c.AddFault(prefix+"to", "balancer-twin needs exactly one balancer and a different one in to")
 	}
-	if f.Do == "rude" {
+	if f.Kind == "rude" {
 		checkRange(c, prefix+"count", f.Count, 1, 20000)
 	}
-	if f.Do == "crowd" {
+	if f.Kind == "crowd" {
 		checkRange(c, prefix+"count", f.Count, 1, 20000)
 	}
-	if f.Do == "deploy" {
+	if f.Kind == "deploy" {
 		checkRange(c, prefix+"at_once", f.AtOnce, 1, max(1, len(ids)))
 		checkRange(c, prefix+"drain", f.Drain, Span(100*time.Millisecond), maxDuration)
 	}
@@ -359,7 +359,7 @@
 	if f.Tenant != "" && !tenants[f.Tenant] {
 		c.AddFault(prefix+"tenant", "no tenant is called %q", f.Tenant)
 	}
-	for _, n := range f.Nodes {
+	for _, n := range f.Hosts {
 		if !slices.ContainsFunc(ids, func(id string) bool { return matchesPattern(n, id) }) {
 			c.AddFault(prefix+"nodes", "no node is called %q", n)
 		}
@@ -393,15 +393,15 @@
 	return names
 }
 
-// KindAbout describes what a kind of fault does.
-func KindAbout(name string) string { return faultKinds[name].description }
+// DescribeKind describes what a kind of fault does.
+func DescribeKind(name string) string { return faultKinds[name].description }
 
-// Hit returns those of the initial cache nodes that a fault affects: the ones that it lists, or a random share of all,
+// AffectedHosts returns those of the initial cache nodes that a fault affects: the ones that it lists, or a random share of all,
 // which depends only on the seed.
-func (sc *Day) Hit(i int) (affected []string) {
+func (sc *Scenario) AffectedHosts(i int) (affected []string) {
 	f := &sc.Faults[i]
-	ids, groups := sc.NodeIDs()
-	if f.Do == "zone-dark" {
+	ids, groups := sc.HostIDs()
+	if f.Kind == "zone-dark" {
 		for _, id := range ids {
 			if groups[id].Zone == f.Zone {
 				affected = append(affected, id)
@@ -409,9 +409,9 @@
 		}
 		return affected
 	}
-	if len(f.Nodes) > 0 {
+	if len(f.Hosts) > 0 {
 		for _, id := range ids {
-			if slices.ContainsFunc(f.Nodes, func(pattern string) bool { return matchesPattern(pattern, id) }) {
+			if slices.ContainsFunc(f.Hosts, func(pattern string) bool { return matchesPattern(pattern, id) }) {
 				affected = append(affected, id)
 			}
 		}
@@ -419,13 +419,13 @@
 	}
 	r := model.NewRand(sc.Seed, "fault "+strconv.Itoa(i))
 	r.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
-	affected = ids[:max(1, int(f.Part*float64(len(ids))+0.5))]
+	affected = ids[:max(1, int(f.Share*float64(len(ids))+0.5))]
 	slices.Sort(affected)
 	return affected
 }
 
-// HitBalancers returns the balancers that a fault affects, counted from 0; all if it lists none.
-func (sc *Day) HitBalancers(i int) (affected []int) {
+// AffectedBalancers returns the balancers that a fault affects, counted from 0; all if it lists none.
+func (sc *Scenario) AffectedBalancers(i int) (affected []int) {
 	for _, b := range sc.Faults[i].Balancers {
 		affected = append(affected, b-1)
 	}
@@ -437,9 +437,9 @@
 	return affected
 }
 
-// Ways returns the directed links between balancers, counted from 0, that a fault affects: from each of BALANCERS to each
+// AffectedLinks returns the directed links between balancers, counted from 0, that a fault affects: from each of BALANCERS to each
 // of TO, and back unless the fault is one-way. A list that is left out means all balancers.
-func (sc *Day) Ways(i int) (pairs [][2]int) {
+func (sc *Scenario) AffectedLinks(i int) (pairs [][2]int) {
 	f := &sc.Faults[i]
 	choose := func(list []int) (selected []int) {
 		for _, b := range list {
@@ -470,29 +470,29 @@
 	return pairs
 }
 
-// Harm returns the change that a fault makes to the link between two balancers; with end set, the change restores the
+// LinkChange returns the change that a fault makes to the link between two balancers; with end set, the change restores the
 // scenario's usual link.
-func (sc *Day) Harm(i int, end bool) func(*model.LinkConfig) {
-	f, normal := &sc.Faults[i], sc.Mates.Way()
+func (sc *Scenario) LinkChange(i int, end bool) func(*model.LinkConfig) {
+	f, normal := &sc.Faults[i], sc.Membership.LinkConfig()
 	if end {
-		f = &Fault{Do: f.Do}
+		f = &Fault{Kind: f.Kind}
 	}
 	return func(w *model.LinkConfig) {
-		switch f.Do {
+		switch f.Kind {
 		case "mate-cut", "mate-flap":
 			w.Cut = !end
 		case "mate-loss":
-			w.LossRatio = max(normal.LossRatio, f.Part)
+			w.LossRatio = max(normal.LossRatio, f.Share)
 		case "mate-delay":
 			w.Jitter = normal.Jitter + f.Delay.Duration()
 		case "mate-repeat":
-			w.DuplicateRatio = f.Part
+			w.DuplicateRatio = f.Share
 		case "mate-reorder":
-			w.ReorderRatio, w.ReorderDelay = f.Part, f.Delay.Duration()
+			w.ReorderRatio, w.ReorderDelay = f.Share, f.Delay.Duration()
 		case "mate-spoil":
-			w.CorruptRatio = f.Part
+			w.CorruptRatio = f.Share
 		case "mate-narrow":
-			w.BytesPerSecond = f.By
+			w.BytesPerSecond = f.Factor
 		}
 	}
 }
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -24,98 +24,98 @@
 // Range holds the lower and the upper bound of a duration.
 type Range [2]Span
 
-// Day describes one rehearsal; it is the content of a scenario file.
-type Day struct {
+// Scenario describes one rehearsal; it is the content of a scenario file.
+type Scenario struct {
 	Name   string `toml:"name"`
 	About  string `toml:"about"`
 	Length Span   `toml:"length"`
 	Seed   uint64 `toml:"seed"`
 
-	Fleet    Fleet     `toml:"fleet"`
-	Nodes    []Node    `toml:"node"`
-	Gateway  Gateway   `toml:"gateway"`
-	Register Register  `toml:"register"`
-	Load     Load      `toml:"load"`
-	Clients  Clients   `toml:"client"`
-	Products []Product `toml:"product"`
-	Tenants  []Tenant  `toml:"tenant"`
-	Rules    Rules     `toml:"rules"`
-	Mates    Mates     `toml:"mates"`
-	Faults   []Fault   `toml:"fault,omitempty"`
+	Fleet      Fleet      `toml:"fleet"`
+	Hosts      []Host     `toml:"node"`
+	Origin     Origin     `toml:"gateway"`
+	Discovery  Discovery  `toml:"register"`
+	Load       Load       `toml:"load"`
+	Clients    Clients    `toml:"client"`
+	Products   []Product  `toml:"product"`
+	Tenants    []Tenant   `toml:"tenant"`
+	Rules      Rules      `toml:"rules"`
+	Membership Membership `toml:"mates"`
+	Faults     []Fault    `toml:"fault,omitempty"`
 
 	Operator string `toml:"operator"` // text of the operator's file that each balancer is started with
 }
 
 // Fleet describes the zones, the delays between them and the resources of each balancer.
 type Fleet struct {
-	Zones     []string `toml:"zones"`
-	Balancers int      `toml:"balancers"` // assigned to the zones round-robin
-	Same      Span     `toml:"same"`      // one-way delay within a zone
-	Cross     Span     `toml:"cross"`     // one-way delay between zones
-	MemoryMB  int      `toml:"memory_mb"` // of each balancer
-	Sockets   int      `toml:"sockets"`
-	Attempts  int      `toml:"shots"`   // maximum attempts per request
-	Mode      string   `toml:"mode"`    // aside: cache nodes report a miss and the balancer asks the gateway; through: cache nodes ask the gateway themselves
-	Reports   bool     `toml:"reports"` // cache nodes add their load to answers
-}
-
-// Node describes a group of identical cache nodes, named NAME-1, NAME-2 and so on.
-type Node struct {
-	Name         string  `toml:"name"`
-	Zone         string  `toml:"zone"`
-	Count        int     `toml:"count"`
-	Cores        int     `toml:"cores"`
-	Speed        float64 `toml:"speed"`
-	Queue        int     `toml:"queue"`
-	KeepMB       float64 `toml:"keep_mb"`
-	Connections  int     `toml:"connections"`
-	ConnectWork  Span    `toml:"connect_work"`
-	ProbeWork    Span    `toml:"probe_work"`
-	Idle         Span    `toml:"idle"`      // the node closes a connection that has been idle for this long
-	IdleTold     Span    `toml:"idle_told"` // the idle timeout that balancers are configured with; Idle by default
-	PauseEvery   Span    `toml:"pause_every"`
-	PauseFor     Span    `toml:"pause_for"`
-	ColdFrom     float64 `toml:"cold_from"`
-	WarmFor      Span    `toml:"warm_for"`
-	DropsGivenUp bool    `toml:"drops_given_up"`
-}
-
-// Gateway describes the origin behind the caches, which answers cache misses.
-type Gateway struct {
-	Slots        int     `toml:"slots"`
-	Time         Span    `toml:"time"`
-	Queue        int     `toml:"queue"`
-	FallMultiple float64 `toml:"fall_multiple"`
-	FallFor      Span    `toml:"fall_for"`
-	StopFor      Span    `toml:"stop_for"`
-}
-
-// Register describes the discovery stand-in: Late is the delay until the host list shows a change.
-type Register struct {
-	Late Range `toml:"late"`
+	Zones          []string `toml:"zones"`
+	Balancers      int      `toml:"balancers"` // assigned to the zones round-robin
+	SameZoneDelay  Span     `toml:"same"`      // one-way delay within a zone
+	CrossZoneDelay Span     `toml:"cross"`     // one-way delay between zones
+	MemoryMB       int      `toml:"memory_mb"` // of each balancer
+	Sockets        int      `toml:"sockets"`
+	Attempts       int      `toml:"shots"`   // maximum attempts per request
+	Mode           string   `toml:"mode"`    // aside: cache nodes report a miss and the balancer asks the gateway; through: cache nodes ask the gateway themselves
+	LoadReports    bool     `toml:"reports"` // cache nodes add their load to answers
+}
+
+// Host describes a group of identical cache nodes, named NAME-1, NAME-2 and so on.
+type Host struct {
+	Name                  string  `toml:"name"`
+	Zone                  string  `toml:"zone"`
+	Count                 int     `toml:"count"`
+	Cores                 int     `toml:"cores"`
+	Speed                 float64 `toml:"speed"`
+	Queue                 int     `toml:"queue"`
+	CacheMB               float64 `toml:"keep_mb"`
+	Connections           int     `toml:"connections"`
+	ConnectWork           Span    `toml:"connect_work"`
+	ProbeWork             Span    `toml:"probe_work"`
+	IdleTimeout           Span    `toml:"idle"`      // the node closes a connection that has been idle for this long
+	ConfiguredIdleTimeout Span    `toml:"idle_told"` // the idle timeout that balancers are configured with; IdleTimeout by default
+	PauseInterval         Span    `toml:"pause_every"`
+	PauseLength           Span    `toml:"pause_for"`
+	ColdCapacity          float64 `toml:"cold_from"`
+	WarmUpTime            Span    `toml:"warm_for"`
+	DropsAbandoned        bool    `toml:"drops_given_up"`
+}
+
+// Origin describes the origin behind the caches, which answers cache misses.
+type Origin struct {
+	Slots            int     `toml:"slots"`
+	ServiceTime      Span    `toml:"time"`
+	Queue            int     `toml:"queue"`
+	OverloadMultiple float64 `toml:"fall_multiple"`
+	OverloadWindow   Span    `toml:"fall_for"`
+	OutageLength     Span    `toml:"stop_for"`
+}
+
+// Discovery describes the discovery stand-in: Delay is the delay until the host list shows a change.
+type Discovery struct {
+	Delay Range `toml:"late"`
 }
 
 // Load describes the traffic apart from surges and other faults.
 type Load struct {
-	PerS      float64 `toml:"per_s"`
-	Swing     float64 `toml:"swing"`
-	SwingFor  Span    `toml:"swing_for"`
-	Keys      int     `toml:"keys"`
-	Zipf      float64 `toml:"zipf"`
-	ValueSize int     `toml:"value_size"`
-	Quota     float64 `toml:"quota"` // sum of all tenants' quotas, as a share of the fleet's capacity
-	Warm      float64 `toml:"warm"`  // share of the keys that are cached at the start, the most popular first
+	RequestsPerSecond float64 `toml:"per_s"`
+	SwingAmplitude    float64 `toml:"swing"`
+	SwingPeriod       Span    `toml:"swing_for"`
+	Keys              int     `toml:"keys"`
+	Zipf              float64 `toml:"zipf"`
+	ValueSize         int     `toml:"value_size"`
+	QuotaRatio        float64 `toml:"quota"` // sum of all tenants' quotas, as a share of the fleet's capacity
+	WarmRatio         float64 `toml:"warm"`  // share of the keys that are cached at the start, the most popular first
 }
 
 // Clients describes how clients behave.
 type Clients struct {
-	Tries     int        `toml:"tries"` // client retries, not counting the first request
-	Wait      Span       `toml:"wait"`
-	Honour    float64    `toml:"honour"` // share of the requested waiting times that clients obey
-	ComeBack  Span       `toml:"come_back"`
-	GiveUpAt  [2]float64 `toml:"give_up_at"`
-	Notice    Span       `toml:"notice"` // time until clients stop using a balancer that has ended
-	ZoneParts []float64  `toml:"zone_parts"`
+	MaxRetries         int        `toml:"tries"` // client retries, not counting the first request
+	RetryDelay         Span       `toml:"wait"`
+	HonourRatio        float64    `toml:"honour"` // share of the requested waiting times that clients obey
+	MaxRetryAfter      Span       `toml:"come_back"`
+	GiveUpAt           [2]float64 `toml:"give_up_at"`
+	FailureNoticeDelay Span       `toml:"notice"` // time until clients stop using a balancer that has ended
+	ZoneShares         []float64  `toml:"zone_parts"`
 }
 
 // Product describes a class of requests.
@@ -123,7 +123,7 @@
 	Name          string             `toml:"name"`
 	Share         float64            `toml:"share"`
 	Work          Span               `toml:"work"`
-	Law           model.Distribution `toml:"law"`
+	Distribution  model.Distribution `toml:"law"`
 	Variation     float64            `toml:"variation"`
 	LatencySLO    Span               `toml:"latency_slo"`
 	ClientTimeout Span               `toml:"client_timeout"`
@@ -135,62 +135,62 @@
 
 // Tenant describes a customer and its traffic.
 type Tenant struct {
-	Name  string  `toml:"name"`
-	Share float64 `toml:"share"` // of the sum of all quotas
-	Usage float64 `toml:"usage"` // its share of the traffic, relative to Share
-	At    []int   `toml:"at"`    // numbers of the balancers that its clients use; all if empty
+	Name      string  `toml:"name"`
+	Share     float64 `toml:"share"` // of the sum of all quotas
+	Usage     float64 `toml:"usage"` // its share of the traffic, relative to Share
+	Balancers []int   `toml:"at"`    // numbers of the balancers that its clients use; all if empty
 }
 
 // Rules holds the limits that the judge applies and the overload behaviour of cache nodes.
 type Rules struct {
-	DrainGrace   Span    `toml:"drain_grace"`
-	FallMultiple float64 `toml:"fall_multiple"`
-	FallFor      Span    `toml:"fall_for"`
-	Slack        Span    `toml:"slack"`      // tolerance added to each time limit of the judge for transit
-	Prompt       Span    `toml:"prompt"`     // time within which a request that was given up must be answered
-	ColdBlame    float64 `toml:"cold_blame"` // a stopped gateway is a breach if at least this share of its load was misses at cold nodes
+	DrainGrace        Span    `toml:"drain_grace"`
+	OverloadMultiple  float64 `toml:"fall_multiple"`
+	OverloadWindow    Span    `toml:"fall_for"`
+	Slack             Span    `toml:"slack"`      // tolerance added to each time limit of the judge for transit
+	PromptTimeout     Span    `toml:"prompt"`     // time within which a request that was given up must be answered
+	ColdMissThreshold float64 `toml:"cold_blame"` // a stopped gateway is a breach if at least this share of its load was misses at cold nodes
 }
 
-// Mates describes the membership protocol between balancers and the links that it uses. Without On, balancers do not
+// Membership describes the membership protocol between balancers and the links that it uses. Without Enabled, balancers do not
 // communicate with each other.
-type Mates struct {
-	On      bool    `toml:"on"`
-	Period  Span    `toml:"period"`
-	Suspect Span    `toml:"suspect"`
-	Budget  int     `toml:"budget"`
-	Loss    float64 `toml:"loss"` // share of datagrams lost on every link for the whole rehearsal
-	Delay   Span    `toml:"delay"`
-	Jitter  Span    `toml:"jitter"`
-	Limits  bool    `toml:"limits"` // balancers lend each other shares of fleet-wide limits
-	Lease   Span    `toml:"lease"`
-	// Evidence makes balancers exchange observations of how attempts at cache nodes ended.
-	Evidence bool `toml:"evidence"`
+type Membership struct {
+	Enabled              bool    `toml:"on"`
+	ProbePeriod          Span    `toml:"period"`
+	SuspicionTimeout     Span    `toml:"suspect"`
+	GossipBytesPerSecond int     `toml:"budget"`
+	LossRatio            float64 `toml:"loss"` // share of datagrams lost on every link for the whole rehearsal
+	Delay                Span    `toml:"delay"`
+	Jitter               Span    `toml:"jitter"`
+	ShareLimits          bool    `toml:"limits"` // balancers lend each other shares of fleet-wide limits
+	LeaseDuration        Span    `toml:"lease"`
+	// ShareObservations makes balancers exchange observations of how attempts at cache nodes ended.
+	ShareObservations bool `toml:"evidence"`
 }
 
-// Way returns the usual properties of the link between any two balancers.
-func (m *Mates) Way() model.LinkConfig {
-	return model.LinkConfig{LossRatio: m.Loss, Delay: m.Delay.Duration(), Jitter: m.Jitter.Duration()}
+// LinkConfig returns the usual properties of the link between any two balancers.
+func (m *Membership) LinkConfig() model.LinkConfig {
+	return model.LinkConfig{LossRatio: m.LossRatio, Delay: m.Delay.Duration(), Jitter: m.Jitter.Duration()}
 }
 
 // Fault describes one injected fault.
 type Fault struct {
-	Do        string   `toml:"do"`
-	At        Span     `toml:"at"`
-	For       Span     `toml:"for"`
-	Nodes     []string `toml:"nodes"`
-	Part      float64  `toml:"part"`
-	By        float64  `toml:"by"`
-	Delay     Span     `toml:"delay"`
-	Zone      string   `toml:"zone"`
-	Balancers []int    `toml:"balancers"`
-	Tenant    string   `toml:"tenant"`
-	Keys      int      `toml:"keys"`
-	AtOnce    int      `toml:"at_once"`
-	Drain     Span     `toml:"drain"`
-	Same      bool     `toml:"same_address"`
-	Count     int      `toml:"count"`
-	To        []int    `toml:"to"`
-	OneWay    bool     `toml:"one_way"`
+	Kind        string   `toml:"do"`
+	At          Span     `toml:"at"`
+	Length      Span     `toml:"for"`
+	Hosts       []string `toml:"nodes"`
+	Share       float64  `toml:"part"`
+	Factor      float64  `toml:"by"`
+	Delay       Span     `toml:"delay"`
+	Zone        string   `toml:"zone"`
+	Balancers   []int    `toml:"balancers"`
+	Tenant      string   `toml:"tenant"`
+	Keys        int      `toml:"keys"`
+	AtOnce      int      `toml:"at_once"`
+	Drain       Span     `toml:"drain"`
+	SameAddress bool     `toml:"same_address"`
+	Count       int      `toml:"count"`
+	To          []int    `toml:"to"`
+	OneWay      bool     `toml:"one_way"`
 }
 
 // faultKind describes a kind of fault and the keys that it requires and permits besides do and at.
@@ -244,20 +244,20 @@
 }
 
 // defaults returns the scenario of an empty file: a small fleet that a laptop can run.
-func defaults() Day {
-	return Day{
+func defaults() Scenario {
+	return Scenario{
 		Length: Span(30 * time.Second), Seed: 1,
-		Fleet: Fleet{Zones: []string{"here"}, Balancers: 2, Same: Span(200 * time.Microsecond), Cross: Span(10 * time.Millisecond),
-			MemoryMB: 192, Sockets: 1024, Attempts: 4, Mode: Aside},
-		Gateway: Gateway{Slots: 16, Time: Span(150 * time.Millisecond), Queue: 32, FallMultiple: 3, FallFor: Span(3 * time.Second),
-			StopFor: Span(4 * time.Second)},
-		Register: Register{Late: Range{Span(500 * time.Millisecond), Span(2 * time.Second)}},
-		Load:     Load{PerS: 200, Keys: 2000, Zipf: 1, ValueSize: 300, Quota: 0.6, Warm: 1},
-		Clients: Clients{Tries: 2, Wait: Span(50 * time.Millisecond), Honour: 1, ComeBack: Span(2 * time.Second),
-			GiveUpAt: [2]float64{0.7, 1}, Notice: Span(time.Second)},
-		Mates: Mates{Period: Span(250 * time.Millisecond), Suspect: Span(time.Second), Budget: 3000, Lease: Span(2 * time.Second)},
-		Rules: Rules{DrainGrace: Span(time.Second), FallMultiple: 3, FallFor: Span(2 * time.Second), Slack: Span(50 * time.Millisecond),
-			Prompt: Span(300 * time.Millisecond), ColdBlame: 0.3},
+		Fleet: Fleet{Zones: []string{"here"}, Balancers: 2, SameZoneDelay: Span(200 * time.Microsecond), CrossZoneDelay: Span(10 * time.Millisecond),
+			MemoryMB: 192, Sockets: 1024, Attempts: 4, Mode: ModeAside},
+		Origin: Origin{Slots: 16, ServiceTime: Span(150 * time.Millisecond), Queue: 32, OverloadMultiple: 3, OverloadWindow: Span(3 * time.Second),
+			OutageLength: Span(4 * time.Second)},
+		Discovery: Discovery{Delay: Range{Span(500 * time.Millisecond), Span(2 * time.Second)}},
+		Load:      Load{RequestsPerSecond: 200, Keys: 2000, Zipf: 1, ValueSize: 300, QuotaRatio: 0.6, WarmRatio: 1},
+		Clients: Clients{MaxRetries: 2, RetryDelay: Span(50 * time.Millisecond), HonourRatio: 1, MaxRetryAfter: Span(2 * time.Second),
+			GiveUpAt: [2]float64{0.7, 1}, FailureNoticeDelay: Span(time.Second)},
+		Membership: Membership{ProbePeriod: Span(250 * time.Millisecond), SuspicionTimeout: Span(time.Second), GossipBytesPerSecond: 3000, LeaseDuration: Span(2 * time.Second)},
+		Rules: Rules{DrainGrace: Span(time.Second), OverloadMultiple: 3, OverloadWindow: Span(2 * time.Second), Slack: Span(50 * time.Millisecond),
+			PromptTimeout: Span(300 * time.Millisecond), ColdMissThreshold: 0.3},
 	}
 }
 
@@ -272,47 +272,47 @@
 	}
 }
 
-func (n *Node) applyDefaults(present keyPresence) {
+func (n *Host) applyDefaults(present keyPresence) {
 	setDefault(present, "count", &n.Count, 1)
 	setDefault(present, "cores", &n.Cores, 2)
 	setDefault(present, "queue", &n.Queue, 200)
 	setDefault(present, "connections", &n.Connections, 1500)
 	setDefault(present, "speed", &n.Speed, 1)
-	setDefault(present, "keep_mb", &n.KeepMB, 8)
-	setDefault(present, "cold_from", &n.ColdFrom, 0.2)
-	setDefault(present, "idle", &n.Idle, Span(60*time.Second))
-	setDefault(present, "warm_for", &n.WarmFor, Span(15*time.Second))
-	if n.PauseEvery > 0 {
-		setDefault(present, "pause_for", &n.PauseFor, Span(200*time.Millisecond))
+	setDefault(present, "keep_mb", &n.CacheMB, 8)
+	setDefault(present, "cold_from", &n.ColdCapacity, 0.2)
+	setDefault(present, "idle", &n.IdleTimeout, Span(60*time.Second))
+	setDefault(present, "warm_for", &n.WarmUpTime, Span(15*time.Second))
+	if n.PauseInterval > 0 {
+		setDefault(present, "pause_for", &n.PauseLength, Span(200*time.Millisecond))
 	}
 }
 
 func (p *Product) applyDefaults(present keyPresence) {
-	setDefault(present, "law", &p.Law, model.Exponential)
+	setDefault(present, "law", &p.Distribution, model.Exponential)
 	setDefault(present, "variation", &p.Variation, 1)
 	setDefault(present, "billed_value", &p.BilledValue, 1)
 	setDefault(present, "effect", &p.Effect, Idempotent)
 }
 
 func (f *Fault) applyDefaults(present keyPresence) {
-	if f.Do == "deploy" {
+	if f.Kind == "deploy" {
 		setDefault(present, "at_once", &f.AtOnce, 1)
 		setDefault(present, "drain", &f.Drain, Span(2*time.Second))
 	}
-	betweenBalancers := strings.HasPrefix(f.Do, "mate-")
+	betweenBalancers := strings.HasPrefix(f.Kind, "mate-")
 	if betweenBalancers {
 		return
 	}
-	concernsNodes := f.Part == 0 || f.Do == "reset" || f.Do == "spoil" || f.Do == "fail" // for these, part is a share of the answers, not of the nodes
-	if concernsNodes && len(f.Nodes) == 0 {
-		f.Nodes = []string{"*"}
+	concernsNodes := f.Share == 0 || f.Kind == "reset" || f.Kind == "spoil" || f.Kind == "fail" // for these, part is a share of the answers, not of the nodes
+	if concernsNodes && len(f.Hosts) == 0 {
+		f.Hosts = []string{"*"}
 	}
 }
 
 // Modes of the fleet: which process asks the gateway after a cache miss.
 const (
-	Aside   = "aside"
-	Through = "through"
+	ModeAside   = "aside"
+	ModeThrough = "through"
 )
 
 // Effects of a product: whether a request may be executed again.
@@ -322,12 +322,12 @@
 	NonIdempotent = "non-idempotent"
 )
 
-// TenantAt returns the balancers, counted from 0, that a tenant's clients use at a given time; an empty result means all.
-func (sc *Day) TenantAt(tenant int, at time.Duration) (balancers []int) {
+// TenantBalancers returns the balancers, counted from 0, that a tenant's clients use at a given time; an empty result means all.
+func (sc *Scenario) TenantBalancers(tenant int, at time.Duration) (balancers []int) {
 	t, since := &sc.Tenants[tenant], Span(-1)
-	list := t.At
+	list := t.Balancers
 	for i := range sc.Faults {
-		if f := &sc.Faults[i]; f.Do == "tenant-move" && f.Tenant == t.Name && f.At.Duration() <= at && f.At >= since {
+		if f := &sc.Faults[i]; f.Kind == "tenant-move" && f.Tenant == t.Name && f.At.Duration() <= at && f.At >= since {
 			list, since = f.Balancers, f.At
 		}
 	}
@@ -337,16 +337,16 @@
 	return balancers
 }
 
-// Allowance returns a tenant's quota in requests per second over all balancers.
-func (sc *Day) Allowance(tenant int) float64 {
-	return sc.Tenants[tenant].Share * sc.Load.Quota * sc.Capacity()
+// TenantQuota returns a tenant's quota in requests per second over all balancers.
+func (sc *Scenario) TenantQuota(tenant int) float64 {
+	return sc.Tenants[tenant].Share * sc.Load.QuotaRatio * sc.Capacity()
 }
 
-// NodeIDs returns the ids of all cache nodes at the start and the group of each.
-func (sc *Day) NodeIDs() (ids []string, groups map[string]*Node) {
-	groups = map[string]*Node{}
-	for i := range sc.Nodes {
-		g := &sc.Nodes[i]
+// HostIDs returns the ids of all cache nodes at the start and the group of each.
+func (sc *Scenario) HostIDs() (ids []string, groups map[string]*Host) {
+	groups = map[string]*Host{}
+	for i := range sc.Hosts {
+		g := &sc.Hosts[i]
 		for n := range g.Count {
 			id := fmt.Sprintf("%s-%d", g.Name, n+1)
 			ids = append(ids, id)
@@ -361,41 +361,41 @@
 const missCostRatio = 0.2
 
 // HostConfig returns the model's parameters of a node of the group.
-func (sc *Day) NodeTerms(n *Node) model.HostConfig {
+func (sc *Scenario) HostConfig(n *Host) model.HostConfig {
 	r, miss := sc.Rules, missCostRatio
-	if sc.Fleet.Mode == Through {
+	if sc.Fleet.Mode == ModeThrough {
 		miss = 0
 	}
-	return model.HostConfig{Cores: n.Cores, Speed: n.Speed, Queue: n.Queue, CacheBytes: int64(n.KeepMB * (1 << 20)),
-		ColdCapacity: n.ColdFrom, WarmUpTime: n.WarmFor.Duration(), OverloadMultiple: r.FallMultiple, OverloadWindow: r.FallFor.Duration(),
-		PauseInterval: n.PauseEvery.Duration(), PauseLength: n.PauseFor.Duration(), DropsAbandoned: n.DropsGivenUp, MissWorkRatio: miss}
+	return model.HostConfig{Cores: n.Cores, Speed: n.Speed, Queue: n.Queue, CacheBytes: int64(n.CacheMB * (1 << 20)),
+		ColdCapacity: n.ColdCapacity, WarmUpTime: n.WarmUpTime.Duration(), OverloadMultiple: r.OverloadMultiple, OverloadWindow: r.OverloadWindow.Duration(),
+		PauseInterval: n.PauseInterval.Duration(), PauseLength: n.PauseLength.Duration(), DropsAbandoned: n.DropsAbandoned, MissWorkRatio: miss}
 }
 
-// Told returns the idle timeout of the node that balancers are configured with.
-func (n *Node) Told() time.Duration {
-	if n.IdleTold > 0 {
-		return n.IdleTold.Duration()
+// BalancerIdleTimeout returns the idle timeout of the node that balancers are configured with.
+func (n *Host) BalancerIdleTimeout() time.Duration {
+	if n.ConfiguredIdleTimeout > 0 {
+		return n.ConfiguredIdleTimeout.Duration()
 	}
-	return n.Idle.Duration()
+	return n.IdleTimeout.Duration()
 }
 
 // Capacity returns how many requests per second the cache nodes can handle at the start.
-func (sc *Day) Capacity() float64 {
+func (sc *Scenario) Capacity() float64 {
 	work, shares, effectiveCores := 0.0, 0.0, 0.0
 	for _, p := range sc.Products {
 		work += p.Share * p.Work.Duration().Seconds()
 		shares += p.Share
 	}
-	for _, n := range sc.Nodes {
+	for _, n := range sc.Hosts {
 		effectiveCores += float64(n.Count) * float64(n.Cores) * n.Speed
 	}
 	return effectiveCores / (work / shares)
 }
 
 // OriginConfig returns the model's parameters of the gateway.
-func (sc *Day) GatewayTerms() model.OriginConfig {
-	t := model.OriginConfig{Slots: sc.Gateway.Slots, ServiceTime: sc.Gateway.Time.Duration(), Queue: sc.Gateway.Queue,
-		OverloadMultiple: sc.Gateway.FallMultiple, OverloadWindow: sc.Gateway.FallFor.Duration(), OutageLength: sc.Gateway.StopFor.Duration()}
+func (sc *Scenario) OriginConfig() model.OriginConfig {
+	t := model.OriginConfig{Slots: sc.Origin.Slots, ServiceTime: sc.Origin.ServiceTime.Duration(), Queue: sc.Origin.Queue,
+		OverloadMultiple: sc.Origin.OverloadMultiple, OverloadWindow: sc.Origin.OverloadWindow.Duration(), OutageLength: sc.Origin.OutageLength.Duration()}
 	for _, p := range sc.Products {
 		t.DedupWindow = max(t.DedupWindow, p.Window.Duration())
 	}
@@ -403,9 +403,9 @@
 }
 
 // LoadConfig returns the model's parameters of clients and traffic.
-func (sc *Day) LoadTerms() model.LoadConfig {
-	t := model.LoadConfig{Length: sc.Length.Duration(), RequestsPerSecond: sc.Load.PerS, SwingAmplitude: sc.Load.Swing, SwingPeriod: sc.Load.SwingFor.Duration(),
-		Keys: sc.Load.Keys, Zipf: sc.Load.Zipf, GiveUpRange: sc.Clients.GiveUpAt, Zones: sc.Clients.ZoneParts}
+func (sc *Scenario) LoadConfig() model.LoadConfig {
+	t := model.LoadConfig{Length: sc.Length.Duration(), RequestsPerSecond: sc.Load.RequestsPerSecond, SwingAmplitude: sc.Load.SwingAmplitude, SwingPeriod: sc.Load.SwingPeriod.Duration(),
+		Keys: sc.Load.Keys, Zipf: sc.Load.Zipf, GiveUpRange: sc.Clients.GiveUpAt, Zones: sc.Clients.ZoneShares}
 	if len(t.Zones) == 0 {
 		for range sc.Fleet.Zones {
 			t.Zones = append(t.Zones, 1)
@@ -419,41 +419,41 @@
 		t.Tenants = append(t.Tenants, model.Tenant{Name: x.Name, Share: x.Share * x.Usage})
 	}
 	for _, f := range sc.Faults {
-		from, to := f.At.Duration(), (f.At + f.For).Duration()
-		switch f.Do {
+		from, to := f.At.Duration(), (f.At + f.Length).Duration()
+		switch f.Kind {
 		case "surge":
-			t.Surges = append(t.Surges, model.Surge{From: from, To: to, Tenant: f.Tenant, Factor: f.By})
+			t.Surges = append(t.Surges, model.Surge{From: from, To: to, Tenant: f.Tenant, Factor: f.Factor})
 		case "scan":
-			t.HotKeys = append(t.HotKeys, model.HotKeys{From: from, To: to, Share: f.Part})
+			t.HotKeys = append(t.HotKeys, model.HotKeys{From: from, To: to, Share: f.Share})
 		case "hot":
-			t.HotKeys = append(t.HotKeys, model.HotKeys{From: from, To: to, Share: f.Part, Keys: f.Keys})
+			t.HotKeys = append(t.HotKeys, model.HotKeys{From: from, To: to, Share: f.Share, Keys: f.Keys})
 		}
 	}
 	return t
 }
 
-// Shorten changes the length of the rehearsal and removes the faults that would end after it.
-func (sc *Day) Shorten(length time.Duration) {
+// SetLength changes the length of the rehearsal and removes the faults that would end after it.
+func (sc *Scenario) SetLength(length time.Duration) {
 	sc.Length = Span(length)
-	sc.Faults = slices.DeleteFunc(sc.Faults, func(f Fault) bool { return f.At+f.For > sc.Length })
+	sc.Faults = slices.DeleteFunc(sc.Faults, func(f Fault) bool { return f.At+f.Length > sc.Length })
 }
 
-// Door reports whether the rehearsal needs the admin API of the balancers.
-func (sc *Day) Door() bool {
-	return slices.ContainsFunc(sc.Faults, func(f Fault) bool { return f.Do == "by-hand" || f.Do == "upgrade" }) || sc.Mates.On
+// NeedsAdminAPI reports whether the rehearsal needs the admin API of the balancers.
+func (sc *Scenario) NeedsAdminAPI() bool {
+	return slices.ContainsFunc(sc.Faults, func(f Fault) bool { return f.Kind == "by-hand" || f.Kind == "upgrade" }) || sc.Membership.Enabled
 }
 
-// Retry returns what clients do after a request that was not fulfilled.
-func (sc *Day) Retry() model.RetryPolicy {
+// RetryPolicy returns what clients do after a request that was not fulfilled.
+func (sc *Scenario) RetryPolicy() model.RetryPolicy {
 	c := sc.Clients
-	return model.RetryPolicy{MaxRetries: c.Tries, InitialDelay: c.Wait.Duration(), HonourRatio: c.Honour, MaxRetryAfter: c.ComeBack.Duration()}
+	return model.RetryPolicy{MaxRetries: c.MaxRetries, InitialDelay: c.RetryDelay.Duration(), HonourRatio: c.HonourRatio, MaxRetryAfter: c.MaxRetryAfter.Duration()}
 }
 
 // ErrFaulty is wrapped by all errors about a file's content.
 var ErrFaulty = errors.New("faulty scenario")
 
 // Text returns the text of a scenario file that parses to the same scenario.
-func (sc *Day) Text() ([]byte, error) {
+func (sc *Scenario) Text() ([]byte, error) {
 	withoutFaults := *sc
 	withoutFaults.Faults = nil
 	var out bytes.Buffer
@@ -462,8 +462,8 @@
 	}
 	for i := range sc.Faults {
 		f := &sc.Faults[i]
-		fmt.Fprintf(&out, "\n[[fault]]\ndo = %q\nat = %q\n", f.Do, f.At)
-		k := faultKinds[f.Do]
+		fmt.Fprintf(&out, "\n[[fault]]\ndo = %q\nat = %q\n", f.Kind, f.At)
+		k := faultKinds[f.Kind]
 		for _, key := range append(slices.Clone(k.required), k.optional...) {
 			if line := f.formatKey(key); line != "" {
 				out.WriteString(line + "\n")
@@ -478,17 +478,17 @@
 	quoted := func(v Span) string { return fmt.Sprintf("%s = %q", key, v) }
 	switch {
 	case key == "for":
-		return quoted(f.For)
+		return quoted(f.Length)
 	case key == "delay" && f.Delay != 0:
 		return quoted(f.Delay)
 	case key == "drain" && f.Drain != 0:
 		return quoted(f.Drain)
-	case key == "nodes" && len(f.Nodes) > 0:
-		return fmt.Sprintf("nodes = [\"%s\"]", strings.Join(f.Nodes, "\", \""))
-	case key == "part" && f.Part != 0:
-		return fmt.Sprintf("part = %v", f.Part)
-	case key == "by" && f.By != 0:
-		return "by = " + strconv.FormatFloat(f.By, 'f', -1, 64)
+	case key == "nodes" && len(f.Hosts) > 0:
+		return fmt.Sprintf("nodes = [\"%s\"]", strings.Join(f.Hosts, "\", \""))
+	case key == "part" && f.Share != 0:
+		return fmt.Sprintf("part = %v", f.Share)
+	case key == "by" && f.Factor != 0:
+		return "by = " + strconv.FormatFloat(f.Factor, 'f', -1, 64)
 	case key == "zone" && f.Zone != "":
 		return fmt.Sprintf("zone = %q", f.Zone)
 	case key == "tenant" && f.Tenant != "":
@@ -499,7 +499,7 @@
 		return fmt.Sprintf("keys = %d", f.Keys)
 	case key == "at_once" && f.AtOnce != 0:
 		return fmt.Sprintf("at_once = %d", f.AtOnce)
-	case key == "same_address" && f.Same:
+	case key == "same_address" && f.SameAddress:
 		return "same_address = true"
 	case key == "to" && len(f.To) > 0:
 		return "to = " + strings.Join(strings.Fields(fmt.Sprint(f.To)), ", ")
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	b, _ := Parse("b", []byte(text))
-	if x, y := strings.Join(a.Hit(0), " "), strings.Join(b.Hit(0), " "); x != y || len(a.Hit(0)) != 2 {
+	if x, y := strings.Join(a.AffectedHosts(0), " "), strings.Join(b.AffectedHosts(0), " "); x != y || len(a.AffectedHosts(0)) != 2 {
 		t.Errorf("affected nodes: %q and %q with the same seed", x, y)
 	}
 }
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -19,7 +19,7 @@
 
 // Found is a scenario that was kept, with its simulated service and the rules that it broke.
 type Found struct {
-	Day     *scenario.Day
+	Day     *scenario.Scenario
 	Service float64
 	Broken  []judge.Rule
 }
@@ -38,7 +38,7 @@
 
 // Days simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
 // context ends, it starts no further ones.
-func Days(ctx context.Context, base *scenario.Day, firstSeed uint64, days, workers int) (Result, error) {
+func Days(ctx context.Context, base *scenario.Scenario, firstSeed uint64, days, workers int) (Result, error) {
 	res := Result{Checked: map[judge.Rule]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -106,7 +106,7 @@
 }
 
 // simulate runs one scenario in virtual time.
-func simulate(d *scenario.Day) (Found, *judge.Verdict, error) {
+func simulate(d *scenario.Scenario) (Found, *judge.Verdict, error) {
 	res, err := virtual.Play(d, nil)
 	if err != nil {
 		return Found{}, nil, err
@@ -125,7 +125,7 @@
 
 // Draw returns a copy of the base scenario with the given seed and one to maxFaults random faults, of any kind, size and time,
 // in addition to those of the base.
-func Draw(base *scenario.Day, seed uint64) *scenario.Day {
+func Draw(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	d := *base
 	d.Seed = seed
 	d.Name = fmt.Sprintf("found-%d", seed)
@@ -138,22 +138,22 @@
 }
 
 // drawFault returns a random fault within the length of the scenario.
-func drawFault(rng *rand.Rand, d *scenario.Day) scenario.Fault {
+func drawFault(rng *rand.Rand, d *scenario.Scenario) scenario.Fault {
 	length := d.Length.Duration()
 	at := time.Duration(rng.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
 	duration := time.Duration(rng.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
-	f := scenario.Fault{Do: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), For: scenario.Span(min(duration, length-at))}
+	f := scenario.Fault{Kind: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), Length: scenario.Span(min(duration, length-at))}
 	probability := 0.05 + 0.6*rng.Float64()
 	pickNodes := func() {
-		ids, _ := d.NodeIDs()
+		ids, _ := d.HostIDs()
 		rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-		f.Nodes = ids[:1+rng.IntN(max(1, len(ids)*2/3))]
-		slices.Sort(f.Nodes)
+		f.Hosts = ids[:1+rng.IntN(max(1, len(ids)*2/3))]
+		slices.Sort(f.Hosts)
 	}
-	switch f.Do {
+	switch f.Kind {
 	case "slow":
 		pickNodes()
-		f.By = 2 + 10*rng.Float64()
+		f.Factor = 2 + 10*rng.Float64()
 	case "stall", "kill", "vanish", "link-cut":
 		pickNodes()
 	case "link-delay":
@@ -161,30 +161,30 @@
 		f.Delay = scenario.Span(time.Duration(5+rng.IntN(200)) * time.Millisecond)
 	case "reset", "spoil", "fail":
 		pickNodes()
-		f.Part = probability
+		f.Share = probability
 	case "zone-dark":
 		f.Zone = d.Fleet.Zones[rng.IntN(len(d.Fleet.Zones))]
 	case "deploy":
 		pickNodes()
-		f.AtOnce, f.Drain, f.Same = 1+rng.IntN(len(f.Nodes)), scenario.Span(2*time.Second), rng.IntN(2) == 0
+		f.AtOnce, f.Drain, f.SameAddress = 1+rng.IntN(len(f.Hosts)), scenario.Span(2*time.Second), rng.IntN(2) == 0
 	case "gateway-slow":
-		f.By = 1.5 + 6*rng.Float64()
+		f.Factor = 1.5 + 6*rng.Float64()
 	case "gateway-reset", "gateway-fail":
-		f.Part = probability / 2
+		f.Share = probability / 2
 	case "register-rewind", "balancer-restart":
-		f.For = 0
+		f.Length = 0
 		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "register-silent", "balancer-kill":
 		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "surge":
-		f.By = 1.5 + 2.5*rng.Float64()
+		f.Factor = 1.5 + 2.5*rng.Float64()
 		if rng.IntN(2) == 0 {
 			f.Tenant = d.Tenants[rng.IntN(len(d.Tenants))].Name
 		}
 	case "scan":
-		f.Part = probability / 2
+		f.Share = probability / 2
 	case "hot":
-		f.Part, f.Keys = probability, 1+rng.IntN(5)
+		f.Share, f.Keys = probability, 1+rng.IntN(5)
 	}
 	return f
 }
@@ -217,7 +217,7 @@
 }
 
 // smallerScenarios returns the scenarios that are one reduction step smaller.
-func smallerScenarios(d *scenario.Day) (list []*scenario.Day) {
+func smallerScenarios(d *scenario.Scenario) (list []*scenario.Scenario) {
 	for i := range d.Faults {
 		x := *d
 		x.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
@@ -230,7 +230,7 @@
 	}
 	last := scenario.Span(0)
 	for _, f := range d.Faults {
-		last = max(last, f.At+f.For)
+		last = max(last, f.At+f.Length)
 	}
 	if shorter := max(last, d.Length*3/4).Duration().Truncate(time.Millisecond); scenario.Span(shorter) < d.Length && shorter >= time.Second {
 		x := *d
--- a/internal/rehearsal/search/search_test.go
+++ b/internal/rehearsal/search/search_test.go
@@ -27,7 +27,7 @@
 keys = 300
 `
 
-func base(t *testing.T) *scenario.Day {
+func base(t *testing.T) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Parse("small", []byte(smallScenario))
 	if err != nil {
@@ -67,9 +67,9 @@
 func TestShrink(t *testing.T) {
 	d := base(t)
 	d.Faults = []scenario.Fault{
-		{Do: "hot", At: scenario.Span(1e9), For: scenario.Span(1e9), Part: 0.1, Keys: 3},
-		{Do: "vanish", At: scenario.Span(2e9), For: scenario.Span(5e9), Nodes: []string{"*"}},
-		{Do: "register-silent", At: scenario.Span(1e9), For: scenario.Span(1e9), Balancers: []int{1}},
+		{Kind: "hot", At: scenario.Span(1e9), Length: scenario.Span(1e9), Share: 0.1, Keys: 3},
+		{Kind: "vanish", At: scenario.Span(2e9), Length: scenario.Span(5e9), Hosts: []string{"*"}},
+		{Kind: "register-silent", At: scenario.Span(1e9), Length: scenario.Span(1e9), Balancers: []int{1}},
 	}
 	f, _, err := simulate(d)
 	if err != nil {
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Day.Faults) != 1 || got.Day.Faults[0].Do != "vanish" || got.Day.Fleet.Balancers != 1 {
+	if len(got.Day.Faults) != 1 || got.Day.Faults[0].Kind != "vanish" || got.Day.Fleet.Balancers != 1 {
 		t.Errorf("%d faults and %d balancers are left, expected the vanish fault and 1 balancer: %+v", len(got.Day.Faults), got.Day.Fleet.Balancers, got.Day.Faults)
 	}
 }
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -39,7 +39,7 @@
 
 // AddOrigin adds the origin, with one listener for each balancer.
 func (w *Environment) AddOrigin() error {
-	g := &Origin{world: w, modelRunner: newModelRunner(), model: model.NewOrigin(w.Scenario.GatewayTerms(), 0),
+	g := &Origin{world: w, modelRunner: newModelRunner(), model: model.NewOrigin(w.Scenario.OriginConfig(), 0),
 		random: model.NewRand(w.Scenario.Seed, "faults gateway")}
 	for b := range w.Scenario.Fleet.Balancers {
 		l, err := w.Listen()
@@ -99,7 +99,7 @@
 
 // submit passes a job to the model. onDone is called with its result, without the origin's lock held.
 func (g *Origin) submit(job model.Job, onDone func(result)) {
-	job.WorkTime = model.RequestWork(g.world.Scenario.Seed, "gateway "+job.ID, model.Exponential, g.world.Scenario.Gateway.Time.Duration(), 1)
+	job.WorkTime = model.RequestWork(g.world.Scenario.Seed, "gateway "+job.ID, model.Exponential, g.world.Scenario.Origin.ServiceTime.Duration(), 1)
 	job.Tag = onDone
 	g.mu.Lock()
 	now := g.world.Now()
@@ -169,7 +169,7 @@
 // serve handles one attempt of a balancer.
 func (g *Origin) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
 	observed := record.Attempt{RequestID: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Origin, FirstByteAt: g.world.Now(), Write: r.Method == http.MethodPut}
-	delay := g.world.Scenario.Fleet.Same.Duration()
+	delay := g.world.Scenario.Fleet.SameZoneDelay.Duration()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if readErr != nil {
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -16,7 +16,7 @@
 	world *Environment
 	ID    string
 	Zone  string
-	Group *scenario.Node
+	Group *scenario.Host
 	links []*link
 	modelRunner
 
@@ -35,7 +35,7 @@
 
 // AddHost adds a cache host and opens its links, at the addresses of the previous host if one is given. A host that is
 // not cold counts as having been up for a long time.
-func (w *Environment) AddHost(id string, g *scenario.Node, cold bool, previous *Host) (*Host, error) {
+func (w *Environment) AddHost(id string, g *scenario.Host, cold bool, previous *Host) (*Host, error) {
 	n := &Host{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.NewRand(w.Scenario.Seed, "faults "+id)}
 	for b := range w.Scenario.Fleet.Balancers {
 		l := &link{balancer: b, hostID: id, delay: w.linkDelay(b, g.Zone), serve: n.serve}
@@ -55,11 +55,11 @@
 func (n *Host) Start(cold bool) error {
 	n.mu.Lock()
 	now := n.world.Now()
-	n.model = model.NewHost(n.world.Scenario.NodeTerms(n.Group), now, cold, model.NewRand(n.world.Scenario.Seed, "pauses "+n.ID))
+	n.model = model.NewHost(n.world.Scenario.HostConfig(n.Group), now, cold, model.NewRand(n.world.Scenario.Seed, "pauses "+n.ID))
 	n.startedAt, n.cold, n.fetching, n.attempts = 0, cold, map[string][]*attempt{}, map[*attempt]struct{}{}
 	if cold {
 		n.startedAt = now
-		n.world.Record.Add(func() { n.world.Record.WarmAt[n.ID] = now + n.Group.WarmFor.Duration() })
+		n.world.Record.Add(func() { n.world.Record.WarmAt[n.ID] = now + n.Group.WarmUpTime.Duration() })
 	}
 	n.mu.Unlock()
 	for _, l := range n.links {
@@ -206,7 +206,7 @@
 			att.finish(answer{lost: true})
 		case n.failRatio > 0 && n.random.Float64() < n.failRatio:
 			att.finish(answer{failed: true})
-		case n.world.Scenario.Fleet.Mode == scenario.Through && (d.Write || !d.Hit):
+		case n.world.Scenario.Fleet.Mode == scenario.ModeThrough && (d.Write || !d.Hit):
 			n.forwardToOrigin(att, d)
 		case d.Write: // the caches take no writes if balancers contact the origin themselves
 			att.finish(answer{failed: true})
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -37,7 +37,7 @@
 
 // AddDiscovery adds discovery.
 func (w *Environment) AddDiscovery() error {
-	delay := [2]time.Duration{w.Scenario.Register.Late[0].Duration(), w.Scenario.Register.Late[1].Duration()}
+	delay := [2]time.Duration{w.Scenario.Discovery.Delay[0].Duration(), w.Scenario.Discovery.Delay[1].Duration()}
 	r := &Discovery{world: w, model: model.NewDiscovery(w.Scenario.Fleet.Balancers, delay, model.NewRand(w.Scenario.Seed, "register"))}
 	for b := range w.Scenario.Fleet.Balancers {
 		a := &discoveryAgent{register: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -73,7 +73,7 @@
 	}()
 	in := bufio.NewReaderSize(conn, memcache.MaxLineBytes)
 	for {
-		conn.SetReadDeadline(time.Now().Add(n.Group.Idle.Duration()))
+		conn.SetReadDeadline(time.Now().Add(n.Group.IdleTimeout.Duration()))
 		if _, err := in.Peek(1); errors.Is(err, os.ErrDeadlineExceeded) && pending.Load() > 0 {
 			continue
 		} else if err != nil {
@@ -271,7 +271,7 @@
 	corrupt, reset := n.corruptRatio > 0 && n.random.Float64() < n.corruptRatio, n.resetRatio > 0 && n.random.Float64() < n.resetRatio
 	kind := n.random.IntN(len(corruptions))
 	report := ""
-	if n.world.Scenario.Fleet.Reports && n.model != nil {
+	if n.world.Scenario.Fleet.LoadReports && n.model != nil {
 		load := n.model.Load()
 		report = fmt.Sprintf(" Linflight=%d,queue=%d,util=%.2f", load.InFlight, load.Queue, load.Utilization)
 	}
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -32,7 +32,7 @@
 	if err := w.AddOrigin(); err != nil {
 		t.Fatal(err)
 	}
-	n, err := w.AddHost("node-1", &d.Nodes[0], false, nil)
+	n, err := w.AddHost("node-1", &d.Hosts[0], false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -18,7 +18,7 @@
 
 // Environment holds what all stand-ins of one rehearsal share.
 type Environment struct {
-	Scenario  *scenario.Day
+	Scenario  *scenario.Scenario
 	Record    *record.Record
 	begin     atomic.Pointer[time.Time] // start of the rehearsal, with its monotonic clock reading; nil before
 	subnet    byte                      // second octet of the loopback addresses, to separate concurrent rehearsals
@@ -46,7 +46,7 @@
 const maxMisses = 1 << 16
 
 // NewEnvironment returns an Environment without any stand-ins. The rehearsal's clock starts with Begin.
-func NewEnvironment(day *scenario.Day, rec *record.Record) *Environment {
+func NewEnvironment(day *scenario.Scenario, rec *record.Record) *Environment {
 	return &Environment{Scenario: day, Record: rec, subnet: byte(100 + os.Getpid()%100), hosts: map[string]*Host{},
 		requests: map[string]ExpectedRequest{}, misses: map[string][]*Host{}}
 }
@@ -135,7 +135,7 @@
 	w.mu.Lock()
 	p := w.Scenario.Products[w.requests[id].Product]
 	w.mu.Unlock()
-	return model.RequestWork(w.Scenario.Seed, id, p.Law, p.Work.Duration(), p.Variation)
+	return model.RequestWork(w.Scenario.Seed, id, p.Distribution, p.Work.Duration(), p.Variation)
 }
 
 // recordMiss remembers that a cache host lacked a request's key.
@@ -192,9 +192,9 @@
 // linkDelay returns the usual one-way delay from a balancer to a zone.
 func (w *Environment) linkDelay(balancer int, zone string) time.Duration {
 	if w.ZoneOf(balancer) == zone {
-		return w.Scenario.Fleet.Same.Duration()
+		return w.Scenario.Fleet.SameZoneDelay.Duration()
 	}
-	return w.Scenario.Fleet.Cross.Duration()
+	return w.Scenario.Fleet.CrossZoneDelay.Duration()
 }
 
 // Listen opens a listener on an otherwise unused loopback address.
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -236,7 +236,7 @@
 func (r *request) answer(reply record.Reply, retryAfter time.Duration) {
 	if !r.answered {
 		r.answered = true
-		r.balancer.d.after(r.balancer.d.Fleet.Same.Duration(), func() { r.onAnswer(reply, retryAfter) })
+		r.balancer.d.after(r.balancer.d.Fleet.SameZoneDelay.Duration(), func() { r.onAnswer(reply, retryAfter) })
 	}
 }
 
@@ -338,9 +338,9 @@
 func (a *attempt) baseDelay() time.Duration {
 	d := a.balancer.d
 	if a.host == nil || a.host.group.Zone == d.Fleet.Zones[a.balancer.zone] {
-		return d.Fleet.Same.Duration()
+		return d.Fleet.SameZoneDelay.Duration()
 	}
-	return d.Fleet.Cross.Duration()
+	return d.Fleet.CrossZoneDelay.Duration()
 }
 
 // serverName returns the name of an attempt's server, as it stands in records.
@@ -367,7 +367,7 @@
 		a.endedAt, a.answerComplete = d.now+a.oneWayDelay(), outcome != policy.Reset && outcome != policy.MalformedAnswer
 		a.proof = proofs[outcome]
 	}
-	if d.Fleet.Mode != scenario.Through {
+	if d.Fleet.Mode != scenario.ModeThrough {
 		cacheResult = 0
 	}
 	d.after(a.oneWayDelay(), func() { a.deliver(outcome, cacheResult) })
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -19,7 +19,7 @@
 
 // Day is a running simulation of a scenario.
 type Day struct {
-	*scenario.Day
+	*scenario.Scenario
 	clock
 	rec              *record.Record
 	hosts            map[string]*cacheHost
@@ -57,45 +57,45 @@
 // Play simulates a scenario. It leaves out what exists only on sockets: the balancers' own resources, misbehaving clients and
 // reloads. If trace is not nil, it receives one line for each event; the same scenario and seed give the same trace byte for
 // byte.
-func Play(s *scenario.Day, trace io.Writer) (*runner.Result, error) {
+func Play(s *scenario.Scenario, trace io.Writer) (*runner.Result, error) {
 	return play(s, trace, deliberateFaults{})
 }
 
 // play is Play with deliberate faults.
-func play(s *scenario.Day, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
+func play(s *scenario.Scenario, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
 	began := time.Now()
-	arrivals, err := model.Arrivals(s.Seed, s.LoadTerms())
+	arrivals, err := model.Arrivals(s.Seed, s.LoadConfig())
 	if err != nil {
 		return nil, err
 	}
-	d := &Day{Day: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.Retry(),
+	d := &Day{Scenario: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.RetryPolicy(),
 		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: w}
-	late := [2]time.Duration{s.Register.Late[0].Duration(), s.Register.Late[1].Duration()}
+	late := [2]time.Duration{s.Discovery.Delay[0].Duration(), s.Discovery.Delay[1].Duration()}
 	d.discovery = model.NewDiscovery(s.Fleet.Balancers, late, model.NewRand(s.Seed, "register"))
-	d.origin = &origin{d: d, model: model.NewOrigin(s.GatewayTerms(), 0), scheduledAt: never, rng: model.NewRand(s.Seed, "faults gateway")}
+	d.origin = &origin{d: d, model: model.NewOrigin(s.OriginConfig(), 0), scheduledAt: never, rng: model.NewRand(s.Seed, "faults gateway")}
 	for b := range s.Fleet.Balancers {
 		d.balancers = append(d.balancers, &balancer{d: d, index: b, zone: b % len(s.Fleet.Zones)})
 	}
-	ids, groups := s.NodeIDs()
+	ids, groups := s.HostIDs()
 	for _, id := range ids {
 		n := d.addHost(id, groups[id], false)
 		d.currentHost[id] = n
-		for k := range int(s.Load.Warm * float64(s.Load.Keys)) {
+		for k := range int(s.Load.WarmRatio * float64(s.Load.Keys)) {
 			n.model.CacheValue(model.KeyName(k), 0, s.Load.ValueSize)
 		}
 		d.discovery.Set(0, n.listEntry(model.Active))
 	}
-	if s.Fleet.Mode == scenario.Aside {
+	if s.Fleet.Mode == scenario.ModeAside {
 		d.discovery.Set(0, model.Entry{Host: record.Origin, Zone: s.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
 	}
 	d.discovery.Advance(0)
-	if s.Mates.On {
+	if s.Membership.Enabled {
 		d.members = gather.NewDay(s, d.rec, nil)
 	}
 	for _, b := range d.balancers {
 		b.start()
 	}
-	if s.Mates.On && s.Mates.Evidence {
+	if s.Membership.Enabled && s.Membership.ShareObservations {
 		d.startObservationExchange(w.alterReports)
 	}
 	for i := range s.Faults {
@@ -106,7 +106,7 @@
 	for _, p := range s.Products {
 		longest = max(longest, p.ClientTimeout.Duration())
 	}
-	d.run(s.Length.Duration() + longest*time.Duration(1+s.Clients.Tries) + s.Clients.ComeBack.Duration())
+	d.run(s.Length.Duration() + longest*time.Duration(1+s.Clients.MaxRetries) + s.Clients.MaxRetryAfter.Duration())
 	return d.result(began), nil
 }
 
@@ -152,7 +152,7 @@
 	}
 	d.tracef("call %s %s to %d until %v", rec.ID, arrival.Key, b.index, rec.Timeout)
 	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.DedupToken, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
-	d.after(d.Fleet.Same.Duration(), func() {
+	d.after(d.Fleet.SameZoneDelay.Duration(), func() {
 		if b.decider == nil {
 			rec.NotSent = true
 			finish(record.NoAnswer, 0)
@@ -181,7 +181,7 @@
 // pickBalancer chooses a balancer for a request, in turn among those that get traffic: first among the balancers that the
 // scenario sets for the tenant now, then in the client's zone, then in any zone.
 func (d *Day) pickBalancer(zone, tenant int) *balancer {
-	if allowed := d.TenantAt(tenant, d.now); len(allowed) > 0 {
+	if allowed := d.TenantBalancers(tenant, d.now); len(allowed) > 0 {
 		d.roundRobin++
 		for i := range allowed {
 			if b := d.balancers[allowed[(d.roundRobin+i)%len(allowed)]]; b.getsTraffic {
@@ -203,7 +203,7 @@
 // drawWork returns the service time that a request needs at a cache host, drawn by the product's distribution.
 func (d *Day) drawWork(req *request) time.Duration {
 	p := &d.Products[req.record.Product]
-	return model.RequestWork(d.Seed, req.id, p.Law, p.Work.Duration(), p.Variation)
+	return model.RequestWork(d.Seed, req.id, p.Distribution, p.Work.Duration(), p.Variation)
 }
 
 // policyEntry converts an entry of the discovery model to the form of package policy.
@@ -243,21 +243,21 @@
 
 // policyTerms returns the configuration of the decider of a balancer in a zone, the same as on sockets.
 func (d *Day) policyTerms(zone int) policy.Config {
-	t := policy.Config{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), CacheAside: d.Fleet.Mode == scenario.Aside, OriginKind: -1, MayCancel: true,
-		MaxAttempts: d.Fleet.Attempts, MaxRetryAfter: policy.Nanos(d.Clients.ComeBack), ColdCapacityFraction: 1, OverloadMultiple: d.Rules.FallMultiple,
-		OverloadWindow: policy.Nanos(d.Rules.FallFor), SubscribeInterval: 10 * policy.Second, TimerGranularity: 5 * policy.Millisecond}
+	t := policy.Config{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), CacheAside: d.Fleet.Mode == scenario.ModeAside, OriginKind: -1, MayCancel: true,
+		MaxAttempts: d.Fleet.Attempts, MaxRetryAfter: policy.Nanos(d.Clients.MaxRetryAfter), ColdCapacityFraction: 1, OverloadMultiple: d.Rules.OverloadMultiple,
+		OverloadWindow: policy.Nanos(d.Rules.OverloadWindow), SubscribeInterval: 10 * policy.Second, TimerGranularity: 5 * policy.Millisecond}
 	if t.CacheAside {
 		t.OriginKind = 1
 	}
-	for _, n := range d.Nodes {
-		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, n.ColdFrom), max(t.WarmUpTime, policy.Nanos(n.WarmFor))
+	for _, n := range d.Hosts {
+		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, n.ColdCapacity), max(t.WarmUpTime, policy.Nanos(n.WarmUpTime))
 	}
 	for _, p := range d.Products {
 		t.Products = append(t.Products, policy.ProductConfig{LatencySLO: policy.Nanos(p.LatencySLO), BilledValue: p.BilledValue,
 			Effect: effects[p.Effect], DedupWindow: policy.Nanos(p.Window)})
 	}
 	for _, x := range d.Tenants {
-		t.Customers = append(t.Customers, policy.CustomerConfig{QuotaPerSecond: x.Share * d.Load.Quota * d.Capacity()})
+		t.Customers = append(t.Customers, policy.CustomerConfig{QuotaPerSecond: x.Share * d.Load.QuotaRatio * d.Capacity()})
 	}
 	return t
 }
@@ -281,10 +281,10 @@
 			Answered: a.answerComplete, Ran: a.executed, Cold: a.cold, Work: a.work, Write: a.request.write, LostOnLink: a.dropped}
 		d.rec.Attempts = append(d.rec.Attempts, r)
 	}
-	res := &runner.Result{Day: d.Day, Record: d.rec, Latency: load.PercentilesOf(d.latency), Took: time.Since(began)}
+	res := &runner.Result{Day: d.Scenario, Record: d.rec, Latency: load.PercentilesOf(d.latency), Took: time.Since(began)}
 	if d.members != nil {
 		d.members.To(d.Length.Duration())
 	}
-	res.Verdict = judge.Judge(d.rec, runner.Terms(d.Day))
+	res.Verdict = judge.Judge(d.rec, runner.Terms(d.Scenario))
 	return res
 }
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -17,7 +17,7 @@
 type Liars func(balancer int, rows []evidence.HostOutcomes) []evidence.HostOutcomes
 
 // PlayLying simulates a scenario in which some balancers send false observations of hosts to the others.
-func PlayLying(s *scenario.Day, alterReports Liars) (*runner.Result, error) {
+func PlayLying(s *scenario.Scenario, alterReports Liars) (*runner.Result, error) {
 	return play(s, nil, deliberateFaults{alterReports: alterReports})
 }
 
@@ -73,10 +73,10 @@
 		if e.alterReports != nil {
 			msg.Hosts = e.alterReports(i, msg.Hosts)
 		}
-		if e.rng.Float64() < d.Mates.Loss || d.isCut(i, to) {
+		if e.rng.Float64() < d.Membership.LossRatio || d.isCut(i, to) {
 			continue
 		}
-		d.after(d.Mates.Delay.Duration()+time.Duration(e.rng.Int64N(int64(d.Mates.Jitter)+1)), func() {
+		d.after(d.Membership.Delay.Duration()+time.Duration(e.rng.Int64N(int64(d.Membership.Jitter)+1)), func() {
 			if o := d.balancers[to]; o.observations != nil && o.decider != nil {
 				o.whenRunning(func() { o.observations.Receive(d.now, from, &msg) }, nil)
 			}
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -32,20 +32,20 @@
 // scheduleFault schedules the begin and end of a fault of the scenario.
 func (d *Day) scheduleFault(i int) {
 	f := &d.Faults[i]
-	from, to := f.At.Duration(), (f.At + f.For).Duration()
+	from, to := f.At.Duration(), (f.At + f.Length).Duration()
 	duringFault := func(begin, end func(h *cacheHost)) {
-		for _, p := range d.Hit(i) {
+		for _, p := range d.AffectedHosts(i) {
 			d.at(from, func() { begin(d.currentHost[p]) })
 			d.at(to, func() { end(d.currentHost[p]) })
 		}
 	}
 	setProbability := func(field func(h *cacheHost) *float64) {
-		duringFault(func(h *cacheHost) { *field(h) = f.Part }, func(h *cacheHost) { *field(h) = 0 })
+		duringFault(func(h *cacheHost) { *field(h) = f.Share }, func(h *cacheHost) { *field(h) = 0 })
 	}
 	restart := func(h *cacheHost) { h.start(true); d.setCondition(h, model.Active) }
-	switch f.Do {
+	switch f.Kind {
 	case "slow":
-		duringFault(func(h *cacheHost) { h.update(func() { h.model.SetSlowdown(f.By) }) }, func(h *cacheHost) { h.update(func() { h.model.SetSlowdown(1) }) })
+		duringFault(func(h *cacheHost) { h.update(func() { h.model.SetSlowdown(f.Factor) }) }, func(h *cacheHost) { h.update(func() { h.model.SetSlowdown(1) }) })
 	case "stall":
 		duringFault(func(h *cacheHost) { h.update(func() { h.model.SetStalled(true) }) }, func(h *cacheHost) { h.update(func() { h.model.SetStalled(false) }) })
 	case "spoil":
@@ -59,53 +59,53 @@
 	case "vanish", "zone-dark":
 		duringFault(func(h *cacheHost) { h.stop(true); d.setCondition(h, model.Left) }, restart)
 	case "link-delay":
-		for _, b := range d.HitBalancers(i) {
+		for _, b := range d.AffectedBalancers(i) {
 			duringFault(func(h *cacheHost) { h.links[b].extraDelay = f.Delay.Duration() }, func(h *cacheHost) { h.links[b].extraDelay = 0 })
 		}
 	case "link-cut":
-		for _, b := range d.HitBalancers(i) {
+		for _, b := range d.AffectedBalancers(i) {
 			duringFault(func(h *cacheHost) { h.links[b].cut = true }, func(h *cacheHost) { h.links[b].cut = false })
 		}
 	case "deploy":
-		d.scheduleDeploy(f, d.Hit(i))
+		d.scheduleDeploy(f, d.AffectedHosts(i))
 	case "register-silent":
-		for _, b := range d.HitBalancers(i) {
+		for _, b := range d.AffectedBalancers(i) {
 			d.at(from, func() { d.discovery.SetSilent(b, true) })
 			d.at(to, func() { d.discovery.SetSilent(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "watch-silent": // the balancer notices and reopens the watch after the same time as on sockets
 		pace := discovery.NewTimeouts(d.Rules.DrainGrace.Duration()*9/10, true)
-		for _, b := range d.HitBalancers(i) {
+		for _, b := range d.AffectedBalancers(i) {
 			d.at(from, func() { d.discovery.SetSilent(b, true) })
 			d.at(from+pace.LongPoll+pace.ResponseGrace, func() { d.discovery.SetSilent(b, false); d.balancers[b].pollDiscovery(false) })
 		}
 	case "register-rewind":
-		for _, b := range d.HitBalancers(i) {
+		for _, b := range d.AffectedBalancers(i) {
 			d.at(from, func() { d.discovery.ResetGenerations(b); d.balancers[b].pollDiscovery(true) })
 		}
 	case "gateway-slow":
 		slow := func(factor float64) func() {
 			return func() { d.origin.advance(); d.origin.model.SetSlowdown(factor); d.origin.scheduleAdvance() }
 		}
-		d.at(from, slow(f.By))
+		d.at(from, slow(f.Factor))
 		d.at(to, slow(1))
 	case "gateway-reset":
-		d.at(from, func() { d.origin.resetProbability = f.Part })
+		d.at(from, func() { d.origin.resetProbability = f.Share })
 		d.at(to, func() { d.origin.resetProbability = 0 })
 	case "gateway-fail":
-		d.at(from, func() { d.origin.failProbability = f.Part })
+		d.at(from, func() { d.origin.failProbability = f.Share })
 		d.at(to, func() { d.origin.failProbability = 0 })
 	case "balancer-kill":
-		for _, b := range d.HitBalancers(i) {
-			d.at(from, func() { d.balancers[b].endTrafficAfter(d.Clients.Notice.Duration()); d.balancers[b].stop() })
+		for _, b := range d.AffectedBalancers(i) {
+			d.at(from, func() { d.balancers[b].endTrafficAfter(d.Clients.FailureNoticeDelay.Duration()); d.balancers[b].stop() })
 			d.at(to, d.balancers[b].start)
 		}
 	case "balancer-stall":
-		for _, b := range d.HitBalancers(i) {
+		for _, b := range d.AffectedBalancers(i) {
 			d.at(from, func() { d.balancers[b].pausedUntil = max(d.balancers[b].pausedUntil, to) })
 		}
 	case "balancer-restart":
-		for _, b := range d.HitBalancers(i) {
+		for _, b := range d.AffectedBalancers(i) {
 			d.at(from, func() { d.balancers[b].endTrafficAfter(restartNoticeDelay) })
 			d.at(from, func() {
 				startCount := d.balancers[b].startCount
@@ -120,9 +120,9 @@
 	case "reload", "rude", "by-hand", "upgrade", "crowd": // concern only real sockets and processes
 		return
 	}
-	label := f.Do
-	if len(f.Nodes) > 0 || f.Part > 0 && strings.Contains(" slow stall kill vanish deploy ", " "+f.Do+" ") {
-		label += " " + strings.Join(d.Hit(i), " ")
+	label := f.Kind
+	if len(f.Hosts) > 0 || f.Share > 0 && strings.Contains(" slow stall kill vanish deploy ", " "+f.Kind+" ") {
+		label += " " + strings.Join(d.AffectedHosts(i), " ")
 	}
 	d.rec.Faults = append(d.rec.Faults, record.Band{Text: label, From: from, To: to})
 }
@@ -131,7 +131,7 @@
 func (d *Day) scheduleDeploy(f *scenario.Fault, names []string) {
 	waves := (len(names) + f.AtOnce - 1) / f.AtOnce
 	for i, p := range names {
-		at := f.At.Duration() + f.For.Duration()*time.Duration(i/f.AtOnce)/time.Duration(waves)
+		at := f.At.Duration() + f.Length.Duration()*time.Duration(i/f.AtOnce)/time.Duration(waves)
 		var old, replacement *cacheHost
 		startReplacement := func() {
 			replacement = d.addHost(fmt.Sprintf("%s.%d", p, strings.Count(old.id, ".")+2), old.group, true)
@@ -140,14 +140,14 @@
 		d.at(at, func() {
 			old = d.currentHost[p]
 			d.setCondition(old, model.Leaving)
-			if !f.Same {
+			if !f.SameAddress {
 				startReplacement()
 			}
 		})
-		d.at(at+d.Register.Late[1].Duration()+f.Drain.Duration(), func() {
+		d.at(at+d.Discovery.Delay[1].Duration()+f.Drain.Duration(), func() {
 			old.stop(false)
 			d.setCondition(old, model.Left)
-			if f.Same {
+			if f.SameAddress {
 				startReplacement()
 			}
 			d.currentHost[p] = replacement
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -14,7 +14,7 @@
 type cacheHost struct {
 	d           *Day
 	id          string
-	group       *scenario.Node
+	group       *scenario.Host
 	model       *model.Host // nil while its process is down
 	unreachable bool        // requests get neither an answer nor a refused connection
 	startedAt   time.Duration
@@ -36,7 +36,7 @@
 // never is the time of the next step of a server that has nothing to do.
 const never = time.Duration(1<<63 - 1)
 
-func (d *Day) addHost(id string, group *scenario.Node, cold bool) *cacheHost {
+func (d *Day) addHost(id string, group *scenario.Host, cold bool) *cacheHost {
 	h := &cacheHost{d: d, id: id, group: group, rng: model.NewRand(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
 	d.hosts[id] = h
 	d.hostsInOrder = append(d.hostsInOrder, h)
@@ -45,11 +45,11 @@
 }
 
 func (h *cacheHost) start(cold bool) {
-	h.model = model.NewHost(h.d.NodeTerms(h.group), h.d.now, cold, model.NewRand(h.d.Seed, "pauses "+h.id))
+	h.model = model.NewHost(h.d.HostConfig(h.group), h.d.now, cold, model.NewRand(h.d.Seed, "pauses "+h.id))
 	h.unreachable, h.cold, h.scheduledAt, h.startedAt = false, cold, never, 0
 	if cold {
 		h.startedAt = h.d.now
-		h.d.rec.WarmAt[h.id] = h.d.now + h.group.WarmFor.Duration()
+		h.d.rec.WarmAt[h.id] = h.d.now + h.group.WarmUpTime.Duration()
 	}
 }
 
@@ -126,7 +126,7 @@
 			a.answer(policy.Reset, 0)
 		case h.spoilProbability > 0 && h.rng.Float64() < h.spoilProbability:
 			a.answer(policy.MalformedAnswer, 0)
-		case h.d.Fleet.Mode == scenario.Through && (done.Write || !done.Hit):
+		case h.d.Fleet.Mode == scenario.ModeThrough && (done.Write || !done.Hit):
 			h.fetchFromOrigin(a, done)
 		case done.Write:
 			a.answer(policy.Errored, 0)
@@ -213,7 +213,7 @@
 // submit gives the origin a job; done is called with its result.
 func (o *origin) submit(req *request, write bool, done func(fetchResult)) {
 	o.advance()
-	work := model.RequestWork(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Gateway.Time.Duration(), 1)
+	work := model.RequestWork(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Origin.ServiceTime.Duration(), 1)
 	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, DedupToken: req.mark, Write: write, WorkTime: work, Tag: done}) {
 		o.d.after(0, func() { done(fetchResult{rejected: true}) })
 	}
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -12,7 +12,7 @@
 	"streamrail/policy"
 )
 
-func openScenario(t *testing.T, name string, seed uint64, balancers int) *scenario.Day {
+func openScenario(t *testing.T, name string, seed uint64, balancers int) *scenario.Scenario {
 	t.Helper()
 	d, err := scenario.Open(name)
 	if err != nil {
@@ -65,13 +65,13 @@
 		"drains hidden":      {"cold-deploy-surge", deliberateFaults{hideDrains: true}, []judge.Rule{judge.Drains}},
 		"cold starts hidden": {"payday-cold", deliberateFaults{hideColdStarts: true}, []judge.Rule{judge.ColdHosts}},
 	} {
-		var d *scenario.Day
+		var d *scenario.Scenario
 		if row.day == "payday-cold" { // all hosts restart at the same time, cold, during a surge
 			d = openScenario(t, "payday", 1, 8)
-			f := scenario.Fault{Do: "kill", At: d.Faults[0].At - scenario.Span(time.Second), For: scenario.Span(time.Second), Nodes: []string{"*"}}
+			f := scenario.Fault{Kind: "kill", At: d.Faults[0].At - scenario.Span(time.Second), Length: scenario.Span(time.Second), Hosts: []string{"*"}}
 			d.Faults = append(d.Faults, f)
-			for i := range d.Nodes {
-				d.Nodes[i].ColdFrom, d.Nodes[i].WarmFor = 0.05, scenario.Span(30*time.Second)
+			for i := range d.Hosts {
+				d.Hosts[i].ColdCapacity, d.Hosts[i].WarmUpTime = 0.05, scenario.Span(30*time.Second)
 			}
 		} else {
 			d = openScenario(t, row.day, 1, 0)
@@ -92,7 +92,7 @@
 	for _, name := range scenario.Names() {
 		for _, balancers := range []int{0, 40} {
 			d := openScenario(t, name, 1, balancers)
-			if balancers > 0 && d.Mates.On {
+			if balancers > 0 && d.Membership.Enabled {
 				continue // these scenarios refer to single balancers; large fleets are covered by "rehearse measure members"
 			}
 			res, err := Play(d, nil)
