--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -215,10 +215,10 @@
 
 // showProgress shows the progress of a running scenario on a terminal.
 func showProgress(s *runner.Stage) {
-	for now := s.W.Now(); now < s.W.Scenario.Length.Duration(); now = s.W.Now() {
-		t := s.Callers.Tally()
+	for now := s.Environment.Now(); now < s.Environment.Scenario.Length.Duration(); now = s.Environment.Now() {
+		t := s.Clients.Tally()
 		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d requests: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
-			s.W.Scenario.Length.Duration().Seconds(), t.Finished, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
+			s.Environment.Scenario.Length.Duration().Seconds(), t.Finished, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
 		time.Sleep(time.Second / 2)
 	}
 	fmt.Fprintln(os.Stderr)
@@ -243,13 +243,13 @@
 	defer cleanup()
 	ctx, stop := interruptContext()
 	defer stop()
-	s, err := runner.Up(ctx, d, runner.Program(program), dir)
+	s, err := runner.Start(ctx, d, runner.Program(program), dir)
 	if err != nil {
 		return err
 	}
 	defer s.End()
-	s.W.Begin()
-	s.W.AcceptAll() // accept requests that are not part of the scenario
+	s.Environment.Begin()
+	s.Environment.AcceptAll() // accept requests that are not part of the scenario
 	for b := range d.Fleet.Balancers {
 		fmt.Printf("balancer %d serves at %s\n", b+1, s.Addr(b))
 	}
@@ -270,7 +270,7 @@
 func printMemberViews(s *runner.Stage, n int) {
 	time.Sleep(2 * time.Second) // the balancers find each other within this time
 	for b := range n {
-		v, ok := s.View(b)
+		v, ok := s.MembershipView(b)
 		if !ok {
 			fmt.Printf("%-4s: its admin API does not answer\n", fmt.Sprint("b", b+1))
 			continue
--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -93,7 +93,7 @@
 		NewDay(day, rec, func(p *Play) {
 			p.Twist = func(index int, in bool, msg *member.Message) { row.twist(p, index, in, msg) }
 		}).To(day.Length.Duration())
-		v := judge.Judge(rec, runner.Terms(day))
+		v := judge.Judge(rec, runner.JudgeConfig(day))
 		if got := v.BrokenRules(); !slices.Equal(got, row.want) {
 			t.Errorf("%s: broken rules %q, expected %q", name, got, row.want)
 			for _, f := range v.Findings {
--- a/internal/rehearsal/measure/closed.go
+++ b/internal/rehearsal/measure/closed.go
@@ -40,12 +40,12 @@
 	defer os.RemoveAll(dir)
 	sc := baseScenario(1, time.Hour, 1)
 	sc.Hosts = []scenario.Host{{Name: "n", Zone: "here", Count: hosts, Cores: 64, Speed: 1, Connections: 1 << 15, IdleTimeout: scenario.Span(time.Minute), ColdCapacity: 1}}
-	session, err := runner.UpEcho(ctx, sc, launch, dir)
+	session, err := runner.StartWithEchoNodes(ctx, sc, launch, dir)
 	if err != nil {
 		return c, err
 	}
 	defer session.End()
-	session.W.Begin()
+	session.Environment.Begin()
 	end := time.Now().Add(length)
 	var mu sync.Mutex
 	merged := hdrhistogram.New(1, 60_000_000, 3)
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -112,21 +112,21 @@
 		return latency, late, 0, good, err
 	}
 	defer os.RemoveAll(dir)
-	session, err := runner.Up(ctx, sc, launch, filepath.Clean(dir))
+	session, err := runner.Start(ctx, sc, launch, filepath.Clean(dir))
 	if err != nil {
 		return latency, late, 0, good, err
 	}
 	if direct {
-		session.Straight("n-1")
+		session.BypassBalancers("n-1")
 	}
-	err = session.Play(ctx)
+	err = session.Run(ctx)
 	session.End()
-	tally := session.Callers.Tally()
+	tally := session.Clients.Tally()
 	good = Share{Of: tally.Finished, Good: tally.Fulfilled}
-	for _, l := range session.Rec.ProcessRuns {
+	for _, l := range session.Record.ProcessRuns {
 		cpu += l.CPU
 	}
-	return session.Callers.Latency(), session.Callers.Lateness(), cpu / time.Duration(max(1, tally.Finished)), good, err
+	return session.Clients.Latency(), session.Clients.Lateness(), cpu / time.Duration(max(1, tally.Finished)), good, err
 }
 
 // Head writes the head of the table whose rows Line writes.
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -119,12 +119,12 @@
 	sc := baseScenario(1, time.Hour, 1)
 	sc.Hosts[0].Count, sc.Fleet.Balancers = 1, balancers
 	sc.Membership = scenario.Membership{Enabled: true, ProbePeriod: scenario.Span(400 * time.Millisecond), SuspicionTimeout: scenario.Span(2 * time.Second), GossipBytesPerSecond: 3000}
-	session, err := runner.Up(ctx, sc, launch, dir)
+	session, err := runner.Start(ctx, sc, launch, dir)
 	if err != nil {
 		return m, err
 	}
 	defer session.End()
-	session.W.Begin()
+	session.Environment.Begin()
 	processIDs := make([]string, balancers)
 	// countViews counts the views of the other balancers that have the current process of the excepted balancer as present. It also
 	// reports whether all these views are complete and equal. Without an exception (-1) it compares the views of all balancers.
@@ -137,7 +137,7 @@
 				continue
 			}
 			group.Go(func() {
-				v, ok := session.View(b)
+				v, ok := session.MembershipView(b)
 				mu.Lock()
 				defer mu.Unlock()
 				digests[v.Digest] = true
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -120,10 +120,10 @@
 
 // New returns the report of a rehearsal.
 func New(res *runner.Result) *Report {
-	day := res.Day
-	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Took, Simulated: true,
+	day := res.Scenario
+	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Elapsed, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
-		Outcomes: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Faults,
+		Outcomes: map[string]int{}, Latency: res.Latency, Late: res.Lateness, Faults: res.Record.Faults,
 		Seconds: make([]Second, int(day.Length.Duration()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
--- a/internal/rehearsal/runner/config.go
+++ b/internal/rehearsal/runner/config.go
@@ -71,7 +71,7 @@
 
 // writeOperatorFile writes the operator file of a balancer if the scenario needs one.
 func (s *Stage) writeOperatorFile(config string, b int) error {
-	text := s.W.Scenario.Operator
+	text := s.Environment.Scenario.Operator
 	if s.membership.links != nil {
 		text += s.fleetSection(b)
 	}
--- a/internal/rehearsal/runner/door.go
+++ b/internal/rehearsal/runner/door.go
@@ -44,12 +44,12 @@
 		s.mu.Lock()
 		addr := s.slots[b].adminAddr
 		s.mu.Unlock()
-		began := s.W.Now()
+		began := s.Environment.Now()
 		ok := callAdmin(s.ctx, http.MethodPost, addr, path, fmt.Sprintf(`{"member":%q}`, node), nil)
-		now := s.W.Now()
-		s.Rec.Add(func() {
-			s.Rec.AdminCalls = append(s.Rec.AdminCalls, record.AdminCall{What: fmt.Sprintf("%s %s at balancer %d", path, node, b+1), At: began, Took: now - began, OK: ok})
-			s.Rec.HostNotices = append(s.Rec.HostNotices, record.HostNotice{Balancer: b, Host: node, Available: !exclude, At: now, ByOperator: true})
+		now := s.Environment.Now()
+		s.Record.Add(func() {
+			s.Record.AdminCalls = append(s.Record.AdminCalls, record.AdminCall{What: fmt.Sprintf("%s %s at balancer %d", path, node, b+1), At: began, Took: now - began, OK: ok})
+			s.Record.HostNotices = append(s.Record.HostNotices, record.HostNotice{Balancer: b, Host: node, Available: !exclude, At: now, ByOperator: true})
 		})
 	}
 }
@@ -69,24 +69,24 @@
 	if err != nil {
 		return err
 	}
-	began := s.W.Now()
+	began := s.Environment.Now()
 	u := record.Upgrade{Balancer: b, From: began}
-	for u.Ready == 0 && s.W.Now()-began < upgradeTimeout && s.ctx.Err() == nil {
+	for u.Ready == 0 && s.Environment.Now()-began < upgradeTimeout && s.ctx.Err() == nil {
 		if callAdmin(s.ctx, http.MethodGet, addr, "/api/ready", "", nil) {
-			u.From = s.W.Now()
+			u.From = s.Environment.Now()
 			u.Ready = u.From - began
 		} else {
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	old.Term()
+	old.Shutdown()
 	select {
 	case <-old.Done():
 	case <-time.After(upgradeTimeout):
 		old.Kill()
 	}
-	u.To = s.W.Now()
-	s.Rec.Add(func() { s.Rec.Upgrades = append(s.Rec.Upgrades, u) })
+	u.To = s.Environment.Now()
+	s.Record.Add(func() { s.Record.Upgrades = append(s.Record.Upgrades, u) })
 	s.mu.Lock()
 	l.run.Ready = u.From
 	s.mu.Unlock()
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -26,7 +26,7 @@
 
 // openLinks chooses addresses for the balancers and starts the relays between them.
 func (s *Stage) openLinks() error {
-	sc := s.W.Scenario
+	sc := s.Environment.Scenario
 	if !sc.Membership.Enabled {
 		return nil
 	}
@@ -47,7 +47,7 @@
 
 // fleetSection returns the section [fleet] of a balancer's operator file.
 func (s *Stage) fleetSection(b int) string {
-	sc, m := s.W.Scenario, &s.membership
+	sc, m := s.Environment.Scenario, &s.membership
 	var peers, via []string
 	for o := range m.addrs {
 		if o == b {
@@ -95,30 +95,30 @@
 		}
 		for b := range s.membership.addrs {
 			s.background.Go(func() {
-				s.View(b)
-				if s.W.Scenario.Membership.ShareLimits {
+				s.MembershipView(b)
+				if s.Environment.Scenario.Membership.ShareLimits {
 					s.pollLimits(b)
 				}
 			})
 			if i%4 == 0 {
-				s.Rec.Add(func() {
-					s.Rec.BytesSent = append(s.Rec.BytesSent, record.BytesSent{Balancer: b, At: s.W.Now(), Bytes: s.membership.links.BytesSent(b)})
+				s.Record.Add(func() {
+					s.Record.BytesSent = append(s.Record.BytesSent, record.BytesSent{Balancer: b, At: s.Environment.Now(), Bytes: s.membership.links.BytesSent(b)})
 				})
 			}
 		}
 	}
 }
 
-// View asks a balancer for its membership view and records it.
-func (s *Stage) View(b int) (v admin.Members, ok bool) {
+// MembershipView asks a balancer for its membership view and records it.
+func (s *Stage) MembershipView(b int) (v admin.Members, ok bool) {
 	if !s.fetchAdmin(b, "/api/members", &v) {
 		return v, false
 	}
-	to := record.MembershipView{Balancer: b, At: s.W.Now(), ProcessID: v.Life, Situation: v.Situation, Digest: v.Digest, NameConflict: v.Rival != ""}
+	to := record.MembershipView{Balancer: b, At: s.Environment.Now(), ProcessID: v.Life, Situation: v.Situation, Digest: v.Digest, NameConflict: v.Rival != ""}
 	for _, m := range v.Members {
 		to.Members = append(to.Members, record.Member{Name: m.Name, ProcessID: m.Life, State: m.State})
 	}
-	s.Rec.Add(func() { s.Rec.Views = append(s.Rec.Views, to) })
+	s.Record.Add(func() { s.Record.Views = append(s.Record.Views, to) })
 	return v, true
 }
 
@@ -128,10 +128,10 @@
 	if !s.fetchAdmin(b, "/api/limits", &all) {
 		return
 	}
-	now := s.W.Now()
-	s.Rec.Add(func() {
+	now := s.Environment.Now()
+	s.Record.Add(func() {
 		for _, l := range all.Limits {
-			s.Rec.LimitShares = append(s.Rec.LimitShares, record.LimitShare{Balancer: b, At: now, Limit: l.Name, Share: l.Part, Demand: l.Need, Quota: l.Bound})
+			s.Record.LimitShares = append(s.Record.LimitShares, record.LimitShare{Balancer: b, At: now, Limit: l.Name, Share: l.Part, Demand: l.Need, Quota: l.Bound})
 		}
 	})
 }
@@ -178,10 +178,10 @@
 	if !ok {
 		return
 	}
-	from := s.W.Now()
+	from := s.Environment.Now()
 	p.Pause(true)
-	s.Rec.Add(func() {
-		s.Rec.Pauses = append(s.Rec.Pauses, record.Pause{Balancer: b, From: from, To: from + length + s.W.Scenario.Rules.Slack.Duration()})
+	s.Record.Add(func() {
+		s.Record.Pauses = append(s.Record.Pauses, record.Pause{Balancer: b, From: from, To: from + length + s.Environment.Scenario.Rules.Slack.Duration()})
 	})
 	s.background.Go(func() {
 		select {
@@ -205,9 +205,9 @@
 	s.mu.Lock()
 	s.membership.wrongNames[b] = other
 	s.mu.Unlock()
-	from := s.W.Now()
-	s.Rec.Add(func() {
-		s.Rec.Pauses = append(s.Rec.Pauses, record.Pause{Balancer: b, From: from, To: from + length, SameNameAs: other + 1})
+	from := s.Environment.Now()
+	s.Record.Add(func() {
+		s.Record.Pauses = append(s.Record.Pauses, record.Pause{Balancer: b, From: from, To: from + length, SameNameAs: other + 1})
 	})
 	s.Kill(b, 0)
 	s.background.Go(func() {
@@ -236,22 +236,22 @@
 	if err != nil {
 		return err
 	}
-	for began := s.W.Now(); s.W.Now()-began < upgradeTimeout && s.ctx.Err() == nil && !callAdmin(s.ctx, http.MethodGet, addr, "/api/ready", "", nil); {
+	for began := s.Environment.Now(); s.Environment.Now()-began < upgradeTimeout && s.ctx.Err() == nil && !callAdmin(s.ctx, http.MethodGet, addr, "/api/ready", "", nil); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	ready := s.W.Now()
+	ready := s.Environment.Now()
 	select {
 	case <-time.After(after):
 	case <-s.ctx.Done():
 	}
-	s.Callers.BalancerDown(b)
+	s.Clients.BalancerDown(b)
 	s.mu.Lock()
 	nextRun.Ready = ready
 	l.instance, l.run, l.adminAddr = old, oldRun, oldAdminAddr
 	s.mu.Unlock()
 	next.Kill()
 	<-next.Done()
-	s.Callers.BalancerUp(b, l.addr)
+	s.Clients.BalancerUp(b, l.addr)
 	return nil
 }
 
--- a/internal/rehearsal/runner/process.go
+++ b/internal/rehearsal/runner/process.go
@@ -15,10 +15,10 @@
 // Instance is one process of a balancer.
 type Instance interface {
 	Kill()                 // ends it immediately
-	Term()                 // shuts it down gracefully
-	Hup()                  // makes it reload its configuration
+	Shutdown()             // shuts it down gracefully
+	Reload()               // makes it reload its configuration
 	Done() <-chan struct{} // is closed when it has ended
-	Exit() int             // returns its exit code once it has ended
+	ExitCode() int         // returns its exit code once it has ended
 	Usage() Usage          // returns its current usage, or its CPU time once it has ended
 }
 
@@ -30,18 +30,18 @@
 	CPU     time.Duration
 }
 
-// Place names the files and the directory that a balancer uses.
-type Place struct {
+// Files names the files and the directory that a balancer uses.
+type Files struct {
 	Config, Log string // files
-	Temp        string // private temporary directory
+	TempDir     string // private temporary directory
 }
 
 // Launch starts a balancer with the files of its Place.
-type Launch func(ctx context.Context, balancer int, at Place) (Instance, error)
+type Launch func(ctx context.Context, balancer int, at Files) (Instance, error)
 
 // Program returns a Launch that starts a binary.
 func Program(path string) Launch {
-	return func(ctx context.Context, balancer int, at Place) (Instance, error) {
+	return func(ctx context.Context, balancer int, at Files) (Instance, error) {
 		out, err := os.OpenFile(at.Log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 		if err != nil {
 			return nil, err
@@ -49,7 +49,7 @@
 		defer out.Close()
 		cmd := exec.CommandContext(ctx, path)
 		cmd.Env = append(os.Environ(), "GW_CONFIG="+at.Config, "GW_NAME=", "GW_LISTEN=", "GW_DISCOVERY=", "GW_ADMIN_ADDR=",
-			"TMPDIR="+at.Temp, "STREAMRAIL_FILE=")
+			"TMPDIR="+at.TempDir, "STREAMRAIL_FILE=")
 		if operatorPath := operatorFile(at.Config); fileExists(operatorPath) {
 			cmd.Env[len(cmd.Env)-1] += operatorPath
 		}
@@ -83,8 +83,8 @@
 	done chan struct{}
 }
 
-func (p *process) Kill() { p.cmd.Process.Kill() }
-func (p *process) Term() { p.cmd.Process.Signal(syscall.SIGTERM) }
+func (p *process) Kill()     { p.cmd.Process.Kill() }
+func (p *process) Shutdown() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
 // Pause suspends or continues the process.
 func (p *process) Pause(on bool) {
@@ -94,9 +94,9 @@
 		p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
-func (p *process) Hup()                  { p.cmd.Process.Signal(syscall.SIGHUP) }
+func (p *process) Reload()               { p.cmd.Process.Signal(syscall.SIGHUP) }
 func (p *process) Done() <-chan struct{} { return p.done }
-func (p *process) Exit() int             { return p.cmd.ProcessState.ExitCode() }
+func (p *process) ExitCode() int         { return p.cmd.ProcessState.ExitCode() }
 
 // Usage reads /proc while the process runs, and the CPU time of its exit state afterwards.
 func (p *process) Usage() (u Usage) {
--- a/internal/rehearsal/runner/room.go
+++ b/internal/rehearsal/runner/room.go
@@ -9,8 +9,8 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Room is the amount of resources that a rehearsal needs or a machine has; zero means unknown.
-type Room struct {
+// Resources is the amount of resources that a rehearsal needs or a machine has; zero means unknown.
+type Resources struct {
 	Descriptors uint64 // of this process
 	MemoryMB    uint64
 }
@@ -24,18 +24,18 @@
 	memoryPerPairKB        = 24  // listener and connections with their buffers and goroutines
 )
 
-// Needs returns the resources that a rehearsal with balancer processes needs.
-func Needs(sc *scenario.Scenario) Room {
+// RequiredResources returns the resources that a rehearsal with balancer processes needs.
+func RequiredResources(sc *scenario.Scenario) Resources {
 	nodes := 0
 	for _, g := range sc.Hosts {
 		nodes += g.Count
 	}
 	pairs, n := uint64(nodes)*uint64(sc.Fleet.Balancers), uint64(sc.Fleet.Balancers)
-	return Room{Descriptors: runnerDescriptors + descriptorsPerPair*pairs + descriptorsPerBalancer*n, MemoryMB: memoryPerBalancerMB*n + pairs*memoryPerPairKB/1024}
+	return Resources{Descriptors: runnerDescriptors + descriptorsPerPair*pairs + descriptorsPerBalancer*n, MemoryMB: memoryPerBalancerMB*n + pairs*memoryPerPairKB/1024}
 }
 
 // check returns an error that names the first insufficient resource, or nil.
-func (available Room) check(required Room, sc *scenario.Scenario) error {
+func (available Resources) check(required Resources, sc *scenario.Scenario) error {
 	for _, x := range []struct {
 		what                string
 		required, available uint64
@@ -49,7 +49,7 @@
 }
 
 // availableResources returns what this machine has available.
-func availableResources() (available Room) {
+func availableResources() (available Resources) {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil {
 		available.Descriptors = limit.Cur
--- a/internal/rehearsal/runner/room_test.go
+++ b/internal/rehearsal/runner/room_test.go
@@ -14,15 +14,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	needs := Needs(sc)
+	needs := RequiredResources(sc)
 	for _, row := range []struct {
-		has  Room
+		has  Resources
 		want string
 	}{
-		{Room{}, ""},
+		{Resources{}, ""},
 		{needs, ""},
-		{Room{needs.Descriptors - 1, needs.MemoryMB}, "descriptors"},
-		{Room{needs.Descriptors, needs.MemoryMB - 1}, "memory"},
+		{Resources{needs.Descriptors - 1, needs.MemoryMB}, "descriptors"},
+		{Resources{needs.Descriptors, needs.MemoryMB - 1}, "memory"},
 	} {
 		if err := row.has.check(needs, sc); (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) {
 			t.Errorf("%+v: %v", row.has, err)
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -25,15 +25,15 @@
 
 // Stage is a rehearsal that has been started: cache nodes, gateway, discovery stand-in, clients and balancers.
 type Stage struct {
-	W          *standin.Environment
-	Rec        *record.Record
-	Callers    *load.Clients
-	launch     Launch
-	dir        string
-	ctx        context.Context
-	cancel     context.CancelFunc
-	background sync.WaitGroup
-	membership membership
+	Environment *standin.Environment
+	Record      *record.Record
+	Clients     *load.Clients
+	launch      Launch
+	dir         string
+	ctx         context.Context
+	cancel      context.CancelFunc
+	background  sync.WaitGroup
+	membership  membership
 
 	mu    sync.Mutex
 	slots []*balancerSlot
@@ -55,17 +55,17 @@
 // readyTimeout limits how long a balancer may take to start serving.
 const readyTimeout = 10 * time.Second
 
-// Up starts the stand-ins and the balancers of a scenario and waits until all balancers serve.
-func Up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
+// Start starts the stand-ins and the balancers of a scenario and waits until all balancers serve.
+func Start(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
 	return up(ctx, sc, launch, dir, (*Stage).addNodes)
 }
 
-// UpEcho is Up with cache nodes that answer all reads immediately.
-func UpEcho(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
+// StartWithEchoNodes is Up with cache nodes that answer all reads immediately.
+func StartWithEchoNodes(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
 	return up(ctx, sc, launch, dir, func(s *Stage) error {
 		ids, groups := sc.HostIDs()
 		for _, id := range ids {
-			if _, err := s.W.AddEcho(id, groups[id]); err != nil {
+			if _, err := s.Environment.AddEcho(id, groups[id]); err != nil {
 				return err
 			}
 		}
@@ -74,11 +74,11 @@
 }
 
 func up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, addNodes func(*Stage) error) (*Stage, error) {
-	if err := availableResources().check(Needs(sc), sc); err != nil {
+	if err := availableResources().check(RequiredResources(sc), sc); err != nil {
 		return nil, err
 	}
 	rec := record.New()
-	s := &Stage{W: standin.NewEnvironment(sc, rec), Rec: rec, launch: launch, dir: dir}
+	s := &Stage{Environment: standin.NewEnvironment(sc, rec), Record: rec, launch: launch, dir: dir}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	if err := s.setUp(addNodes); err != nil {
 		s.cancel()
@@ -105,30 +105,30 @@
 }
 
 func (s *Stage) setUp(addNodes func(*Stage) error) error {
-	sc := s.W.Scenario
-	if err := s.W.AddDiscovery(); err != nil {
+	sc := s.Environment.Scenario
+	if err := s.Environment.AddDiscovery(); err != nil {
 		return err
 	}
-	if err := s.W.AddOrigin(); err != nil {
+	if err := s.Environment.AddOrigin(); err != nil {
 		return err
 	}
 	if err := addNodes(s); err != nil {
 		return err
 	}
 	if sc.Fleet.Mode == scenario.ModeAside {
-		s.W.Discovery.Update(model.Entry{Host: record.Origin, Zone: sc.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
+		s.Environment.Discovery.Update(model.Entry{Host: record.Origin, Zone: sc.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
 	}
 	var err error
-	s.Callers, err = load.New(s.W)
+	s.Clients, err = load.New(s.Environment)
 	return err
 }
 
 // addNodes starts the scenario's cache nodes.
 func (s *Stage) addNodes() error {
-	sc := s.W.Scenario
+	sc := s.Environment.Scenario
 	ids, groups := sc.HostIDs()
 	for _, id := range ids {
-		n, err := s.W.AddHost(id, groups[id], false, nil)
+		n, err := s.Environment.AddHost(id, groups[id], false, nil)
 		if err != nil {
 			return err
 		}
@@ -136,7 +136,7 @@
 		for k := range int(sc.Load.WarmRatio * float64(sc.Load.Keys)) {
 			n.Preload(model.KeyName(k))
 		}
-		s.W.Discovery.Update(n.Entry(model.Active))
+		s.Environment.Discovery.Update(n.Entry(model.Active))
 	}
 	return nil
 }
@@ -167,7 +167,7 @@
 	}
 	l := s.slots[b]
 	if l.addr == "" {
-		if l.addr, err = s.W.FreeAddr(); err != nil {
+		if l.addr, err = s.Environment.FreeAddr(); err != nil {
 			return err
 		}
 		l.configFile = filepath.Join(s.dir, fmt.Sprintf("balancer-%d.json", b+1))
@@ -183,23 +183,23 @@
 // launchAt starts a process for a balancer and keeps its temporary directory, which an upgrade needs. The caller holds s.mu.
 func (s *Stage) launchAt(b int) (err error) {
 	l := s.slots[b]
-	if s.W.Scenario.NeedsAdminAPI() {
-		if l.adminAddr, err = s.W.FreeAddr(); err != nil {
+	if s.Environment.Scenario.NeedsAdminAPI() {
+		if l.adminAddr, err = s.Environment.FreeAddr(); err != nil {
 			return err
 		}
 	}
-	s.W.Discovery.BalancerRestarted(b)
+	s.Environment.Discovery.BalancerRestarted(b)
 	l.starts++
 	if err = s.writeOperatorFile(l.configFile, b); err != nil {
 		return err
 	}
-	if err = writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err = writeConfig(l.configFile, s.Environment, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.Environment.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
-	if l.instance, err = s.launch(s.ctx, b, Place{l.configFile, s.log(b), l.tempDir}); err != nil {
+	if l.instance, err = s.launch(s.ctx, b, Files{l.configFile, s.log(b), l.tempDir}); err != nil {
 		return err
 	}
-	l.run = &record.ProcessRun{Balancer: b, Start: s.W.Now()}
+	l.run = &record.ProcessRun{Balancer: b, Start: s.Environment.Now()}
 	s.background.Add(1)
 	go s.monitor(b, l.run, l.instance)
 	return nil
@@ -227,14 +227,14 @@
 	s.mu.Lock()
 	ended := *run
 	s.mu.Unlock()
-	ended.End, ended.Exit = s.W.Now(), inst.Exit()
+	ended.End, ended.Exit = s.Environment.Now(), inst.ExitCode()
 	ended.PeakMB, ended.Sockets, ended.CPU = peak.MB, peak.Sockets, max(peak.CPU, inst.Usage().CPU)
-	s.Rec.Add(func() { s.Rec.ProcessRuns = append(s.Rec.ProcessRuns, ended) })
+	s.Record.Add(func() { s.Record.ProcessRuns = append(s.Record.ProcessRuns, ended) })
 	s.mu.Lock()
 	replaced := s.slots[b].instance != inst // another process of this balancer has been started already
 	s.mu.Unlock()
 	if !replaced {
-		s.Callers.BalancerDown(b)
+		s.Clients.BalancerDown(b)
 	}
 }
 
@@ -252,9 +252,9 @@
 		}
 		if alive(addr) {
 			s.mu.Lock()
-			l.run.Ready = max(1, s.W.Now())
+			l.run.Ready = max(1, s.Environment.Now())
 			s.mu.Unlock()
-			s.Callers.BalancerUp(b, addr)
+			s.Clients.BalancerUp(b, addr)
 			return true
 		}
 	}
@@ -285,7 +285,7 @@
 // Kill kills a balancer and starts it again after restartDelay.
 func (s *Stage) Kill(b int, restartDelay time.Duration) {
 	inst := s.expectExit(b)
-	s.Callers.BalancerDown(b)
+	s.Clients.BalancerDown(b)
 	inst.Kill()
 	s.startAgain(b, inst, restartDelay)
 }
@@ -293,31 +293,31 @@
 // Restart shuts a balancer down gracefully and starts it again.
 func (s *Stage) Restart(b int) {
 	inst := s.expectExit(b)
-	s.Callers.BalancerDraining(b)
-	inst.Term()
+	s.Clients.BalancerDraining(b)
+	inst.Shutdown()
 	s.startAgain(b, inst, 0)
 }
 
 // Reload moves a balancer's discovery stand-in to another address and makes the balancer reload its configuration.
 func (s *Stage) Reload(b int) error {
-	if err := s.W.Discovery.ChangeAddress(b); err != nil {
+	if err := s.Environment.Discovery.ChangeAddress(b); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	l := s.slots[b]
 	s.mu.Unlock()
-	if err := writeConfig(l.configFile, s.W, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.W.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err := writeConfig(l.configFile, s.Environment, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.Environment.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
 		return err
 	}
-	l.instance.Hup()
+	l.instance.Reload()
 	return nil
 }
 
 // CrowdConnection runs one connection of a crowd, most of which never finish a request.
-func (s *Stage) CrowdConnection(i int) { s.Callers.CrowdConnection(i) }
+func (s *Stage) CrowdConnection(i int) { s.Clients.CrowdConnection(i) }
 
 // MalformedClient runs one client that sends malformed input or nothing.
-func (s *Stage) MalformedClient(i int) { s.Callers.MalformedClient(i) }
+func (s *Stage) MalformedClient(i int) { s.Clients.MalformedClient(i) }
 
 // startAgain waits until a process has ended and starts the balancer again after a delay.
 func (s *Stage) startAgain(b int, inst Instance, delay time.Duration) {
@@ -349,19 +349,19 @@
 // settleDelay is the time given to attempts that are still running when the last request is over.
 const settleDelay = 300 * time.Millisecond
 
-// Play runs load and faults of the scenario, which starts now, to its end.
-func (s *Stage) Play(ctx context.Context) error {
-	s.W.Begin()
+// Run runs load and faults of the scenario, which starts now, to its end.
+func (s *Stage) Run(ctx context.Context) error {
+	s.Environment.Begin()
 	stop := ctx.Done()
 	finished := make(chan struct{})
 	var tasks sync.WaitGroup
 	tasks.Add(3)
 	go func() { defer tasks.Done(); s.pollMembers(finished) }()
 	var fault error
-	go func() { defer tasks.Done(); fault = faults.New(s.W, s).Play(stop) }()
+	go func() { defer tasks.Done(); fault = faults.New(s.Environment, s).Play(stop) }()
 	go func() { defer tasks.Done(); s.measureLateness(finished) }()
-	s.Callers.Run(stop)
-	s.Callers.CloseIdle()
+	s.Clients.Run(stop)
+	s.Clients.CloseIdle()
 	close(finished)
 	tasks.Wait()
 	time.Sleep(settleDelay)
@@ -385,11 +385,11 @@
 	t := time.NewTimer(0)
 	defer t.Stop()
 	for {
-		due := s.W.Now() + latenessInterval
+		due := s.Environment.Now() + latenessInterval
 		t.Reset(latenessInterval)
 		select {
 		case <-t.C:
-			s.W.RecordLateness(due, s.W.Now())
+			s.Environment.RecordLateness(due, s.Environment.Now())
 		case <-stop:
 			return
 		}
@@ -411,23 +411,25 @@
 	for _, l := range s.slots {
 		os.RemoveAll(l.tempDir)
 	}
-	for _, n := range s.W.Hosts() {
+	for _, n := range s.Environment.Hosts() {
 		n.Stop()
 	}
 	if s.membership.links != nil {
 		s.membership.links.Close()
 	}
-	if s.W.Origin != nil {
-		s.W.Origin.RecordLoad()
+	if s.Environment.Origin != nil {
+		s.Environment.Origin.RecordLoad()
 	}
 	time.Sleep(20 * time.Millisecond) // until the ends of the last attempts are recorded
 }
 
-// Straight makes clients send requests directly to a cache node instead of the balancers.
-func (s *Stage) Straight(node string) { s.Callers.BalancerUp(0, s.W.Host(node).Addr(0)) }
+// BypassBalancers makes clients send requests directly to a cache node instead of the balancers.
+func (s *Stage) BypassBalancers(node string) {
+	s.Clients.BalancerUp(0, s.Environment.Host(node).Addr(0))
+}
 
-// Terms returns the limits that the judge applies to a rehearsal of the scenario.
-func Terms(sc *scenario.Scenario) judge.Config {
+// JudgeConfig returns the limits that the judge applies to a rehearsal of the scenario.
+func JudgeConfig(sc *scenario.Scenario) judge.Config {
 	var membership judge.MembershipConfig
 	if m := sc.Membership; m.Enabled {
 		membership = judge.MembershipConfig{Balancers: sc.Fleet.Balancers, ProbePeriod: m.ProbePeriod.Duration(), SuspicionTimeout: m.SuspicionTimeout.Duration(), GossipBytesPerSecond: m.GossipBytesPerSecond, LossRatio: m.LossRatio, Lease: m.LeaseDuration.Duration()}
@@ -448,12 +450,12 @@
 
 // Result is the outcome of a rehearsal.
 type Result struct {
-	Day     *scenario.Scenario
-	Record  *record.Record
-	Verdict *judge.Verdict
-	Latency load.Percentiles
-	Late    load.Percentiles
-	Took    time.Duration
+	Scenario *scenario.Scenario
+	Record   *record.Record
+	Verdict  *judge.Verdict
+	Latency  load.Percentiles
+	Lateness load.Percentiles
+	Elapsed  time.Duration
 }
 
 // Run runs a rehearsal from its start to the verdict. If watch is not nil, it runs beside the rehearsal.
@@ -462,20 +464,20 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, err
 	}
-	s, err := Up(ctx, sc, launch, dir)
+	s, err := Start(ctx, sc, launch, dir)
 	if err != nil {
 		return nil, err
 	}
 	if watch != nil {
 		go watch(s)
 	}
-	err = s.Play(ctx)
+	err = s.Run(ctx)
 	s.End()
 	if err != nil {
 		return nil, err
 	}
-	r := &Result{Day: sc, Record: s.Rec, Latency: s.Callers.Latency(), Late: s.Callers.Lateness(), Took: time.Since(began)}
-	recordMemberships(s.Rec)
-	r.Verdict = judge.Judge(s.Rec, Terms(sc))
+	r := &Result{Scenario: sc, Record: s.Record, Latency: s.Clients.Latency(), Lateness: s.Clients.Lateness(), Elapsed: time.Since(began)}
+	recordMemberships(s.Record)
+	r.Verdict = judge.Judge(s.Record, JudgeConfig(sc))
 	return r, nil
 }
--- a/internal/rehearsal/runner/wrong_test.go
+++ b/internal/rehearsal/runner/wrong_test.go
@@ -56,7 +56,7 @@
 
 // launchFaulty returns a Launch that runs balancers with a defect as part of this process.
 func launchFaulty(defect string) Launch {
-	return func(ctx context.Context, _ int, at Place) (Instance, error) {
+	return func(ctx context.Context, _ int, at Files) (Instance, error) {
 		text, err := os.ReadFile(at.Config)
 		if err != nil {
 			return nil, err
@@ -84,10 +84,10 @@
 		c.Close()
 	}
 }
-func (b *faultyBalancer) Term()                 { b.Kill() }
-func (b *faultyBalancer) Hup()                  {}
+func (b *faultyBalancer) Shutdown()             { b.Kill() }
+func (b *faultyBalancer) Reload()               {}
 func (b *faultyBalancer) Done() <-chan struct{} { return b.done }
-func (b *faultyBalancer) Exit() int             { return 0 }
+func (b *faultyBalancer) ExitCode() int         { return 0 }
 func (b *faultyBalancer) Usage() Usage          { return Usage{} }
 
 // applyList replaces the hosts with those of a host list and keeps the times at which they left.
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -281,10 +281,10 @@
 			Answered: a.answerComplete, Ran: a.executed, Cold: a.cold, Work: a.work, Write: a.request.write, LostOnLink: a.dropped}
 		d.rec.Attempts = append(d.rec.Attempts, r)
 	}
-	res := &runner.Result{Day: d.Scenario, Record: d.rec, Latency: load.PercentilesOf(d.latency), Took: time.Since(began)}
+	res := &runner.Result{Scenario: d.Scenario, Record: d.rec, Latency: load.PercentilesOf(d.latency), Elapsed: time.Since(began)}
 	if d.members != nil {
 		d.members.To(d.Length.Duration())
 	}
-	res.Verdict = judge.Judge(d.rec, runner.Terms(d.Scenario))
+	res.Verdict = judge.Judge(d.rec, runner.JudgeConfig(d.Scenario))
 	return res
 }
