--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -101,7 +101,7 @@
 	if c.Balancers != 0 {
 		d.Fleet.Balancers = c.Balancers
 	}
-	res, err := virtual.Play(d, trace)
+	res, err := virtual.Simulate(d, trace)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -65,7 +65,7 @@
 var evidenceCases = []struct {
 	name   string
 	faults []scenario.Fault
-	alter  virtual.Liars
+	alter  virtual.AlterReports
 }{
 	{name: "a fifth of the hosts fail, in two groups one after the other", faults: alternatingFaults("fail", 1)},
 	{name: "a fifth of the hosts hang, in two groups one after the other", faults: alternatingFaults("stall", 0)},
@@ -94,7 +94,7 @@
 }
 
 // alteredByThreeInEight makes three in eight balancers alter the observations that they report.
-func alteredByThreeInEight(change func(i int, r *evidence.HostOutcomes)) virtual.Liars {
+func alteredByThreeInEight(change func(i int, r *evidence.HostOutcomes)) virtual.AlterReports {
 	return func(b int, rows []evidence.HostOutcomes) []evidence.HostOutcomes {
 		if b%8 >= 3 {
 			return rows
@@ -123,7 +123,7 @@
 				return err
 			}
 			sc.Seed, sc.Faults = uint64(i/2+1), kind.faults
-			res, err := virtual.PlayLying(sc, kind.alter)
+			res, err := virtual.SimulateFalseReports(sc, kind.alter)
 			if err != nil {
 				return err
 			}
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -107,7 +107,7 @@
 	}
 	sc.Seed, sc.Membership.ShareLimits = seed, moving
 	sc.Load.RequestsPerSecond, sc.Load.QuotaRatio = demand*sc.Capacity(), allowanceFactor*demand
-	res, err := virtual.Play(sc, nil)
+	res, err := virtual.Simulate(sc, nil)
 	if err != nil {
 		return result, err
 	}
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -107,7 +107,7 @@
 
 // simulate runs one scenario in virtual time.
 func simulate(d *scenario.Scenario) (Found, *judge.Verdict, error) {
-	res, err := virtual.Play(d, nil)
+	res, err := virtual.Simulate(d, nil)
 	if err != nil {
 		return Found{}, nil, err
 	}
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -16,7 +16,7 @@
 // balancer is a simulated balancer: the production decision code (decider) and the simulated process around it, which gives
 // the decider its input and carries out its decisions.
 type balancer struct {
-	d                *Day
+	d                *Simulation
 	index            int
 	zone             int
 	decider          *policy.Balancer // nil while the process is down
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -17,8 +17,8 @@
 	"streamrail/policy"
 )
 
-// Day is a running simulation of a scenario.
-type Day struct {
+// Simulation is a running simulation of a scenario.
+type Simulation struct {
 	*scenario.Scenario
 	clock
 	rec              *record.Record
@@ -44,31 +44,31 @@
 	alterOutcome   func(policy.Outcome) policy.Outcome // replaces the outcome of attempts
 	hideDrains     bool                                // draining hosts are listed as up
 	hideColdStarts bool                                // start times of hosts are left out, so that cold hosts seem warm
-	alterReports   Liars                               // replaces the observations sent to other balancers
+	alterReports   AlterReports                        // replaces the observations sent to other balancers
 }
 
 // tracef writes a line of the trace.
-func (d *Day) tracef(format string, args ...any) {
+func (d *Simulation) tracef(format string, args ...any) {
 	if d.trace != nil {
 		fmt.Fprintf(d.trace, "%d "+format+"\n", append([]any{d.now.Nanoseconds()}, args...)...)
 	}
 }
 
-// Play simulates a scenario. It leaves out what exists only on sockets: the balancers' own resources, misbehaving clients and
+// Simulate simulates a scenario. It leaves out what exists only on sockets: the balancers' own resources, misbehaving clients and
 // reloads. If trace is not nil, it receives one line for each event; the same scenario and seed give the same trace byte for
 // byte.
-func Play(s *scenario.Scenario, trace io.Writer) (*runner.Result, error) {
-	return play(s, trace, deliberateFaults{})
+func Simulate(s *scenario.Scenario, trace io.Writer) (*runner.Result, error) {
+	return simulate(s, trace, deliberateFaults{})
 }
 
-// play is Play with deliberate faults.
-func play(s *scenario.Scenario, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
+// simulate is Play with deliberate faults.
+func simulate(s *scenario.Scenario, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
 	began := time.Now()
 	arrivals, err := model.Arrivals(s.Seed, s.LoadConfig())
 	if err != nil {
 		return nil, err
 	}
-	d := &Day{Scenario: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.RetryPolicy(),
+	d := &Simulation{Scenario: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.RetryPolicy(),
 		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: w}
 	late := [2]time.Duration{s.Discovery.Delay[0].Duration(), s.Discovery.Delay[1].Duration()}
 	d.discovery = model.NewDiscovery(s.Fleet.Balancers, late, model.NewRand(s.Seed, "register"))
@@ -112,7 +112,7 @@
 
 // scheduleArrivals schedules the next request, which schedules the one after it. Scheduling all at once would fill the event
 // queue with the requests of the whole scenario.
-func (d *Day) scheduleArrivals(arrivals []model.Arrival, i int) {
+func (d *Simulation) scheduleArrivals(arrivals []model.Arrival, i int) {
 	if i < len(arrivals) {
 		d.at(arrivals[i].At, func() {
 			d.sendRequest(&arrivals[i], 1)
@@ -122,7 +122,7 @@
 }
 
 // sendRequest sends a client's request or, if try is above 1, a client retry of it. It schedules the next client retry, if any.
-func (d *Day) sendRequest(arrival *model.Arrival, try int) {
+func (d *Simulation) sendRequest(arrival *model.Arrival, try int) {
 	rec := &record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
 		ScheduledAt: d.now, Sent: d.now, Timeout: d.now + arrival.Timeout}
 	if try > 1 {
@@ -180,7 +180,7 @@
 
 // pickBalancer chooses a balancer for a request, in turn among those that get traffic: first among the balancers that the
 // scenario sets for the tenant now, then in the client's zone, then in any zone.
-func (d *Day) pickBalancer(zone, tenant int) *balancer {
+func (d *Simulation) pickBalancer(zone, tenant int) *balancer {
 	if allowed := d.TenantBalancers(tenant, d.now); len(allowed) > 0 {
 		d.roundRobin++
 		for i := range allowed {
@@ -201,13 +201,13 @@
 }
 
 // drawWork returns the service time that a request needs at a cache host, drawn by the product's distribution.
-func (d *Day) drawWork(req *request) time.Duration {
+func (d *Simulation) drawWork(req *request) time.Duration {
 	p := &d.Products[req.record.Product]
 	return model.RequestWork(d.Seed, req.id, p.Distribution, p.Work.Duration(), p.Variation)
 }
 
 // policyEntry converts an entry of the discovery model to the form of package policy.
-func (d *Day) policyEntry(e model.Entry) policy.HostEntry {
+func (d *Simulation) policyEntry(e model.Entry) policy.HostEntry {
 	p := policy.HostEntry{HostID: policy.HostID(e.Host), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
 	if e.MachineType == "origin" {
 		p.Kind = 1
@@ -228,7 +228,7 @@
 }
 
 // zoneIndex returns the index of a zone; unknown zones get the index after the last one.
-func (d *Day) zoneIndex(name string) int {
+func (d *Simulation) zoneIndex(name string) int {
 	for i, z := range d.Fleet.Zones {
 		if z == name {
 			return i
@@ -242,7 +242,7 @@
 	scenario.NonIdempotent: policy.NonIdempotent}
 
 // policyTerms returns the configuration of the decider of a balancer in a zone, the same as on sockets.
-func (d *Day) policyTerms(zone int) policy.Config {
+func (d *Simulation) policyTerms(zone int) policy.Config {
 	t := policy.Config{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), CacheAside: d.Fleet.Mode == scenario.ModeAside, OriginKind: -1, MayCancel: true,
 		MaxAttempts: d.Fleet.Attempts, MaxRetryAfter: policy.Nanos(d.Clients.MaxRetryAfter), ColdCapacityFraction: 1, OverloadMultiple: d.Rules.OverloadMultiple,
 		OverloadWindow: policy.Nanos(d.Rules.OverloadWindow), SubscribeInterval: 10 * policy.Second, TimerGranularity: 5 * policy.Millisecond}
@@ -263,7 +263,7 @@
 }
 
 // result completes the record and has it judged.
-func (d *Day) result(began time.Time) *runner.Result {
+func (d *Simulation) result(began time.Time) *runner.Result {
 	for _, b := range d.balancers {
 		b.stop()
 	}
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -12,27 +12,27 @@
 	"streamrail/policy"
 )
 
-// Liars returns the observations that a balancer sends to the others instead of its own ones, which are passed as rows. If
+// AlterReports returns the observations that a balancer sends to the others instead of its own ones, which are passed as rows. If
 // the function is nil, balancers send their own observations.
-type Liars func(balancer int, rows []evidence.HostOutcomes) []evidence.HostOutcomes
+type AlterReports func(balancer int, rows []evidence.HostOutcomes) []evidence.HostOutcomes
 
-// PlayLying simulates a scenario in which some balancers send false observations of hosts to the others.
-func PlayLying(s *scenario.Scenario, alterReports Liars) (*runner.Result, error) {
-	return play(s, nil, deliberateFaults{alterReports: alterReports})
+// SimulateFalseReports simulates a scenario in which some balancers send false observations of hosts to the others.
+func SimulateFalseReports(s *scenario.Scenario, alterReports AlterReports) (*runner.Result, error) {
+	return simulate(s, nil, deliberateFaults{alterReports: alterReports})
 }
 
 // observationExchange simulates the exchange of observations of hosts between balancers, with the delay, loss and cuts that
 // the scenario sets between balancers. All balancers know at once which others run; the effect of outdated member views is
 // simulated in package gather.
 type observationExchange struct {
-	d            *Day
+	d            *Simulation
 	rng          *rand.Rand
-	alterReports Liars
-	Sent         int // number of messages
+	alterReports AlterReports
+	sentMessages int // number of messages
 }
 
 // startObservationExchange schedules each balancer's periodic exchange, with a random offset.
-func (d *Day) startObservationExchange(alterReports Liars) {
+func (d *Simulation) startObservationExchange(alterReports AlterReports) {
 	e := &observationExchange{d: d, rng: model.NewRand(d.Seed, "evidence"), alterReports: alterReports}
 	d.observations = e
 	for i := range d.balancers {
@@ -68,7 +68,7 @@
 	listed, _ := b.decider.HostCounts()
 	b.observations.Tick(d.now, peers, listed)
 	for _, s := range b.observations.TakeOutput() {
-		e.Sent++
+		e.sentMessages++
 		to, msg, from := int(uint32(s.To))-1, s.Msg, e.processID(i)
 		if e.alterReports != nil {
 			msg.Hosts = e.alterReports(i, msg.Hosts)
@@ -88,7 +88,7 @@
 }
 
 // isCut reports whether the link from one balancer to another is cut now.
-func (d *Day) isCut(from, to int) bool {
+func (d *Simulation) isCut(from, to int) bool {
 	for _, c := range d.rec.LinkOutages {
 		if c.From == from && c.To == to && c.Begin <= d.now && d.now < c.End {
 			return true
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -13,14 +13,14 @@
 )
 
 // setCondition changes a host's condition in discovery; the discovery model decides when each balancer is notified.
-func (d *Day) setCondition(h *cacheHost, condition model.Lifecycle) {
+func (d *Simulation) setCondition(h *cacheHost, condition model.Lifecycle) {
 	for _, at := range d.discovery.Set(d.now, h.listEntry(condition)) {
 		d.at(at, d.notifyBalancers)
 	}
 }
 
 // notifyBalancers lets the balancers that are due for a notification fetch the changes of the host list.
-func (d *Day) notifyBalancers() {
+func (d *Simulation) notifyBalancers() {
 	for _, b := range d.discovery.Advance(d.now) {
 		d.balancers[b].pollDiscovery(false)
 	}
@@ -30,7 +30,7 @@
 const restartNoticeDelay = 300 * time.Millisecond
 
 // scheduleFault schedules the begin and end of a fault of the scenario.
-func (d *Day) scheduleFault(i int) {
+func (d *Simulation) scheduleFault(i int) {
 	f := &d.Faults[i]
 	from, to := f.At.Duration(), (f.At + f.Length).Duration()
 	duringFault := func(begin, end func(h *cacheHost)) {
@@ -128,7 +128,7 @@
 }
 
 // scheduleDeploy schedules a deployment that drains and replaces hosts in waves, as on sockets.
-func (d *Day) scheduleDeploy(f *scenario.Fault, names []string) {
+func (d *Simulation) scheduleDeploy(f *scenario.Fault, names []string) {
 	waves := (len(names) + f.AtOnce - 1) / f.AtOnce
 	for i, p := range names {
 		at := f.At.Duration() + f.Length.Duration()*time.Duration(i/f.AtOnce)/time.Duration(waves)
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -12,7 +12,7 @@
 
 // cacheHost is a simulated cache host.
 type cacheHost struct {
-	d           *Day
+	d           *Simulation
 	id          string
 	group       *scenario.Host
 	model       *model.Host // nil while its process is down
@@ -36,7 +36,7 @@
 // never is the time of the next step of a server that has nothing to do.
 const never = time.Duration(1<<63 - 1)
 
-func (d *Day) addHost(id string, group *scenario.Host, cold bool) *cacheHost {
+func (d *Simulation) addHost(id string, group *scenario.Host, cold bool) *cacheHost {
 	h := &cacheHost{d: d, id: id, group: group, rng: model.NewRand(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
 	d.hosts[id] = h
 	d.hostsInOrder = append(d.hostsInOrder, h)
@@ -196,7 +196,7 @@
 
 // origin is the simulated origin behind the caches.
 type origin struct {
-	d                                 *Day
+	d                                 *Simulation
 	model                             *model.Origin
 	scheduledAt                       time.Duration
 	effectsRecorded, stopsRecorded    int
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -29,7 +29,7 @@
 func TestSeedIsReproducible(t *testing.T) {
 	sum := func(seed uint64) [32]byte {
 		var trace bytes.Buffer
-		if _, err := Play(openScenario(t, "restarts", seed, 0), &trace); err != nil {
+		if _, err := Simulate(openScenario(t, "restarts", seed, 0), &trace); err != nil {
 			t.Fatal(err)
 		}
 		return sha256.Sum256(trace.Bytes())
@@ -76,7 +76,7 @@
 		} else {
 			d = openScenario(t, row.day, 1, 0)
 		}
-		res, err := play(d, nil, row.faults)
+		res, err := simulate(d, nil, row.faults)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,7 +95,7 @@
 			if balancers > 0 && d.Membership.Enabled {
 				continue // these scenarios refer to single balancers; large fleets are covered by "rehearse measure members"
 			}
-			res, err := Play(d, nil)
+			res, err := Simulate(d, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
