--- a/cmd/rehearse/search.go
+++ b/cmd/rehearse/search.go
@@ -34,15 +34,15 @@
 	ctx, stop := interruptContext()
 	defer stop()
 	start := time.Now()
-	res, err := search.Days(ctx, base, c.From, c.Days, runtime.GOMAXPROCS(0))
+	res, err := search.Run(ctx, base, c.From, c.Days, runtime.GOMAXPROCS(0))
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%d scenarios in virtual time from seed %d, %d without a broken rule, in %v\n", res.Played, c.From, res.Kept, time.Since(start).Round(time.Second))
+	fmt.Printf("%d scenarios in virtual time from seed %d, %d without a broken rule, in %v\n", res.Simulated, c.From, res.Passed, time.Since(start).Round(time.Second))
 	for _, r := range judge.Rules {
 		fmt.Printf("  %-38s %9d checked\n", r.Rule, res.Checked[r.Rule])
 	}
-	for _, found := range append(res.Broken, res.Worst[:min(c.Worst, len(res.Worst))]...) {
+	for _, found := range append(res.Broken, res.LowestService[:min(c.Worst, len(res.LowestService))]...) {
 		shrunk, err := search.Shrink(found)
 		if err != nil {
 			return err
@@ -51,20 +51,20 @@
 			return err
 		}
 	}
-	if res.Kept < res.Played {
+	if res.Passed < res.Simulated {
 		return exitError(report.Broken)
 	}
 	return nil
 }
 
 // reportFinding prints a found scenario and its shrunk form, and writes the latter to a file if --out is set.
-func (c searchCommand) reportFinding(found, shrunk search.Found) error {
-	fmt.Printf("\nseed %d: service %.3f", found.Day.Seed, found.Service)
+func (c searchCommand) reportFinding(found, shrunk search.RunResult) error {
+	fmt.Printf("\nseed %d: service %.3f", found.Scenario.Seed, found.Service)
 	for _, r := range found.Broken {
 		fmt.Printf(", broken: %s", r)
 	}
-	fmt.Printf("; shrunk to %d balancers, %v, service %.3f:\n", shrunk.Day.Fleet.Balancers, shrunk.Day.Length, shrunk.Service)
-	for _, fault := range shrunk.Day.Faults {
+	fmt.Printf("; shrunk to %d balancers, %v, service %.3f:\n", shrunk.Scenario.Fleet.Balancers, shrunk.Scenario.Length, shrunk.Service)
+	for _, fault := range shrunk.Scenario.Faults {
 		fmt.Printf("  %s from %v for %v", fault.Kind, fault.At, fault.Length)
 		if len(fault.Hosts) > 0 {
 			fmt.Printf(" at %d hosts", len(fault.Hosts))
@@ -74,12 +74,12 @@
 	if c.Out == "" {
 		return nil
 	}
-	text, err := shrunk.Day.Text()
+	text, err := shrunk.Scenario.Text()
 	if err != nil {
 		return err
 	}
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return err
 	}
-	return os.WriteFile(filepath.Join(c.Out, shrunk.Day.Name+".toml"), text, 0o644)
+	return os.WriteFile(filepath.Join(c.Out, shrunk.Scenario.Name+".toml"), text, 0o644)
 }
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -17,28 +17,28 @@
 	"streamrail/internal/rehearsal/virtual"
 )
 
-// Found is a scenario that was kept, with its simulated service and the rules that it broke.
-type Found struct {
-	Day     *scenario.Scenario
-	Service float64
-	Broken  []judge.Rule
+// RunResult is a scenario that was kept, with its simulated service and the rules that it broke.
+type RunResult struct {
+	Scenario *scenario.Scenario
+	Service  float64
+	Broken   []judge.Rule
 }
 
 // Result is the result of a search.
 type Result struct {
-	Played  int
-	Kept    int // number of scenarios that broke no rule
-	Broken  []Found
-	Worst   []Found // sorted by service, the lowest first
-	Checked map[judge.Rule]int
+	Simulated     int
+	Passed        int // number of scenarios that broke no rule
+	Broken        []RunResult
+	LowestService []RunResult // sorted by service, the lowest first
+	Checked       map[judge.Rule]int
 }
 
-// maxKept is how many scenarios are kept in each of Result.Broken and Result.Worst.
+// maxKept is how many scenarios are kept in each of Result.Broken and Result.LowestService.
 const maxKept = 10
 
-// Days simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
+// Run simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
 // context ends, it starts no further ones.
-func Days(ctx context.Context, base *scenario.Scenario, firstSeed uint64, days, workers int) (Result, error) {
+func Run(ctx context.Context, base *scenario.Scenario, firstSeed uint64, days, workers int) (Result, error) {
 	res := Result{Checked: map[judge.Rule]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -72,8 +72,8 @@
 }
 
 // add counts a simulated scenario and keeps it if it belongs to those to be kept.
-func (r *Result) add(f Found, verdict *judge.Verdict) {
-	r.Played++
+func (r *Result) add(f RunResult, verdict *judge.Verdict) {
+	r.Simulated++
 	for _, x := range verdict.Findings {
 		r.Checked[x.Rule] += x.Checked
 	}
@@ -82,10 +82,10 @@
 		slices.SortFunc(r.Broken, bySeed) // which ones are kept must not depend on the order in which workers finish
 		r.Broken = r.Broken[:min(len(r.Broken), maxKept)]
 	} else {
-		r.Kept++
+		r.Passed++
 	}
-	r.Worst = append(r.Worst, f)
-	slices.SortFunc(r.Worst, func(x, y Found) int {
+	r.LowestService = append(r.LowestService, f)
+	slices.SortFunc(r.LowestService, func(x, y RunResult) int {
 		if x.Service != y.Service {
 			if x.Service < y.Service {
 				return -1
@@ -94,24 +94,24 @@
 		}
 		return bySeed(x, y)
 	})
-	r.Worst = r.Worst[:min(len(r.Worst), maxKept)]
+	r.LowestService = r.LowestService[:min(len(r.LowestService), maxKept)]
 }
 
 // bySeed orders scenarios by their seed.
-func bySeed(x, y Found) int {
-	if x.Day.Seed < y.Day.Seed {
+func bySeed(x, y RunResult) int {
+	if x.Scenario.Seed < y.Scenario.Seed {
 		return -1
 	}
 	return 1
 }
 
 // simulate runs one scenario in virtual time.
-func simulate(d *scenario.Scenario) (Found, *judge.Verdict, error) {
+func simulate(d *scenario.Scenario) (RunResult, *judge.Verdict, error) {
 	res, err := virtual.Simulate(d, nil)
 	if err != nil {
-		return Found{}, nil, err
+		return RunResult{}, nil, err
 	}
-	return Found{Day: d, Service: report.New(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
+	return RunResult{Scenario: d, Service: report.New(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
 }
 
 // faultKinds are the kinds of faults that a search draws: kinds that package virtual simulates.
@@ -192,8 +192,8 @@
 // Shrink reduces a scenario as long as it still shows the problem, by removing faults, removing balancers or shortening it.
 // If the scenario broke rules, the first of them must still be broken. Otherwise the service may rise by at most a tenth of
 // what was missing to 1.
-func Shrink(f Found) (Found, error) {
-	reproduces := func(x Found) bool {
+func Shrink(f RunResult) (RunResult, error) {
+	reproduces := func(x RunResult) bool {
 		if len(f.Broken) > 0 {
 			return slices.Contains(x.Broken, f.Broken[0])
 		}
@@ -201,13 +201,13 @@
 	}
 	for shrunk := true; shrunk; {
 		shrunk = false
-		for _, smaller := range smallerScenarios(f.Day) {
+		for _, smaller := range smallerScenarios(f.Scenario) {
 			x, _, err := simulate(smaller)
 			if err != nil {
 				return f, err
 			}
 			if reproduces(x) {
-				f.Day, shrunk = x.Day, true
+				f.Scenario, shrunk = x.Scenario, true
 				f.Service, f.Broken = x.Service, x.Broken
 				break
 			}
--- a/internal/rehearsal/search/search_test.go
+++ b/internal/rehearsal/search/search_test.go
@@ -38,19 +38,19 @@
 
 // A fixed set of random scenarios must break no rule and give the same result with any number of workers. A scenario that was
 // found must survive being written to a file and read back, with the same simulated service.
-func TestDays(t *testing.T) {
-	a, err := Days(context.Background(), base(t), 1, 150, 8)
+func TestRun(t *testing.T) {
+	a, err := Run(context.Background(), base(t), 1, 150, 8)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _ := Days(context.Background(), base(t), 1, 150, 2)
-	if a.Played != 150 || b.Played != 150 || a.Worst[0].Service != b.Worst[0].Service || a.Worst[9].Day.Seed != b.Worst[9].Day.Seed {
-		t.Errorf("results differ between 8 and 2 workers: %d and %d scenarios, lowest service %v and %v", a.Played, b.Played, a.Worst[0].Service, b.Worst[0].Service)
+	b, _ := Run(context.Background(), base(t), 1, 150, 2)
+	if a.Simulated != 150 || b.Simulated != 150 || a.LowestService[0].Service != b.LowestService[0].Service || a.LowestService[9].Scenario.Seed != b.LowestService[9].Scenario.Seed {
+		t.Errorf("results differ between 8 and 2 workers: %d and %d scenarios, lowest service %v and %v", a.Simulated, b.Simulated, a.LowestService[0].Service, b.LowestService[0].Service)
 	}
 	for _, f := range a.Broken {
-		t.Errorf("seed %d: broken rules %q", f.Day.Seed, f.Broken)
+		t.Errorf("seed %d: broken rules %q", f.Scenario.Seed, f.Broken)
 	}
-	text, err := a.Worst[0].Day.Text()
+	text, err := a.LowestService[0].Scenario.Text()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,8 +58,8 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	if f, _, err := simulate(d); err != nil || f.Service != a.Worst[0].Service {
-		t.Errorf("read back: service %v, expected %v; %v", f.Service, a.Worst[0].Service, err)
+	if f, _, err := simulate(d); err != nil || f.Service != a.LowestService[0].Service {
+		t.Errorf("read back: service %v, expected %v; %v", f.Service, a.LowestService[0].Service, err)
 	}
 }
 
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(got.Day.Faults) != 1 || got.Day.Faults[0].Kind != "vanish" || got.Day.Fleet.Balancers != 1 {
-		t.Errorf("%d faults and %d balancers are left, expected the vanish fault and 1 balancer: %+v", len(got.Day.Faults), got.Day.Fleet.Balancers, got.Day.Faults)
+	if len(got.Scenario.Faults) != 1 || got.Scenario.Faults[0].Kind != "vanish" || got.Scenario.Fleet.Balancers != 1 {
+		t.Errorf("%d faults and %d balancers are left, expected the vanish fault and 1 balancer: %+v", len(got.Scenario.Faults), got.Scenario.Fleet.Balancers, got.Scenario.Faults)
 	}
 }
