--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -18,13 +18,13 @@
 	do func()
 }
 
-// Day simulates the communication between the balancers of a scenario in virtual time and records it for the judge.
-type Day struct {
-	*Play
+// Simulation simulates the communication between the balancers of a scenario in virtual time and records it for the judge.
+type Simulation struct {
+	*Fleet
 	day           *scenario.Scenario
 	rec           *record.Record
 	actions       []action
-	memberLife    []int // by balancer: index into rec.Mates of its last process; -1: none was started
+	memberLife    []int // by balancer: index into rec.Memberships of its last process; -1: none was started
 	wrongSeeds    map[int]bool
 	requestCounts [][]requestCounter // by balancer and tenant
 }
@@ -60,20 +60,20 @@
 // RestartAfter is how long a balancer that is asked to end goes on running, because clients still use their open connections.
 const RestartAfter = 3 * time.Second
 
-// NewDay starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
+// NewSimulation starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
 // not nil, it may change the simulation before the balancers start; tests use it.
-func NewDay(day *scenario.Scenario, rec *record.Record, configure func(*Play)) *Day {
+func NewSimulation(day *scenario.Scenario, rec *record.Record, configure func(*Fleet)) *Simulation {
 	m := day.Membership
-	d := &Day{day: day, rec: rec, wrongSeeds: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.ProbePeriod.Duration(), Suspect: m.SuspicionTimeout.Duration(),
-		Budget: m.GossipBytesPerSecond, Seed: day.Seed, Ways: m.LinkConfig()})}
+	d := &Simulation{day: day, rec: rec, wrongSeeds: map[int]bool{}, Fleet: New(Config{Members: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, ProbePeriod: m.ProbePeriod.Duration(), SuspicionTimeout: m.SuspicionTimeout.Duration(),
+		GossipBytesPerSecond: m.GossipBytesPerSecond, Seed: day.Seed, Links: m.LinkConfig()})}
 	d.nameOverrides = map[int]int{}
 	if m.ShareLimits {
-		d.Shares = d.newShares()
+		d.Limits = d.newShares()
 	}
 	if configure != nil {
-		configure(d.Play)
+		configure(d.Fleet)
 	}
-	for i := range d.Mates {
+	for i := range d.Members {
 		d.memberLife = append(d.memberLife, -1)
 		d.start(i)
 	}
@@ -87,8 +87,8 @@
 	return d
 }
 
-// To advances the simulation up to the given time, including the scheduled faults.
-func (d *Day) To(until time.Duration) {
+// RunTo advances the simulation up to the given time, including the scheduled faults.
+func (d *Simulation) RunTo(until time.Duration) {
 	for len(d.actions) > 0 && d.actions[0].at <= until {
 		x := d.actions[0]
 		d.actions = d.actions[1:]
@@ -98,44 +98,44 @@
 	d.Run(until)
 }
 
-// Came counts a request of a tenant that a balancer has received now.
-func (d *Day) Came(balancer, tenant int) {
-	if d.Shares != nil {
+// CountRequest counts a request of a tenant that a balancer has received now.
+func (d *Simulation) CountRequest(balancer, tenant int) {
+	if d.Limits != nil {
 		a := &d.requestCounts[balancer][tenant]
 		a.advance(d.Now)
 		a.counts[a.turn%len(a.counts)]++
 	}
 }
 
-// Parts calls tell with the fraction of each tenant's quota that the balancer may use now. It does nothing if shares do
+// QuotaShares calls yield with the fraction of each tenant's quota that the balancer may use now. It does nothing if shares do
 // not move between balancers.
-func (d *Day) Parts(balancer int, tell func(tenant int, part float64)) {
-	m := d.Mates[balancer]
+func (d *Simulation) QuotaShares(balancer int, yield func(tenant int, part float64)) {
+	m := d.Members[balancer]
 	if m.Share == nil {
 		return
 	}
-	for t, bound := range d.Shares.Bound {
-		tell(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/bound)
+	for t, bound := range d.Limits.Limit {
+		yield(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/bound)
 	}
 }
 
-func (d *Day) at(at time.Duration, do func()) { d.actions = append(d.actions, action{at, do}) }
+func (d *Simulation) at(at time.Duration, do func()) { d.actions = append(d.actions, action{at, do}) }
 
 func formatID(l member.ProcessID) string { return fmt.Sprintf("%016x", uint64(l)) }
 
-func (d *Day) start(i int) {
-	if d.Mates[i].Machine != nil {
+func (d *Simulation) start(i int) {
+	if d.Members[i].Machine != nil {
 		return
 	}
 	d.nextSeedsWrong = d.wrongSeeds[i]
 	d.Start(i)
 	d.nextSeedsWrong = false
 	d.memberLife[i] = len(d.rec.Memberships)
-	d.rec.Memberships = append(d.rec.Memberships, record.Membership{Balancer: i, ProcessID: formatID(d.Mates[i].ProcessID()), From: d.Now})
+	d.rec.Memberships = append(d.rec.Memberships, record.Membership{Balancer: i, ProcessID: formatID(d.Members[i].ProcessID()), From: d.Now})
 }
 
-func (d *Day) stop(i int, leave bool) {
-	if d.Mates[i].Machine == nil {
+func (d *Simulation) stop(i int, leave bool) {
+	if d.Members[i].Machine == nil {
 		return
 	}
 	d.rec.Memberships[d.memberLife[i]].To = d.Now
@@ -146,24 +146,24 @@
 	}
 }
 
-// newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by Came.
-func (d *Day) newShares() *Shares {
+// newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by CountRequest.
+func (d *Simulation) newShares() *Limits {
 	n := len(d.day.Tenants)
-	s := &Shares{Lease: d.day.Membership.LeaseDuration.Duration(), Floor: make([]float64, n)}
+	s := &Limits{Lease: d.day.Membership.LeaseDuration.Duration(), Minimum: make([]float64, n)}
 	for t := range n {
-		s.Names, s.Bound, s.Grain = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Bound, d.day.TenantQuota(t)), append(s.Grain, 1)
+		s.Names, s.Limit, s.Step = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Limit, d.day.TenantQuota(t)), append(s.Step, 1)
 	}
 	for range d.day.Fleet.Balancers {
 		d.requestCounts = append(d.requestCounts, make([]requestCounter, n))
 	}
-	s.Need = func(index, name int, now time.Duration) float64 { return d.requestCounts[index][name].perS(now) }
+	s.Demand = func(index, name int, now time.Duration) float64 { return d.requestCounts[index][name].perS(now) }
 	return s
 }
 
 // recordViews records the membership view, the quota shares and the bytes sent so far of each running balancer.
-func (d *Day) recordViews() {
-	for i, m := range d.Mates {
-		if m.Machine == nil || m.Stalled > d.Now {
+func (d *Simulation) recordViews() {
+	for i, m := range d.Members {
+		if m.Machine == nil || m.StalledUntil > d.Now {
 			continue
 		}
 		v := m.View()
@@ -178,16 +178,16 @@
 				break
 			}
 			st := m.Share.State(d.Now, name)
-			d.rec.LimitShares = append(d.rec.LimitShares, record.LimitShare{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Share: float64(st.Part) / float64(share.WholeLimit),
+			d.rec.LimitShares = append(d.rec.LimitShares, record.LimitShare{Balancer: i, At: d.Now, Limit: d.Limits.Names[name], Share: float64(st.Part) / float64(share.WholeLimit),
 				Demand: st.Need, Quota: m.Share.Limit(name), Simultaneous: true})
 		}
-		d.rec.BytesSent = append(d.rec.BytesSent, record.BytesSent{Balancer: i, At: d.Now, Bytes: m.Bytes})
+		d.rec.BytesSent = append(d.rec.BytesSent, record.BytesSent{Balancer: i, At: d.Now, Bytes: m.BytesSent})
 	}
 }
 
 // scheduleFault schedules a fault of the scenario. Faults that do not concern the balancers themselves or the links between
 // them have no effect here.
-func (d *Day) scheduleFault(i int) {
+func (d *Simulation) scheduleFault(i int) {
 	f := &d.day.Faults[i]
 	from, to, targets := f.At.Duration(), (f.At + f.Length).Duration(), d.day.AffectedBalancers(i)
 	switch f.Kind {
@@ -242,9 +242,9 @@
 }
 
 // changeLinks applies a fault to the links that it concerns, or ends it there.
-func (d *Day) changeLinks(i int, end bool) {
+func (d *Simulation) changeLinks(i int, end bool) {
 	change := d.day.LinkChange(i, end)
 	for _, w := range d.day.AffectedLinks(i) {
-		change(&d.Way(w[0], w[1]).LinkConfig)
+		change(&d.Link(w[0], w[1]).LinkConfig)
 	}
 }
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -16,35 +16,35 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// Terms are the fixed parameters of a simulation.
-type Terms struct {
-	Mates   int
-	Zones   int
-	Seeds   int // number of seed addresses that each member starts with
-	Period  time.Duration
-	Suspect time.Duration
-	Budget  int
-	Seed    uint64
-	Ways    model.LinkConfig // initial properties of the link between any two members
+// Config holds the fixed parameters of a simulation.
+type Config struct {
+	Members              int
+	Zones                int
+	Seeds                int // number of seed addresses that each member starts with
+	ProbePeriod          time.Duration
+	SuspicionTimeout     time.Duration
+	GossipBytesPerSecond int
+	Seed                 uint64
+	Links                model.LinkConfig // initial properties of the link between any two members
 }
 
-// Play is a simulated fleet and its current state.
-type Play struct {
-	Now   time.Duration
-	Mates []*Mate
-	// Twist may change a message that a member sends, or receives (in is true), before it is processed further. Tests use
+// Fleet is a simulated fleet and its current state.
+type Fleet struct {
+	Now     time.Duration
+	Members []*Member
+	// AlterMessage may change a message that a member sends, or receives (in is true), before it is processed further. Tests use
 	// it to simulate a faulty member.
-	Twist func(index int, in bool, msg *member.Message)
-	// On is called with each event that a state machine reports, Sent for each datagram that a member sends. Both may be nil.
-	On   func(index int, e member.Event)
-	Sent func(index, to, bytes int)
+	AlterMessage func(index int, in bool, msg *member.Message)
+	// OnEvent is called with each event that a state machine reports, OnSend for each datagram that a member sends. Both may be nil.
+	OnEvent func(index int, e member.Event)
+	OnSend  func(index, to, bytes int)
 
-	// Shares, if set, are the limits whose shares move between members. Wrong may change a share machine after its
+	// Limits, if set, are the limits whose shares move between members. AlterShare may change a share machine after its
 	// periodic tick, for tests.
-	Shares *Shares
-	Wrong  func(index int, m *share.Machine)
+	Limits     *Limits
+	AlterShare func(index int, m *share.Machine)
 
-	terms          Terms
+	terms          Config
 	links          map[[2]int]*model.Link
 	defaultLink    *model.Link
 	cut            func(from, to int) bool
@@ -56,37 +56,37 @@
 	rng            *rand.Rand
 }
 
-// Shares are the limits of a fleet whose shares move between its members. The slices are indexed by limit.
-type Shares struct {
-	Names []string
-	Bound []float64
-	Grain []float64
-	Floor []float64
-	Lease time.Duration
-	Need  func(index, name int, now time.Duration) float64 // recent demand at a member, in the limit's unit
+// Limits are the limits of a fleet whose shares move between its members. The slices are indexed by limit.
+type Limits struct {
+	Names   []string
+	Limit   []float64
+	Step    []float64
+	Minimum []float64
+	Lease   time.Duration
+	Demand  func(index, name int, now time.Duration) float64 // recent demand at a member, in the limit's unit
 }
 
-// Mate is one balancer of the simulation. Over time it may run several processes, one after the other.
-type Mate struct {
-	*member.Machine // nil while no process runs
-	Share           *share.Machine
-	Starts          int
-	Stalled         time.Duration // the process does not run before this time
-	queued          []event       // datagrams that arrived while the process was stalled
-	generation      uint32
-	timerAt         time.Duration
-	Bytes, Sent     int64
+// Member is one balancer of the simulation. Over time it may run several processes, one after the other.
+type Member struct {
+	*member.Machine          // nil while no process runs
+	Share                    *share.Machine
+	Starts                   int
+	StalledUntil             time.Duration // the process does not run before this time
+	queued                   []event       // datagrams that arrived while the process was stalled
+	generation               uint32
+	timerAt                  time.Duration
+	BytesSent, DatagramsSent int64
 }
 
 // maxQueued is how many datagrams a socket buffers for a stalled process; further ones are lost.
 const maxQueued = 250
 
 // New returns a fleet in which no process runs yet.
-func New(t Terms) *Play {
-	p := &Play{terms: t, links: map[[2]int]*model.Link{}, rng: model.NewRand(t.Seed, "gather")}
-	p.defaultLink = model.NewLink(t.Ways, p.rng)
-	for range t.Mates {
-		p.Mates = append(p.Mates, &Mate{})
+func New(t Config) *Fleet {
+	p := &Fleet{terms: t, links: map[[2]int]*model.Link{}, rng: model.NewRand(t.Seed, "gather")}
+	p.defaultLink = model.NewLink(t.Links, p.rng)
+	for range t.Members {
+		p.Members = append(p.Members, &Member{})
 	}
 	return p
 }
@@ -101,48 +101,48 @@
 }
 
 // Start starts a new process for a balancer; it does nothing if one runs already.
-func (p *Play) Start(i int) {
-	m := p.Mates[i]
+func (p *Fleet) Start(i int) {
+	m := p.Members[i]
 	if m.Machine != nil {
 		return
 	}
 	m.Starts++
 	p.starts++
-	t := member.Config{ExpectedMembers: p.terms.Mates, ProbeInterval: p.terms.Period, SuspicionTimeout: p.terms.Suspect, GossipBytesPerSecond: p.terms.Budget,
-		MaxMembers: 4*p.terms.Mates + 64, Seed: p.rng.Uint64()}
+	t := member.Config{ExpectedMembers: p.terms.Members, ProbeInterval: p.terms.ProbePeriod, SuspicionTimeout: p.terms.SuspicionTimeout, GossipBytesPerSecond: p.terms.GossipBytesPerSecond,
+		MaxMembers: 4*p.terms.Members + 64, Seed: p.rng.Uint64()}
 	name := record.BalancerName(i)
 	if other, ok := p.nameOverrides[i]; ok {
 		name = record.BalancerName(other)
 	}
 	t.Self = member.Record{Life: member.NewProcessID(p.Now.Milliseconds()+1, p.starts), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
-	for s := range min(p.terms.Seeds, p.terms.Mates) {
+	for s := range min(p.terms.Seeds, p.terms.Members) {
 		if p.nextSeedsWrong {
-			s += p.terms.Mates
+			s += p.terms.Members
 		}
 		t.Seeds = append(t.Seeds, addr(s))
 	}
 	m.Machine = member.New(t, p.Now, nil)
 	m.generation++
-	m.Stalled, m.queued, m.timerAt = 0, nil, 0
+	m.StalledUntil, m.queued, m.timerAt = 0, nil, 0
 	p.flush(i)
-	if s := p.Shares; s != nil {
-		m.Share = share.New(share.Config{Self: m.Machine.ProcessID(), Balancers: p.terms.Mates, Names: s.Names, Limits: s.Bound, NeedPerItem: s.Grain, ReservedFraction: s.Floor, Lease: s.Lease,
+	if s := p.Limits; s != nil {
+		m.Share = share.New(share.Config{Self: m.Machine.ProcessID(), Balancers: p.terms.Members, Names: s.Names, Limits: s.Limit, NeedPerItem: s.Step, ReservedFraction: s.Minimum, Lease: s.Lease,
 			FirstAskNumber: uint64(p.Now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, p.Now)
 		p.push(event{at: p.Now + time.Duration(p.rng.Int64N(int64(share.TickInterval))), kind: shareTick, to: int32(i), generation: m.generation})
 	}
 }
 
 // tickShare passes a member's current demand to its share machine and runs the machine's periodic tick.
-func (p *Play) tickShare(i int) {
-	m := p.Mates[i]
-	for name := range p.Shares.Names {
-		m.Share.SetNeed(p.Now, name, p.Shares.Need(i, name, p.Now))
+func (p *Fleet) tickShare(i int) {
+	m := p.Members[i]
+	for name := range p.Limits.Names {
+		m.Share.SetNeed(p.Now, name, p.Limits.Demand(i, name, p.Now))
 	}
 	lives, _ := m.Machine.AliveMembers()
 	m.Share.Tick(p.Now, lives)
 	p.flushShare(i)
-	if p.Wrong != nil {
-		p.Wrong(i, m.Share)
+	if p.AlterShare != nil {
+		p.AlterShare(i, m.Share)
 	}
 	p.push(event{at: p.Now + share.TickInterval, kind: shareTick, to: int32(i), generation: m.generation})
 }
@@ -151,17 +151,17 @@
 func shareMessageBytes(wants int) int { return 130 + 30*wants }
 
 // flushShare sends the pending messages of a member's share machine over the simulated links.
-func (p *Play) flushShare(i int) {
-	m := p.Mates[i]
+func (p *Fleet) flushShare(i int) {
+	m := p.Members[i]
 	for _, s := range m.Share.TakeOutput() {
 		at, ok := m.Machine.Envelope(s.To)
 		if !ok {
 			continue
 		}
 		to, size := memberIndex(at.To), shareMessageBytes(len(s.Msg.Entries))
-		m.Bytes += int64(size)
-		m.Sent++
-		if to >= len(p.Mates) || p.cut != nil && p.cut(i, to) {
+		m.BytesSent += int64(size)
+		m.DatagramsSent++
+		if to >= len(p.Members) || p.cut != nil && p.cut(i, to) {
 			continue
 		}
 		link := p.defaultLink
@@ -184,16 +184,16 @@
 }
 
 // Kill ends a balancer's process without notice to the other members.
-func (p *Play) Kill(i int) {
-	m := p.Mates[i]
+func (p *Fleet) Kill(i int) {
+	m := p.Members[i]
 	m.Machine, m.Share = nil, nil
 	m.generation++
 	m.queued = nil
 }
 
 // Leave ends a balancer's process after it has announced its departure to the other members.
-func (p *Play) Leave(i int) {
-	if m := p.Mates[i]; m.Machine != nil {
+func (p *Fleet) Leave(i int) {
+	if m := p.Members[i]; m.Machine != nil {
 		m.Machine.Leave(p.Now)
 		p.flush(i)
 		p.Kill(i)
@@ -201,46 +201,46 @@
 }
 
 // Stall suspends a balancer's process for the given time.
-func (p *Play) Stall(i int, d time.Duration) {
-	if m := p.Mates[i]; m.Machine != nil && m.Stalled <= p.Now {
-		m.Stalled = p.Now + d
-		p.push(event{at: m.Stalled, kind: wake, to: int32(i), generation: m.generation})
+func (p *Fleet) Stall(i int, d time.Duration) {
+	if m := p.Members[i]; m.Machine != nil && m.StalledUntil <= p.Now {
+		m.StalledUntil = p.Now + d
+		p.push(event{at: m.StalledUntil, kind: wake, to: int32(i), generation: m.generation})
 	}
 }
 
 // Cut sets which links lose all datagrams from now on; nil means none.
-func (p *Play) Cut(cut func(from, to int) bool) { p.cut = cut }
+func (p *Fleet) Cut(cut func(from, to int) bool) { p.cut = cut }
 
-// Way returns the link from one member to another. From the first call on, this link has its own properties instead of the
+// Link returns the link from one member to another. From the first call on, this link has its own properties instead of the
 // default ones.
-func (p *Play) Way(from, to int) *model.Link {
+func (p *Fleet) Link(from, to int) *model.Link {
 	link := p.links[[2]int{from, to}]
 	if link == nil {
-		link = model.NewLink(p.terms.Ways, p.rng)
+		link = model.NewLink(p.terms.Links, p.rng)
 		p.links[[2]int{from, to}] = link
 	}
 	return link
 }
 
 // Run advances the simulation up to the given time.
-func (p *Play) Run(until time.Duration) {
+func (p *Fleet) Run(until time.Duration) {
 	for len(p.queue) > 0 && p.queue[0].at <= until {
 		p.step()
 	}
 	p.Now = until
 }
 
-func (p *Play) step() {
+func (p *Fleet) step() {
 	e := p.queue.pop()
 	p.Now = e.at
-	m := p.Mates[e.to]
+	m := p.Members[e.to]
 	arrives := e.kind == deliver || e.kind == deliverShare
 	if m.Machine == nil || !arrives && e.generation != m.generation {
 		return
 	}
-	if m.Stalled > p.Now {
+	if m.StalledUntil > p.Now {
 		if e.kind == shareTick {
-			e.at = m.Stalled
+			e.at = m.StalledUntil
 			p.push(e)
 		} else if arrives && len(m.queued) < maxQueued {
 			m.queued = append(m.queued, e)
@@ -251,10 +251,10 @@
 	}
 	switch e.kind {
 	case deliver:
-		if p.Twist != nil {
+		if p.AlterMessage != nil {
 			msg := *e.msg
 			msg.Updates, msg.Records = slices.Clone(msg.Updates), slices.Clone(msg.Records)
-			p.Twist(int(e.to), true, &msg)
+			p.AlterMessage(int(e.to), true, &msg)
 			e.msg = &msg
 		}
 		m.Machine.Receive(p.Now, addr(int(e.from)), e.msg)
@@ -291,8 +291,8 @@
 	p.flush(int(e.to))
 }
 
-func (p *Play) receiveShare(i int, delivery *shareDelivery) {
-	m := p.Mates[i]
+func (p *Fleet) receiveShare(i int, delivery *shareDelivery) {
+	m := p.Members[i]
 	if m.Share != nil && delivery.to == m.Machine.ProcessID() && m.Machine.IsPresent(delivery.from) {
 		m.Share.Receive(p.Now, delivery.from, &delivery.msg)
 		p.flushShare(i)
@@ -300,22 +300,22 @@
 }
 
 // flush sends a member machine's pending datagrams over the simulated links, reports its events and sets its next timer.
-func (p *Play) flush(i int) {
-	m := p.Mates[i]
+func (p *Fleet) flush(i int) {
+	m := p.Members[i]
 	sends, events := m.Machine.TakeOutput()
 	for k := range sends {
 		s := &sends[k]
-		if p.Twist != nil {
-			p.Twist(i, false, &s.Msg)
+		if p.AlterMessage != nil {
+			p.AlterMessage(i, false, &s.Msg)
 		}
 		to := memberIndex(s.To)
 		size := s.Msg.Size()
-		m.Bytes += int64(size)
-		m.Sent++
-		if p.Sent != nil {
-			p.Sent(i, to, size)
+		m.BytesSent += int64(size)
+		m.DatagramsSent++
+		if p.OnSend != nil {
+			p.OnSend(i, to, size)
 		}
-		if to >= len(p.Mates) || p.cut != nil && p.cut(i, to) {
+		if to >= len(p.Members) || p.cut != nil && p.cut(i, to) {
 			continue
 		}
 		link := p.defaultLink
@@ -332,9 +332,9 @@
 			}
 		}
 	}
-	if p.On != nil {
+	if p.OnEvent != nil {
 		for _, e := range events {
-			p.On(i, e)
+			p.OnEvent(i, e)
 		}
 	}
 	if due := max(m.Machine.Due(), p.Now); m.timerAt == 0 || due < m.timerAt {
@@ -364,7 +364,7 @@
 	kind       kind
 }
 
-func (p *Play) push(e event) {
+func (p *Fleet) push(e event) {
 	p.eventCount++
 	e.seq = p.eventCount
 	p.queue.push(e)
--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -39,15 +39,15 @@
 		t.Fatal(err)
 	}
 	const faulty = 1
-	memberOf := func(p *Play, l member.ProcessID) int { // index of the member that runs this process, or -1
-		return slices.IndexFunc(p.Mates, func(m *Mate) bool { return m.Machine != nil && m.ProcessID() == l })
+	memberOf := func(p *Fleet, l member.ProcessID) int { // index of the member that runs this process, or -1
+		return slices.IndexFunc(p.Members, func(m *Member) bool { return m.Machine != nil && m.ProcessID() == l })
 	}
 	for name, row := range map[string]struct {
-		twist func(p *Play, index int, in bool, msg *member.Message)
+		twist func(p *Fleet, index int, in bool, msg *member.Message)
 		want  []judge.Rule
 	}{
-		"correct": {func(*Play, int, bool, *member.Message) {}, nil},
-		"ignores new members": {func(p *Play, index int, in bool, msg *member.Message) {
+		"correct": {func(*Fleet, int, bool, *member.Message) {}, nil},
+		"ignores new members": {func(p *Fleet, index int, in bool, msg *member.Message) {
 			ignored := func(l member.ProcessID) bool { return p.Now > 4*time.Second && memberOf(p, l) == 3 }
 			if index != faulty || !in {
 				return
@@ -55,9 +55,9 @@
 			msg.Records = slices.DeleteFunc(msg.Records, func(r member.Record) bool { return ignored(r.Life) })
 			msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return ignored(r.Life) })
 		}, []judge.Rule{judge.MembersKnown}},
-		"declares a live member dead": {func(p *Play, index int, in bool, msg *member.Message) {
-			if index == faulty && in && p.Now > 15*time.Second && p.Mates[2].Machine != nil {
-				l := p.Mates[2].ProcessID()
+		"declares a live member dead": {func(p *Fleet, index int, in bool, msg *member.Message) {
+			if index == faulty && in && p.Now > 15*time.Second && p.Members[2].Machine != nil {
+				l := p.Members[2].ProcessID()
 				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.Life == l })
 				msg.Updates = append(msg.Updates, member.StateUpdate{Life: l, Inc: member.MaxIncarnation - 1, State: member.Dead})
 				if msg.From == l {
@@ -67,7 +67,7 @@
 				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return r.State == member.Dead })
 			}
 		}, []judge.Rule{judge.NoFalseDeath}},
-		"never removes dead members": {func(p *Play, index int, in bool, msg *member.Message) {
+		"never removes dead members": {func(p *Fleet, index int, in bool, msg *member.Message) {
 			if index != faulty || !in {
 				return
 			}
@@ -76,23 +76,23 @@
 				msg.Kind = member.Ack // counts a failed indirect probe as a success
 			}
 		}, []judge.Rule{judge.DeathDetected}},
-		"lists a member that no other lists": {func(p *Play, index int, in bool, msg *member.Message) {
+		"lists a member that no other lists": {func(p *Fleet, index int, in bool, msg *member.Message) {
 			if index == faulty && in && p.Now > 10*time.Second {
 				msg.Records = append(msg.Records, member.Record{Life: 1<<40 + member.ProcessID(p.Now/time.Second)<<2, Name: "ghost", Addr: addr(2)})
 			} else if index == faulty {
 				msg.Updates = slices.DeleteFunc(msg.Updates, func(r member.StateUpdate) bool { return memberOf(p, r.Life) < 0 && r.Life < 1<<45 && r.Life >= 1<<40 })
 			}
 		}, []judge.Rule{judge.ViewsEqual}},
-		"sends too much": {func(p *Play, index int, in bool, msg *member.Message) {
+		"sends too much": {func(p *Fleet, index int, in bool, msg *member.Message) {
 			if index == faulty && !in {
-				p.Mates[index].Bytes += 20_000
+				p.Members[index].BytesSent += 20_000
 			}
 		}, []judge.Rule{judge.TrafficBounded}},
 	} {
 		rec := record.New()
-		NewDay(day, rec, func(p *Play) {
-			p.Twist = func(index int, in bool, msg *member.Message) { row.twist(p, index, in, msg) }
-		}).To(day.Length.Duration())
+		NewSimulation(day, rec, func(p *Fleet) {
+			p.AlterMessage = func(index int, in bool, msg *member.Message) { row.twist(p, index, in, msg) }
+		}).RunTo(day.Length.Duration())
 		v := judge.Judge(rec, runner.JudgeConfig(day))
 		if got := v.BrokenRules(); !slices.Equal(got, row.want) {
 			t.Errorf("%s: broken rules %q, expected %q", name, got, row.want)
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -164,7 +164,7 @@
 			l.Sum, l.Bytes = max(l.Sum, p.maxSum), l.Bytes+p.bytesPerS/float64(seeds)
 		}
 		if kind.move > 0 {
-			l.Follows = gather.Of(followDelays)
+			l.Follows = gather.NewSpread(followDelays)
 		}
 		all = append(all, l)
 	}
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -31,13 +31,13 @@
 type Calm struct {
 	Loss  float64
 	Stall time.Duration // longest pause of a process; every 100 ms one pauses
-	gather.Calm
+	gather.QuietResult
 }
 
 // defaultTerms returns a fleet with the defaults of the operator's file.
-func defaultTerms(members int, seed uint64, loss float64) gather.Terms {
-	return gather.Terms{Mates: members, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
-		Ways: model.LinkConfig{LossRatio: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
+func defaultTerms(members int, seed uint64, loss float64) gather.Config {
+	return gather.Config{Members: members, Zones: 3, Seeds: 3, ProbePeriod: 400 * time.Millisecond, SuspicionTimeout: 2 * time.Second, GossipBytesPerSecond: 3000, Seed: seed,
+		Links: model.LinkConfig{LossRatio: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
 // maxQuietRun limits one simulation without deaths before the next seed begins: many starts cover more cases than one long run.
@@ -53,13 +53,13 @@
 		SideBySide(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
 	}
 	forEachSeed(seeds, func(seed uint64) {
-		f, l := gather.Death(defaultTerms(members, seed, 0))
-		b, h := gather.Birth(defaultTerms(members, seed, 0)), gather.Heal(defaultTerms(members, seed, 0), 3)
+		f, l := gather.DeathDetection(defaultTerms(members, seed, 0))
+		b, h := gather.JoinTime(defaultTerms(members, seed, 0)), gather.PartitionRecovery(defaultTerms(members, seed, 0), 3)
 		mu.Lock()
 		defer mu.Unlock()
 		first, last, birth, heal = append(first, f), append(last, l), append(birth, b), append(heal, h)
 	})
-	m.First, m.Last, m.Birth, m.Heal = gather.Of(first), gather.Of(last), gather.Of(birth), gather.Of(heal)
+	m.First, m.Last, m.Birth, m.Heal = gather.NewSpread(first), gather.NewSpread(last), gather.NewSpread(birth), gather.NewSpread(heal)
 	m.Calm = append(m.Calm, Calm{}, Calm{Loss: 0.05}, Calm{Loss: 0.3}, Calm{Loss: 0.05, Stall: time.Second})
 	for i := range m.Calm {
 		c := &m.Calm[i]
@@ -69,7 +69,7 @@
 		}
 		runs := max(workers, int((length+maxQuietRun-1)/maxQuietRun))
 		forEachSeed(runs, func(seed uint64) {
-			result := gather.Quiet(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
+			result := gather.RunWithoutDeaths(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
 			mu.Lock()
 			defer mu.Unlock()
 			c.Suspicions, c.Deaths, c.Played = c.Suspicions+result.Suspicions, c.Deaths+result.Deaths, c.Played+result.Played
@@ -208,6 +208,6 @@
 			heal = append(heal, awaitEqualViews())
 		}
 	}
-	m.First, m.Last, m.Birth, m.Heal = gather.Of(first), gather.Of(last), gather.Of(birth), gather.Of(heal)
+	m.First, m.Last, m.Birth, m.Heal = gather.NewSpread(first), gather.NewSpread(last), gather.NewSpread(birth), gather.NewSpread(heal)
 	return m, ctx.Err()
 }
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -60,7 +60,7 @@
 	return up(ctx, sc, launch, dir, (*Stage).addNodes)
 }
 
-// StartWithEchoNodes is Up with cache nodes that answer all reads immediately.
+// StartWithEchoNodes is Start with cache nodes that answer all reads immediately.
 func StartWithEchoNodes(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
 	return up(ctx, sc, launch, dir, func(s *Stage) error {
 		ids, groups := sc.HostIDs()
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -204,9 +204,9 @@
 		return
 	}
 	if b.d.members != nil {
-		b.d.members.To(b.d.now)
-		b.d.members.Came(b.index, req.record.Tenant)
-		b.d.members.Parts(b.index, func(tenant int, share float64) {
+		b.d.members.RunTo(b.d.now)
+		b.d.members.CountRequest(b.index, req.record.Tenant)
+		b.d.members.QuotaShares(b.index, func(tenant int, share float64) {
 			b.decider.SetQuotaShare(policy.Customer(tenant), max(share, math.SmallestNonzeroFloat64))
 		})
 	}
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -34,7 +34,7 @@
 	latency          *hdrhistogram.Histogram
 	trace            io.Writer // receives one line for each event; nil: no trace
 	deliberateFaults deliberateFaults
-	members          *gather.Day          // nil: balancers do not communicate
+	members          *gather.Simulation   // nil: balancers do not communicate
 	observations     *observationExchange // nil: balancers do not exchange observations of hosts
 }
 
@@ -61,7 +61,7 @@
 	return simulate(s, trace, deliberateFaults{})
 }
 
-// simulate is Play with deliberate faults.
+// simulate is Simulate with deliberate faults.
 func simulate(s *scenario.Scenario, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
 	began := time.Now()
 	arrivals, err := model.Arrivals(s.Seed, s.LoadConfig())
@@ -90,7 +90,7 @@
 	}
 	d.discovery.Advance(0)
 	if s.Membership.Enabled {
-		d.members = gather.NewDay(s, d.rec, nil)
+		d.members = gather.NewSimulation(s, d.rec, nil)
 	}
 	for _, b := range d.balancers {
 		b.start()
@@ -283,7 +283,7 @@
 	}
 	res := &runner.Result{Scenario: d.Scenario, Record: d.rec, Latency: load.PercentilesOf(d.latency), Elapsed: time.Since(began)}
 	if d.members != nil {
-		d.members.To(d.Length.Duration())
+		d.members.RunTo(d.Length.Duration())
 	}
 	res.Verdict = judge.Judge(d.rec, runner.JudgeConfig(d.Scenario))
 	return res
