--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -393,7 +393,7 @@
 	}
 	deadline := time.Now().Add(c.Budget)
 	results := make([]*report.Report, len(scenarios))
-	err = measure.SideBySide(len(scenarios), lanes, func(i int) (err error) {
+	err = measure.RunParallel(len(scenarios), lanes, func(i int) (err error) {
 		if !time.Now().Add(scenarios[i].Length.Duration()).After(deadline) {
 			results[i], err = c.runOne(ctx, scenarios[i], program, nil)
 		}
@@ -440,19 +440,19 @@
 	case "members":
 		return c.measureMembers(ctx, program)
 	case "limits":
-		return measureBySize(c, measure.LimitsOf)
+		return measureBySize(c, measure.MeasureLimits)
 	case "evidence":
-		return measureBySize(c, measure.EvidenceOf)
+		return measureBySize(c, measure.MeasureEvidence)
 	case "sizes":
 		return c.measureSizes(ctx, program)
 	}
 	if len(c.Clients) > 0 {
 		return c.measureSaturation(ctx, program)
 	}
-	var printRow func(measure.Row)
+	var printRow func(measure.RateRow)
 	if !c.JSON {
-		measure.Head(os.Stdout)
-		printRow = func(r measure.Row) { measure.Line(os.Stdout, r) }
+		measure.PrintHead(os.Stdout)
+		printRow = func(r measure.RateRow) { measure.PrintRow(os.Stdout, r) }
 	}
 	rows, err := measure.Rates(ctx, runner.Program(program), c.Rates, c.For, c.Repeats, printRow)
 	if err != nil {
@@ -461,7 +461,7 @@
 	if c.JSON {
 		return printJSON(rows)
 	}
-	fmt.Printf("driven at %v late or less at p99.9, %d cores: %.0f requests a second\n", measure.LateMost, runtime.NumCPU(), measure.Driven(rows))
+	fmt.Printf("driven at %v late or less at p99.9, %d cores: %.0f requests a second\n", measure.MaxLateness, runtime.NumCPU(), measure.MaxReachedRate(rows))
 	return nil
 }
 
@@ -488,13 +488,13 @@
 
 // measureSizes measures the resources that one balancer needs with many hosts and balancers.
 func (c measureCommand) measureSizes(ctx context.Context, program string) error {
-	printSize := func(s measure.Size) { measure.SizesLine(os.Stdout, s) }
+	printSize := func(s measure.Size) { measure.PrintSize(os.Stdout, s) }
 	if c.JSON {
 		printSize = func(measure.Size) {}
 	} else {
-		measure.SizesHead(os.Stdout)
+		measure.PrintSizesHead(os.Stdout)
 	}
-	rows, err := measure.SizesOf(ctx, runner.Program(program), c.Hosts, c.Fleet, printSize)
+	rows, err := measure.MeasureSizes(ctx, runner.Program(program), c.Hosts, c.Fleet, printSize)
 	if err == nil && c.JSON {
 		err = printJSON(rows)
 	}
@@ -511,10 +511,10 @@
 		}
 	}
 	for _, n := range c.Virtual {
-		show(measure.Virtual(n, c.Seeds, runtime.GOMAXPROCS(0), c.Quiet, c.Stalled, os.Stderr))
+		show(measure.MeasureMembersSimulated(n, c.Seeds, runtime.GOMAXPROCS(0), c.Quiet, c.Stalled, os.Stderr))
 	}
 	for _, n := range c.Sockets {
-		m, err := measure.OnSockets(ctx, runner.Program(program), n, c.Times)
+		m, err := measure.MeasureMembersOnSockets(ctx, runner.Program(program), n, c.Times)
 		if err != nil {
 			return err
 		}
@@ -528,20 +528,20 @@
 
 // measureSaturation measures the highest throughput of a balancer.
 func (c measureCommand) measureSaturation(ctx context.Context, program string) error {
-	var rows []measure.Closed
+	var rows []measure.ClosedLoop
 	if !c.JSON {
-		measure.ClosedHead(os.Stdout)
+		measure.PrintClosedLoopHead(os.Stdout)
 	}
 	for _, hosts := range c.Hosts {
 		for _, clients := range c.Clients {
 			for range c.Repeats {
-				r, err := measure.Saturate(ctx, runner.Program(program), clients, hosts, c.For)
+				r, err := measure.RunClosedLoop(ctx, runner.Program(program), clients, hosts, c.For)
 				if err != nil {
 					return err
 				}
 				rows = append(rows, r)
 				if !c.JSON {
-					r.Line(os.Stdout)
+					r.PrintRow(os.Stdout)
 				}
 			}
 		}
--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -67,7 +67,7 @@
 		trace = w
 	}
 	reports := make([]*report.Report, len(list))
-	err = measure.SideBySide(len(list), runtime.GOMAXPROCS(0), func(i int) (err error) {
+	err = measure.RunParallel(len(list), runtime.GOMAXPROCS(0), func(i int) (err error) {
 		reports[i], err = c.simulateSeed(list[i], trace)
 		return err
 	})
--- a/internal/rehearsal/measure/closed.go
+++ b/internal/rehearsal/measure/closed.go
@@ -18,9 +18,9 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Closed holds the measurements of a balancer under a closed loop: each client sends its next request as soon as it has the
+// ClosedLoop holds the measurements of a balancer under a closed loop: each client sends its next request as soon as it has the
 // answer to the last one.
-type Closed struct {
+type ClosedLoop struct {
 	Clients, Hosts   int
 	PerS             float64
 	CPU              time.Duration // processor time of the balancer per request
@@ -30,9 +30,9 @@
 	MB               float64
 }
 
-// Saturate measures a balancer with a number of closed-loop clients, each on its own connection, and hosts that answer
+// RunClosedLoop measures a balancer with a number of closed-loop clients, each on its own connection, and hosts that answer
 // immediately.
-func Saturate(ctx context.Context, launch runner.Launch, clients, hosts int, length time.Duration) (c Closed, err error) {
+func RunClosedLoop(ctx context.Context, launch runner.Launch, clients, hosts int, length time.Duration) (c ClosedLoop, err error) {
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
 		return c, err
@@ -113,13 +113,13 @@
 	return h, calls, good, nil
 }
 
-// ClosedHead writes the head of the table whose rows Closed.Line writes.
-func ClosedHead(to io.Writer) {
+// PrintClosedLoopHead writes the head of the table whose rows Closed.PrintRow writes.
+func PrintClosedLoopHead(to io.Writer) {
 	fmt.Fprintf(to, "%7s %6s %9s %9s  %8s %8s %8s  %9s %7s %6s\n", "clients", "hosts", "calls/s", "CPU/call", "p50", "p99", "p99.9", "fulfilled", "sockets", "MB")
 }
 
-// Line writes one row of the table.
-func (c Closed) Line(to io.Writer) {
+// PrintRow writes one row of the table.
+func (c ClosedLoop) PrintRow(to io.Writer) {
 	share := strconv.FormatFloat(100*float64(c.Fulfilled)/float64(max(1, c.Calls)), 'f', 2, 64) + "%"
 	fmt.Fprintf(to, "%7d %6d %9.0f %9v  %8v %8v %8v  %9s %7d %6.1f\n", c.Clients, c.Hosts, c.PerS, c.CPU.Round(100*time.Nanosecond), c.P50, c.P99, c.P999, share, c.Sockets, c.MB)
 }
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -18,11 +18,11 @@
 type Evidence struct {
 	Name         string
 	Mates, Seeds int
-	Alone, Told  EvidenceSide // without and with the exchange of observations
+	Alone, Told  EvidenceResult // without and with the exchange of observations
 }
 
-// EvidenceSide holds the results without or with the exchange, as means over the seeds where nothing else is stated.
-type EvidenceSide struct {
+// EvidenceResult holds the results without or with the exchange, as means over the seeds where nothing else is stated.
+type EvidenceResult struct {
 	AtBad         float64 // attempts per run that arrived at a faulty host during its fault
 	Vain          float64 // attempts per run at any cache host that were neither served nor a cache miss
 	Service       float64
@@ -113,11 +113,11 @@
 	hostsPerZone        = 30
 )
 
-// EvidenceOf measures all cases with a number of balancers and seeds, on a number of concurrent workers.
-func EvidenceOf(balancers, seeds, workers int) (all []Evidence, err error) {
+// MeasureEvidence measures all cases with a number of balancers and seeds, on a number of concurrent workers.
+func MeasureEvidence(balancers, seeds, workers int) (all []Evidence, err error) {
 	for _, kind := range evidenceCases {
-		results := make([]EvidenceSide, 2*seeds)
-		err := SideBySide(len(results), workers, func(i int) error {
+		results := make([]EvidenceResult, 2*seeds)
+		err := RunParallel(len(results), workers, func(i int) error {
 			sc, err := scenario.Parse("measure", fmt.Appendf(nil, evidenceScenario, balancers, i%2 == 1, hostsPerZone, float64(requestsPerBalancer*balancers)))
 			if err != nil {
 				return err
@@ -157,7 +157,7 @@
 	return all, nil
 }
 
-func (s *EvidenceSide) add(result EvidenceSide, seeds int) {
+func (s *EvidenceResult) add(result EvidenceResult, seeds int) {
 	n := float64(seeds)
 	s.AtBad, s.Vain, s.Service = s.AtBad+result.AtBad/n, s.Vain+result.Vain/n, s.Service+result.Service/n
 	if len(s.serviceBySeed) == 0 {
@@ -174,7 +174,7 @@
 	fmt.Fprintf(to, "%d balancers, %s, %d seeds\n", e.Mates, e.Name, e.Seeds)
 	for _, x := range []struct {
 		name string
-		s    EvidenceSide
+		s    EvidenceResult
 	}{{"alone", e.Alone}, {"shared", e.Told}} {
 		fmt.Fprintf(to, "  %-6s %7.0f attempts at faulty hosts, %7.0f without result; service %.4f, worst run %.4f, worst 10 s %.3f; %d rules broken; %v to simulate\n",
 			x.name, x.s.AtBad, x.s.Vain, x.s.Service, x.s.WorstDay, x.s.Worst10, x.s.Broken, x.s.Took.Round(time.Millisecond))
--- a/internal/rehearsal/measure/lanes.go
+++ b/internal/rehearsal/measure/lanes.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// SideBySide calls do for 0 to n-1 on a number of concurrent workers and joins the errors.
-func SideBySide(n, workers int, do func(i int) error) error {
+// RunParallel calls do for 0 to n-1 on a number of concurrent workers and joins the errors.
+func RunParallel(n, workers int, do func(i int) error) error {
 	errs := make([]error, n)
 	next := make(chan int, n)
 	for i := range n {
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -16,14 +16,14 @@
 	Name         string
 	Asked        float64 // offered load as a fraction of the fleet's capacity
 	Mates, Seeds int
-	Equal, Moved Side
+	Equal, Moved LimitsSide
 	Follows      gather.Spread // from a move of the tenant's requests to another balancer until that one has nine tenths of its allowance
 	Sum          float64       // highest sum of the shares of the tenant's allowance
 	Bytes        float64       // bytes per second that a balancer sends to the others, for all purposes
 }
 
-// Side holds the results with equal or with moving shares, as means over the seeds where nothing else is stated.
-type Side struct {
+// LimitsSide holds the results with equal or with moving shares, as means over the seeds where nothing else is stated.
+type LimitsSide struct {
 	Tenant  float64 // service of the tenant that keeps within its allowance: the fraction of its requests fulfilled in time
 	Others  float64 // service of the tenants that exceed theirs
 	Service float64 // of all tenants, by billed value
@@ -131,8 +131,8 @@
 	return result, nil
 }
 
-// LimitsOf measures all cases with a number of balancers and seeds, on a number of concurrent workers.
-func LimitsOf(balancers, seeds, workers int) (all []Limits, err error) {
+// MeasureLimits measures all cases with a number of balancers and seeds, on a number of concurrent workers.
+func MeasureLimits(balancers, seeds, workers int) (all []Limits, err error) {
 	for k := range len(limitsCases) * len(demandFactors) {
 		kind, demand := limitsCases[k%len(limitsCases)], demandFactors[k/len(limitsCases)]
 		faults := kind.faults
@@ -145,14 +145,14 @@
 		}
 		text := limitsScenarioText(balancers, kind.at, faults)
 		results := make([]limitsResult, 2*seeds) // for each seed with equal shares, then with moving ones
-		err := SideBySide(len(results), workers, func(i int) (err error) {
+		err := RunParallel(len(results), workers, func(i int) (err error) {
 			results[i], err = simulateLimits(text, uint64(i/2+1), i%2 == 1, demand, kind.move)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		l := Limits{Name: kind.name, Asked: demand, Mates: balancers, Seeds: seeds, Equal: Side{Worst10: 1}, Moved: Side{Worst10: 1}}
+		l := Limits{Name: kind.name, Asked: demand, Mates: balancers, Seeds: seeds, Equal: LimitsSide{Worst10: 1}, Moved: LimitsSide{Worst10: 1}}
 		var followDelays []time.Duration
 		for i, p := range results {
 			if i%2 == 0 {
@@ -172,7 +172,7 @@
 }
 
 // add adds the report of one of the given number of runs.
-func (s *Side) add(r *report.Report, days float64) {
+func (s *LimitsSide) add(r *report.Report, days float64) {
 	for name, part := range r.Service.ByTenant {
 		if name == "kiosks" {
 			s.Tenant += part / days
@@ -192,7 +192,7 @@
 	fmt.Fprintf(to, "%d balancers, %s, load %.2f of the fleet's capacity, %d seeds\n", l.Mates, l.Name, l.Asked, l.Seeds)
 	for _, x := range []struct {
 		name string
-		s    Side
+		s    LimitsSide
 	}{{"equal parts", l.Equal}, {"moving parts", l.Moved}} {
 		fmt.Fprintf(to, "  %-13s within its allowance %.3f, beyond theirs %.3f; service %.4f, worst 10 s %.3f; %.0f rate-limited; %d rules broken; %v to simulate\n",
 			x.name, x.s.Tenant, x.s.Others, x.s.Service, x.s.Worst10, x.s.Refused, x.s.Broken, x.s.Took.Round(time.Millisecond))
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -18,23 +18,23 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// Row holds the measurements at one request rate, sent directly to a cache host and through a balancer.
-type Row struct {
+// RateRow holds the measurements at one request rate, sent directly to a cache host and through a balancer.
+type RateRow struct {
 	PerS           float64 `json:"per_s"`
-	P50, P99, P999 Pair
-	Late           Pair          // lateness of sending at p99.9
-	CPU            time.Duration `json:"cpu_per_call_ns"` // processor time of the balancer per request
-	Fulfilled      Share
+	P50, P99, P999 DirectAndBalanced
+	Late           DirectAndBalanced // lateness of sending at p99.9
+	CPU            time.Duration     `json:"cpu_per_call_ns"` // processor time of the balancer per request
+	Fulfilled      FulfilledCount
 }
 
-// Pair is a value measured directly and through a balancer.
-type Pair struct{ Straight, Through time.Duration }
+// DirectAndBalanced is a value measured directly and through a balancer.
+type DirectAndBalanced struct{ Straight, Through time.Duration }
 
-// Share counts the requests sent through the balancer and those of them that were fulfilled.
-type Share struct{ Of, Good int }
+// FulfilledCount counts the requests sent through the balancer and those of them that were fulfilled.
+type FulfilledCount struct{ Of, Good int }
 
-// LateMost is the maximum lateness of sending at p99.9 at which the load generator counts as having reached a rate.
-const LateMost = 2 * time.Millisecond
+// MaxLateness is the maximum lateness of sending at p99.9 at which the load generator counts as having reached a rate.
+const MaxLateness = 2 * time.Millisecond
 
 // The cache hosts answer immediately, so that the measurement covers only the path to them.
 const (
@@ -60,12 +60,12 @@
 
 // Rates measures request rates one after the other, each directly and through a balancer and each repeated. The results are the
 // medians of the repeats; Row.CPU and Row.Fulfilled are those of the last one.
-func Rates(ctx context.Context, launch runner.Launch, rates []float64, length time.Duration, repeats int, report func(Row)) ([]Row, error) {
-	var rows []Row
+func Rates(ctx context.Context, launch runner.Launch, rates []float64, length time.Duration, repeats int, report func(RateRow)) ([]RateRow, error) {
+	var rows []RateRow
 	for _, perS := range rates {
 		var direct, through []load.Percentiles
 		var lateDirect, lateThrough []time.Duration
-		row := Row{PerS: perS}
+		row := RateRow{PerS: perS}
 		for i := range repeats {
 			for _, isDirect := range []bool{true, false} {
 				latency, late, cpu, good, err := measureOnce(ctx, launch, baseScenario(perS, length, uint64(i+1)), isDirect)
@@ -80,14 +80,14 @@
 				}
 			}
 		}
-		medians := func(value func(load.Percentiles) time.Duration) Pair {
-			return Pair{median(direct, value), median(through, value)}
+		medians := func(value func(load.Percentiles) time.Duration) DirectAndBalanced {
+			return DirectAndBalanced{median(direct, value), median(through, value)}
 		}
 		row.P50 = medians(func(p load.Percentiles) time.Duration { return p.P50 })
 		row.P99 = medians(func(p load.Percentiles) time.Duration { return p.P99 })
 		row.P999 = medians(func(p load.Percentiles) time.Duration { return p.P999 })
 		identity := func(d time.Duration) time.Duration { return d }
-		row.Late = Pair{median(lateDirect, identity), median(lateThrough, identity)}
+		row.Late = DirectAndBalanced{median(lateDirect, identity), median(lateThrough, identity)}
 		rows = append(rows, row)
 		if report != nil {
 			report(row)
@@ -106,7 +106,7 @@
 }
 
 // measureOnce runs a scenario, with the requests sent directly to a cache host or through the balancer.
-func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Scenario, direct bool) (latency, late load.Percentiles, cpu time.Duration, good Share, err error) {
+func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Scenario, direct bool) (latency, late load.Percentiles, cpu time.Duration, good FulfilledCount, err error) {
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
 		return latency, late, 0, good, err
@@ -122,32 +122,32 @@
 	err = session.Run(ctx)
 	session.End()
 	tally := session.Clients.Tally()
-	good = Share{Of: tally.Finished, Good: tally.Fulfilled}
+	good = FulfilledCount{Of: tally.Finished, Good: tally.Fulfilled}
 	for _, l := range session.Record.ProcessRuns {
 		cpu += l.CPU
 	}
 	return session.Clients.Latency(), session.Clients.Lateness(), cpu / time.Duration(max(1, tally.Finished)), good, err
 }
 
-// Head writes the head of the table whose rows Line writes.
-func Head(to io.Writer) {
+// PrintHead writes the head of the table whose rows Line writes.
+func PrintHead(to io.Writer) {
 	fmt.Fprintf(to, "%9s  %27s  %27s  %27s  %19s  %9s  %s\n", "calls/s", "p50 straight, through, adds", "p99", "p99.9",
 		"sent late at p99.9", "CPU/call", "fulfilled")
 }
 
-// Line writes one row of the table.
-func Line(to io.Writer, r Row) {
-	formatPair := func(p Pair) string {
+// PrintRow writes one row of the table.
+func PrintRow(to io.Writer, r RateRow) {
+	formatPair := func(p DirectAndBalanced) string {
 		return fmt.Sprintf("%8v %8v %9v", p.Straight.Round(time.Microsecond), p.Through.Round(time.Microsecond), (p.Through - p.Straight).Round(time.Microsecond))
 	}
 	fmt.Fprintf(to, "%9.0f  %s  %s  %s  %9v %9v  %9v  %d of %d\n", r.PerS, formatPair(r.P50), formatPair(r.P99), formatPair(r.P999), r.Late.Straight, r.Late.Through,
 		r.CPU.Round(100*time.Nanosecond), r.Fulfilled.Good, r.Fulfilled.Of)
 }
 
-// Driven returns the highest rate at which sending directly to a cache host was at most LateMost late.
-func Driven(rows []Row) (perS float64) {
+// MaxReachedRate returns the highest rate at which sending directly to a cache host was at most MaxLateness late.
+func MaxReachedRate(rows []RateRow) (perS float64) {
 	for _, r := range rows {
-		if r.Late.Straight <= LateMost {
+		if r.Late.Straight <= MaxLateness {
 			perS = max(perS, r.PerS)
 		}
 	}
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -43,14 +43,14 @@
 // maxQuietRun limits one simulation without deaths before the next seed begins: many starts cover more cases than one long run.
 const maxQuietRun = 25 * time.Minute
 
-// Virtual measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers. The runs without
+// MeasureMembersSimulated measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers. The runs without
 // deaths last for quiet in total, those with pauses of processes for stalled. Each run that ends is noted in note.
-func Virtual(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
+func MeasureMembersSimulated(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
 	m := Members{Mates: members, Seeds: seeds}
 	var mu sync.Mutex
 	var first, last, birth, heal []time.Duration
 	forEachSeed := func(n int, do func(seed uint64)) {
-		SideBySide(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
+		RunParallel(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
 	}
 	forEachSeed(seeds, func(seed uint64) {
 		f, l := gather.DeathDetection(defaultTerms(members, seed, 0))
@@ -107,9 +107,9 @@
 	}
 }
 
-// OnSockets measures a fleet of processes with real sockets: it ends and restarts one process after another and partitions the
+// MeasureMembersOnSockets measures a fleet of processes with real sockets: it ends and restarts one process after another and partitions the
 // network in the first of every three rounds.
-func OnSockets(ctx context.Context, launch runner.Launch, balancers, times int) (m Members, err error) {
+func MeasureMembersOnSockets(ctx context.Context, launch runner.Launch, balancers, times int) (m Members, err error) {
 	m = Members{Mates: balancers, Sockets: true, Seeds: times}
 	dir, err := os.MkdirTemp("", "members-")
 	if err != nil {
--- a/internal/rehearsal/measure/sizes.go
+++ b/internal/rehearsal/measure/sizes.go
@@ -25,19 +25,19 @@
 	Descriptors      int
 }
 
-// SizesHead writes the head of the table whose rows SizesLine writes.
-func SizesHead(to io.Writer) {
+// PrintSizesHead writes the head of the table whose rows PrintSize writes.
+func PrintSizesHead(to io.Writer) {
 	fmt.Fprintln(to, "hosts balancers  ready ms     MB threads descriptors")
 }
 
-// SizesLine writes one row of the table.
-func SizesLine(to io.Writer, s Size) {
+// PrintSize writes one row of the table.
+func PrintSize(to io.Writer, s Size) {
 	fmt.Fprintf(to, "%5d %9d %9.1f %6.1f %7d %11d\n", s.Hosts, s.Balancers, float64(s.Ready.Microseconds())/1000, s.MB, s.Threads, s.Descriptors)
 }
 
-// SizesOf measures each combination of host and balancer counts. Half of the hosts are replaced several times before memory is
+// MeasureSizes measures each combination of host and balancer counts. Half of the hosts are replaced several times before memory is
 // read.
-func SizesOf(ctx context.Context, launch runner.Launch, hosts, balancers []int, row func(Size)) (all []Size, err error) {
+func MeasureSizes(ctx context.Context, launch runner.Launch, hosts, balancers []int, row func(Size)) (all []Size, err error) {
 	for _, h := range hosts {
 		for _, b := range balancers {
 			s, err := measureSize(ctx, launch, h, b)
