--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -58,8 +58,8 @@
 	return t
 }
 
-// Play runs each step at its time until the last one or until stop is closed. It returns the first error of a step.
-func (t *Timeline) Play(stop <-chan struct{}) error {
+// Run runs each step at its time until the last one or until stop is closed. It returns the first error of a step.
+func (t *Timeline) Run(stop <-chan struct{}) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for _, s := range t.steps {
@@ -114,9 +114,9 @@
 	description := fault.Kind
 	switch fault.Kind {
 	case "slow":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Slow(fault.Factor) }, func(n *standin.Host) { n.Slow(1) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.SetSlowdown(fault.Factor) }, func(n *standin.Host) { n.SetSlowdown(1) })
 	case "stall":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Stall(true) }, func(n *standin.Host) { n.Stall(false) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.SetStalled(true) }, func(n *standin.Host) { n.SetStalled(false) })
 	case "spoil":
 		t.addInterval(fault, places, func(n *standin.Host) { n.Corrupt(fault.Share) }, func(n *standin.Host) { n.Corrupt(0) })
 	case "reset":
@@ -143,8 +143,8 @@
 		t.deploy(fault, places)
 	case "register-silent":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Discovery.Silence(b, true) })
-			t.addStep(to, func() { t.world.Discovery.Silence(b, false) })
+			t.addStep(from, func() { t.world.Discovery.SetSilent(b, true) })
+			t.addStep(to, func() { t.world.Discovery.SetSilent(b, false) })
 		}
 	case "watch-silent":
 		for _, b := range balancers {
@@ -155,8 +155,8 @@
 			t.addStep(from, func() { t.world.Discovery.ResetGenerations(b) })
 		}
 	case "gateway-slow":
-		t.addStep(from, func() { t.world.Origin.Slow(fault.Factor) })
-		t.addStep(to, func() { t.world.Origin.Slow(1) })
+		t.addStep(from, func() { t.world.Origin.SetSlowdown(fault.Factor) })
+		t.addStep(to, func() { t.world.Origin.SetSlowdown(1) })
 	case "gateway-reset":
 		t.addStep(from, func() { t.world.Origin.Reset(fault.Share) })
 		t.addStep(to, func() { t.world.Origin.Reset(0) })
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -419,7 +419,7 @@
 	}
 }
 
-// checkMarks checks that no deduplication mark has its effect twice, whether by attempts or by client retries.
+// checkMarks checks that no deduplication token has its effect twice, whether by attempts or by client retries.
 func (c *checker) checkMarks() {
 	first := map[string]record.Effect{}
 	for _, e := range c.rec.Effects {
@@ -570,7 +570,7 @@
 	})
 }
 
-// checkColdHosts checks that no cold host was pushed over; each host that started during the run is a case.
+// checkColdHosts checks that no cold host failed from overload; each host that started during the run is a case.
 func (c *checker) checkColdHosts() {
 	for _, node := range slices.Sorted(maps.Keys(c.rec.WarmAt)) {
 		c.checked[ColdHosts]++
@@ -599,7 +599,7 @@
 	return strings.Join(parts, "; ")
 }
 
-// checkGatewayStops checks that misses at cold hosts did not cause much of the load by which the gateway stopped.
+// checkGatewayStops checks that misses at cold hosts did not cause much of the load that made the origin stop.
 func (c *checker) checkGatewayStops() {
 	if len(c.rec.WarmAt) > 0 {
 		c.checked[NoColdMissOverload]++ // misses at cold hosts happened, or could have
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// maxSleep limits how long Play takes to notice a stop.
+// maxSleep limits how long Run takes to notice a stop.
 const maxSleep = 100 * time.Millisecond
 
 // runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
--- a/internal/rehearsal/measure/closed.go
+++ b/internal/rehearsal/measure/closed.go
@@ -113,7 +113,7 @@
 	return h, calls, good, nil
 }
 
-// PrintClosedLoopHead writes the head of the table whose rows Closed.PrintRow writes.
+// PrintClosedLoopHead writes the head of the table whose rows ClosedLoop.PrintRow writes.
 func PrintClosedLoopHead(to io.Writer) {
 	fmt.Fprintf(to, "%7s %6s %9s %9s  %8s %8s %8s  %9s %7s %6s\n", "clients", "hosts", "calls/s", "CPU/call", "p50", "p99", "p99.9", "fulfilled", "sockets", "MB")
 }
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -1,4 +1,4 @@
-// Package measure measures the rehearsal kit itself and single properties of balancers: the rate that the load generator
+// Package measure measures the rehearsals themselves and single properties of balancers: the rate that the load generator
 // reaches on a machine, the latency and processor time that a balancer adds to a request, its throughput and memory, and the
 // behaviour of fleets of balancers that exchange membership, limits and observations of hosts.
 package measure
@@ -59,7 +59,7 @@
 }
 
 // Rates measures request rates one after the other, each directly and through a balancer and each repeated. The results are the
-// medians of the repeats; Row.CPU and Row.Fulfilled are those of the last one.
+// medians of the repeats; RateRow.CPU and RateRow.Fulfilled are those of the last one.
 func Rates(ctx context.Context, launch runner.Launch, rates []float64, length time.Duration, repeats int, report func(RateRow)) ([]RateRow, error) {
 	var rows []RateRow
 	for _, perS := range rates {
@@ -129,7 +129,7 @@
 	return session.Clients.Latency(), session.Clients.Lateness(), cpu / time.Duration(max(1, tally.Finished)), good, err
 }
 
-// PrintHead writes the head of the table whose rows Line writes.
+// PrintHead writes the head of the table whose rows PrintRow writes.
 func PrintHead(to io.Writer) {
 	fmt.Fprintf(to, "%9s  %27s  %27s  %27s  %19s  %9s  %s\n", "calls/s", "p50 straight, through, adds", "p99", "p99.9",
 		"sent late at p99.9", "CPU/call", "fulfilled")
--- a/internal/rehearsal/record/record.go
+++ b/internal/rehearsal/record/record.go
@@ -90,7 +90,7 @@
 	At         time.Duration
 }
 
-// Effect is one write that the gateway applied.
+// Effect is one write that the origin applied.
 type Effect struct {
 	RequestID, DedupToken string
 	At                    time.Duration
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -97,7 +97,7 @@
 	Calls   int           `json:"calls"`
 }
 
-// Server holds what one cache host, or the gateway (the stand-in for the origin), received.
+// Server holds what one cache host, or the origin, received.
 type Server struct {
 	Name     string  `json:"name"`
 	Attempts int     `json:"shots"`
--- a/internal/rehearsal/runner/door.go
+++ b/internal/rehearsal/runner/door.go
@@ -34,7 +34,7 @@
 	return resp.StatusCode/100 == 2
 }
 
-// SetExcluded excludes a cache node, or includes it again, through the admin API of every balancer.
+// SetExcluded excludes a cache host, or includes it again, through the admin API of every balancer.
 func (s *Stage) SetExcluded(node string, exclude bool) {
 	path := "/api/include"
 	if exclude {
--- a/internal/rehearsal/runner/process.go
+++ b/internal/rehearsal/runner/process.go
@@ -36,7 +36,7 @@
 	TempDir     string // private temporary directory
 }
 
-// Launch starts a balancer with the files of its Place.
+// Launch starts a balancer with its Files.
 type Launch func(ctx context.Context, balancer int, at Files) (Instance, error)
 
 // Program returns a Launch that starts a binary.
--- a/internal/rehearsal/runner/room.go
+++ b/internal/rehearsal/runner/room.go
@@ -18,7 +18,7 @@
 // Resources that a rehearsal needs, as upper estimates from rehearsals with 2 to 16 balancers.
 const (
 	runnerDescriptors      = 256 // log files, first connections of clients, Go runtime
-	descriptorsPerPair     = 3   // for a balancer and a cache node: the node's listener for this balancer and one or two accepted connections
+	descriptorsPerPair     = 3   // for a balancer and a cache host: the host's listener for this balancer and one or two accepted connections
 	descriptorsPerBalancer = 40  // discovery stand-in, links to other balancers, client connections
 	memoryPerBalancerMB    = 16  // a process that handles some hundred requests per second
 	memoryPerPairKB        = 24  // listener and connections with their buffers and goroutines
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -23,7 +23,7 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Stage is a rehearsal that has been started: cache nodes, gateway, discovery stand-in, clients and balancers.
+// Stage is a rehearsal that has been started: cache hosts, origin, discovery stand-in, clients and balancers.
 type Stage struct {
 	Environment *standin.Environment
 	Record      *record.Record
@@ -60,7 +60,7 @@
 	return up(ctx, sc, launch, dir, (*Stage).addNodes)
 }
 
-// StartWithEchoNodes is Start with cache nodes that answer all reads immediately.
+// StartWithEchoNodes is Start with cache hosts that answer all reads immediately.
 func StartWithEchoNodes(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
 	return up(ctx, sc, launch, dir, func(s *Stage) error {
 		ids, groups := sc.HostIDs()
@@ -123,7 +123,7 @@
 	return err
 }
 
-// addNodes starts the scenario's cache nodes.
+// addNodes starts the scenario's cache hosts.
 func (s *Stage) addNodes() error {
 	sc := s.Environment.Scenario
 	ids, groups := sc.HostIDs()
@@ -132,7 +132,7 @@
 		if err != nil {
 			return err
 		}
-		// Every warm node holds all popular keys, because the balancers decide which node is asked for which key.
+		// Every warm host holds all popular keys, because the balancers decide which host is asked for which key.
 		for k := range int(sc.Load.WarmRatio * float64(sc.Load.Keys)) {
 			n.Preload(model.KeyName(k))
 		}
@@ -358,7 +358,7 @@
 	tasks.Add(3)
 	go func() { defer tasks.Done(); s.pollMembers(finished) }()
 	var fault error
-	go func() { defer tasks.Done(); fault = faults.New(s.Environment, s).Play(stop) }()
+	go func() { defer tasks.Done(); fault = faults.New(s.Environment, s).Run(stop) }()
 	go func() { defer tasks.Done(); s.measureLateness(finished) }()
 	s.Clients.Run(stop)
 	s.Clients.CloseIdle()
@@ -423,7 +423,7 @@
 	time.Sleep(20 * time.Millisecond) // until the ends of the last attempts are recorded
 }
 
-// BypassBalancers makes clients send requests directly to a cache node instead of the balancers.
+// BypassBalancers makes clients send requests directly to a cache host instead of the balancers.
 func (s *Stage) BypassBalancers(node string) {
 	s.Clients.BalancerUp(0, s.Environment.Host(node).Addr(0))
 }
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -14,7 +14,7 @@
 	"streamrail/internal/rehearsal/scenario"
 )
 
-// shortScenario exercises most rules in a few seconds: the gateway breaks connections, a cache node drains and a cold one
+// shortScenario exercises most rules in a few seconds: the origin breaks connections, a cache host drains and a cold one
 // replaces it.
 const shortScenario = `
 name = "short"
@@ -93,7 +93,7 @@
 drain = "3s"
 `
 
-// silentScenario stops all watches of the host list before most cache nodes leave; these nodes continue to serve for long.
+// silentScenario stops all watches of the host list before most cache hosts leave; these hosts continue to serve for long.
 const silentScenario = `
 length = "10s"
 [fleet]
@@ -169,7 +169,7 @@
 }
 
 // The judge must report exactly the rules that a faulty balancer breaks, and none for the same balancer without a defect.
-// With the defect "flood", the two balancers overload a cold node only together.
+// With the defect "flood", the two balancers overload a cold host only together.
 func TestJudgeReportsEachFault(t *testing.T) {
 	// Not exercised here: these need rare coincidences, malformed clients or an admin API, which faultyBalancer lacks.
 	notExercised := []judge.Rule{judge.NoRepeat, judge.HarmlessRetry, judge.MalformedInputRejected, judge.IncludedHostUsed, judge.UpgradeTurnsNoneAway, judge.AdminInTime}
@@ -202,7 +202,7 @@
 	}
 }
 
-// One balancer that sends all its requests to a cold node does not overload it with half of the traffic; two do, as
+// One balancer that sends all its requests to a cold host does not overload it with half of the traffic; two do, as
 // TestJudgeReportsEachFault shows.
 func TestOneBalancerAloneOverloadsNothing(t *testing.T) {
 	t.Parallel()
--- a/internal/rehearsal/runner/wrong_test.go
+++ b/internal/rehearsal/runner/wrong_test.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// pickHost returns the address of the cache host for a key, or of the gateway; "" if there is none.
+// pickHost returns the address of the cache host for a key, or of the origin; "" if there is none.
 func (b *faultyBalancer) pickHost(key string, gateway bool) (addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -306,8 +306,8 @@
 	return value, ""
 }
 
-// askGateway reads or writes a value at the gateway, with an outcome as of askHost; "never" here also means that the
-// gateway promised not to have processed the request.
+// askGateway reads or writes a value at the origin, with an outcome as of askHost; "never" here also means that the
+// origin promised not to have processed the request.
 func (b *faultyBalancer) askGateway(cmd *memcache.Command, value []byte, until time.Time) (text []byte, outcome string) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -376,7 +376,7 @@
 	}
 }
 
-// matchesPattern reports whether a pattern of a fault's nodes matches a node id. A pattern is an id, or a prefix and a star.
+// matchesPattern reports whether a pattern of a fault's hosts matches a host id. A pattern is an id, or a prefix and a star.
 func matchesPattern(pattern, id string) bool {
 	if prefix, ok := strings.CutSuffix(pattern, "*"); ok {
 		return strings.HasPrefix(id, prefix)
@@ -396,7 +396,7 @@
 // DescribeKind describes what a kind of fault does.
 func DescribeKind(name string) string { return faultKinds[name].description }
 
-// AffectedHosts returns those of the initial cache nodes that a fault affects: the ones that it lists, or a random share of all,
+// AffectedHosts returns those of the initial cache hosts that a fault affects: the ones that it lists, or a random share of all,
 // which depends only on the seed.
 func (sc *Scenario) AffectedHosts(i int) (affected []string) {
 	f := &sc.Faults[i]
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -59,7 +59,7 @@
 	LoadReports    bool     `toml:"reports"` // cache nodes add their load to answers
 }
 
-// Host describes a group of identical cache nodes, named NAME-1, NAME-2 and so on.
+// Host describes a group of identical cache hosts, named NAME-1, NAME-2 and so on.
 type Host struct {
 	Name                  string  `toml:"name"`
 	Zone                  string  `toml:"zone"`
@@ -141,7 +141,7 @@
 	Balancers []int   `toml:"at"`    // numbers of the balancers that its clients use; all if empty
 }
 
-// Rules holds the limits that the judge applies and the overload behaviour of cache nodes.
+// Rules holds the limits that the judge applies and the overload behaviour of cache hosts.
 type Rules struct {
 	DrainGrace        Span    `toml:"drain_grace"`
 	OverloadMultiple  float64 `toml:"fall_multiple"`
@@ -163,7 +163,7 @@
 	Jitter               Span    `toml:"jitter"`
 	ShareLimits          bool    `toml:"limits"` // balancers lend each other shares of fleet-wide limits
 	LeaseDuration        Span    `toml:"lease"`
-	// ShareObservations makes balancers exchange observations of how attempts at cache nodes ended.
+	// ShareObservations makes balancers exchange observations of how attempts at cache hosts ended.
 	ShareObservations bool `toml:"evidence"`
 }
 
@@ -303,13 +303,13 @@
 	if betweenBalancers {
 		return
 	}
-	concernsNodes := f.Share == 0 || f.Kind == "reset" || f.Kind == "spoil" || f.Kind == "fail" // for these, part is a share of the answers, not of the nodes
+	concernsNodes := f.Share == 0 || f.Kind == "reset" || f.Kind == "spoil" || f.Kind == "fail" // for these, part is a share of the answers, not of the hosts
 	if concernsNodes && len(f.Hosts) == 0 {
 		f.Hosts = []string{"*"}
 	}
 }
 
-// Modes of the fleet: which process asks the gateway after a cache miss.
+// Modes of the fleet: which process asks the origin after a cache miss.
 const (
 	ModeAside   = "aside"
 	ModeThrough = "through"
@@ -342,7 +342,7 @@
 	return sc.Tenants[tenant].Share * sc.Load.QuotaRatio * sc.Capacity()
 }
 
-// HostIDs returns the ids of all cache nodes at the start and the group of each.
+// HostIDs returns the ids of all cache hosts at the start and the group of each.
 func (sc *Scenario) HostIDs() (ids []string, groups map[string]*Host) {
 	groups = map[string]*Host{}
 	for i := range sc.Hosts {
@@ -360,7 +360,7 @@
 // produced.
 const missCostRatio = 0.2
 
-// HostConfig returns the model's parameters of a node of the group.
+// HostConfig returns the model's parameters of a host of the group.
 func (sc *Scenario) HostConfig(n *Host) model.HostConfig {
 	r, miss := sc.Rules, missCostRatio
 	if sc.Fleet.Mode == ModeThrough {
@@ -371,7 +371,7 @@
 		PauseInterval: n.PauseInterval.Duration(), PauseLength: n.PauseLength.Duration(), DropsAbandoned: n.DropsAbandoned, MissWorkRatio: miss}
 }
 
-// BalancerIdleTimeout returns the idle timeout of the node that balancers are configured with.
+// BalancerIdleTimeout returns the idle timeout of the host that balancers are configured with.
 func (n *Host) BalancerIdleTimeout() time.Duration {
 	if n.ConfiguredIdleTimeout > 0 {
 		return n.ConfiguredIdleTimeout.Duration()
@@ -379,7 +379,7 @@
 	return n.IdleTimeout.Duration()
 }
 
-// Capacity returns how many requests per second the cache nodes can handle at the start.
+// Capacity returns how many requests per second the cache hosts can handle at the start.
 func (sc *Scenario) Capacity() float64 {
 	work, shares, effectiveCores := 0.0, 0.0, 0.0
 	for _, p := range sc.Products {
@@ -392,7 +392,7 @@
 	return effectiveCores / (work / shares)
 }
 
-// OriginConfig returns the model's parameters of the gateway.
+// OriginConfig returns the model's parameters of the origin.
 func (sc *Scenario) OriginConfig() model.OriginConfig {
 	t := model.OriginConfig{Slots: sc.Origin.Slots, ServiceTime: sc.Origin.ServiceTime.Duration(), Queue: sc.Origin.Queue,
 		OverloadMultiple: sc.Origin.OverloadMultiple, OverloadWindow: sc.Origin.OverloadWindow.Duration(), OutageLength: sc.Origin.OutageLength.Duration()}
--- a/internal/rehearsal/standin/gateway.go
+++ b/internal/rehearsal/standin/gateway.go
@@ -66,8 +66,8 @@
 // Addr returns the address at which a balancer reaches the origin.
 func (g *Origin) Addr(balancer int) string { return g.addrs[balancer] }
 
-// Slow slows the origin down by a factor; 1 ends the slowdown.
-func (g *Origin) Slow(factor float64) {
+// SetSlowdown slows the origin down by a factor; 1 ends the slowdown.
+func (g *Origin) SetSlowdown(factor float64) {
 	g.mu.Lock()
 	g.advance(g.world.Now())
 	g.model.SetSlowdown(factor)
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -120,11 +120,11 @@
 	return model.Entry{Host: n.ID, Zone: n.Zone, MachineType: "cache", Lifecycle: condition, Weight: n.Group.Speed * float64(n.Group.Cores), StartedAt: n.startedAt}
 }
 
-// Slow slows the host's work down by a factor. It and the following methods inject faults; a zero argument ends them.
-func (n *Host) Slow(factor float64) { n.update(func() { n.model.SetSlowdown(max(factor, 1)) }) }
+// SetSlowdown slows the host's work down by a factor. It and the following methods inject faults; a zero argument ends them.
+func (n *Host) SetSlowdown(factor float64) { n.update(func() { n.model.SetSlowdown(max(factor, 1)) }) }
 
-// Stall makes the host accept commands without executing any.
-func (n *Host) Stall(on bool) { n.update(func() { n.model.SetStalled(on) }) }
+// SetStalled makes the host accept commands without executing any.
+func (n *Host) SetStalled(on bool) { n.update(func() { n.model.SetStalled(on) }) }
 
 // Corrupt makes the host corrupt a fraction of its answers.
 func (n *Host) Corrupt(ratio float64) { n.update(func() { n.corruptRatio = ratio }) }
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -138,8 +138,8 @@
 	r.recordNotice(balancer, host, false)
 }
 
-// Silence makes a balancer's agent stop answering, or ends that.
-func (r *Discovery) Silence(balancer int, on bool) {
+// SetSilent makes a balancer's agent stop answering, or ends that.
+func (r *Discovery) SetSilent(balancer int, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.model.SetSilent(balancer, on)
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -91,7 +91,7 @@
 	w, n := newWorld(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
 	w.ExpectRequest("w1", ExpectedRequest{Key: "k", Product: 2})
 	c, _ := dial(t, n.Addr(0))
-	n.Stall(true)
+	n.SetStalled(true)
 	io.WriteString(c, "ms k 2 Ow1 Pc=credit,t=shops,d=900\r\nhi\r\n")
 	for start := time.Now(); n.inFlight() == 0; time.Sleep(time.Millisecond) {
 		if time.Since(start) > waitTimeout {
@@ -99,7 +99,7 @@
 		}
 	}
 	c.Close()
-	n.Stall(false)
+	n.SetStalled(false)
 	waitForRecord(t, w, "the attempt that ran", func(r *record.Record) bool {
 		return len(r.Effects) == 1 && r.Effects[0].RequestID == "w1" && len(r.Attempts) > 0 && r.Attempts[0].Ran && r.Attempts[0].Proof == record.NothingProven
 	})
@@ -192,11 +192,11 @@
 	if got := get("", waitTimeout); !strings.Contains(got, `"reset":true`) || !strings.Contains(got, `"instanceId":"node-1"`) {
 		t.Error(got)
 	}
-	w.Discovery.Silence(0, true)
+	w.Discovery.SetSilent(0, true)
 	if got := get("", 100*time.Millisecond); got != "silent" {
 		t.Error(got)
 	}
-	w.Discovery.Silence(0, false)
+	w.Discovery.SetSilent(0, false)
 	w.Discovery.ResetGenerations(0)
 	if got := get(fmt.Sprintf("?after=%d&wait_ms=5000", 7), waitTimeout); !strings.Contains(got, `"reset":true`) {
 		t.Error(got)
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -24,7 +24,7 @@
 	rec              *record.Record
 	hosts            map[string]*cacheHost
 	hostsInOrder     []*cacheHost          // in the order of their first start
-	currentHost      map[string]*cacheHost // by the scenario's node name; a deploy replaces the host
+	currentHost      map[string]*cacheHost // by the host's name in the scenario; a deploy replaces the host
 	origin           *origin
 	discovery        *model.Discovery
 	balancers        []*balancer
