--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -36,7 +36,7 @@
 	}
 	fmt.Println("\nkinds of faults")
 	for _, k := range scenario.Kinds() {
-		fmt.Printf("%-20s %s\n", k, scenario.KindAbout(k))
+		fmt.Printf("%-20s %s\n", k, scenario.DescribeKind(k))
 	}
 	return nil
 }
@@ -85,7 +85,7 @@
 }
 
 // openScenario reads a scenario and applies the changes from the command line.
-func (p *runOptions) openScenario(name string) (*scenario.Day, error) {
+func (p *runOptions) openScenario(name string) (*scenario.Scenario, error) {
 	d, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
@@ -111,13 +111,13 @@
 		if p.For < time.Second {
 			return nil, fmt.Errorf("--for: %w: expected a second at least, got %v", scenario.ErrFaulty, p.For)
 		}
-		d.Shorten(p.For)
+		d.SetLength(p.For)
 	}
 	return d, nil
 }
 
 // prepare finds the balancer program and reads a scenario.
-func (p *runOptions) prepare(name string) (program string, d *scenario.Day, err error) {
+func (p *runOptions) prepare(name string) (program string, d *scenario.Scenario, err error) {
 	if program, err = p.findBalancer(); err == nil {
 		d, err = p.openScenario(name)
 	}
@@ -135,7 +135,7 @@
 }
 
 // runOne runs a scenario and writes its report if --out is set.
-func (p *runOptions) runOne(ctx context.Context, d *scenario.Day, program string, monitor func(*runner.Stage)) (*report.Report, error) {
+func (p *runOptions) runOne(ctx context.Context, d *scenario.Scenario, program string, monitor func(*runner.Stage)) (*report.Report, error) {
 	dir, cleanup, err := p.outputDir(d.Name)
 	if err != nil {
 		return nil, err
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", d.Name, err)
 	}
-	r := report.Of(res)
+	r := report.New(res)
 	if p.Out == "" {
 		return r, nil
 	}
@@ -215,10 +215,10 @@
 
 // showProgress shows the progress of a running scenario on a terminal.
 func showProgress(s *runner.Stage) {
-	for now := s.W.Now(); now < s.W.Day.Length.Duration(); now = s.W.Now() {
-		t := s.Callers.Tally()
+	for now := s.Environment.Now(); now < s.Environment.Scenario.Length.Duration(); now = s.Environment.Now() {
+		t := s.Clients.Tally()
 		fmt.Fprintf(os.Stderr, "\r%5.0fs of %.0fs  %d requests: %d fulfilled, %d rate-limited, %d errored, %d lost ", now.Seconds(),
-			s.W.Day.Length.Duration().Seconds(), t.Due, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
+			s.Environment.Scenario.Length.Duration().Seconds(), t.Finished, t.Fulfilled, t.RateLimited, t.Errored, t.Lost)
 		time.Sleep(time.Second / 2)
 	}
 	fmt.Fprintln(os.Stderr)
@@ -243,17 +243,17 @@
 	defer cleanup()
 	ctx, stop := interruptContext()
 	defer stop()
-	s, err := runner.Up(ctx, d, runner.Program(program), dir)
+	s, err := runner.Start(ctx, d, runner.Program(program), dir)
 	if err != nil {
 		return err
 	}
 	defer s.End()
-	s.W.Begin()
-	s.W.Open() // accept requests that are not part of the scenario
+	s.Environment.Begin()
+	s.Environment.AcceptAll() // accept requests that are not part of the scenario
 	for b := range d.Fleet.Balancers {
 		fmt.Printf("balancer %d serves at %s\n", b+1, s.Addr(b))
 	}
-	if d.Mates.On {
+	if d.Membership.Enabled {
 		printMemberViews(s, d.Fleet.Balancers)
 	}
 	readRequest := fmt.Sprintf("mg line-1 v Otry1 Pc=%s,t=%s,d=1000", d.Products[0].Name, d.Tenants[0].Name)
@@ -270,7 +270,7 @@
 func printMemberViews(s *runner.Stage, n int) {
 	time.Sleep(2 * time.Second) // the balancers find each other within this time
 	for b := range n {
-		v, ok := s.View(b)
+		v, ok := s.MembershipView(b)
 		if !ok {
 			fmt.Printf("%-4s: its admin API does not answer\n", fmt.Sprint("b", b+1))
 			continue
@@ -284,7 +284,7 @@
 }
 
 // tryRequests sends some requests to a balancer and prints the requests and the answers.
-func tryRequests(addr string, d *scenario.Day, readRequest string) error {
+func tryRequests(addr string, d *scenario.Scenario, readRequest string) error {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return err
@@ -340,7 +340,7 @@
 	if len(names) == 0 {
 		names = scenario.Names()
 	}
-	var scenarios []*scenario.Day
+	var scenarios []*scenario.Scenario
 	for _, n := range names {
 		d, err := c.openScenario(n)
 		if err != nil {
@@ -386,14 +386,14 @@
 
 // runAll runs scenarios, several at a time. It skips those for which the budget leaves too little time. The reports are in
 // the order of the scenarios.
-func (c suiteCommand) runAll(ctx context.Context, scenarios []*scenario.Day, program string) (reports []*report.Report, err error) {
+func (c suiteCommand) runAll(ctx context.Context, scenarios []*scenario.Scenario, program string) (reports []*report.Report, err error) {
 	lanes := c.Lanes
 	if lanes <= 0 {
 		lanes = max(1, runtime.GOMAXPROCS(0)/coresPerLane)
 	}
 	deadline := time.Now().Add(c.Budget)
 	results := make([]*report.Report, len(scenarios))
-	err = measure.SideBySide(len(scenarios), lanes, func(i int) (err error) {
+	err = measure.RunParallel(len(scenarios), lanes, func(i int) (err error) {
 		if !time.Now().Add(scenarios[i].Length.Duration()).After(deadline) {
 			results[i], err = c.runOne(ctx, scenarios[i], program, nil)
 		}
@@ -440,19 +440,19 @@
 	case "members":
 		return c.measureMembers(ctx, program)
 	case "limits":
-		return measureBySize(c, measure.LimitsOf)
+		return measureBySize(c, measure.MeasureLimits)
 	case "evidence":
-		return measureBySize(c, measure.EvidenceOf)
+		return measureBySize(c, measure.MeasureEvidence)
 	case "sizes":
 		return c.measureSizes(ctx, program)
 	}
 	if len(c.Clients) > 0 {
 		return c.measureSaturation(ctx, program)
 	}
-	var printRow func(measure.Row)
+	var printRow func(measure.RateRow)
 	if !c.JSON {
-		measure.Head(os.Stdout)
-		printRow = func(r measure.Row) { measure.Line(os.Stdout, r) }
+		measure.PrintHead(os.Stdout)
+		printRow = func(r measure.RateRow) { measure.PrintRow(os.Stdout, r) }
 	}
 	rows, err := measure.Rates(ctx, runner.Program(program), c.Rates, c.For, c.Repeats, printRow)
 	if err != nil {
@@ -461,7 +461,7 @@
 	if c.JSON {
 		return printJSON(rows)
 	}
-	fmt.Printf("driven at %v late or less at p99.9, %d cores: %.0f requests a second\n", measure.LateMost, runtime.NumCPU(), measure.Driven(rows))
+	fmt.Printf("driven at %v late or less at p99.9, %d cores: %.0f requests a second\n", measure.MaxLateness, runtime.NumCPU(), measure.MaxReachedRate(rows))
 	return nil
 }
 
@@ -488,13 +488,13 @@
 
 // measureSizes measures the resources that one balancer needs with many hosts and balancers.
 func (c measureCommand) measureSizes(ctx context.Context, program string) error {
-	printSize := func(s measure.Size) { measure.SizesLine(os.Stdout, s) }
+	printSize := func(s measure.Size) { measure.PrintSize(os.Stdout, s) }
 	if c.JSON {
 		printSize = func(measure.Size) {}
 	} else {
-		measure.SizesHead(os.Stdout)
+		measure.PrintSizesHead(os.Stdout)
 	}
-	rows, err := measure.SizesOf(ctx, runner.Program(program), c.Hosts, c.Fleet, printSize)
+	rows, err := measure.MeasureSizes(ctx, runner.Program(program), c.Hosts, c.Fleet, printSize)
 	if err == nil && c.JSON {
 		err = printJSON(rows)
 	}
@@ -511,10 +511,10 @@
 		}
 	}
 	for _, n := range c.Virtual {
-		show(measure.Virtual(n, c.Seeds, runtime.GOMAXPROCS(0), c.Quiet, c.Stalled, os.Stderr))
+		show(measure.MeasureMembersSimulated(n, c.Seeds, runtime.GOMAXPROCS(0), c.Quiet, c.Stalled, os.Stderr))
 	}
 	for _, n := range c.Sockets {
-		m, err := measure.OnSockets(ctx, runner.Program(program), n, c.Times)
+		m, err := measure.MeasureMembersOnSockets(ctx, runner.Program(program), n, c.Times)
 		if err != nil {
 			return err
 		}
@@ -528,20 +528,20 @@
 
 // measureSaturation measures the highest throughput of a balancer.
 func (c measureCommand) measureSaturation(ctx context.Context, program string) error {
-	var rows []measure.Closed
+	var rows []measure.ClosedLoop
 	if !c.JSON {
-		measure.ClosedHead(os.Stdout)
+		measure.PrintClosedLoopHead(os.Stdout)
 	}
 	for _, hosts := range c.Hosts {
 		for _, clients := range c.Clients {
 			for range c.Repeats {
-				r, err := measure.Saturate(ctx, runner.Program(program), clients, hosts, c.For)
+				r, err := measure.RunClosedLoop(ctx, runner.Program(program), clients, hosts, c.For)
 				if err != nil {
 					return err
 				}
 				rows = append(rows, r)
 				if !c.JSON {
-					r.Line(os.Stdout)
+					r.PrintRow(os.Stdout)
 				}
 			}
 		}
--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -67,7 +67,7 @@
 		trace = w
 	}
 	reports := make([]*report.Report, len(list))
-	err = measure.SideBySide(len(list), runtime.GOMAXPROCS(0), func(i int) (err error) {
+	err = measure.RunParallel(len(list), runtime.GOMAXPROCS(0), func(i int) (err error) {
 		reports[i], err = c.simulateSeed(list[i], trace)
 		return err
 	})
@@ -101,11 +101,11 @@
 	if c.Balancers != 0 {
 		d.Fleet.Balancers = c.Balancers
 	}
-	res, err := virtual.Play(d, trace)
+	res, err := virtual.Simulate(d, trace)
 	if err != nil {
 		return nil, err
 	}
-	return report.Of(res), nil
+	return report.New(res), nil
 }
 
 // printSummary prints the range of the service over all seeds and every seed that broke a rule.
--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -14,26 +14,26 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Balancers is how faults act on the balancers. Balancers are counted from 0.
-type Balancers interface {
+// BalancerControl is how faults act on the balancers. Balancers are counted from 0.
+type BalancerControl interface {
 	Kill(balancer int, back time.Duration)               // kills its process and starts it again after the given time
 	Restart(balancer int)                                // ends its process with a drain and starts it again
 	Reload(balancer int) error                           // gives it a new configuration with another discovery address
-	Rude(i int)                                          // runs a client that sends malformed input; returns when it has ended
-	ByHand(node string, out bool)                        // excludes a host, or includes it again, at every balancer's admin API
+	MalformedClient(i int)                               // runs a client that sends malformed input; returns when it has ended
+	SetExcluded(node string, out bool)                   // excludes a host, or includes it again, at every balancer's admin API
 	Upgrade(balancer int) error                          // has a newer process take over
-	Stall(balancer int, length time.Duration)            // pauses its process
-	Astray(balancer int)                                 // kills it and starts it with wrong addresses of the other balancers
-	Twin(balancer, other int, length time.Duration)      // starts it again under the other one's name, for that long
+	Pause(balancer int, length time.Duration)            // pauses its process
+	RestartWithWrongPeers(balancer int)                  // kills it and starts it with wrong addresses of the other balancers
+	RestartAs(balancer, other int, length time.Duration) // starts it again under the other one's name, for that long
 	UpgradeKill(balancer int, after time.Duration) error // kills the newer process of an upgrade after it is ready
-	Ways() *standin.Relays                               // the links between balancers
-	Stray(i int)                                         // opens one of many connections and returns when it has ended
+	Links() *standin.Relays                              // the links between balancers
+	CrowdConnection(i int)                               // opens one of many connections and returns when it has ended
 }
 
 // Timeline holds the faults of a scenario as steps to run at given times.
 type Timeline struct {
-	world     *standin.World
-	balancers Balancers
+	world     *standin.Environment
+	balancers BalancerControl
 	steps     []step
 	pending   sync.WaitGroup
 
@@ -49,24 +49,24 @@
 }
 
 // New returns the timeline of a scenario's faults.
-func New(w *standin.World, b Balancers) *Timeline {
+func New(w *standin.Environment, b BalancerControl) *Timeline {
 	t := &Timeline{world: w, balancers: b, currentID: map[string]string{}}
-	for i := range w.Day.Faults {
+	for i := range w.Scenario.Faults {
 		t.schedule(i)
 	}
 	slices.SortStableFunc(t.steps, func(x, y step) int { return int(x.at - y.at) })
 	return t
 }
 
-// Play runs each step at its time until the last one or until stop is closed. It returns the first error of a step.
-func (t *Timeline) Play(stop <-chan struct{}) error {
+// Run runs each step at its time until the last one or until stop is closed. It returns the first error of a step.
+func (t *Timeline) Run(stop <-chan struct{}) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for _, s := range t.steps {
 		timer.Reset(max(0, s.at-t.world.Now()))
 		select {
 		case <-timer.C:
-			t.world.Late(s.at, t.world.Now())
+			t.world.RecordLateness(s.at, t.world.Now())
 			s.run()
 		case <-stop:
 			return t.err
@@ -89,48 +89,48 @@
 }
 
 // nodeAt returns the host that now has the place of one that existed at the start: itself or its latest replacement.
-func (t *Timeline) nodeAt(place string) *standin.Node {
+func (t *Timeline) nodeAt(place string) *standin.Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if id, ok := t.currentID[place]; ok {
-		return t.world.Node(id)
+		return t.world.Host(id)
 	}
-	return t.world.Node(place)
+	return t.world.Host(place)
 }
 
 // addInterval schedules one action on hosts for a fault's begin and another for its end.
-func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Node)) {
+func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Host)) {
 	for _, p := range places {
 		t.addStep(fault.At.Duration(), func() { begin(t.nodeAt(p)) })
-		t.addStep((fault.At + fault.For).Duration(), func() { end(t.nodeAt(p)) })
+		t.addStep((fault.At + fault.Length).Duration(), func() { end(t.nodeAt(p)) })
 	}
 }
 
 // schedule adds the steps of the scenario's i-th fault to the timeline, and the fault to the record.
 func (t *Timeline) schedule(i int) {
-	fault := &t.world.Day.Faults[i]
-	from, to := fault.At.Duration(), (fault.At + fault.For).Duration()
-	places, balancers := t.world.Day.Hit(i), t.world.Day.HitBalancers(i)
-	description := fault.Do
-	switch fault.Do {
+	fault := &t.world.Scenario.Faults[i]
+	from, to := fault.At.Duration(), (fault.At + fault.Length).Duration()
+	places, balancers := t.world.Scenario.AffectedHosts(i), t.world.Scenario.AffectedBalancers(i)
+	description := fault.Kind
+	switch fault.Kind {
 	case "slow":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Slow(fault.By) }, func(n *standin.Node) { n.Slow(1) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.SetSlowdown(fault.Factor) }, func(n *standin.Host) { n.SetSlowdown(1) })
 	case "stall":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Stall(true) }, func(n *standin.Node) { n.Stall(false) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.SetStalled(true) }, func(n *standin.Host) { n.SetStalled(false) })
 	case "spoil":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Spoil(fault.Part) }, func(n *standin.Node) { n.Spoil(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Corrupt(fault.Share) }, func(n *standin.Host) { n.Corrupt(0) })
 	case "reset":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Reset(fault.Part) }, func(n *standin.Node) { n.Reset(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Reset(fault.Share) }, func(n *standin.Host) { n.Reset(0) })
 	case "fail":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Fail(fault.Part) }, func(n *standin.Node) { n.Fail(0) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Fail(fault.Share) }, func(n *standin.Host) { n.Fail(0) })
 	case "kill":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Stop(); t.setCondition(n, model.Left) },
-			func(n *standin.Node) { t.check(n.Start(true)); t.setCondition(n, model.Active) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Stop(); t.setCondition(n, model.Left) },
+			func(n *standin.Host) { t.check(n.Start(true)); t.setCondition(n, model.Active) })
 	case "vanish", "zone-dark":
-		t.addInterval(fault, places, func(n *standin.Node) { n.Vanish(); t.setCondition(n, model.Left) },
-			func(n *standin.Node) { t.check(n.Return()); t.setCondition(n, model.Active) })
+		t.addInterval(fault, places, func(n *standin.Host) { n.Disconnect(); t.setCondition(n, model.Left) },
+			func(n *standin.Host) { t.check(n.Reconnect()); t.setCondition(n, model.Active) })
 	case "link-delay":
-		t.addLinkFault(fault, places, balancers, func(n *standin.Node, b int, active bool) {
+		t.addLinkFault(fault, places, balancers, func(n *standin.Host, b int, active bool) {
 			if active {
 				n.Delay(b, fault.Delay.Duration())
 			} else {
@@ -138,34 +138,34 @@
 			}
 		})
 	case "link-cut":
-		t.addLinkFault(fault, places, balancers, func(n *standin.Node, b int, active bool) { t.check(n.Cut(b, active)) })
+		t.addLinkFault(fault, places, balancers, func(n *standin.Host, b int, active bool) { t.check(n.Cut(b, active)) })
 	case "deploy":
 		t.deploy(fault, places)
 	case "register-silent":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Register.Silence(b, true) })
-			t.addStep(to, func() { t.world.Register.Silence(b, false) })
+			t.addStep(from, func() { t.world.Discovery.SetSilent(b, true) })
+			t.addStep(to, func() { t.world.Discovery.SetSilent(b, false) })
 		}
 	case "watch-silent":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Register.BreakWatches(b) })
+			t.addStep(from, func() { t.world.Discovery.StallWatches(b) })
 		}
 	case "register-rewind":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Register.Rewind(b) })
+			t.addStep(from, func() { t.world.Discovery.ResetGenerations(b) })
 		}
 	case "gateway-slow":
-		t.addStep(from, func() { t.world.Gateway.Slow(fault.By) })
-		t.addStep(to, func() { t.world.Gateway.Slow(1) })
+		t.addStep(from, func() { t.world.Origin.SetSlowdown(fault.Factor) })
+		t.addStep(to, func() { t.world.Origin.SetSlowdown(1) })
 	case "gateway-reset":
-		t.addStep(from, func() { t.world.Gateway.Reset(fault.Part) })
-		t.addStep(to, func() { t.world.Gateway.Reset(0) })
+		t.addStep(from, func() { t.world.Origin.Reset(fault.Share) })
+		t.addStep(to, func() { t.world.Origin.Reset(0) })
 	case "gateway-fail":
-		t.addStep(from, func() { t.world.Gateway.Fail(fault.Part) })
-		t.addStep(to, func() { t.world.Gateway.Fail(0) })
+		t.addStep(from, func() { t.world.Origin.Fail(fault.Share) })
+		t.addStep(to, func() { t.world.Origin.Fail(0) })
 	case "balancer-kill":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Kill(b, fault.For.Duration()) })
+			t.addStep(from, func() { t.balancers.Kill(b, fault.Length.Duration()) })
 		}
 	case "balancer-restart":
 		for _, b := range balancers {
@@ -177,64 +177,64 @@
 		}
 	case "by-hand":
 		for _, p := range places {
-			t.addStep(from, func() { t.balancers.ByHand(t.nodeAt(p).ID, true) })
+			t.addStep(from, func() { t.balancers.SetExcluded(t.nodeAt(p).ID, true) })
 			t.addStep((from+to)/2, func() {
 				n := t.nodeAt(p)
 				n.Stop()
 				t.check(n.Start(true))
 				t.setCondition(n, model.Active)
 			})
-			t.addStep(to, func() { t.balancers.ByHand(t.nodeAt(p).ID, false) })
+			t.addStep(to, func() { t.balancers.SetExcluded(t.nodeAt(p).ID, false) })
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Stall(b, fault.For.Duration()) })
+			t.addStep(from, func() { t.balancers.Pause(b, fault.Length.Duration()) })
 		}
 	case "balancer-astray":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.balancers.Astray(b) })
+			t.addStep(from, func() { t.balancers.RestartWithWrongPeers(b) })
 		}
 	case "balancer-twin":
-		t.addStep(from, func() { t.balancers.Twin(fault.Balancers[0]-1, fault.To[0]-1, fault.For.Duration()) })
+		t.addStep(from, func() { t.balancers.RestartAs(fault.Balancers[0]-1, fault.To[0]-1, fault.Length.Duration()) })
 	case "upgrade-kill":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.For.Duration())) }) })
+			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.UpgradeKill(b, fault.Length.Duration())) }) })
 		}
 	case "upgrade":
 		for _, b := range balancers {
 			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.Upgrade(b)) }) })
 		}
 	case "crowd", "rude":
-		play := t.balancers.Rude
-		if fault.Do == "crowd" {
-			play = t.balancers.Stray
+		play := t.balancers.MalformedClient
+		if fault.Kind == "crowd" {
+			play = t.balancers.CrowdConnection
 		}
 		for n := range fault.Count {
-			t.addStep(from+fault.For.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
+			t.addStep(from+fault.Length.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
 		}
 	}
-	if strings.HasPrefix(fault.Do, "mate-") {
+	if strings.HasPrefix(fault.Kind, "mate-") {
 		t.scheduleBalancerLinks(i, fault)
 	}
-	if strings.Contains(" slow stall kill vanish link-delay link-cut deploy by-hand ", " "+fault.Do+" ") {
+	if strings.Contains(" slow stall kill vanish link-delay link-cut deploy by-hand ", " "+fault.Kind+" ") {
 		description += " " + strings.Join(places, " ")
 	} else if fault.Zone != "" || fault.Tenant != "" {
 		description += " " + fault.Zone + fault.Tenant
 	}
-	t.world.Rec.Add(func() {
-		t.world.Rec.Bands = append(t.world.Rec.Bands, record.Band{Text: description, From: from, To: to})
+	t.world.Record.Add(func() {
+		t.world.Record.Faults = append(t.world.Record.Faults, record.Band{Text: description, From: from, To: to})
 	})
 }
 
 // scheduleBalancerLinks schedules a fault of the links between balancers.
 func (t *Timeline) scheduleBalancerLinks(i int, fault *scenario.Fault) {
-	from, to, links := fault.At.Duration(), (fault.At + fault.For).Duration(), t.world.Day.Ways(i)
+	from, to, links := fault.At.Duration(), (fault.At + fault.Length).Duration(), t.world.Scenario.AffectedLinks(i)
 	change := func(end bool) {
 		for _, link := range links {
-			t.balancers.Ways().Change(link[0], link[1], t.world.Day.Harm(i, end))
+			t.balancers.Links().AlterLink(link[0], link[1], t.world.Scenario.LinkChange(i, end))
 		}
 	}
-	if fault.Do == "mate-flap" {
+	if fault.Kind == "mate-flap" {
 		active := false
 		for at := from; at < to; at += fault.Delay.Duration() {
 			active = !active
@@ -244,17 +244,17 @@
 		t.addStep(from, func() { change(false) })
 	}
 	t.addStep(to, func() { change(true) })
-	t.world.Rec.Add(func() { t.world.Rec.MateCuts = append(t.world.Rec.MateCuts, Cuts(fault, links)...) })
+	t.world.Record.Add(func() { t.world.Record.LinkOutages = append(t.world.Record.LinkOutages, LinkOutages(fault, links)...) })
 }
 
-// Cuts returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
+// LinkOutages returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
 // reorders or corrupts datagrams, or loses few of them, cuts nothing.
-func Cuts(fault *scenario.Fault, links [][2]int) (cuts []record.MateCut) {
-	if fault.Do != "mate-cut" && fault.Do != "mate-flap" && !(fault.Do == "mate-loss" && fault.Part > maxUsableLoss) && fault.Do != "mate-narrow" {
+func LinkOutages(fault *scenario.Fault, links [][2]int) (cuts []record.LinkOutage) {
+	if fault.Kind != "mate-cut" && fault.Kind != "mate-flap" && !(fault.Kind == "mate-loss" && fault.Share > maxUsableLoss) && fault.Kind != "mate-narrow" {
 		return nil
 	}
 	for _, link := range links {
-		cuts = append(cuts, record.MateCut{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.For).Duration()})
+		cuts = append(cuts, record.LinkOutage{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.Length).Duration()})
 	}
 	return cuts
 }
@@ -262,9 +262,9 @@
 // maxUsableLoss is the share of lost datagrams up to which a link between balancers counts as usable.
 const maxUsableLoss = 0.35
 
-func (t *Timeline) addLinkFault(fault *scenario.Fault, places []string, balancers []int, apply func(n *standin.Node, b int, active bool)) {
+func (t *Timeline) addLinkFault(fault *scenario.Fault, places []string, balancers []int, apply func(n *standin.Host, b int, active bool)) {
 	for _, b := range balancers {
-		t.addInterval(fault, places, func(n *standin.Node) { apply(n, b, true) }, func(n *standin.Node) { apply(n, b, false) })
+		t.addInterval(fault, places, func(n *standin.Host) { apply(n, b, true) }, func(n *standin.Host) { apply(n, b, false) })
 	}
 }
 
@@ -274,7 +274,9 @@
 	}
 }
 
-func (t *Timeline) setCondition(n *standin.Node, c model.Condition) { t.world.Register.Set(n.Entry(c)) }
+func (t *Timeline) setCondition(n *standin.Host, c model.Lifecycle) {
+	t.world.Discovery.Update(n.Entry(c))
+}
 
 // deploy replaces hosts in waves. The successor starts cold when the old host begins to leave, or, where it takes over the old
 // one's address, after the old one has ended. The old host goes on until every balancer must have been notified, and then for
@@ -282,20 +284,20 @@
 func (t *Timeline) deploy(fault *scenario.Fault, places []string) {
 	waves := (len(places) + fault.AtOnce - 1) / fault.AtOnce
 	for i, p := range places {
-		at := fault.At.Duration() + fault.For.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
-		stopDelay := t.world.Day.Register.Late[1].Duration() + fault.Drain.Duration()
-		var old, next *standin.Node
+		at := fault.At.Duration() + fault.Length.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
+		stopDelay := t.world.Scenario.Discovery.Delay[1].Duration() + fault.Drain.Duration()
+		var old, next *standin.Host
 		t.addStep(at, func() {
 			old = t.nodeAt(p)
 			t.setCondition(old, model.Leaving)
-			if !fault.Same {
+			if !fault.SameAddress {
 				next = t.startSuccessor(p, old, false)
 			}
 		})
 		t.addStep(at+stopDelay, func() {
 			old.Stop()
 			t.setCondition(old, model.Left)
-			if fault.Same {
+			if fault.SameAddress {
 				next = t.startSuccessor(p, old, true)
 			}
 			if next != nil {
@@ -308,13 +310,13 @@
 }
 
 // startSuccessor starts a cold host in place of an old one and lists it as active.
-func (t *Timeline) startSuccessor(place string, old *standin.Node, sameAddress bool) *standin.Node {
+func (t *Timeline) startSuccessor(place string, old *standin.Host, sameAddress bool) *standin.Host {
 	id := fmt.Sprintf("%s.%d", place, strings.Count(old.ID, ".")+2)
-	var inherit *standin.Node
+	var inherit *standin.Host
 	if sameAddress {
 		inherit = old
 	}
-	n, err := t.world.AddNode(id, old.Group, true, inherit)
+	n, err := t.world.AddHost(id, old.Group, true, inherit)
 	if err != nil {
 		t.recordError(err)
 		return nil
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -18,13 +18,13 @@
 	do func()
 }
 
-// Day simulates the communication between the balancers of a scenario in virtual time and records it for the judge.
-type Day struct {
-	*Play
-	day           *scenario.Day
+// Simulation simulates the communication between the balancers of a scenario in virtual time and records it for the judge.
+type Simulation struct {
+	*Fleet
+	day           *scenario.Scenario
 	rec           *record.Record
 	actions       []action
-	memberLife    []int // by balancer: index into rec.Mates of its last process; -1: none was started
+	memberLife    []int // by balancer: index into rec.Memberships of its last process; -1: none was started
 	wrongSeeds    map[int]bool
 	requestCounts [][]requestCounter // by balancer and tenant
 }
@@ -60,20 +60,20 @@
 // RestartAfter is how long a balancer that is asked to end goes on running, because clients still use their open connections.
 const RestartAfter = 3 * time.Second
 
-// NewDay starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
+// NewSimulation starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
 // not nil, it may change the simulation before the balancers start; tests use it.
-func NewDay(day *scenario.Day, rec *record.Record, configure func(*Play)) *Day {
-	m := day.Mates
-	d := &Day{day: day, rec: rec, wrongSeeds: map[int]bool{}, Play: New(Terms{Mates: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, Period: m.Period.Duration(), Suspect: m.Suspect.Duration(),
-		Budget: m.Budget, Seed: day.Seed, Ways: m.Way()})}
+func NewSimulation(day *scenario.Scenario, rec *record.Record, configure func(*Fleet)) *Simulation {
+	m := day.Membership
+	d := &Simulation{day: day, rec: rec, wrongSeeds: map[int]bool{}, Fleet: New(Config{Members: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, ProbePeriod: m.ProbePeriod.Duration(), SuspicionTimeout: m.SuspicionTimeout.Duration(),
+		GossipBytesPerSecond: m.GossipBytesPerSecond, Seed: day.Seed, Links: m.LinkConfig()})}
 	d.nameOverrides = map[int]int{}
-	if m.Limits {
-		d.Shares = d.newShares()
+	if m.ShareLimits {
+		d.Limits = d.newShares()
 	}
 	if configure != nil {
-		configure(d.Play)
+		configure(d.Fleet)
 	}
-	for i := range d.Mates {
+	for i := range d.Members {
 		d.memberLife = append(d.memberLife, -1)
 		d.start(i)
 	}
@@ -87,8 +87,8 @@
 	return d
 }
 
-// To advances the simulation up to the given time, including the scheduled faults.
-func (d *Day) To(until time.Duration) {
+// RunTo advances the simulation up to the given time, including the scheduled faults.
+func (d *Simulation) RunTo(until time.Duration) {
 	for len(d.actions) > 0 && d.actions[0].at <= until {
 		x := d.actions[0]
 		d.actions = d.actions[1:]
@@ -98,47 +98,47 @@
 	d.Run(until)
 }
 
-// Came counts a request of a tenant that a balancer has received now.
-func (d *Day) Came(balancer, tenant int) {
-	if d.Shares != nil {
+// CountRequest counts a request of a tenant that a balancer has received now.
+func (d *Simulation) CountRequest(balancer, tenant int) {
+	if d.Limits != nil {
 		a := &d.requestCounts[balancer][tenant]
 		a.advance(d.Now)
 		a.counts[a.turn%len(a.counts)]++
 	}
 }
 
-// Parts calls tell with the fraction of each tenant's quota that the balancer may use now. It does nothing if shares do
+// QuotaShares calls yield with the fraction of each tenant's quota that the balancer may use now. It does nothing if shares do
 // not move between balancers.
-func (d *Day) Parts(balancer int, tell func(tenant int, part float64)) {
-	m := d.Mates[balancer]
+func (d *Simulation) QuotaShares(balancer int, yield func(tenant int, part float64)) {
+	m := d.Members[balancer]
 	if m.Share == nil {
 		return
 	}
-	for t, bound := range d.Shares.Bound {
-		tell(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/bound)
+	for t, bound := range d.Limits.Limit {
+		yield(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/bound)
 	}
 }
 
-func (d *Day) at(at time.Duration, do func()) { d.actions = append(d.actions, action{at, do}) }
+func (d *Simulation) at(at time.Duration, do func()) { d.actions = append(d.actions, action{at, do}) }
 
 func formatID(l member.ProcessID) string { return fmt.Sprintf("%016x", uint64(l)) }
 
-func (d *Day) start(i int) {
-	if d.Mates[i].Machine != nil {
+func (d *Simulation) start(i int) {
+	if d.Members[i].Machine != nil {
 		return
 	}
 	d.nextSeedsWrong = d.wrongSeeds[i]
 	d.Start(i)
 	d.nextSeedsWrong = false
-	d.memberLife[i] = len(d.rec.Mates)
-	d.rec.Mates = append(d.rec.Mates, record.MateLife{Balancer: i, Life: formatID(d.Mates[i].ProcessID()), From: d.Now})
+	d.memberLife[i] = len(d.rec.Memberships)
+	d.rec.Memberships = append(d.rec.Memberships, record.Membership{Balancer: i, ProcessID: formatID(d.Members[i].ProcessID()), From: d.Now})
 }
 
-func (d *Day) stop(i int, leave bool) {
-	if d.Mates[i].Machine == nil {
+func (d *Simulation) stop(i int, leave bool) {
+	if d.Members[i].Machine == nil {
 		return
 	}
-	d.rec.Mates[d.memberLife[i]].To = d.Now
+	d.rec.Memberships[d.memberLife[i]].To = d.Now
 	if leave {
 		d.Leave(i)
 	} else {
@@ -146,31 +146,31 @@
 	}
 }
 
-// newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by Came.
-func (d *Day) newShares() *Shares {
+// newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by CountRequest.
+func (d *Simulation) newShares() *Limits {
 	n := len(d.day.Tenants)
-	s := &Shares{Lease: d.day.Mates.Lease.Duration(), Floor: make([]float64, n)}
+	s := &Limits{Lease: d.day.Membership.LeaseDuration.Duration(), Minimum: make([]float64, n)}
 	for t := range n {
-		s.Names, s.Bound, s.Grain = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Bound, d.day.Allowance(t)), append(s.Grain, 1)
+		s.Names, s.Limit, s.Step = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Limit, d.day.TenantQuota(t)), append(s.Step, 1)
 	}
 	for range d.day.Fleet.Balancers {
 		d.requestCounts = append(d.requestCounts, make([]requestCounter, n))
 	}
-	s.Need = func(index, name int, now time.Duration) float64 { return d.requestCounts[index][name].perS(now) }
+	s.Demand = func(index, name int, now time.Duration) float64 { return d.requestCounts[index][name].perS(now) }
 	return s
 }
 
 // recordViews records the membership view, the quota shares and the bytes sent so far of each running balancer.
-func (d *Day) recordViews() {
-	for i, m := range d.Mates {
-		if m.Machine == nil || m.Stalled > d.Now {
+func (d *Simulation) recordViews() {
+	for i, m := range d.Members {
+		if m.Machine == nil || m.StalledUntil > d.Now {
 			continue
 		}
 		v := m.View()
-		to := record.View{Balancer: i, At: d.Now, Life: formatID(v.Self.Life), Situation: v.Situation.String(), Digest: formatID(member.ProcessID(v.Digest)),
-			Rival: v.NameConflict.Life != 0}
+		to := record.MembershipView{Balancer: i, At: d.Now, ProcessID: formatID(v.Self.Life), Situation: v.Situation.String(), Digest: formatID(member.ProcessID(v.Digest)),
+			NameConflict: v.NameConflict.Life != 0}
 		for _, o := range v.Members {
-			to.Mates = append(to.Mates, record.Mate{Name: o.Name, Life: formatID(o.Life), State: o.State.String()})
+			to.Members = append(to.Members, record.Member{Name: o.Name, ProcessID: formatID(o.Life), State: o.State.String()})
 		}
 		d.rec.Views = append(d.rec.Views, to)
 		for name := range len(d.day.Tenants) {
@@ -178,19 +178,19 @@
 				break
 			}
 			st := m.Share.State(d.Now, name)
-			d.rec.Parts = append(d.rec.Parts, record.Part{Balancer: i, At: d.Now, Limit: d.Shares.Names[name], Part: float64(st.Part) / float64(share.WholeLimit),
-				Need: st.Need, Bound: m.Share.Limit(name), Exact: true})
+			d.rec.LimitShares = append(d.rec.LimitShares, record.LimitShare{Balancer: i, At: d.Now, Limit: d.Limits.Names[name], Share: float64(st.Part) / float64(share.WholeLimit),
+				Demand: st.Need, Quota: m.Share.Limit(name), Simultaneous: true})
 		}
-		d.rec.Talks = append(d.rec.Talks, record.Talk{Balancer: i, At: d.Now, Bytes: m.Bytes})
+		d.rec.BytesSent = append(d.rec.BytesSent, record.BytesSent{Balancer: i, At: d.Now, Bytes: m.BytesSent})
 	}
 }
 
 // scheduleFault schedules a fault of the scenario. Faults that do not concern the balancers themselves or the links between
 // them have no effect here.
-func (d *Day) scheduleFault(i int) {
+func (d *Simulation) scheduleFault(i int) {
 	f := &d.day.Faults[i]
-	from, to, targets := f.At.Duration(), (f.At + f.For).Duration(), d.day.HitBalancers(i)
-	switch f.Do {
+	from, to, targets := f.At.Duration(), (f.At + f.Length).Duration(), d.day.AffectedBalancers(i)
+	switch f.Kind {
 	case "balancer-kill":
 		for _, b := range targets {
 			d.at(from, func() { d.stop(b, false) })
@@ -207,8 +207,8 @@
 	case "balancer-stall":
 		for _, b := range targets {
 			d.at(from, func() {
-				d.Stall(b, f.For.Duration())
-				d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to})
+				d.Stall(b, f.Length.Duration())
+				d.rec.Pauses = append(d.rec.Pauses, record.Pause{Balancer: b, From: from, To: to})
 			})
 		}
 	case "balancer-twin":
@@ -217,7 +217,7 @@
 			d.stop(b, false)
 			d.nameOverrides[b] = other
 			d.start(b)
-			d.rec.Stalls = append(d.rec.Stalls, record.Stall{Balancer: b, From: from, To: to, Twin: other + 1})
+			d.rec.Pauses = append(d.rec.Pauses, record.Pause{Balancer: b, From: from, To: to, SameNameAs: other + 1})
 		})
 		d.at(to, func() {
 			delete(d.nameOverrides, b)
@@ -238,13 +238,13 @@
 		d.at(from, func() { d.changeLinks(i, false) })
 		d.at(to, func() { d.changeLinks(i, true) })
 	}
-	d.rec.MateCuts = append(d.rec.MateCuts, faults.Cuts(f, d.day.Ways(i))...)
+	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.LinkOutages(f, d.day.AffectedLinks(i))...)
 }
 
 // changeLinks applies a fault to the links that it concerns, or ends it there.
-func (d *Day) changeLinks(i int, end bool) {
-	change := d.day.Harm(i, end)
-	for _, w := range d.day.Ways(i) {
-		change(&d.Way(w[0], w[1]).WayTerms)
+func (d *Simulation) changeLinks(i int, end bool) {
+	change := d.day.LinkChange(i, end)
+	for _, w := range d.day.AffectedLinks(i) {
+		change(&d.Link(w[0], w[1]).LinkConfig)
 	}
 }
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -20,11 +20,11 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// Callers simulates all clients of a rehearsal.
-type Callers struct {
-	world       *standin.World
+// Clients simulates all clients of a rehearsal.
+type Clients struct {
+	world       *standin.Environment
 	arrivals    []model.Arrival
-	retryPolicy model.Retry
+	retryPolicy model.RetryPolicy
 	targets     []*balancerTarget // indexed by balancer
 
 	running    sync.WaitGroup
@@ -39,7 +39,7 @@
 
 // Tally counts the outcomes of requests so far; each client retry counts as one more.
 type Tally struct {
-	Due, Fulfilled, RateLimited, Errored, Lost int
+	Finished, Fulfilled, RateLimited, Errored, Lost int
 }
 
 // The histograms cover 1 microsecond to a minute with three significant digits.
@@ -53,25 +53,25 @@
 const maxInFlight = 50_000
 
 // New plans the requests of a rehearsal.
-func New(w *standin.World) (*Callers, error) {
-	arrivals, err := model.Arrivals(w.Day.Seed, w.Day.LoadTerms())
+func New(w *standin.Environment) (*Clients, error) {
+	arrivals, err := model.Arrivals(w.Scenario.Seed, w.Scenario.LoadConfig())
 	if err != nil {
 		return nil, err
 	}
-	c := &Callers{world: w, arrivals: arrivals, retryPolicy: w.Day.Retry(),
+	c := &Clients{world: w, arrivals: arrivals, retryPolicy: w.Scenario.RetryPolicy(),
 		lateness:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		latencies: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
-	for range w.Day.Fleet.Balancers {
+	for range w.Scenario.Fleet.Balancers {
 		c.targets = append(c.targets, &balancerTarget{})
 	}
 	return c, nil
 }
 
-// Planned returns the number of planned requests, without client retries.
-func (c *Callers) Planned() int { return len(c.arrivals) }
+// PlannedRequests returns the number of planned requests, without client retries.
+func (c *Clients) PlannedRequests() int { return len(c.arrivals) }
 
-// Up sets the address at which a balancer serves. Clients send requests to it from now on.
-func (c *Callers) Up(balancer int, addr string) {
+// BalancerUp sets the address at which a balancer serves. Clients send requests to it from now on.
+func (c *Clients) BalancerUp(balancer int, addr string) {
 	target := c.targets[balancer]
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -79,16 +79,16 @@
 	target.addr, target.up, target.stopping = addr, true, false
 }
 
-// Down marks a balancer that has ended or was ordered to end at once; it is not blamed for the requests it loses. Clients
+// BalancerDown marks a balancer that has ended or was ordered to end at once; it is not blamed for the requests it loses. Clients
 // notice after a delay and send to it until then.
-func (c *Callers) Down(balancer int) {
+func (c *Clients) BalancerDown(balancer int) {
 	target := c.targets[balancer]
 	target.mu.Lock()
 	defer target.mu.Unlock()
 	target.stopping = true
 	target.stateChanges++
 	stateChanges := target.stateChanges
-	time.AfterFunc(c.world.Day.Clients.Notice.Duration(), func() {
+	time.AfterFunc(c.world.Scenario.Clients.FailureNoticeDelay.Duration(), func() {
 		target.mu.Lock()
 		defer target.mu.Unlock()
 		if target.stopping && target.stateChanges == stateChanges {
@@ -97,8 +97,8 @@
 	})
 }
 
-// Leaves marks a balancer that was ordered to end gracefully. Clients stop sending to it after drainNoticeDelay.
-func (c *Callers) Leaves(balancer int) {
+// BalancerDraining marks a balancer that was ordered to end gracefully. Clients stop sending to it after drainNoticeDelay.
+func (c *Clients) BalancerDraining(balancer int) {
 	target := c.targets[balancer]
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -117,8 +117,8 @@
 // notified at the same time.
 const drainNoticeDelay = 300 * time.Millisecond
 
-// Play sends the planned requests and returns when the last one has been answered or given up, or earlier when stopped.
-func (c *Callers) Play(stop <-chan struct{}) {
+// Run sends the planned requests and returns when the last one has been answered or given up, or earlier when stopped.
+func (c *Clients) Run(stop <-chan struct{}) {
 	defer c.running.Wait()
 	// Sleeps by system call on a thread of its own, as the Go runtime's timers are up to a millisecond late.
 	runtime.LockOSThread()
@@ -142,23 +142,23 @@
 	}
 }
 
-// maxSleep limits how long Play takes to notice a stop.
+// maxSleep limits how long Run takes to notice a stop.
 const maxSleep = 100 * time.Millisecond
 
 // runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
-func (c *Callers) runRequest(arrival *model.Arrival) {
-	p := &c.world.Day.Products[arrival.Product]
-	random := model.Stream(c.world.Day.Seed, "client "+arrival.ID)
+func (c *Clients) runRequest(arrival *model.Arrival) {
+	p := &c.world.Scenario.Products[arrival.Product]
+	random := model.NewRand(c.world.Scenario.Seed, "client "+arrival.ID)
 	due := arrival.At
 	for try := 1; ; try++ {
-		req := record.Call{ID: arrival.ID, Base: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, Mark: arrival.Mark, Once: arrival.Once,
-			Due: due, Timeout: due + arrival.Patience}
+		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
+			ScheduledAt: due, Timeout: due + arrival.Timeout}
 		if try > 1 {
 			req.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 		}
-		c.world.Sent(req.ID, standin.Want{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
+		c.world.ExpectRequest(req.ID, standin.ExpectedRequest{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
 		if c.inFlight.Add(1) > maxInFlight {
-			req.NotTaken = true
+			req.NotSent = true
 		} else {
 			c.sendRequest(&req, arrival.Zone, p.Write)
 		}
@@ -168,8 +168,8 @@
 			return
 		}
 		// A retry is harmless if no balancer took the request, if it was rate-limited, or if the product is idempotent.
-		harmless := req.Reply == record.RateLimited || req.NotTaken || p.Effect == scenario.Idempotent
-		wait, retry := c.retryPolicy.Next(random, try, harmless, req.ComeBack)
+		harmless := req.Reply == record.RateLimited || req.NotSent || p.Effect == scenario.Idempotent
+		wait, retry := c.retryPolicy.NextDelay(random, try, harmless, req.RetryAfter)
 		if !retry {
 			return
 		}
@@ -179,11 +179,11 @@
 }
 
 // recordResult adds the outcome of one sending to the record and to the tally.
-func (c *Callers) recordResult(req record.Call, due time.Duration) {
-	c.world.Rec.Add(func() { c.world.Rec.Calls = append(c.world.Rec.Calls, req) })
+func (c *Clients) recordResult(req record.Request, due time.Duration) {
+	c.world.Record.Add(func() { c.world.Record.Requests = append(c.world.Record.Requests, req) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tally.Due++
+	c.tally.Finished++
 	switch req.Reply {
 	case record.Fulfilled:
 		c.tally.Fulfilled++
@@ -198,15 +198,15 @@
 }
 
 // recordLateness records how late a request was sent.
-func (c *Callers) recordLateness(due, now time.Duration) {
-	c.world.Late(due, now)
+func (c *Clients) recordLateness(due, now time.Duration) {
+	c.world.RecordLateness(due, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lateness.RecordValue(min(maxMicros, max(minMicros, (now-due).Microseconds())))
 }
 
 // Tally returns the counts so far.
-func (c *Callers) Tally() Tally {
+func (c *Clients) Tally() Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.tally
@@ -225,14 +225,14 @@
 }
 
 // Latency returns the latencies of fulfilled requests, counted from their scheduled time.
-func (c *Callers) Latency() Percentiles {
+func (c *Clients) Latency() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.latencies)
 }
 
 // Lateness returns how late requests were sent.
-func (c *Callers) Lateness() Percentiles {
+func (c *Clients) Lateness() Percentiles {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return PercentilesOf(c.lateness)
@@ -240,8 +240,8 @@
 
 // pickBalancer chooses the balancer for a request, in rotation among those believed to be up: first those that its tenant
 // uses, then those of the client's zone, then any. If none is up it returns balancer 0.
-func (c *Callers) pickBalancer(zone, tenant int) int {
-	if allowed := c.world.Day.TenantAt(tenant, c.world.Now()); len(allowed) > 0 {
+func (c *Clients) pickBalancer(zone, tenant int) int {
+	if allowed := c.world.Scenario.TenantBalancers(tenant, c.world.Now()); len(allowed) > 0 {
 		n := int(c.roundRobin.Add(1))
 		for i := range allowed {
 			if b := allowed[(n+i)%len(allowed)]; c.targets[b].isUp() {
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	zones := len(c.world.Day.Fleet.Zones)
+	zones := len(c.world.Scenario.Fleet.Zones)
 	for _, sameZone := range []bool{true, false} {
 		n := int(c.roundRobin.Add(1))
 		for i := range c.targets {
@@ -303,8 +303,8 @@
 	return t.stopping
 }
 
-// Rest closes the idle connections and records answers that arrived on them unrequested.
-func (c *Callers) Rest() {
+// CloseIdle closes the idle connections and records answers that arrived on them unrequested.
+func (c *Clients) CloseIdle() {
 	for _, target := range c.targets {
 		target.mu.Lock()
 		idle := target.idle
@@ -319,7 +319,7 @@
 }
 
 // readExtraAnswers records answers on a connection that no request waits for.
-func (c *Callers) readExtraAnswers(conn *conn) {
+func (c *Clients) readExtraAnswers(conn *conn) {
 	for {
 		a, err := conn.read()
 		if err != nil {
@@ -330,11 +330,11 @@
 }
 
 // recordExtraAnswer counts an additional answer to a request that was already answered.
-func (c *Callers) recordExtraAnswer(id string) {
-	c.world.Rec.Add(func() {
-		for i := len(c.world.Rec.Calls) - 1; i >= 0; i-- {
-			if req := &c.world.Rec.Calls[i]; req.ID == id {
-				req.Extra++
+func (c *Clients) recordExtraAnswer(id string) {
+	c.world.Record.Add(func() {
+		for i := len(c.world.Record.Requests) - 1; i >= 0; i-- {
+			if req := &c.world.Record.Requests[i]; req.ID == id {
+				req.ExtraAnswers++
 				return
 			}
 		}
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -22,9 +22,9 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	day := &scenario.Day{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
+	day := &scenario.Scenario{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
 	day.Fleet.Balancers, day.Fleet.Zones = 1, []string{"z"}
-	w := standin.NewWorld(day, record.New())
+	w := standin.NewEnvironment(day, record.New())
 	target := &balancerTarget{up: true, addr: l.Addr().String()}
 	for range maxClosedConns + 30 {
 		n, err := net.Dial("tcp4", target.addr)
@@ -53,10 +53,10 @@
 			}
 		}
 	}()
-	c := &Callers{world: w, targets: []*balancerTarget{target}, lateness: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
-	req := record.Call{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
+	c := &Clients{world: w, targets: []*balancerTarget{target}, lateness: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
+	req := record.Request{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
 	c.sendRequest(&req, 0, false)
-	if req.Reply != record.RateLimited || req.Crossed != maxClosedConns {
-		t.Errorf("%v after %d closed connections, want rate-limited on the newly opened one", req.Reply, req.Crossed)
+	if req.Reply != record.RateLimited || req.ClosedConnections != maxClosedConns {
+		t.Errorf("%v after %d closed connections, want rate-limited on the newly opened one", req.Reply, req.ClosedConnections)
 	}
 }
--- a/internal/rehearsal/load/rude.go
+++ b/internal/rehearsal/load/rude.go
@@ -35,8 +35,8 @@
 	hugeValueBytes   = 60 << 20
 )
 
-// Rude simulates the i-th client with malformed input and records how the balancer reacted.
-func (c *Callers) Rude(i int) {
+// MalformedClient simulates the i-th client with malformed input and records how the balancer reacted.
+func (c *Clients) MalformedClient(i int) {
 	input := malformedInputs[i%len(malformedInputs)]
 	_, addr := c.targets[i%len(c.targets)].state()
 	n, err := net.DialTimeout("tcp", addr, answerTimeout)
@@ -44,8 +44,10 @@
 		return // without a connection no reaction is expected
 	}
 	defer n.Close()
-	r := record.Rude{What: input.name}
-	defer func() { c.world.Rec.Add(func() { c.world.Rec.Rudes = append(c.world.Rec.Rudes, r) }) }()
+	r := record.MalformedClient{Input: input.name}
+	defer func() {
+		c.world.Record.Add(func() { c.world.Record.MalformedClients = append(c.world.Record.MalformedClients, r) })
+	}()
 	wait := answerTimeout
 	if input.name == "a value of 60 MB" {
 		wait = hugeValueTimeout
@@ -54,11 +56,11 @@
 	go func() {
 		text := input.text
 		if strings.Contains(text, "%s") {
-			text = fmt.Sprintf(text, c.world.Day.Products[0].Name)
+			text = fmt.Sprintf(text, c.world.Scenario.Products[0].Name)
 		}
 		io.WriteString(n, text)
 		if wait == hugeValueTimeout {
-			fmt.Fprintf(n, "ms k %d Orude Pc=%s,d=500\r\n", hugeValueBytes, c.world.Day.Products[0].Name)
+			fmt.Fprintf(n, "ms k %d Orude Pc=%s,d=500\r\n", hugeValueBytes, c.world.Scenario.Products[0].Name)
 			chunk := bytes.Repeat([]byte("x"), 1<<16)
 			for sent := 0; sent < hugeValueBytes; sent += len(chunk) {
 				if _, err := n.Write(chunk); err != nil {
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -18,11 +18,11 @@
 type Evidence struct {
 	Name         string
 	Mates, Seeds int
-	Alone, Told  EvidenceSide // without and with the exchange of observations
+	Alone, Told  EvidenceResult // without and with the exchange of observations
 }
 
-// EvidenceSide holds the results without or with the exchange, as means over the seeds where nothing else is stated.
-type EvidenceSide struct {
+// EvidenceResult holds the results without or with the exchange, as means over the seeds where nothing else is stated.
+type EvidenceResult struct {
 	AtBad         float64 // attempts per run that arrived at a faulty host during its fault
 	Vain          float64 // attempts per run at any cache host that were neither served nor a cache miss
 	Service       float64
@@ -65,7 +65,7 @@
 var evidenceCases = []struct {
 	name   string
 	faults []scenario.Fault
-	alter  virtual.Liars
+	alter  virtual.AlterReports
 }{
 	{name: "a fifth of the hosts fail, in two groups one after the other", faults: alternatingFaults("fail", 1)},
 	{name: "a fifth of the hosts hang, in two groups one after the other", faults: alternatingFaults("stall", 0)},
@@ -90,11 +90,11 @@
 		return hosts
 	}
 	s := func(n int) scenario.Span { return scenario.Span(time.Duration(n) * time.Second) }
-	return []scenario.Fault{{Do: do, At: s(5), For: s(9), Part: part, Nodes: group(0)}, {Do: do, At: s(20), For: s(12), Part: part, Nodes: group(1)}}
+	return []scenario.Fault{{Kind: do, At: s(5), Length: s(9), Share: part, Hosts: group(0)}, {Kind: do, At: s(20), Length: s(12), Share: part, Hosts: group(1)}}
 }
 
 // alteredByThreeInEight makes three in eight balancers alter the observations that they report.
-func alteredByThreeInEight(change func(i int, r *evidence.HostOutcomes)) virtual.Liars {
+func alteredByThreeInEight(change func(i int, r *evidence.HostOutcomes)) virtual.AlterReports {
 	return func(b int, rows []evidence.HostOutcomes) []evidence.HostOutcomes {
 		if b%8 >= 3 {
 			return rows
@@ -113,28 +113,28 @@
 	hostsPerZone        = 30
 )
 
-// EvidenceOf measures all cases with a number of balancers and seeds, on a number of concurrent workers.
-func EvidenceOf(balancers, seeds, workers int) (all []Evidence, err error) {
+// MeasureEvidence measures all cases with a number of balancers and seeds, on a number of concurrent workers.
+func MeasureEvidence(balancers, seeds, workers int) (all []Evidence, err error) {
 	for _, kind := range evidenceCases {
-		results := make([]EvidenceSide, 2*seeds)
-		err := SideBySide(len(results), workers, func(i int) error {
+		results := make([]EvidenceResult, 2*seeds)
+		err := RunParallel(len(results), workers, func(i int) error {
 			sc, err := scenario.Parse("measure", fmt.Appendf(nil, evidenceScenario, balancers, i%2 == 1, hostsPerZone, float64(requestsPerBalancer*balancers)))
 			if err != nil {
 				return err
 			}
 			sc.Seed, sc.Faults = uint64(i/2+1), kind.faults
-			res, err := virtual.PlayLying(sc, kind.alter)
+			res, err := virtual.SimulateFalseReports(sc, kind.alter)
 			if err != nil {
 				return err
 			}
-			p, rep := &results[i], report.Of(res)
+			p, rep := &results[i], report.New(res)
 			p.Service, p.Worst10, p.Broken, p.Took = rep.Service.Whole, rep.Service.Worst10s, len(rep.Verdict.BrokenRules()), rep.Took
 			for _, s := range res.Record.Attempts {
-				if s.Server != record.Gateway && s.Proof != record.WasServed && s.Proof != record.Missed {
+				if s.Server != record.Origin && s.Proof != record.Served && s.Proof != record.CacheMiss {
 					p.Vain++
 				}
 				for _, f := range kind.faults {
-					if slices.Contains(f.Nodes, s.Server) && s.Came >= f.At.Duration() && s.Came < (f.At+f.For).Duration() {
+					if slices.Contains(f.Hosts, s.Server) && s.ArrivedAt >= f.At.Duration() && s.ArrivedAt < (f.At+f.Length).Duration() {
 						p.AtBad++
 					}
 				}
@@ -157,7 +157,7 @@
 	return all, nil
 }
 
-func (s *EvidenceSide) add(result EvidenceSide, seeds int) {
+func (s *EvidenceResult) add(result EvidenceResult, seeds int) {
 	n := float64(seeds)
 	s.AtBad, s.Vain, s.Service = s.AtBad+result.AtBad/n, s.Vain+result.Vain/n, s.Service+result.Service/n
 	if len(s.serviceBySeed) == 0 {
@@ -174,7 +174,7 @@
 	fmt.Fprintf(to, "%d balancers, %s, %d seeds\n", e.Mates, e.Name, e.Seeds)
 	for _, x := range []struct {
 		name string
-		s    EvidenceSide
+		s    EvidenceResult
 	}{{"alone", e.Alone}, {"shared", e.Told}} {
 		fmt.Fprintf(to, "  %-6s %7.0f attempts at faulty hosts, %7.0f without result; service %.4f, worst run %.4f, worst 10 s %.3f; %d rules broken; %v to simulate\n",
 			x.name, x.s.AtBad, x.s.Vain, x.s.Service, x.s.WorstDay, x.s.Worst10, x.s.Broken, x.s.Took.Round(time.Millisecond))
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -31,35 +31,35 @@
 type Calm struct {
 	Loss  float64
 	Stall time.Duration // longest pause of a process; every 100 ms one pauses
-	gather.Calm
+	gather.QuietResult
 }
 
 // defaultTerms returns a fleet with the defaults of the operator's file.
-func defaultTerms(members int, seed uint64, loss float64) gather.Terms {
-	return gather.Terms{Mates: members, Zones: 3, Seeds: 3, Period: 400 * time.Millisecond, Suspect: 2 * time.Second, Budget: 3000, Seed: seed,
-		Ways: model.WayTerms{Loss: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
+func defaultTerms(members int, seed uint64, loss float64) gather.Config {
+	return gather.Config{Members: members, Zones: 3, Seeds: 3, ProbePeriod: 400 * time.Millisecond, SuspicionTimeout: 2 * time.Second, GossipBytesPerSecond: 3000, Seed: seed,
+		Links: model.LinkConfig{LossRatio: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
 // maxQuietRun limits one simulation without deaths before the next seed begins: many starts cover more cases than one long run.
 const maxQuietRun = 25 * time.Minute
 
-// Virtual measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers. The runs without
+// MeasureMembersSimulated measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers. The runs without
 // deaths last for quiet in total, those with pauses of processes for stalled. Each run that ends is noted in note.
-func Virtual(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
+func MeasureMembersSimulated(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
 	m := Members{Mates: members, Seeds: seeds}
 	var mu sync.Mutex
 	var first, last, birth, heal []time.Duration
 	forEachSeed := func(n int, do func(seed uint64)) {
-		SideBySide(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
+		RunParallel(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
 	}
 	forEachSeed(seeds, func(seed uint64) {
-		f, l := gather.Death(defaultTerms(members, seed, 0))
-		b, h := gather.Birth(defaultTerms(members, seed, 0)), gather.Heal(defaultTerms(members, seed, 0), 3)
+		f, l := gather.DeathDetection(defaultTerms(members, seed, 0))
+		b, h := gather.JoinTime(defaultTerms(members, seed, 0)), gather.PartitionRecovery(defaultTerms(members, seed, 0), 3)
 		mu.Lock()
 		defer mu.Unlock()
 		first, last, birth, heal = append(first, f), append(last, l), append(birth, b), append(heal, h)
 	})
-	m.First, m.Last, m.Birth, m.Heal = gather.Of(first), gather.Of(last), gather.Of(birth), gather.Of(heal)
+	m.First, m.Last, m.Birth, m.Heal = gather.NewSpread(first), gather.NewSpread(last), gather.NewSpread(birth), gather.NewSpread(heal)
 	m.Calm = append(m.Calm, Calm{}, Calm{Loss: 0.05}, Calm{Loss: 0.3}, Calm{Loss: 0.05, Stall: time.Second})
 	for i := range m.Calm {
 		c := &m.Calm[i]
@@ -69,7 +69,7 @@
 		}
 		runs := max(workers, int((length+maxQuietRun-1)/maxQuietRun))
 		forEachSeed(runs, func(seed uint64) {
-			result := gather.Quiet(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
+			result := gather.RunWithoutDeaths(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
 			mu.Lock()
 			defer mu.Unlock()
 			c.Suspicions, c.Deaths, c.Played = c.Suspicions+result.Suspicions, c.Deaths+result.Deaths, c.Played+result.Played
@@ -107,9 +107,9 @@
 	}
 }
 
-// OnSockets measures a fleet of processes with real sockets: it ends and restarts one process after another and partitions the
+// MeasureMembersOnSockets measures a fleet of processes with real sockets: it ends and restarts one process after another and partitions the
 // network in the first of every three rounds.
-func OnSockets(ctx context.Context, launch runner.Launch, balancers, times int) (m Members, err error) {
+func MeasureMembersOnSockets(ctx context.Context, launch runner.Launch, balancers, times int) (m Members, err error) {
 	m = Members{Mates: balancers, Sockets: true, Seeds: times}
 	dir, err := os.MkdirTemp("", "members-")
 	if err != nil {
@@ -117,14 +117,14 @@
 	}
 	defer os.RemoveAll(dir)
 	sc := baseScenario(1, time.Hour, 1)
-	sc.Nodes[0].Count, sc.Fleet.Balancers = 1, balancers
-	sc.Mates = scenario.Mates{On: true, Period: scenario.Span(400 * time.Millisecond), Suspect: scenario.Span(2 * time.Second), Budget: 3000}
-	session, err := runner.Up(ctx, sc, launch, dir)
+	sc.Hosts[0].Count, sc.Fleet.Balancers = 1, balancers
+	sc.Membership = scenario.Membership{Enabled: true, ProbePeriod: scenario.Span(400 * time.Millisecond), SuspicionTimeout: scenario.Span(2 * time.Second), GossipBytesPerSecond: 3000}
+	session, err := runner.Start(ctx, sc, launch, dir)
 	if err != nil {
 		return m, err
 	}
 	defer session.End()
-	session.W.Begin()
+	session.Environment.Begin()
 	processIDs := make([]string, balancers)
 	// countViews counts the views of the other balancers that have the current process of the excepted balancer as present. It also
 	// reports whether all these views are complete and equal. Without an exception (-1) it compares the views of all balancers.
@@ -137,7 +137,7 @@
 				continue
 			}
 			group.Go(func() {
-				v, ok := session.View(b)
+				v, ok := session.MembershipView(b)
 				mu.Lock()
 				defer mu.Unlock()
 				digests[v.Digest] = true
@@ -167,7 +167,7 @@
 	awaitEqualViews()
 	bytes := func() (n int64) {
 		for b := range balancers {
-			n += session.Ways().Bytes(b)
+			n += session.Links().BytesSent(b)
 		}
 		return n
 	}
@@ -202,12 +202,12 @@
 		birth = append(birth, awaitEqualViews())
 		if i%3 == 0 {
 			side := func(x int) int { return x * 3 / balancers }
-			session.Ways().Cut(true, func(from, to int) bool { return side(from) != side(to) })
+			session.Links().Cut(true, func(from, to int) bool { return side(from) != side(to) })
 			time.Sleep(15 * time.Second)
-			session.Ways().Cut(false, func(int, int) bool { return true })
+			session.Links().Cut(false, func(int, int) bool { return true })
 			heal = append(heal, awaitEqualViews())
 		}
 	}
-	m.First, m.Last, m.Birth, m.Heal = gather.Of(first), gather.Of(last), gather.Of(birth), gather.Of(heal)
+	m.First, m.Last, m.Birth, m.Heal = gather.NewSpread(first), gather.NewSpread(last), gather.NewSpread(birth), gather.NewSpread(heal)
 	return m, ctx.Err()
 }
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -51,7 +51,7 @@
 	Outcome   Outcome          `json:"outcome"`
 	Verdict   *judge.Verdict   `json:"verdict"`
 	Service   Service          `json:"service"`
-	Tries     map[string]int   `json:"tries"` // requests, client retries included, by outcome
+	Outcomes  map[string]int   `json:"tries"` // requests, client retries included, by outcome
 	Latency   load.Percentiles `json:"latency"`
 	Late      load.Percentiles `json:"sent_late"`
 	Balancers []Balancer       `json:"balancers"`
@@ -97,7 +97,7 @@
 	Calls   int           `json:"calls"`
 }
 
-// Server holds what one cache host, or the gateway (the stand-in for the origin), received.
+// Server holds what one cache host, or the origin, received.
 type Server struct {
 	Name     string  `json:"name"`
 	Attempts int     `json:"shots"`
@@ -118,12 +118,12 @@
 	Refused  int            `json:"rate_limited"`
 }
 
-// Of returns the report of a rehearsal.
-func Of(res *runner.Result) *Report {
-	day := res.Day
-	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Took, Simulated: true,
+// New returns the report of a rehearsal.
+func New(res *runner.Result) *Report {
+	day := res.Scenario
+	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Elapsed, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
-		Tries: map[string]int{}, Latency: res.Latency, Late: res.Late, Faults: res.Record.Bands,
+		Outcomes: map[string]int{}, Latency: res.Latency, Late: res.Lateness, Faults: res.Record.Faults,
 		Seconds: make([]Second, int(day.Length.Duration()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
@@ -144,37 +144,37 @@
 }
 
 // addRequests adds outcomes, service and latencies of the clients' requests to the report.
-func (r *Report) addRequests(day *scenario.Day, rec *record.Record) {
+func (r *Report) addRequests(day *scenario.Scenario, rec *record.Record) {
 	type firstRequest struct {
-		first *record.Call // nil if the record has only client retries of it
-		good  bool         // it or a client retry was fulfilled within the latency SLO
+		first *record.Request // nil if the record has only client retries of it
+		good  bool            // it or a client retry was fulfilled within the latency SLO
 	}
 	byFirstID := map[string]*firstRequest{}
 	var latencies = map[int][]time.Duration{}
-	for i := range rec.Calls {
-		req := &rec.Calls[i]
-		if outcome := req.Reply.String(); req.NotTaken {
-			r.Tries["not taken"]++
+	for i := range rec.Requests {
+		req := &rec.Requests[i]
+		if outcome := req.Reply.String(); req.NotSent {
+			r.Outcomes["not taken"]++
 		} else {
-			r.Tries[outcome]++
+			r.Outcomes[outcome]++
 		}
-		if byFirstID[req.Base] == nil {
-			byFirstID[req.Base] = &firstRequest{}
+		if byFirstID[req.FirstID] == nil {
+			byFirstID[req.FirstID] = &firstRequest{}
 		}
 		if req.Try == 1 {
-			byFirstID[req.Base].first = req
+			byFirstID[req.FirstID].first = req
 		}
 		if req.Reply == record.RateLimited {
 			r.secondAt(req.Answered).Refused++
 		}
 	}
-	for i := range rec.Calls {
-		req := &rec.Calls[i]
-		a := byFirstID[req.Base]
+	for i := range rec.Requests {
+		req := &rec.Requests[i]
+		a := byFirstID[req.FirstID]
 		if req.Reply == record.Fulfilled && a.first != nil {
-			took := req.Answered - a.first.Due
+			took := req.Answered - a.first.ScheduledAt
 			a.good = a.good || took <= day.Products[req.Product].LatencySLO.Duration()
-			sec := int(a.first.Due / time.Second)
+			sec := int(a.first.ScheduledAt / time.Second)
 			latencies[sec] = append(latencies[sec], took)
 		}
 	}
@@ -192,11 +192,11 @@
 			sum[0] += value
 			sum[1] += served
 		}
-		second := r.secondAt(a.first.Due)
+		second := r.secondAt(a.first.ScheduledAt)
 		second.Asked += value
 		second.Served += served
 		r.Service.Calls++
-		if a.first.Once {
+		if a.first.KeyUsedOnce {
 			r.Once.Of++
 			if a.good {
 				r.Once.Good++
@@ -244,32 +244,32 @@
 	return by, worst
 }
 
-func (r *Report) addBalancersAndServers(day *scenario.Day, rec *record.Record) {
+func (r *Report) addBalancersAndServers(day *scenario.Scenario, rec *record.Record) {
 	r.Balancers = make([]Balancer, day.Fleet.Balancers)
 	for i := range r.Balancers {
 		r.Balancers[i].Name = fmt.Sprintf("balancer %d", i+1)
 	}
-	for _, l := range rec.Lives {
+	for _, l := range rec.ProcessRuns {
 		b := &r.Balancers[l.Balancer]
 		b.Lives++
 		b.PeakMB, b.Sockets, b.CPU = max(b.PeakMB, l.PeakMB), max(b.Sockets, l.Sockets), b.CPU+l.CPU
 	}
-	for _, k := range rec.Calls {
+	for _, k := range rec.Requests {
 		r.Balancers[k.Balancer].Calls++
 	}
 	servers := map[string]*Server{}
 	serverNamed := func(name string) *Server {
 		if servers[name] == nil {
-			servers[name] = &Server{Name: name, Strain: rec.Strains[name]}
+			servers[name] = &Server{Name: name, Strain: rec.MaxLoads[name]}
 		}
 		return servers[name]
 	}
 	for _, s := range rec.Attempts {
 		serverNamed(s.Server).Attempts++
-		if s.Proof == record.Missed {
+		if s.Proof == record.CacheMiss {
 			serverNamed(s.Server).Missed++
 		}
-		r.secondAt(s.Came).Attempts[s.Server]++
+		r.secondAt(s.ArrivedAt).Attempts[s.Server]++
 	}
 	opened := map[string]map[int]int{}
 	for _, o := range rec.Openings {
@@ -327,7 +327,7 @@
 		fmt.Fprintf(to, "keys wanted once: %d of %d in time\n", r.Once.Good, r.Once.Of)
 	}
 	var tries []string
-	for outcome, n := range r.Tries {
+	for outcome, n := range r.Outcomes {
 		tries = append(tries, fmt.Sprintf("%s %d", outcome, n))
 	}
 	slices.Sort(tries)
@@ -335,7 +335,7 @@
 	l := r.Latency
 	fmt.Fprintf(to, "fulfilled after p50 %v, p90 %v, p99 %v, p99.9 %v\n", l.P50, l.P90, l.P99, l.P999)
 	fmt.Fprintf(to, "the kit sent late by p99 %v, p99.9 %v, at most %v; ran late by at most %v\n", r.Late.P99, r.Late.P999, r.Late.Max,
-		r.Verdict.LateMost.Round(time.Microsecond))
+		r.Verdict.MaxLateness.Round(time.Microsecond))
 	for _, b := range r.Balancers {
 		fmt.Fprintf(to, "%s: %d calls, %d lives, %.0f MB, %d descriptors, %v of processor\n", b.Name, b.Calls, b.Lives, b.PeakMB, b.Sockets, b.CPU)
 	}
--- a/internal/rehearsal/runner/mates.go
+++ b/internal/rehearsal/runner/mates.go
@@ -26,8 +26,8 @@
 
 // openLinks chooses addresses for the balancers and starts the relays between them.
 func (s *Stage) openLinks() error {
-	sc := s.W.Day
-	if !sc.Mates.On {
+	sc := s.Environment.Scenario
+	if !sc.Membership.Enabled {
 		return nil
 	}
 	m := &s.membership
@@ -41,20 +41,20 @@
 		defer c.Close() // all stay open until the last port is chosen, so that no port is chosen twice
 	}
 	var err error
-	m.links, err = standin.NewRelays(m.addrs, sc.Mates.Way(), model.Stream(sc.Seed, "mates"))
+	m.links, err = standin.NewRelays(m.addrs, sc.Membership.LinkConfig(), model.NewRand(sc.Seed, "mates"))
 	return err
 }
 
 // fleetSection returns the section [fleet] of a balancer's operator file.
 func (s *Stage) fleetSection(b int) string {
-	sc, m := s.W.Day, &s.membership
+	sc, m := s.Environment.Scenario, &s.membership
 	var peers, via []string
 	for o := range m.addrs {
 		if o == b {
 			continue
 		}
 		to := m.links.Addr(b, o)
-		via = append(via, fmt.Sprintf("%s = %q", record.MateName(o), to))
+		via = append(via, fmt.Sprintf("%s = %q", record.BalancerName(o), to))
 		if len(peers) < 3 {
 			if m.wrongPeers[b] {
 				to = netip.AddrPortFrom(to.Addr(), 9) // nobody listens on this port
@@ -63,19 +63,19 @@
 		}
 	}
 	return fmt.Sprintf("\n[fleet]\nname = \"rehearsal\"\naddress = %q\nperiod = %q\nsuspect = %q\nbudget = %d\nlimits = %v\nevidence = %v\nlease = %q\npeers = [%s]\nvia = {%s}\n", m.addrs[b],
-		sc.Mates.Period, sc.Mates.Suspect, sc.Mates.Budget, sc.Mates.Limits, sc.Mates.Evidence, sc.Mates.Lease, strings.Join(peers, ", "), strings.Join(via, ", "))
+		sc.Membership.ProbePeriod, sc.Membership.SuspicionTimeout, sc.Membership.GossipBytesPerSecond, sc.Membership.ShareLimits, sc.Membership.ShareObservations, sc.Membership.LeaseDuration, strings.Join(peers, ", "), strings.Join(via, ", "))
 }
 
 // nameOf returns the name of a balancer, or the wrong one under which a fault has started it.
 func (s *Stage) nameOf(b int) string {
 	if other, ok := s.membership.wrongNames[b]; ok {
-		return record.MateName(other)
+		return record.BalancerName(other)
 	}
-	return record.MateName(b)
+	return record.BalancerName(b)
 }
 
-// Ways returns the links between balancers, or nil if they do not communicate with each other.
-func (s *Stage) Ways() *standin.Relays { return s.membership.links }
+// Links returns the links between balancers, or nil if they do not communicate with each other.
+func (s *Stage) Links() *standin.Relays { return s.membership.links }
 
 // pollInterval is how often each balancer is asked for its membership view.
 const pollInterval = 250 * time.Millisecond
@@ -95,30 +95,30 @@
 		}
 		for b := range s.membership.addrs {
 			s.background.Go(func() {
-				s.View(b)
-				if s.W.Day.Mates.Limits {
+				s.MembershipView(b)
+				if s.Environment.Scenario.Membership.ShareLimits {
 					s.pollLimits(b)
 				}
 			})
 			if i%4 == 0 {
-				s.Rec.Add(func() {
-					s.Rec.Talks = append(s.Rec.Talks, record.Talk{Balancer: b, At: s.W.Now(), Bytes: s.membership.links.Bytes(b)})
+				s.Record.Add(func() {
+					s.Record.BytesSent = append(s.Record.BytesSent, record.BytesSent{Balancer: b, At: s.Environment.Now(), Bytes: s.membership.links.BytesSent(b)})
 				})
 			}
 		}
 	}
 }
 
-// View asks a balancer for its membership view and records it.
-func (s *Stage) View(b int) (v admin.Members, ok bool) {
+// MembershipView asks a balancer for its membership view and records it.
+func (s *Stage) MembershipView(b int) (v admin.Members, ok bool) {
 	if !s.fetchAdmin(b, "/api/members", &v) {
 		return v, false
 	}
-	to := record.View{Balancer: b, At: s.W.Now(), Life: v.ProcessID, Situation: v.Situation, Digest: v.Digest, Rival: v.NameConflict != ""}
+	to := record.MembershipView{Balancer: b, At: s.Environment.Now(), ProcessID: v.ProcessID, Situation: v.Situation, Digest: v.Digest, NameConflict: v.NameConflict != ""}
 	for _, m := range v.Members {
-		to.Mates = append(to.Mates, record.Mate{Name: m.Name, Life: m.ProcessID, State: m.State})
+		to.Members = append(to.Members, record.Member{Name: m.Name, ProcessID: m.ProcessID, State: m.State})
 	}
-	s.Rec.Add(func() { s.Rec.Views = append(s.Rec.Views, to) })
+	s.Record.Add(func() { s.Record.Views = append(s.Record.Views, to) })
 	return v, true
 }
 
@@ -128,10 +128,10 @@
 	if !s.fetchAdmin(b, "/api/limits", &all) {
 		return
 	}
-	now := s.W.Now()
-	s.Rec.Add(func() {
+	now := s.Environment.Now()
+	s.Record.Add(func() {
 		for _, l := range all.Limits {
-			s.Rec.Parts = append(s.Rec.Parts, record.Part{Balancer: b, At: now, Limit: l.Name, Part: l.Part, Need: l.Need, Bound: l.FleetTotal})
+			s.Record.LimitShares = append(s.Record.LimitShares, record.LimitShare{Balancer: b, At: now, Limit: l.Name, Share: l.Part, Demand: l.Need, Quota: l.FleetTotal})
 		}
 	})
 }
@@ -148,29 +148,29 @@
 
 // recordMemberships records under which process id each run of a balancer took part in the fleet.
 func recordMemberships(rec *record.Record) {
-	slices.SortFunc(rec.Views, func(a, b record.View) int { return int(a.At - b.At) })
-	for _, l := range rec.Lives {
-		i := slices.IndexFunc(rec.Views, func(v record.View) bool {
+	slices.SortFunc(rec.Views, func(a, b record.MembershipView) int { return int(a.At - b.At) })
+	for _, l := range rec.ProcessRuns {
+		i := slices.IndexFunc(rec.Views, func(v record.MembershipView) bool {
 			return v.Balancer == l.Balancer && v.At >= l.Ready && (l.End == 0 || v.At <= l.End)
 		})
 		if i < 0 || l.Ready == 0 {
 			continue
 		}
-		life := rec.Views[i].Life
-		if k := slices.IndexFunc(rec.Mates, func(m record.MateLife) bool { return m.Balancer == l.Balancer && m.Life == life }); k >= 0 {
-			m := &rec.Mates[k] // both processes of an upgrade have the same process id
+		life := rec.Views[i].ProcessID
+		if k := slices.IndexFunc(rec.Memberships, func(m record.Membership) bool { return m.Balancer == l.Balancer && m.ProcessID == life }); k >= 0 {
+			m := &rec.Memberships[k] // both processes of an upgrade have the same process id
 			m.From, m.To = min(m.From, l.Ready), max(m.To, l.End)
 			continue
 		}
-		rec.Mates = append(rec.Mates, record.MateLife{Balancer: l.Balancer, Life: life, From: l.Ready, To: l.End})
+		rec.Memberships = append(rec.Memberships, record.Membership{Balancer: l.Balancer, ProcessID: life, From: l.Ready, To: l.End})
 	}
 }
 
 // pauser is an Instance that can be paused.
 type pauser interface{ Pause(on bool) }
 
-// Stall pauses a balancer for a time.
-func (s *Stage) Stall(b int, length time.Duration) {
+// Pause pauses a balancer for a time.
+func (s *Stage) Pause(b int, length time.Duration) {
 	s.mu.Lock()
 	inst := s.slots[b].instance
 	s.mu.Unlock()
@@ -178,10 +178,10 @@
 	if !ok {
 		return
 	}
-	from := s.W.Now()
+	from := s.Environment.Now()
 	p.Pause(true)
-	s.Rec.Add(func() {
-		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length + s.W.Day.Rules.Slack.Duration()})
+	s.Record.Add(func() {
+		s.Record.Pauses = append(s.Record.Pauses, record.Pause{Balancer: b, From: from, To: from + length + s.Environment.Scenario.Rules.Slack.Duration()})
 	})
 	s.background.Go(func() {
 		select {
@@ -192,22 +192,22 @@
 	})
 }
 
-// Astray kills a balancer and starts it again with peer addresses that nobody listens on.
-func (s *Stage) Astray(b int) {
+// RestartWithWrongPeers kills a balancer and starts it again with peer addresses that nobody listens on.
+func (s *Stage) RestartWithWrongPeers(b int) {
 	s.mu.Lock()
 	s.membership.wrongPeers[b] = true
 	s.mu.Unlock()
 	s.Kill(b, 0)
 }
 
-// Twin restarts a balancer under the name of another one, and later under its own.
-func (s *Stage) Twin(b, other int, length time.Duration) {
+// RestartAs restarts a balancer under the name of another one, and later under its own.
+func (s *Stage) RestartAs(b, other int, length time.Duration) {
 	s.mu.Lock()
 	s.membership.wrongNames[b] = other
 	s.mu.Unlock()
-	from := s.W.Now()
-	s.Rec.Add(func() {
-		s.Rec.Stalls = append(s.Rec.Stalls, record.Stall{Balancer: b, From: from, To: from + length, Twin: other + 1})
+	from := s.Environment.Now()
+	s.Record.Add(func() {
+		s.Record.Pauses = append(s.Record.Pauses, record.Pause{Balancer: b, From: from, To: from + length, SameNameAs: other + 1})
 	})
 	s.Kill(b, 0)
 	s.background.Go(func() {
@@ -236,22 +236,22 @@
 	if err != nil {
 		return err
 	}
-	for began := s.W.Now(); s.W.Now()-began < upgradeTimeout && s.ctx.Err() == nil && !callAdmin(s.ctx, http.MethodGet, addr, "/api/ready", "", nil); {
+	for began := s.Environment.Now(); s.Environment.Now()-began < upgradeTimeout && s.ctx.Err() == nil && !callAdmin(s.ctx, http.MethodGet, addr, "/api/ready", "", nil); {
 		time.Sleep(20 * time.Millisecond)
 	}
-	ready := s.W.Now()
+	ready := s.Environment.Now()
 	select {
 	case <-time.After(after):
 	case <-s.ctx.Done():
 	}
-	s.Callers.Down(b)
+	s.Clients.BalancerDown(b)
 	s.mu.Lock()
 	nextRun.Ready = ready
 	l.instance, l.run, l.adminAddr = old, oldRun, oldAdminAddr
 	s.mu.Unlock()
 	next.Kill()
 	<-next.Done()
-	s.Callers.Up(b, l.addr)
+	s.Clients.BalancerUp(b, l.addr)
 	return nil
 }
 
--- a/internal/rehearsal/runner/wrong_test.go
+++ b/internal/rehearsal/runner/wrong_test.go
@@ -56,7 +56,7 @@
 
 // launchFaulty returns a Launch that runs balancers with a defect as part of this process.
 func launchFaulty(defect string) Launch {
-	return func(ctx context.Context, _ int, at Place) (Instance, error) {
+	return func(ctx context.Context, _ int, at Files) (Instance, error) {
 		text, err := os.ReadFile(at.Config)
 		if err != nil {
 			return nil, err
@@ -84,10 +84,10 @@
 		c.Close()
 	}
 }
-func (b *faultyBalancer) Term()                 { b.Kill() }
-func (b *faultyBalancer) Hup()                  {}
+func (b *faultyBalancer) Shutdown()             { b.Kill() }
+func (b *faultyBalancer) Reload()               {}
 func (b *faultyBalancer) Done() <-chan struct{} { return b.done }
-func (b *faultyBalancer) Exit() int             { return 0 }
+func (b *faultyBalancer) ExitCode() int         { return 0 }
 func (b *faultyBalancer) Usage() Usage          { return Usage{} }
 
 // applyList replaces the hosts with those of a host list and keeps the times at which they left.
@@ -145,7 +145,7 @@
 	}
 }
 
-// pickHost returns the address of the cache host for a key, or of the gateway; "" if there is none.
+// pickHost returns the address of the cache host for a key, or of the origin; "" if there is none.
 func (b *faultyBalancer) pickHost(key string, gateway bool) (addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -306,8 +306,8 @@
 	return value, ""
 }
 
-// askGateway reads or writes a value at the gateway, with an outcome as of askHost; "never" here also means that the
-// gateway promised not to have processed the request.
+// askGateway reads or writes a value at the origin, with an outcome as of askHost; "never" here also means that the
+// origin promised not to have processed the request.
 func (b *faultyBalancer) askGateway(cmd *memcache.Command, value []byte, until time.Time) (text []byte, outcome string) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// The random share of nodes that a fault affects is the same in every run with the same seed.
+// The random share of hosts that a fault affects is the same in every run with the same seed.
 func TestHit(t *testing.T) {
 	text := "seed = 5\n[[node]]\nname = \"n\"\ncount = 8\n[[fault]]\ndo = \"slow\"\nat = \"1s\"\nfor = \"1s\"\nby = 2.0\npart = 0.25"
 	a, err := Parse("a", []byte(text))
@@ -62,7 +62,7 @@
 		t.Fatal(err)
 	}
 	b, _ := Parse("b", []byte(text))
-	if x, y := strings.Join(a.Hit(0), " "), strings.Join(b.Hit(0), " "); x != y || len(a.Hit(0)) != 2 {
+	if x, y := strings.Join(a.AffectedHosts(0), " "), strings.Join(b.AffectedHosts(0), " "); x != y || len(a.AffectedHosts(0)) != 2 {
 		t.Errorf("affected nodes: %q and %q with the same seed", x, y)
 	}
 }
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -17,28 +17,28 @@
 	"streamrail/internal/rehearsal/virtual"
 )
 
-// Found is a scenario that was kept, with its simulated service and the rules that it broke.
-type Found struct {
-	Day     *scenario.Day
-	Service float64
-	Broken  []judge.Rule
+// RunResult is a scenario that was kept, with its simulated service and the rules that it broke.
+type RunResult struct {
+	Scenario *scenario.Scenario
+	Service  float64
+	Broken   []judge.Rule
 }
 
 // Result is the result of a search.
 type Result struct {
-	Played  int
-	Kept    int // number of scenarios that broke no rule
-	Broken  []Found
-	Worst   []Found // sorted by service, the lowest first
-	Checked map[judge.Rule]int
+	Simulated     int
+	Passed        int // number of scenarios that broke no rule
+	Broken        []RunResult
+	LowestService []RunResult // sorted by service, the lowest first
+	Checked       map[judge.Rule]int
 }
 
-// maxKept is how many scenarios are kept in each of Result.Broken and Result.Worst.
+// maxKept is how many scenarios are kept in each of Result.Broken and Result.LowestService.
 const maxKept = 10
 
-// Days simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
+// Run simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
 // context ends, it starts no further ones.
-func Days(ctx context.Context, base *scenario.Day, firstSeed uint64, days, workers int) (Result, error) {
+func Run(ctx context.Context, base *scenario.Scenario, firstSeed uint64, days, workers int) (Result, error) {
 	res := Result{Checked: map[judge.Rule]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -72,8 +72,8 @@
 }
 
 // add counts a simulated scenario and keeps it if it belongs to those to be kept.
-func (r *Result) add(f Found, verdict *judge.Verdict) {
-	r.Played++
+func (r *Result) add(f RunResult, verdict *judge.Verdict) {
+	r.Simulated++
 	for _, x := range verdict.Findings {
 		r.Checked[x.Rule] += x.Checked
 	}
@@ -82,10 +82,10 @@
 		slices.SortFunc(r.Broken, bySeed) // which ones are kept must not depend on the order in which workers finish
 		r.Broken = r.Broken[:min(len(r.Broken), maxKept)]
 	} else {
-		r.Kept++
+		r.Passed++
 	}
-	r.Worst = append(r.Worst, f)
-	slices.SortFunc(r.Worst, func(x, y Found) int {
+	r.LowestService = append(r.LowestService, f)
+	slices.SortFunc(r.LowestService, func(x, y RunResult) int {
 		if x.Service != y.Service {
 			if x.Service < y.Service {
 				return -1
@@ -94,24 +94,24 @@
 		}
 		return bySeed(x, y)
 	})
-	r.Worst = r.Worst[:min(len(r.Worst), maxKept)]
+	r.LowestService = r.LowestService[:min(len(r.LowestService), maxKept)]
 }
 
 // bySeed orders scenarios by their seed.
-func bySeed(x, y Found) int {
-	if x.Day.Seed < y.Day.Seed {
+func bySeed(x, y RunResult) int {
+	if x.Scenario.Seed < y.Scenario.Seed {
 		return -1
 	}
 	return 1
 }
 
 // simulate runs one scenario in virtual time.
-func simulate(d *scenario.Day) (Found, *judge.Verdict, error) {
-	res, err := virtual.Play(d, nil)
+func simulate(d *scenario.Scenario) (RunResult, *judge.Verdict, error) {
+	res, err := virtual.Simulate(d, nil)
 	if err != nil {
-		return Found{}, nil, err
+		return RunResult{}, nil, err
 	}
-	return Found{Day: d, Service: report.Of(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
+	return RunResult{Scenario: d, Service: report.New(res).Service.Whole, Broken: res.Verdict.BrokenRules()}, res.Verdict, nil
 }
 
 // faultKinds are the kinds of faults that a search draws: kinds that package virtual simulates.
@@ -125,11 +125,11 @@
 
 // Draw returns a copy of the base scenario with the given seed and one to maxFaults random faults, of any kind, size and time,
 // in addition to those of the base.
-func Draw(base *scenario.Day, seed uint64) *scenario.Day {
+func Draw(base *scenario.Scenario, seed uint64) *scenario.Scenario {
 	d := *base
 	d.Seed = seed
 	d.Name = fmt.Sprintf("found-%d", seed)
-	rng := model.Stream(seed, "search")
+	rng := model.NewRand(seed, "search")
 	d.Faults = slices.Clone(base.Faults)
 	for range 1 + rng.IntN(maxFaults) {
 		d.Faults = append(d.Faults, drawFault(rng, &d))
@@ -138,22 +138,22 @@
 }
 
 // drawFault returns a random fault within the length of the scenario.
-func drawFault(rng *rand.Rand, d *scenario.Day) scenario.Fault {
+func drawFault(rng *rand.Rand, d *scenario.Scenario) scenario.Fault {
 	length := d.Length.Duration()
 	at := time.Duration(rng.Int64N(int64(length * 3 / 4))).Truncate(time.Millisecond)
 	duration := time.Duration(rng.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
-	f := scenario.Fault{Do: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), For: scenario.Span(min(duration, length-at))}
+	f := scenario.Fault{Kind: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), Length: scenario.Span(min(duration, length-at))}
 	probability := 0.05 + 0.6*rng.Float64()
 	pickNodes := func() {
-		ids, _ := d.NodeIDs()
+		ids, _ := d.HostIDs()
 		rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
-		f.Nodes = ids[:1+rng.IntN(max(1, len(ids)*2/3))]
-		slices.Sort(f.Nodes)
+		f.Hosts = ids[:1+rng.IntN(max(1, len(ids)*2/3))]
+		slices.Sort(f.Hosts)
 	}
-	switch f.Do {
+	switch f.Kind {
 	case "slow":
 		pickNodes()
-		f.By = 2 + 10*rng.Float64()
+		f.Factor = 2 + 10*rng.Float64()
 	case "stall", "kill", "vanish", "link-cut":
 		pickNodes()
 	case "link-delay":
@@ -161,30 +161,30 @@
 		f.Delay = scenario.Span(time.Duration(5+rng.IntN(200)) * time.Millisecond)
 	case "reset", "spoil", "fail":
 		pickNodes()
-		f.Part = probability
+		f.Share = probability
 	case "zone-dark":
 		f.Zone = d.Fleet.Zones[rng.IntN(len(d.Fleet.Zones))]
 	case "deploy":
 		pickNodes()
-		f.AtOnce, f.Drain, f.Same = 1+rng.IntN(len(f.Nodes)), scenario.Span(2*time.Second), rng.IntN(2) == 0
+		f.AtOnce, f.Drain, f.SameAddress = 1+rng.IntN(len(f.Hosts)), scenario.Span(2*time.Second), rng.IntN(2) == 0
 	case "gateway-slow":
-		f.By = 1.5 + 6*rng.Float64()
+		f.Factor = 1.5 + 6*rng.Float64()
 	case "gateway-reset", "gateway-fail":
-		f.Part = probability / 2
+		f.Share = probability / 2
 	case "register-rewind", "balancer-restart":
-		f.For = 0
+		f.Length = 0
 		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "register-silent", "balancer-kill":
 		f.Balancers = []int{1 + rng.IntN(d.Fleet.Balancers)}
 	case "surge":
-		f.By = 1.5 + 2.5*rng.Float64()
+		f.Factor = 1.5 + 2.5*rng.Float64()
 		if rng.IntN(2) == 0 {
 			f.Tenant = d.Tenants[rng.IntN(len(d.Tenants))].Name
 		}
 	case "scan":
-		f.Part = probability / 2
+		f.Share = probability / 2
 	case "hot":
-		f.Part, f.Keys = probability, 1+rng.IntN(5)
+		f.Share, f.Keys = probability, 1+rng.IntN(5)
 	}
 	return f
 }
@@ -192,8 +192,8 @@
 // Shrink reduces a scenario as long as it still shows the problem, by removing faults, removing balancers or shortening it.
 // If the scenario broke rules, the first of them must still be broken. Otherwise the service may rise by at most a tenth of
 // what was missing to 1.
-func Shrink(f Found) (Found, error) {
-	reproduces := func(x Found) bool {
+func Shrink(f RunResult) (RunResult, error) {
+	reproduces := func(x RunResult) bool {
 		if len(f.Broken) > 0 {
 			return slices.Contains(x.Broken, f.Broken[0])
 		}
@@ -201,13 +201,13 @@
 	}
 	for shrunk := true; shrunk; {
 		shrunk = false
-		for _, smaller := range smallerScenarios(f.Day) {
+		for _, smaller := range smallerScenarios(f.Scenario) {
 			x, _, err := simulate(smaller)
 			if err != nil {
 				return f, err
 			}
 			if reproduces(x) {
-				f.Day, shrunk = x.Day, true
+				f.Scenario, shrunk = x.Scenario, true
 				f.Service, f.Broken = x.Service, x.Broken
 				break
 			}
@@ -217,7 +217,7 @@
 }
 
 // smallerScenarios returns the scenarios that are one reduction step smaller.
-func smallerScenarios(d *scenario.Day) (list []*scenario.Day) {
+func smallerScenarios(d *scenario.Scenario) (list []*scenario.Scenario) {
 	for i := range d.Faults {
 		x := *d
 		x.Faults = slices.Delete(slices.Clone(d.Faults), i, i+1)
@@ -230,7 +230,7 @@
 	}
 	last := scenario.Span(0)
 	for _, f := range d.Faults {
-		last = max(last, f.At+f.For)
+		last = max(last, f.At+f.Length)
 	}
 	if shorter := max(last, d.Length*3/4).Duration().Truncate(time.Millisecond); scenario.Span(shorter) < d.Length && shorter >= time.Second {
 		x := *d
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -28,12 +28,12 @@
 	target   netip.AddrPort
 
 	mu    sync.Mutex
-	link  *model.Way
+	link  *model.Link
 	bytes int64
 }
 
 // NewRelays opens a link for each ordered pair of balancers; targets are their addresses.
-func NewRelays(targets []netip.AddrPort, terms model.WayTerms, random *rand.Rand) (*Relays, error) {
+func NewRelays(targets []netip.AddrPort, terms model.LinkConfig, random *rand.Rand) (*Relays, error) {
 	rs := &Relays{startedAt: time.Now()}
 	for from := range targets {
 		row := make([]*relay, len(targets))
@@ -48,7 +48,7 @@
 				return nil, fmt.Errorf("link between balancers: %w", err)
 			}
 			row[to] = &relay{owner: rs, from: from, to: to, conn: conn, target: targets[to],
-				link: model.NewWay(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
+				link: model.NewLink(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
 		}
 	}
 	for _, row := range rs.relays {
@@ -66,15 +66,15 @@
 	return rs.relays[from][to].conn.LocalAddr().(*net.UDPAddr).AddrPort()
 }
 
-// Change alters how a link treats datagrams from now on.
-func (rs *Relays) Change(from, to int, change func(*model.WayTerms)) {
+// AlterLink alters how a link treats datagrams from now on.
+func (rs *Relays) AlterLink(from, to int, change func(*model.LinkConfig)) {
 	if from == to {
 		return
 	}
 	r := rs.relays[from][to]
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.link.WayTerms)
+	change(&r.link.LinkConfig)
 }
 
 // Cut makes the selected links lose everything, or ends that.
@@ -82,14 +82,14 @@
 	for from, row := range rs.relays {
 		for to := range row {
 			if from != to && which(from, to) {
-				rs.Change(from, to, func(t *model.WayTerms) { t.Cut = on })
+				rs.AlterLink(from, to, func(t *model.LinkConfig) { t.Cut = on })
 			}
 		}
 	}
 }
 
-// Bytes returns how many bytes a balancer has sent to the others so far.
-func (rs *Relays) Bytes(from int) (sum int64) {
+// BytesSent returns how many bytes a balancer has sent to the others so far.
+func (rs *Relays) BytesSent(from int) (sum int64) {
 	for _, r := range rs.relays[from] {
 		if r != nil {
 			r.mu.Lock()
@@ -136,13 +136,13 @@
 	r.mu.Lock()
 	r.bytes += int64(len(datagram))
 	now := time.Since(r.owner.startedAt)
-	copies := append([]model.Passed(nil), r.link.Pass(now, len(datagram))...)
+	copies := append([]model.Delivery(nil), r.link.Send(now, len(datagram))...)
 	r.mu.Unlock()
 	for _, c := range copies {
 		out := datagram
-		if c.Spoilt {
+		if c.Corrupt {
 			out = append([]byte(nil), datagram...)
-			out[int(c.SpoilAt*float64(len(out)))] ^= 0x55
+			out[int(c.CorruptAt*float64(len(out)))] ^= 0x55
 		}
 		if wait := c.At - now; wait > 0 {
 			time.AfterFunc(wait, func() { r.conn.WriteToUDPAddrPort(out, r.target) })
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -17,24 +17,24 @@
 	"streamrail/policy"
 )
 
-// Day is a running simulation of a scenario.
-type Day struct {
-	*scenario.Day
+// Simulation is a running simulation of a scenario.
+type Simulation struct {
+	*scenario.Scenario
 	clock
 	rec              *record.Record
 	hosts            map[string]*cacheHost
 	hostsInOrder     []*cacheHost          // in the order of their first start
-	currentHost      map[string]*cacheHost // by the scenario's node name; a deploy replaces the host
+	currentHost      map[string]*cacheHost // by the host's name in the scenario; a deploy replaces the host
 	origin           *origin
-	discovery        *model.Register
+	discovery        *model.Discovery
 	balancers        []*balancer
 	attempts         []*attempt
-	retry            model.Retry
+	retry            model.RetryPolicy
 	roundRobin       int
 	latency          *hdrhistogram.Histogram
 	trace            io.Writer // receives one line for each event; nil: no trace
 	deliberateFaults deliberateFaults
-	members          *gather.Day          // nil: balancers do not communicate
+	members          *gather.Simulation   // nil: balancers do not communicate
 	observations     *observationExchange // nil: balancers do not exchange observations of hosts
 }
 
@@ -44,58 +44,58 @@
 	alterOutcome   func(policy.Outcome) policy.Outcome // replaces the outcome of attempts
 	hideDrains     bool                                // draining hosts are listed as up
 	hideColdStarts bool                                // start times of hosts are left out, so that cold hosts seem warm
-	alterReports   Liars                               // replaces the observations sent to other balancers
+	alterReports   AlterReports                        // replaces the observations sent to other balancers
 }
 
 // tracef writes a line of the trace.
-func (d *Day) tracef(format string, args ...any) {
+func (d *Simulation) tracef(format string, args ...any) {
 	if d.trace != nil {
 		fmt.Fprintf(d.trace, "%d "+format+"\n", append([]any{d.now.Nanoseconds()}, args...)...)
 	}
 }
 
-// Play simulates a scenario. It leaves out what exists only on sockets: the balancers' own resources, misbehaving clients and
+// Simulate simulates a scenario. It leaves out what exists only on sockets: the balancers' own resources, misbehaving clients and
 // reloads. If trace is not nil, it receives one line for each event; the same scenario and seed give the same trace byte for
 // byte.
-func Play(s *scenario.Day, trace io.Writer) (*runner.Result, error) {
-	return play(s, trace, deliberateFaults{})
+func Simulate(s *scenario.Scenario, trace io.Writer) (*runner.Result, error) {
+	return simulate(s, trace, deliberateFaults{})
 }
 
-// play is Play with deliberate faults.
-func play(s *scenario.Day, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
+// simulate is Simulate with deliberate faults.
+func simulate(s *scenario.Scenario, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
 	began := time.Now()
-	arrivals, err := model.Arrivals(s.Seed, s.LoadTerms())
+	arrivals, err := model.Arrivals(s.Seed, s.LoadConfig())
 	if err != nil {
 		return nil, err
 	}
-	d := &Day{Day: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.Retry(),
+	d := &Simulation{Scenario: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.RetryPolicy(),
 		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: w}
-	late := [2]time.Duration{s.Register.Late[0].Duration(), s.Register.Late[1].Duration()}
-	d.discovery = model.NewRegister(s.Fleet.Balancers, late, model.Stream(s.Seed, "register"))
-	d.origin = &origin{d: d, model: model.NewGateway(s.GatewayTerms(), 0), scheduledAt: never, rng: model.Stream(s.Seed, "faults gateway")}
+	late := [2]time.Duration{s.Discovery.Delay[0].Duration(), s.Discovery.Delay[1].Duration()}
+	d.discovery = model.NewDiscovery(s.Fleet.Balancers, late, model.NewRand(s.Seed, "register"))
+	d.origin = &origin{d: d, model: model.NewOrigin(s.OriginConfig(), 0), scheduledAt: never, rng: model.NewRand(s.Seed, "faults gateway")}
 	for b := range s.Fleet.Balancers {
 		d.balancers = append(d.balancers, &balancer{d: d, index: b, zone: b % len(s.Fleet.Zones)})
 	}
-	ids, groups := s.NodeIDs()
+	ids, groups := s.HostIDs()
 	for _, id := range ids {
 		n := d.addHost(id, groups[id], false)
 		d.currentHost[id] = n
-		for k := range int(s.Load.Warm * float64(s.Load.Keys)) {
-			n.model.Keep(model.KeyName(k), 0, s.Load.ValueSize)
+		for k := range int(s.Load.WarmRatio * float64(s.Load.Keys)) {
+			n.model.CacheValue(model.KeyName(k), 0, s.Load.ValueSize)
 		}
 		d.discovery.Set(0, n.listEntry(model.Active))
 	}
-	if s.Fleet.Mode == scenario.Aside {
-		d.discovery.Set(0, model.Entry{Node: record.Gateway, Zone: s.Fleet.Zones[0], Kind: "origin", Condition: model.Active, Weight: 1})
+	if s.Fleet.Mode == scenario.ModeAside {
+		d.discovery.Set(0, model.Entry{Host: record.Origin, Zone: s.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
 	}
 	d.discovery.Advance(0)
-	if s.Mates.On {
-		d.members = gather.NewDay(s, d.rec, nil)
+	if s.Membership.Enabled {
+		d.members = gather.NewSimulation(s, d.rec, nil)
 	}
 	for _, b := range d.balancers {
 		b.start()
 	}
-	if s.Mates.On && s.Mates.Evidence {
+	if s.Membership.Enabled && s.Membership.ShareObservations {
 		d.startObservationExchange(w.alterReports)
 	}
 	for i := range s.Faults {
@@ -106,13 +106,13 @@
 	for _, p := range s.Products {
 		longest = max(longest, p.ClientTimeout.Duration())
 	}
-	d.run(s.Length.Duration() + longest*time.Duration(1+s.Clients.Tries) + s.Clients.ComeBack.Duration())
+	d.run(s.Length.Duration() + longest*time.Duration(1+s.Clients.MaxRetries) + s.Clients.MaxRetryAfter.Duration())
 	return d.result(began), nil
 }
 
 // scheduleArrivals schedules the next request, which schedules the one after it. Scheduling all at once would fill the event
 // queue with the requests of the whole scenario.
-func (d *Day) scheduleArrivals(arrivals []model.Arrival, i int) {
+func (d *Simulation) scheduleArrivals(arrivals []model.Arrival, i int) {
 	if i < len(arrivals) {
 		d.at(arrivals[i].At, func() {
 			d.sendRequest(&arrivals[i], 1)
@@ -122,9 +122,9 @@
 }
 
 // sendRequest sends a client's request or, if try is above 1, a client retry of it. It schedules the next client retry, if any.
-func (d *Day) sendRequest(arrival *model.Arrival, try int) {
-	rec := &record.Call{ID: arrival.ID, Base: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, Mark: arrival.Mark, Once: arrival.Once,
-		Due: d.now, Sent: d.now, Timeout: d.now + arrival.Patience}
+func (d *Simulation) sendRequest(arrival *model.Arrival, try int) {
+	rec := &record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
+		ScheduledAt: d.now, Sent: d.now, Timeout: d.now + arrival.Timeout}
 	if try > 1 {
 		rec.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
 	}
@@ -136,26 +136,26 @@
 			return
 		}
 		done = true
-		if rec.Reply, rec.ComeBack = reply, retryAfter; reply != record.None && reply != record.Closed {
+		if rec.Reply, rec.RetryAfter = reply, retryAfter; reply != record.NoAnswer && reply != record.Closed {
 			rec.Answered = d.now
 		}
 		if reply == record.Fulfilled {
-			d.latency.RecordValue(min(60_000_000, max(1, (rec.Answered-rec.Due).Microseconds())))
+			d.latency.RecordValue(min(60_000_000, max(1, (rec.Answered-rec.ScheduledAt).Microseconds())))
 		}
-		d.rec.Calls = append(d.rec.Calls, *rec)
+		d.rec.Requests = append(d.rec.Requests, *rec)
 		d.tracef("answer %s %v %v", rec.ID, reply, retryAfter)
-		harmless := reply == record.RateLimited || rec.NotTaken || d.Products[arrival.Product].Effect == scenario.Idempotent
-		rng := model.Stream(d.Seed, fmt.Sprint("client ", arrival.ID, try))
-		if wait, again := d.retry.Next(rng, try, harmless, retryAfter); again && reply != record.Fulfilled {
+		harmless := reply == record.RateLimited || rec.NotSent || d.Products[arrival.Product].Effect == scenario.Idempotent
+		rng := model.NewRand(d.Seed, fmt.Sprint("client ", arrival.ID, try))
+		if wait, again := d.retry.NextDelay(rng, try, harmless, retryAfter); again && reply != record.Fulfilled {
 			d.after(wait, func() { d.sendRequest(arrival, try+1) })
 		}
 	}
 	d.tracef("call %s %s to %d until %v", rec.ID, arrival.Key, b.index, rec.Timeout)
-	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.Mark, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
-	d.after(d.Fleet.Same.Duration(), func() {
+	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.DedupToken, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
+	d.after(d.Fleet.SameZoneDelay.Duration(), func() {
 		if b.decider == nil {
-			rec.NotTaken = true
-			finish(record.None, 0)
+			rec.NotSent = true
+			finish(record.NoAnswer, 0)
 			return
 		}
 		b.whenRunning(func() {
@@ -163,7 +163,7 @@
 				b.receive(req)
 			}
 		}, func() {
-			rec.Excused = true
+			rec.BalancerStopped = true
 			finish(record.Closed, 0)
 		})
 	})
@@ -174,14 +174,14 @@
 		if req.balancer != nil && !req.answered {
 			b.whenRunning(func() { b.clientGone(req) }, nil)
 		}
-		finish(record.None, 0)
+		finish(record.NoAnswer, 0)
 	})
 }
 
 // pickBalancer chooses a balancer for a request, in turn among those that get traffic: first among the balancers that the
 // scenario sets for the tenant now, then in the client's zone, then in any zone.
-func (d *Day) pickBalancer(zone, tenant int) *balancer {
-	if allowed := d.TenantAt(tenant, d.now); len(allowed) > 0 {
+func (d *Simulation) pickBalancer(zone, tenant int) *balancer {
+	if allowed := d.TenantBalancers(tenant, d.now); len(allowed) > 0 {
 		d.roundRobin++
 		for i := range allowed {
 			if b := d.balancers[allowed[(d.roundRobin+i)%len(allowed)]]; b.getsTraffic {
@@ -201,18 +201,18 @@
 }
 
 // drawWork returns the service time that a request needs at a cache host, drawn by the product's distribution.
-func (d *Day) drawWork(req *request) time.Duration {
+func (d *Simulation) drawWork(req *request) time.Duration {
 	p := &d.Products[req.record.Product]
-	return model.Work(d.Seed, req.id, p.Law, p.Work.Duration(), p.Variation)
+	return model.RequestWork(d.Seed, req.id, p.Distribution, p.Work.Duration(), p.Variation)
 }
 
 // policyEntry converts an entry of the discovery model to the form of package policy.
-func (d *Day) policyEntry(e model.Entry) policy.HostEntry {
-	p := policy.HostEntry{HostID: policy.HostID(e.Node), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
-	if e.Kind == "origin" {
+func (d *Simulation) policyEntry(e model.Entry) policy.HostEntry {
+	p := policy.HostEntry{HostID: policy.HostID(e.Host), Zone: policy.Zone(d.zoneIndex(e.Zone)), Condition: policy.Up, Size: e.Weight}
+	if e.MachineType == "origin" {
 		p.Kind = 1
 	}
-	switch e.Condition {
+	switch e.Lifecycle {
 	case model.Leaving:
 		p.Condition = policy.Draining
 	case model.Left:
@@ -221,14 +221,14 @@
 	if d.deliberateFaults.hideDrains {
 		p.Condition = policy.Up
 	}
-	if e.Born > 0 && !d.deliberateFaults.hideColdStarts {
-		p.ListedStart = epoch + policy.Nanos(e.Born)
+	if e.StartedAt > 0 && !d.deliberateFaults.hideColdStarts {
+		p.ListedStart = epoch + policy.Nanos(e.StartedAt)
 	}
 	return p
 }
 
 // zoneIndex returns the index of a zone; unknown zones get the index after the last one.
-func (d *Day) zoneIndex(name string) int {
+func (d *Simulation) zoneIndex(name string) int {
 	for i, z := range d.Fleet.Zones {
 		if z == name {
 			return i
@@ -242,49 +242,49 @@
 	scenario.NonIdempotent: policy.NonIdempotent}
 
 // policyTerms returns the configuration of the decider of a balancer in a zone, the same as on sockets.
-func (d *Day) policyTerms(zone int) policy.Config {
-	t := policy.Config{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), CacheAside: d.Fleet.Mode == scenario.Aside, OriginKind: -1, MayCancel: true,
-		MaxAttempts: d.Fleet.Attempts, MaxRetryAfter: policy.Nanos(d.Clients.ComeBack), ColdCapacityFraction: 1, OverloadMultiple: d.Rules.FallMultiple,
-		OverloadWindow: policy.Nanos(d.Rules.FallFor), SubscribeInterval: 10 * policy.Second, TimerGranularity: 5 * policy.Millisecond}
+func (d *Simulation) policyTerms(zone int) policy.Config {
+	t := policy.Config{Balancers: d.Fleet.Balancers, Zone: policy.Zone(zone), CacheAside: d.Fleet.Mode == scenario.ModeAside, OriginKind: -1, MayCancel: true,
+		MaxAttempts: d.Fleet.Attempts, MaxRetryAfter: policy.Nanos(d.Clients.MaxRetryAfter), ColdCapacityFraction: 1, OverloadMultiple: d.Rules.OverloadMultiple,
+		OverloadWindow: policy.Nanos(d.Rules.OverloadWindow), SubscribeInterval: 10 * policy.Second, TimerGranularity: 5 * policy.Millisecond}
 	if t.CacheAside {
 		t.OriginKind = 1
 	}
-	for _, n := range d.Nodes {
-		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, n.ColdFrom), max(t.WarmUpTime, policy.Nanos(n.WarmFor))
+	for _, n := range d.Hosts {
+		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, n.ColdCapacity), max(t.WarmUpTime, policy.Nanos(n.WarmUpTime))
 	}
 	for _, p := range d.Products {
 		t.Products = append(t.Products, policy.ProductConfig{LatencySLO: policy.Nanos(p.LatencySLO), BilledValue: p.BilledValue,
 			Effect: effects[p.Effect], DedupWindow: policy.Nanos(p.Window)})
 	}
 	for _, x := range d.Tenants {
-		t.Customers = append(t.Customers, policy.CustomerConfig{QuotaPerSecond: x.Share * d.Load.Quota * d.Capacity()})
+		t.Customers = append(t.Customers, policy.CustomerConfig{QuotaPerSecond: x.Share * d.Load.QuotaRatio * d.Capacity()})
 	}
 	return t
 }
 
 // result completes the record and has it judged.
-func (d *Day) result(began time.Time) *runner.Result {
+func (d *Simulation) result(began time.Time) *runner.Result {
 	for _, b := range d.balancers {
 		b.stop()
 	}
 	for _, h := range d.hostsInOrder {
 		if h.model != nil {
-			d.rec.Strain(h.id, h.model.Strain())
+			d.rec.RecordLoad(h.id, h.model.MaxLoadMultiple())
 		}
 	}
-	d.rec.Strain(record.Gateway, d.origin.model.Strain())
+	d.rec.RecordLoad(record.Origin, d.origin.model.MaxLoadMultiple())
 	for _, a := range d.attempts {
 		if a.receivedAt == 0 {
 			continue // cancelled in transit: no server received it
 		}
-		r := record.Attempt{Call: a.request.id, Balancer: a.balancer.index, Server: a.serverName(), Began: a.sentAt, Came: a.sentAt, Told: max(0, a.reportedTimeout), Ended: a.endedAt, Proof: a.proof,
-			Answered: a.answerComplete, Ran: a.executed, Cold: a.cold, Work: a.work, Write: a.request.write, Swallowed: a.dropped}
+		r := record.Attempt{RequestID: a.request.id, Balancer: a.balancer.index, Server: a.serverName(), FirstByteAt: a.sentAt, ArrivedAt: a.sentAt, TimeLeft: max(0, a.reportedTimeout), Ended: a.endedAt, Proof: a.proof,
+			Answered: a.answerComplete, Ran: a.executed, Cold: a.cold, Work: a.work, Write: a.request.write, LostOnLink: a.dropped}
 		d.rec.Attempts = append(d.rec.Attempts, r)
 	}
-	res := &runner.Result{Day: d.Day, Record: d.rec, Latency: load.PercentilesOf(d.latency), Took: time.Since(began)}
+	res := &runner.Result{Scenario: d.Scenario, Record: d.rec, Latency: load.PercentilesOf(d.latency), Elapsed: time.Since(began)}
 	if d.members != nil {
-		d.members.To(d.Length.Duration())
+		d.members.RunTo(d.Length.Duration())
 	}
-	res.Verdict = judge.Judge(d.rec, runner.Terms(d.Day))
+	res.Verdict = judge.Judge(d.rec, runner.JudgeConfig(d.Scenario))
 	return res
 }
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -12,28 +12,28 @@
 	"streamrail/policy"
 )
 
-// Liars returns the observations that a balancer sends to the others instead of its own ones, which are passed as rows. If
+// AlterReports returns the observations that a balancer sends to the others instead of its own ones, which are passed as rows. If
 // the function is nil, balancers send their own observations.
-type Liars func(balancer int, rows []evidence.HostOutcomes) []evidence.HostOutcomes
+type AlterReports func(balancer int, rows []evidence.HostOutcomes) []evidence.HostOutcomes
 
-// PlayLying simulates a scenario in which some balancers send false observations of hosts to the others.
-func PlayLying(s *scenario.Day, alterReports Liars) (*runner.Result, error) {
-	return play(s, nil, deliberateFaults{alterReports: alterReports})
+// SimulateFalseReports simulates a scenario in which some balancers send false observations of hosts to the others.
+func SimulateFalseReports(s *scenario.Scenario, alterReports AlterReports) (*runner.Result, error) {
+	return simulate(s, nil, deliberateFaults{alterReports: alterReports})
 }
 
 // observationExchange simulates the exchange of observations of hosts between balancers, with the delay, loss and cuts that
 // the scenario sets between balancers. All balancers know at once which others run; the effect of outdated member views is
 // simulated in package gather.
 type observationExchange struct {
-	d            *Day
+	d            *Simulation
 	rng          *rand.Rand
-	alterReports Liars
-	Sent         int // number of messages
+	alterReports AlterReports
+	sentMessages int // number of messages
 }
 
 // startObservationExchange schedules each balancer's periodic exchange, with a random offset.
-func (d *Day) startObservationExchange(alterReports Liars) {
-	e := &observationExchange{d: d, rng: model.Stream(d.Seed, "evidence"), alterReports: alterReports}
+func (d *Simulation) startObservationExchange(alterReports AlterReports) {
+	e := &observationExchange{d: d, rng: model.NewRand(d.Seed, "evidence"), alterReports: alterReports}
 	d.observations = e
 	for i := range d.balancers {
 		d.at(time.Duration(e.rng.Int64N(int64(evidence.TickInterval))), func() { e.tick(i) })
@@ -68,15 +68,15 @@
 	listed, _ := b.decider.HostCounts()
 	b.observations.Tick(d.now, peers, listed)
 	for _, s := range b.observations.TakeOutput() {
-		e.Sent++
+		e.sentMessages++
 		to, msg, from := int(uint32(s.To))-1, s.Msg, e.processID(i)
 		if e.alterReports != nil {
 			msg.Hosts = e.alterReports(i, msg.Hosts)
 		}
-		if e.rng.Float64() < d.Mates.Loss || d.isCut(i, to) {
+		if e.rng.Float64() < d.Membership.LossRatio || d.isCut(i, to) {
 			continue
 		}
-		d.after(d.Mates.Delay.Duration()+time.Duration(e.rng.Int64N(int64(d.Mates.Jitter)+1)), func() {
+		d.after(d.Membership.Delay.Duration()+time.Duration(e.rng.Int64N(int64(d.Membership.Jitter)+1)), func() {
 			if o := d.balancers[to]; o.observations != nil && o.decider != nil {
 				o.whenRunning(func() { o.observations.Receive(d.now, from, &msg) }, nil)
 			}
@@ -88,8 +88,8 @@
 }
 
 // isCut reports whether the link from one balancer to another is cut now.
-func (d *Day) isCut(from, to int) bool {
-	for _, c := range d.rec.MateCuts {
+func (d *Simulation) isCut(from, to int) bool {
+	for _, c := range d.rec.LinkOutages {
 		if c.From == from && c.To == to && c.Begin <= d.now && d.now < c.End {
 			return true
 		}
