--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -67,16 +67,16 @@
 	faults []scenario.Fault
 	alter  virtual.AlterReports
 }{
-	{name: "a fifth of the hosts fail, in two groups one after the other", faults: alternatingFaults("fail", 1)},
-	{name: "a fifth of the hosts hang, in two groups one after the other", faults: alternatingFaults("stall", 0)},
-	{name: "all hosts are healthy"},
-	{name: "all hosts are healthy, three in eight balancers report a quarter of them as bad", alter: alteredByThreeInEight(func(i int, r *evidence.HostOutcomes) {
+	{name: "a fifth of the nodes fail, two groups by turns", faults: alternatingFaults("fail", 1)},
+	{name: "a fifth hang, two groups by turns", faults: alternatingFaults("stall", 0)},
+	{name: "all nodes are well"},
+	{name: "all are well, three in eight balancers call a quarter of the nodes bad", alter: alteredByThreeInEight(func(i int, r *evidence.HostOutcomes) {
 		if i%4 == 0 {
 			r.Good, r.Bad = 0, 9
 		}
 	})},
-	{name: "all hosts are healthy, three in eight balancers report all of them as bad", alter: alteredByThreeInEight(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 0, 9 })},
-	{name: "a fifth of the hosts fail, in two groups one after the other, three in eight balancers report all hosts as good", faults: alternatingFaults("fail", 1), alter: alteredByThreeInEight(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 9, 0 })},
+	{name: "all are well, three in eight call all nodes bad", alter: alteredByThreeInEight(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 0, 9 })},
+	{name: "a fifth fail by turns, three in eight call all nodes well", faults: alternatingFaults("fail", 1), alter: alteredByThreeInEight(func(_ int, r *evidence.HostOutcomes) { r.Good, r.Bad = 9, 0 })},
 }
 
 // alternatingFaults makes a tenth of the hosts faulty for some seconds and later another tenth.
