--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -20,7 +20,7 @@
 	Restart(balancer int)                                // ends its process with a drain and starts it again
 	Reload(balancer int) error                           // gives it a new configuration with another discovery address
 	MalformedClient(i int)                               // runs a client that sends malformed input; returns when it has ended
-	SetExcluded(node string, out bool)                   // excludes a host, or includes it again, at every balancer's admin API
+	SetExcluded(host string, out bool)                   // excludes a host, or includes it again, at every balancer's admin API
 	Upgrade(balancer int) error                          // has a newer process take over
 	Pause(balancer int, length time.Duration)            // pauses its process
 	RestartWithWrongPeers(balancer int)                  // kills it and starts it with wrong addresses of the other balancers
@@ -88,8 +88,8 @@
 	}
 }
 
-// nodeAt returns the host that now has the place of one that existed at the start: itself or its latest replacement.
-func (t *Timeline) nodeAt(place string) *standin.Host {
+// hostAt returns the host that now has the place of one that existed at the start: itself or its latest replacement.
+func (t *Timeline) hostAt(place string) *standin.Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if id, ok := t.currentID[place]; ok {
@@ -101,8 +101,8 @@
 // addInterval schedules one action on hosts for a fault's begin and another for its end.
 func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Host)) {
 	for _, p := range places {
-		t.addStep(fault.At.Duration(), func() { begin(t.nodeAt(p)) })
-		t.addStep((fault.At + fault.Length).Duration(), func() { end(t.nodeAt(p)) })
+		t.addStep(fault.At.Duration(), func() { begin(t.hostAt(p)) })
+		t.addStep((fault.At + fault.Length).Duration(), func() { end(t.hostAt(p)) })
 	}
 }
 
@@ -177,14 +177,14 @@
 		}
 	case "by-hand":
 		for _, p := range places {
-			t.addStep(from, func() { t.balancers.SetExcluded(t.nodeAt(p).ID, true) })
+			t.addStep(from, func() { t.balancers.SetExcluded(t.hostAt(p).ID, true) })
 			t.addStep((from+to)/2, func() {
-				n := t.nodeAt(p)
+				n := t.hostAt(p)
 				n.Stop()
 				t.check(n.Start(true))
 				t.setCondition(n, model.Active)
 			})
-			t.addStep(to, func() { t.balancers.SetExcluded(t.nodeAt(p).ID, false) })
+			t.addStep(to, func() { t.balancers.SetExcluded(t.hostAt(p).ID, false) })
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
@@ -288,7 +288,7 @@
 		stopDelay := t.world.Scenario.Discovery.Delay[1].Duration() + fault.Drain.Duration()
 		var old, next *standin.Host
 		t.addStep(at, func() {
-			old = t.nodeAt(p)
+			old = t.hostAt(p)
 			t.setCondition(old, model.Leaving)
 			if !fault.SameAddress {
 				next = t.startSuccessor(p, old, false)
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/gather/day.go
@@ -21,7 +21,7 @@
 // Simulation simulates the communication between the balancers of a scenario in virtual time and records it for the judge.
 type Simulation struct {
 	*Fleet
-	day           *scenario.Scenario
+	scenario      *scenario.Scenario
 	rec           *record.Record
 	actions       []action
 	memberLife    []int // by balancer: index into rec.Memberships of its last process; -1: none was started
@@ -62,10 +62,10 @@
 
 // NewSimulation starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
 // not nil, it may change the simulation before the balancers start; tests use it.
-func NewSimulation(day *scenario.Scenario, rec *record.Record, configure func(*Fleet)) *Simulation {
-	m := day.Membership
-	d := &Simulation{day: day, rec: rec, wrongSeeds: map[int]bool{}, Fleet: New(Config{Members: day.Fleet.Balancers, Zones: len(day.Fleet.Zones), Seeds: 3, ProbePeriod: m.ProbePeriod.Duration(), SuspicionTimeout: m.SuspicionTimeout.Duration(),
-		GossipBytesPerSecond: m.GossipBytesPerSecond, Seed: day.Seed, Links: m.LinkConfig()})}
+func NewSimulation(sc *scenario.Scenario, rec *record.Record, configure func(*Fleet)) *Simulation {
+	m := sc.Membership
+	d := &Simulation{scenario: sc, rec: rec, wrongSeeds: map[int]bool{}, Fleet: New(Config{Members: sc.Fleet.Balancers, Zones: len(sc.Fleet.Zones), Seeds: 3, ProbePeriod: m.ProbePeriod.Duration(), SuspicionTimeout: m.SuspicionTimeout.Duration(),
+		GossipBytesPerSecond: m.GossipBytesPerSecond, Seed: sc.Seed, Links: m.LinkConfig()})}
 	d.nameOverrides = map[int]int{}
 	if m.ShareLimits {
 		d.Limits = d.newShares()
@@ -77,10 +77,10 @@
 		d.memberLife = append(d.memberLife, -1)
 		d.start(i)
 	}
-	for i := range day.Faults {
+	for i := range sc.Faults {
 		d.scheduleFault(i)
 	}
-	for at := viewInterval; at <= day.Length.Duration(); at += viewInterval {
+	for at := viewInterval; at <= sc.Length.Duration(); at += viewInterval {
 		d.at(at, d.recordViews)
 	}
 	slices.SortStableFunc(d.actions, func(a, b action) int { return int(a.at - b.at) })
@@ -148,12 +148,12 @@
 
 // newShares returns the tenants' quotas as limits to be shared; the demand is the rate of the requests counted by CountRequest.
 func (d *Simulation) newShares() *Limits {
-	n := len(d.day.Tenants)
-	s := &Limits{Lease: d.day.Membership.LeaseDuration.Duration(), Minimum: make([]float64, n)}
+	n := len(d.scenario.Tenants)
+	s := &Limits{Lease: d.scenario.Membership.LeaseDuration.Duration(), Minimum: make([]float64, n)}
 	for t := range n {
-		s.Names, s.Limit, s.Step = append(s.Names, "allowance of "+d.day.Tenants[t].Name), append(s.Limit, d.day.TenantQuota(t)), append(s.Step, 1)
+		s.Names, s.Limit, s.Step = append(s.Names, "allowance of "+d.scenario.Tenants[t].Name), append(s.Limit, d.scenario.TenantQuota(t)), append(s.Step, 1)
 	}
-	for range d.day.Fleet.Balancers {
+	for range d.scenario.Fleet.Balancers {
 		d.requestCounts = append(d.requestCounts, make([]requestCounter, n))
 	}
 	s.Demand = func(index, name int, now time.Duration) float64 { return d.requestCounts[index][name].perS(now) }
@@ -173,7 +173,7 @@
 			to.Members = append(to.Members, record.Member{Name: o.Name, ProcessID: formatID(o.Life), State: o.State.String()})
 		}
 		d.rec.Views = append(d.rec.Views, to)
-		for name := range len(d.day.Tenants) {
+		for name := range len(d.scenario.Tenants) {
 			if m.Share == nil {
 				break
 			}
@@ -188,8 +188,8 @@
 // scheduleFault schedules a fault of the scenario. Faults that do not concern the balancers themselves or the links between
 // them have no effect here.
 func (d *Simulation) scheduleFault(i int) {
-	f := &d.day.Faults[i]
-	from, to, targets := f.At.Duration(), (f.At + f.Length).Duration(), d.day.AffectedBalancers(i)
+	f := &d.scenario.Faults[i]
+	from, to, targets := f.At.Duration(), (f.At + f.Length).Duration(), d.scenario.AffectedBalancers(i)
 	switch f.Kind {
 	case "balancer-kill":
 		for _, b := range targets {
@@ -202,7 +202,7 @@
 		}
 	case "balancer-restart":
 		for _, b := range targets {
-			d.at(min(from+RestartAfter, d.day.Length.Duration()), func() { d.stop(b, true); d.start(b) })
+			d.at(min(from+RestartAfter, d.scenario.Length.Duration()), func() { d.stop(b, true); d.start(b) })
 		}
 	case "balancer-stall":
 		for _, b := range targets {
@@ -238,13 +238,13 @@
 		d.at(from, func() { d.changeLinks(i, false) })
 		d.at(to, func() { d.changeLinks(i, true) })
 	}
-	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.LinkOutages(f, d.day.AffectedLinks(i))...)
+	d.rec.LinkOutages = append(d.rec.LinkOutages, faults.LinkOutages(f, d.scenario.AffectedLinks(i))...)
 }
 
 // changeLinks applies a fault to the links that it concerns, or ends it there.
 func (d *Simulation) changeLinks(i int, end bool) {
-	change := d.day.LinkChange(i, end)
-	for _, w := range d.day.AffectedLinks(i) {
+	change := d.scenario.LinkChange(i, end)
+	for _, w := range d.scenario.AffectedLinks(i) {
 		change(&d.Link(w[0], w[1]).LinkConfig)
 	}
 }
--- a/internal/rehearsal/gather/wrong_test.go
+++ b/internal/rehearsal/gather/wrong_test.go
@@ -34,7 +34,7 @@
 // The judge must report exactly the rule that a faulty member breaks, and none for a correct one. The second balancer is the
 // faulty one.
 func TestJudgeReportsFaultyMembers(t *testing.T) {
-	day, err := scenario.Parse("wrong.toml", []byte(faultyMemberScenario))
+	sc, err := scenario.Parse("wrong.toml", []byte(faultyMemberScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,10 +90,10 @@
 		}, []judge.Rule{judge.TrafficBounded}},
 	} {
 		rec := record.New()
-		NewSimulation(day, rec, func(p *Fleet) {
+		NewSimulation(sc, rec, func(p *Fleet) {
 			p.AlterMessage = func(index int, in bool, msg *member.Message) { row.twist(p, index, in, msg) }
-		}).RunTo(day.Length.Duration())
-		v := judge.Judge(rec, runner.JudgeConfig(day))
+		}).RunTo(sc.Length.Duration())
+		v := judge.Judge(rec, runner.JudgeConfig(sc))
 		if got := v.BrokenRules(); !slices.Equal(got, row.want) {
 			t.Errorf("%s: broken rules %q, expected %q", name, got, row.want)
 			for _, f := range v.Findings {
--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -172,12 +172,12 @@
 		c.checkRepeats(&rec.Requests[i])
 	}
 	c.checkUnknownAttempts()
-	c.checkMarks()
+	c.checkDedupTokens()
 	c.checkDrains()
 	c.checkOperatorActions()
 	c.checkUpgrades()
 	c.checkColdHosts()
-	c.checkGatewayStops()
+	c.checkColdMissOverload()
 	c.checkMalformedClients()
 	c.checkBalancerExits()
 	c.checkMembership()
@@ -419,8 +419,8 @@
 	}
 }
 
-// checkMarks checks that no deduplication token has its effect twice, whether by attempts or by client retries.
-func (c *checker) checkMarks() {
+// checkDedupTokens checks that no deduplication token has its effect twice, whether by attempts or by client retries.
+func (c *checker) checkDedupTokens() {
 	first := map[string]record.Effect{}
 	for _, e := range c.rec.Effects {
 		if e.DedupToken == "" {
@@ -461,7 +461,7 @@
 func (c *checker) checkDrains() {
 	type pair struct {
 		balancer int
-		node     string
+		host     string
 	}
 	notices := map[pair][]record.HostNotice{}
 	for _, notice := range c.rec.HostNotices {
@@ -572,11 +572,11 @@
 
 // checkColdHosts checks that no cold host failed from overload; each host that started during the run is a case.
 func (c *checker) checkColdHosts() {
-	for _, node := range slices.Sorted(maps.Keys(c.rec.WarmAt)) {
+	for _, host := range slices.Sorted(maps.Keys(c.rec.WarmAt)) {
 		c.checked[ColdHosts]++
 		for _, f := range c.rec.OverloadFailures {
-			if f.Server == node {
-				c.addBreach(ColdHosts, "", f.At, 0, "%s fell over, sent %.1f times what it could do: %s", node, f.LoadMultiple, c.describeSenders(node, f.At))
+			if f.Server == host {
+				c.addBreach(ColdHosts, "", f.At, 0, "%s fell over, sent %.1f times what it could do: %s", host, f.LoadMultiple, c.describeSenders(host, f.At))
 			}
 		}
 	}
@@ -599,8 +599,8 @@
 	return strings.Join(parts, "; ")
 }
 
-// checkGatewayStops checks that misses at cold hosts did not cause much of the load that made the origin stop.
-func (c *checker) checkGatewayStops() {
+// checkColdMissOverload checks that misses at cold hosts did not cause much of the load that made the origin stop.
+func (c *checker) checkColdMissOverload() {
 	if len(c.rec.WarmAt) > 0 {
 		c.checked[NoColdMissOverload]++ // misses at cold hosts happened, or could have
 	}
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -22,9 +22,9 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	day := &scenario.Scenario{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
-	day.Fleet.Balancers, day.Fleet.Zones = 1, []string{"z"}
-	w := standin.NewEnvironment(day, record.New())
+	sc := &scenario.Scenario{Seed: 1, Products: []scenario.Product{{Name: "p"}}, Tenants: []scenario.Tenant{{Name: "t", Share: 1}}}
+	sc.Fleet.Balancers, sc.Fleet.Zones = 1, []string{"z"}
+	w := standin.NewEnvironment(sc, record.New())
 	target := &balancerTarget{up: true, addr: l.Addr().String()}
 	for range maxClosedConns + 30 {
 		n, err := net.Dial("tcp4", target.addr)
--- a/internal/rehearsal/model/register.go
+++ b/internal/rehearsal/model/register.go
@@ -101,8 +101,8 @@
 func (r *Discovery) ResetGenerations(balancer int) {
 	a := r.agents[balancer]
 	a.generation = 1
-	for node := range a.lastChange {
-		a.lastChange[node] = 1
+	for host := range a.lastChange {
+		a.lastChange[host] = 1
 	}
 }
 
--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -120,11 +120,11 @@
 
 // New returns the report of a rehearsal.
 func New(res *runner.Result) *Report {
-	day := res.Scenario
-	r := &Report{Version: Version, Name: day.Name, About: day.About, Seed: day.Seed, Length: day.Length.Duration(), Took: res.Elapsed, Simulated: true,
+	sc := res.Scenario
+	r := &Report{Version: Version, Name: sc.Name, About: sc.About, Seed: sc.Seed, Length: sc.Length.Duration(), Took: res.Elapsed, Simulated: true,
 		Machine: Machine{runtime.NumCPU(), runtime.GOMAXPROCS(0), runtime.GOOS + "/" + runtime.GOARCH}, Verdict: res.Verdict, Outcome: Kept,
 		Outcomes: map[string]int{}, Latency: res.Latency, Late: res.Lateness, Faults: res.Record.Faults,
-		Seconds: make([]Second, int(day.Length.Duration()/time.Second)+1)}
+		Seconds: make([]Second, int(sc.Length.Duration()/time.Second)+1)}
 	switch {
 	case res.Verdict.Broken():
 		r.Outcome = Broken
@@ -134,8 +134,8 @@
 	for i := range r.Seconds {
 		r.Seconds[i].Attempts = map[string]int{}
 	}
-	r.addRequests(day, res.Record)
-	r.addBalancersAndServers(day, res.Record)
+	r.addRequests(sc, res.Record)
+	r.addBalancersAndServers(sc, res.Record)
 	return r
 }
 
@@ -144,7 +144,7 @@
 }
 
 // addRequests adds outcomes, service and latencies of the clients' requests to the report.
-func (r *Report) addRequests(day *scenario.Scenario, rec *record.Record) {
+func (r *Report) addRequests(sc *scenario.Scenario, rec *record.Record) {
 	type firstRequest struct {
 		first *record.Request // nil if the record has only client retries of it
 		good  bool            // it or a client retry was fulfilled within the latency SLO
@@ -173,18 +173,18 @@
 		a := byFirstID[req.FirstID]
 		if req.Reply == record.Fulfilled && a.first != nil {
 			took := req.Answered - a.first.ScheduledAt
-			a.good = a.good || took <= day.Products[req.Product].LatencySLO.Duration()
+			a.good = a.good || took <= sc.Products[req.Product].LatencySLO.Duration()
 			sec := int(a.first.ScheduledAt / time.Second)
 			latencies[sec] = append(latencies[sec], took)
 		}
 	}
-	product, tenant := make([][2]float64, len(day.Products)), make([][2]float64, len(day.Tenants))
+	product, tenant := make([][2]float64, len(sc.Products)), make([][2]float64, len(sc.Tenants))
 	var whole [2]float64
 	for _, a := range byFirstID {
 		if a.first == nil {
 			continue
 		}
-		value, served := day.Products[a.first.Product].BilledValue, 0.0
+		value, served := sc.Products[a.first.Product].BilledValue, 0.0
 		if a.good {
 			served = value
 		}
@@ -204,8 +204,8 @@
 		}
 	}
 	r.Service.Whole = ratio(whole)
-	r.Service.ByProduct, r.Service.WorstProduct = ratios(product, func(i int) string { return day.Products[i].Name })
-	r.Service.ByTenant, r.Service.WorstTenant = ratios(tenant, func(i int) string { return day.Tenants[i].Name })
+	r.Service.ByProduct, r.Service.WorstProduct = ratios(product, func(i int) string { return sc.Products[i].Name })
+	r.Service.ByTenant, r.Service.WorstTenant = ratios(tenant, func(i int) string { return sc.Tenants[i].Name })
 	r.Service.Worst10s = 1
 	last := max(1, len(r.Seconds)-1) // the end of the run falls into an entry of its own, which is no full second
 	for i := 0; i+min(10, last) <= last; i++ {
@@ -244,8 +244,8 @@
 	return by, worst
 }
 
-func (r *Report) addBalancersAndServers(day *scenario.Scenario, rec *record.Record) {
-	r.Balancers = make([]Balancer, day.Fleet.Balancers)
+func (r *Report) addBalancersAndServers(sc *scenario.Scenario, rec *record.Record) {
+	r.Balancers = make([]Balancer, sc.Fleet.Balancers)
 	for i := range r.Balancers {
 		r.Balancers[i].Name = fmt.Sprintf("balancer %d", i+1)
 	}
--- a/internal/rehearsal/runner/door.go
+++ b/internal/rehearsal/runner/door.go
@@ -35,7 +35,7 @@
 }
 
 // SetExcluded excludes a cache host, or includes it again, through the admin API of every balancer.
-func (s *Stage) SetExcluded(node string, exclude bool) {
+func (s *Stage) SetExcluded(host string, exclude bool) {
 	path := "/api/include"
 	if exclude {
 		path = "/api/exclude"
@@ -45,11 +45,11 @@
 		addr := s.slots[b].adminAddr
 		s.mu.Unlock()
 		began := s.Environment.Now()
-		ok := callAdmin(s.ctx, http.MethodPost, addr, path, fmt.Sprintf(`{"member":%q}`, node), nil)
+		ok := callAdmin(s.ctx, http.MethodPost, addr, path, fmt.Sprintf(`{"member":%q}`, host), nil)
 		now := s.Environment.Now()
 		s.Record.Add(func() {
-			s.Record.AdminCalls = append(s.Record.AdminCalls, record.AdminCall{What: fmt.Sprintf("%s %s at balancer %d", path, node, b+1), At: began, Took: now - began, OK: ok})
-			s.Record.HostNotices = append(s.Record.HostNotices, record.HostNotice{Balancer: b, Host: node, Available: !exclude, At: now, ByOperator: true})
+			s.Record.AdminCalls = append(s.Record.AdminCalls, record.AdminCall{What: fmt.Sprintf("%s %s at balancer %d", path, host, b+1), At: began, Took: now - began, OK: ok})
+			s.Record.HostNotices = append(s.Record.HostNotices, record.HostNotice{Balancer: b, Host: host, Available: !exclude, At: now, ByOperator: true})
 		})
 	}
 }
--- a/internal/rehearsal/runner/room.go
+++ b/internal/rehearsal/runner/room.go
@@ -26,11 +26,11 @@
 
 // RequiredResources returns the resources that a rehearsal with balancer processes needs.
 func RequiredResources(sc *scenario.Scenario) Resources {
-	nodes := 0
+	hosts := 0
 	for _, g := range sc.Hosts {
-		nodes += g.Count
+		hosts += g.Count
 	}
-	pairs, n := uint64(nodes)*uint64(sc.Fleet.Balancers), uint64(sc.Fleet.Balancers)
+	pairs, n := uint64(hosts)*uint64(sc.Fleet.Balancers), uint64(sc.Fleet.Balancers)
 	return Resources{Descriptors: runnerDescriptors + descriptorsPerPair*pairs + descriptorsPerBalancer*n, MemoryMB: memoryPerBalancerMB*n + pairs*memoryPerPairKB/1024}
 }
 
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -57,7 +57,7 @@
 
 // Start starts the stand-ins and the balancers of a scenario and waits until all balancers serve.
 func Start(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
-	return up(ctx, sc, launch, dir, (*Stage).addNodes)
+	return up(ctx, sc, launch, dir, (*Stage).addHosts)
 }
 
 // StartWithEchoNodes is Start with cache hosts that answer all reads immediately.
@@ -73,14 +73,14 @@
 	})
 }
 
-func up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, addNodes func(*Stage) error) (*Stage, error) {
+func up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, addHosts func(*Stage) error) (*Stage, error) {
 	if err := availableResources().check(RequiredResources(sc), sc); err != nil {
 		return nil, err
 	}
 	rec := record.New()
 	s := &Stage{Environment: standin.NewEnvironment(sc, rec), Record: rec, launch: launch, dir: dir}
 	s.ctx, s.cancel = context.WithCancel(ctx)
-	if err := s.setUp(addNodes); err != nil {
+	if err := s.setUp(addHosts); err != nil {
 		s.cancel()
 		return nil, err
 	}
@@ -104,7 +104,7 @@
 	return s, nil
 }
 
-func (s *Stage) setUp(addNodes func(*Stage) error) error {
+func (s *Stage) setUp(addHosts func(*Stage) error) error {
 	sc := s.Environment.Scenario
 	if err := s.Environment.AddDiscovery(); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	if err := s.Environment.AddOrigin(); err != nil {
 		return err
 	}
-	if err := addNodes(s); err != nil {
+	if err := addHosts(s); err != nil {
 		return err
 	}
 	if sc.Fleet.Mode == scenario.ModeAside {
@@ -123,8 +123,8 @@
 	return err
 }
 
-// addNodes starts the scenario's cache hosts.
-func (s *Stage) addNodes() error {
+// addHosts starts the scenario's cache hosts.
+func (s *Stage) addHosts() error {
 	sc := s.Environment.Scenario
 	ids, groups := sc.HostIDs()
 	for _, id := range ids {
@@ -424,8 +424,8 @@
 }
 
 // BypassBalancers makes clients send requests directly to a cache host instead of the balancers.
-func (s *Stage) BypassBalancers(node string) {
-	s.Clients.BalancerUp(0, s.Environment.Host(node).Addr(0))
+func (s *Stage) BypassBalancers(host string) {
+	s.Clients.BalancerUp(0, s.Environment.Host(host).Addr(0))
 }
 
 // JudgeConfig returns the limits that the judge applies to a rehearsal of the scenario.
--- a/internal/rehearsal/runner/wrong_test.go
+++ b/internal/rehearsal/runner/wrong_test.go
@@ -146,14 +146,14 @@
 }
 
 // pickHost returns the address of the cache host for a key, or of the origin; "" if there is none.
-func (b *faultyBalancer) pickHost(key string, gateway bool) (addr string) {
+func (b *faultyBalancer) pickHost(key string, origin bool) (addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var usable []listedHost
 	for _, h := range b.hosts {
 		switch {
-		case (h.MachineType == "origin") != gateway:
-		case gateway:
+		case (h.MachineType == "origin") != origin:
+		case origin:
 			return h.HostPort
 		case b.defect == "drain" && !h.leftAt.IsZero():
 			return h.HostPort // a draining host, also after its grace time
@@ -234,7 +234,7 @@
 			}
 		}
 		if outcome == "miss" {
-			text, outcome = b.askGateway(cmd, nil, until)
+			text, outcome = b.askOrigin(cmd, nil, until)
 		}
 		if outcome != "" {
 			return busy
@@ -247,14 +247,14 @@
 			effect, window = p.Effect, time.Duration(p.WindowNs)
 		}
 	}
-	text, outcome := b.askGateway(cmd, value, until)
+	text, outcome := b.askOrigin(cmd, value, until)
 	if outcome == "may" {
 		switch {
 		case b.defect == "resend" && effect == "at_most_once":
-			text, outcome = b.askGateway(cmd, value, until)
+			text, outcome = b.askOrigin(cmd, value, until)
 		case b.defect == "window" && effect == "deduplicated":
 			time.Sleep(window + 150*time.Millisecond)
-			text, outcome = b.askGateway(cmd, value, until)
+			text, outcome = b.askOrigin(cmd, value, until)
 		case b.defect == "promise" && effect == "at_most_once":
 			return busy
 		}
@@ -306,9 +306,9 @@
 	return value, ""
 }
 
-// askGateway reads or writes a value at the origin, with an outcome as of askHost; "never" here also means that the
+// askOrigin reads or writes a value at the origin, with an outcome as of askHost; "never" here also means that the
 // origin promised not to have processed the request.
-func (b *faultyBalancer) askGateway(cmd *memcache.Command, value []byte, until time.Time) (text []byte, outcome string) {
+func (b *faultyBalancer) askOrigin(cmd *memcache.Command, value []byte, until time.Time) (text []byte, outcome string) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
 	method := http.MethodGet
--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -107,8 +107,8 @@
 }
 
 const (
-	maxNodes     = 1 << 16 // only catches typing errors; whether the machine is large enough is checked at the start of a rehearsal
-	maxBalancers = 1 << 16 // as maxNodes
+	maxHosts     = 1 << 16 // only catches typing errors; whether the machine is large enough is checked at the start of a rehearsal
+	maxBalancers = 1 << 16 // as maxHosts
 	maxLength    = Span(time.Hour)
 	maxDuration  = Span(time.Minute) // of any single timeout, delay or processing time
 )
@@ -129,8 +129,8 @@
 		c.AddFault("fleet.zones", "expected at least one")
 	}
 	zones := checkUnique(c, "fleet.zones", sc.Fleet.Zones)
-	c.checkNodes(zones)
-	c.checkGateway()
+	c.checkHosts(zones)
+	c.checkOrigin()
 	c.checkLoad()
 	c.checkProducts()
 	tenants := c.checkTenants()
@@ -170,7 +170,7 @@
 	return seen
 }
 
-func (c *checker) checkNodes(zones map[string]bool) {
+func (c *checker) checkHosts(zones map[string]bool) {
 	sc, n := c.scenario, 0
 	names := map[string]bool{}
 	for i := range sc.Hosts {
@@ -185,7 +185,7 @@
 		if !zones[g.Zone] {
 			c.AddFault(prefix+"zone", "no zone is called %q", g.Zone)
 		}
-		checkRange(c, prefix+"count", g.Count, 1, maxNodes)
+		checkRange(c, prefix+"count", g.Count, 1, maxHosts)
 		checkRange(c, prefix+"cores", g.Cores, 1, 1024)
 		checkRange(c, prefix+"speed", g.Speed, 0.01, 100)
 		checkRange(c, prefix+"queue", g.Queue, 0, 1<<20)
@@ -203,12 +203,12 @@
 		}
 		n += g.Count
 	}
-	if n > maxNodes {
-		c.AddFault("node", "expected at most %d nodes, got %d", maxNodes, n)
+	if n > maxHosts {
+		c.AddFault("node", "expected at most %d nodes, got %d", maxHosts, n)
 	}
 }
 
-func (c *checker) checkGateway() {
+func (c *checker) checkOrigin() {
 	g := c.scenario.Origin
 	checkRange(c, "gateway.slots", g.Slots, 1, 1<<16)
 	checkRange(c, "gateway.time", g.ServiceTime, Span(time.Millisecond), maxDuration)
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -303,8 +303,8 @@
 	if betweenBalancers {
 		return
 	}
-	concernsNodes := f.Share == 0 || f.Kind == "reset" || f.Kind == "spoil" || f.Kind == "fail" // for these, part is a share of the answers, not of the hosts
-	if concernsNodes && len(f.Hosts) == 0 {
+	concernsHosts := f.Share == 0 || f.Kind == "reset" || f.Kind == "spoil" || f.Kind == "fail" // for these, part is a share of the answers, not of the hosts
+	if concernsHosts && len(f.Hosts) == 0 {
 		f.Hosts = []string{"*"}
 	}
 }
--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -38,7 +38,7 @@
 
 // Run simulates the given number of random scenarios in parallel workers, with consecutive seeds from firstSeed on. If the
 // context ends, it starts no further ones.
-func Run(ctx context.Context, base *scenario.Scenario, firstSeed uint64, days, workers int) (Result, error) {
+func Run(ctx context.Context, base *scenario.Scenario, firstSeed uint64, count, workers int) (Result, error) {
 	res := Result{Checked: map[judge.Rule]int{}}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
@@ -60,7 +60,7 @@
 			}
 		}()
 	}
-	for i := range days {
+	for i := range count {
 		if ctx.Err() != nil {
 			break
 		}
@@ -144,7 +144,7 @@
 	duration := time.Duration(rng.Int64N(int64(length-at)-int64(length/8)) + int64(length/8)).Truncate(time.Millisecond)
 	f := scenario.Fault{Kind: faultKinds[rng.IntN(len(faultKinds))], At: scenario.Span(at), Length: scenario.Span(min(duration, length-at))}
 	probability := 0.05 + 0.6*rng.Float64()
-	pickNodes := func() {
+	pickHosts := func() {
 		ids, _ := d.HostIDs()
 		rng.Shuffle(len(ids), func(i, j int) { ids[i], ids[j] = ids[j], ids[i] })
 		f.Hosts = ids[:1+rng.IntN(max(1, len(ids)*2/3))]
@@ -152,20 +152,20 @@
 	}
 	switch f.Kind {
 	case "slow":
-		pickNodes()
+		pickHosts()
 		f.Factor = 2 + 10*rng.Float64()
 	case "stall", "kill", "vanish", "link-cut":
-		pickNodes()
+		pickHosts()
 	case "link-delay":
-		pickNodes()
+		pickHosts()
 		f.Delay = scenario.Span(time.Duration(5+rng.IntN(200)) * time.Millisecond)
 	case "reset", "spoil", "fail":
-		pickNodes()
+		pickHosts()
 		f.Share = probability
 	case "zone-dark":
 		f.Zone = d.Fleet.Zones[rng.IntN(len(d.Fleet.Zones))]
 	case "deploy":
-		pickNodes()
+		pickHosts()
 		f.AtOnce, f.Drain, f.SameAddress = 1+rng.IntN(len(f.Hosts)), scenario.Span(2*time.Second), rng.IntN(2) == 0
 	case "gateway-slow":
 		f.Factor = 1.5 + 6*rng.Float64()
--- a/internal/rehearsal/standin/node.go
+++ b/internal/rehearsal/standin/node.go
@@ -277,7 +277,7 @@
 	n.advance(now)
 	att.cold = n.model.Cold(now)
 	n.attempts[att] = struct{}{}
-	job := model.Job{ID: att.id, Key: att.key, DedupToken: att.mark, Write: att.write, WorkTime: att.work, Tag: att}
+	job := model.Job{ID: att.id, Key: att.key, DedupToken: att.dedupToken, Write: att.write, WorkTime: att.work, Tag: att}
 	if !n.model.Offer(now, job) {
 		att.finish(answer{busy: true})
 	} else {
--- a/internal/rehearsal/standin/register.go
+++ b/internal/rehearsal/standin/register.go
@@ -25,7 +25,7 @@
 
 // discoveryAgent serves the host list to one balancer. The lock of its Discovery guards the fields marked below.
 type discoveryAgent struct {
-	register       *Discovery
+	discovery      *Discovery
 	balancer       int
 	addr           string
 	server         *http.Server
@@ -40,7 +40,7 @@
 	delay := [2]time.Duration{w.Scenario.Discovery.Delay[0].Duration(), w.Scenario.Discovery.Delay[1].Duration()}
 	r := &Discovery{world: w, model: model.NewDiscovery(w.Scenario.Fleet.Balancers, delay, model.NewRand(w.Scenario.Seed, "register"))}
 	for b := range w.Scenario.Fleet.Balancers {
-		a := &discoveryAgent{register: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
+		a := &discoveryAgent{discovery: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
 		if err := a.listen(); err != nil {
 			return err
 		}
@@ -52,7 +52,7 @@
 
 // listen starts an HTTP server for the agent at a new address.
 func (a *discoveryAgent) listen() error {
-	l, err := a.register.world.Listen()
+	l, err := a.discovery.world.Listen()
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
@@ -242,7 +242,7 @@
 	}
 	after, full := int64(0), true
 	var timeout <-chan time.Time
-	waitEnds := a.register.world.Now()
+	waitEnds := a.discovery.world.Now()
 	if s := req.URL.Query().Get("after"); s != "" {
 		n, err := strconv.ParseInt(s, 10, 64)
 		ms, err2 := strconv.ParseInt(req.URL.Query().Get("wait_ms"), 10, 64)
@@ -257,7 +257,7 @@
 		defer t.Stop()
 		timeout = t.C
 	}
-	r, timedOut := a.register, false
+	r, timedOut := a.discovery, false
 	for {
 		r.mu.Lock()
 		silent, changed, stalled := r.model.Silent(a.balancer), a.changed, a.watchesStalled
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -19,7 +19,7 @@
 
 // attempt is one command of a balancer as a cache host handles it; probes are attempts without an id.
 type attempt struct {
-	id, key, mark         string
+	id, key, dedupToken   string
 	write                 bool
 	work                  time.Duration
 	startedAt, receivedAt time.Duration
@@ -138,7 +138,7 @@
 	if cmd.Noop {
 		return att, nil
 	}
-	att.id, att.key, att.mark, att.write, att.timeLeft = string(cmd.ID), string(cmd.Key), string(cmd.DedupToken), cmd.Write, cmd.Timeout
+	att.id, att.key, att.dedupToken, att.write, att.timeLeft = string(cmd.ID), string(cmd.Key), string(cmd.DedupToken), cmd.Write, cmd.Timeout
 	if cmd.Write {
 		if _, err = in.Discard(cmd.Length + 2); err != nil {
 			return nil, err
@@ -290,11 +290,11 @@
 	case a.receipt:
 		text = fmt.Appendf(nil, "HD O%s cr-%s%s\r\n", att.id, att.id, report)
 	default:
-		mark := "h0"
+		dedupToken := "h0"
 		if a.hit {
-			mark = "h1"
+			dedupToken = "h1"
 		}
-		text = fmt.Appendf(nil, "VA %d O%s %s%s\r\n%s\r\n", len(a.value), att.id, mark, report, a.value)
+		text = fmt.Appendf(nil, "VA %d O%s %s%s\r\n%s\r\n", len(a.value), att.id, dedupToken, report, a.value)
 	}
 	if reset {
 		conn.Write(text[:len(text)/2])
--- a/internal/rehearsal/standin/world.go
+++ b/internal/rehearsal/standin/world.go
@@ -46,8 +46,8 @@
 const maxMisses = 1 << 16
 
 // NewEnvironment returns an Environment without any stand-ins. The rehearsal's clock starts with Begin.
-func NewEnvironment(day *scenario.Scenario, rec *record.Record) *Environment {
-	return &Environment{Scenario: day, Record: rec, subnet: byte(100 + os.Getpid()%100), hosts: map[string]*Host{},
+func NewEnvironment(sc *scenario.Scenario, rec *record.Record) *Environment {
+	return &Environment{Scenario: sc, Record: rec, subnet: byte(100 + os.Getpid()%100), hosts: map[string]*Host{},
 		requests: map[string]ExpectedRequest{}, misses: map[string][]*Host{}}
 }
 
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -51,15 +51,15 @@
 
 // request is a client's request at a balancer, with its attempts.
 type request struct {
-	id, key, mark string
-	write         bool
-	balancer      *balancer
-	attempts      []*attempt
-	inFlight      int
-	answered      bool
-	record        *record.Request
-	onAnswer      func(reply record.Reply, retryAfter time.Duration)
-	missedHosts   []*cacheHost
+	id, key, dedupToken string
+	write               bool
+	balancer            *balancer
+	attempts            []*attempt
+	inFlight            int
+	answered            bool
+	record              *record.Request
+	onAnswer            func(reply record.Reply, retryAfter time.Duration)
+	missedHosts         []*cacheHost
 }
 
 // attempt is one sending of a request to a cache host or the origin.
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -151,7 +151,7 @@
 		}
 	}
 	d.tracef("call %s %s to %d until %v", rec.ID, arrival.Key, b.index, rec.Timeout)
-	req := &request{id: rec.ID, key: arrival.Key, mark: arrival.DedupToken, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
+	req := &request{id: rec.ID, key: arrival.Key, dedupToken: arrival.DedupToken, write: d.Products[arrival.Product].Write, record: rec, onAnswer: finish}
 	d.after(d.Fleet.SameZoneDelay.Duration(), func() {
 		if b.decider == nil {
 			rec.NotSent = true
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -100,7 +100,7 @@
 		return
 	}
 	a.cold = h.model.Cold(h.d.now)
-	if !h.model.Offer(h.d.now, model.Job{ID: a.request.id, Key: a.request.key, DedupToken: a.request.mark, Write: a.request.write, WorkTime: a.work, Tag: a}) {
+	if !h.model.Offer(h.d.now, model.Job{ID: a.request.id, Key: a.request.key, DedupToken: a.request.dedupToken, Write: a.request.write, WorkTime: a.work, Tag: a}) {
 		a.answer(policy.Rejected, 0)
 	} else {
 		h.inFlight = append(h.inFlight, a)
@@ -214,7 +214,7 @@
 func (o *origin) submit(req *request, write bool, done func(fetchResult)) {
 	o.advance()
 	work := model.RequestWork(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Origin.ServiceTime.Duration(), 1)
-	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, DedupToken: req.mark, Write: write, WorkTime: work, Tag: done}) {
+	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, DedupToken: req.dedupToken, Write: write, WorkTime: work, Tag: done}) {
 		o.d.after(0, func() { done(fetchResult{rejected: true}) })
 	}
 	o.scheduleAdvance()
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -46,7 +46,7 @@
 // the input concerns.
 func TestJudgeReportsDeliberateFaults(t *testing.T) {
 	for name, row := range map[string]struct {
-		day    string
+		sc     string
 		faults deliberateFaults
 		want   []judge.Rule
 	}{
@@ -66,7 +66,7 @@
 		"cold starts hidden": {"payday-cold", deliberateFaults{hideColdStarts: true}, []judge.Rule{judge.ColdHosts}},
 	} {
 		var d *scenario.Scenario
-		if row.day == "payday-cold" { // all hosts restart at the same time, cold, during a surge
+		if row.sc == "payday-cold" { // all hosts restart at the same time, cold, during a surge
 			d = openScenario(t, "payday", 1, 8)
 			f := scenario.Fault{Kind: "kill", At: d.Faults[0].At - scenario.Span(time.Second), Length: scenario.Span(time.Second), Hosts: []string{"*"}}
 			d.Faults = append(d.Faults, f)
@@ -74,7 +74,7 @@
 				d.Hosts[i].ColdCapacity, d.Hosts[i].WarmUpTime = 0.05, scenario.Span(30*time.Second)
 			}
 		} else {
-			d = openScenario(t, row.day, 1, 0)
+			d = openScenario(t, row.sc, 1, 0)
 		}
 		res, err := simulate(d, nil, row.faults)
 		if err != nil {
