--- a/internal/rehearsal/gather/measure.go
+++ b/internal/rehearsal/gather/measure.go
@@ -121,8 +121,8 @@
 	return p.RunUntil(at+2*time.Minute, func() bool { return p.ViewsEqual(nil) }) - at
 }
 
-// PartitionRecovery returns how long after the end of a network partition into the given number of sides all views are equal again. The
-// partition lasts a minute, long enough that each side lists only its own members.
+// PartitionRecovery returns how long after the end of a network partition into the given number of sides all views are equal
+// again. The partition lasts a minute, long enough that each side lists only its own members.
 func PartitionRecovery(t Config, sides int) time.Duration {
 	p := New(t)
 	if !p.StartAll(time.Minute) {
@@ -145,9 +145,9 @@
 	Played             time.Duration
 }
 
-// RunWithoutDeaths simulates a complete fleet for the given length. Unless stallEvery is 0, a random member is stalled at that interval
-// for a random time up to stall. Packet loss begins only once all views are equal: with high loss some member is suspected
-// most of the time, so the views would rarely become equal. If they do not, Deaths is -1.
+// RunWithoutDeaths simulates a complete fleet for the given length. Unless stallEvery is 0, a random member is stalled at that
+// interval for a random time up to stall. Packet loss begins only once all views are equal: with high loss some member is
+// suspected most of the time, so the views would rarely become equal. If they do not, Deaths is -1.
 func RunWithoutDeaths(t Config, length, stallEvery, stall time.Duration) (c QuietResult) {
 	loss := t.Links.LossRatio
 	t.Links.LossRatio = 0
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/gather/play.go
@@ -35,7 +35,8 @@
 	// AlterMessage may change a message that a member sends, or receives (in is true), before it is processed further. Tests use
 	// it to simulate a faulty member.
 	AlterMessage func(index int, in bool, msg *member.Message)
-	// OnEvent is called with each event that a state machine reports, OnSend for each datagram that a member sends. Both may be nil.
+	// OnEvent is called with each event that a state machine reports, OnSend for each datagram that a member sends. Both may be
+	// nil.
 	OnEvent func(index int, e member.Event)
 	OnSend  func(index, to, bytes int)
 
--- a/internal/rehearsal/judge/mates.go
+++ b/internal/rehearsal/judge/mates.go
@@ -18,8 +18,8 @@
 	TrafficBounded       Rule = "balancers' talk keeps its bound"
 )
 
-// MembershipConfig holds the settings of the balancers' membership, from which the bounds of these rules follow. A ProbePeriod of 0 means that
-// the balancers do not exchange messages.
+// MembershipConfig holds the settings of the balancers' membership, from which the bounds of these rules follow. A ProbePeriod of
+// 0 means that the balancers do not exchange messages.
 type MembershipConfig struct {
 	Balancers                     int
 	ProbePeriod, SuspicionTimeout time.Duration // between probes; from suspicion to death
@@ -28,9 +28,9 @@
 	Lease                         time.Duration // for which shares of limits are lent
 }
 
-// ConvergenceTime bounds how long after the last disturbance between two balancers each of their views holds the other. It allows for
-// one contact attempt of each in 5 periods, the refutation, suspicions that began by then, and indirect paths where
-// datagrams get lost.
+// ConvergenceTime bounds how long after the last disturbance between two balancers each of their views holds the other. It allows
+// for one contact attempt of each in 5 periods, the refutation, suspicions that began by then, and indirect paths where datagrams
+// get lost.
 func (m MembershipConfig) ConvergenceTime() time.Duration {
 	return time.Duration(float64(20*m.ProbePeriod+2*m.SuspicionTimeout)*(1+4*m.LossRatio)) + time.Second
 }
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -43,8 +43,9 @@
 // maxQuietRun limits one simulation without deaths before the next seed begins: many starts cover more cases than one long run.
 const maxQuietRun = 25 * time.Minute
 
-// MeasureMembersSimulated measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers. The runs without
-// deaths last for quiet in total, those with pauses of processes for stalled. Each run that ends is noted in note.
+// MeasureMembersSimulated measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers.
+// The runs without deaths last for quiet in total, those with pauses of processes for stalled. Each run that ends is noted in
+// note.
 func MeasureMembersSimulated(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
 	m := Members{Mates: members, Seeds: seeds}
 	var mu sync.Mutex
@@ -107,8 +108,8 @@
 	}
 }
 
-// MeasureMembersOnSockets measures a fleet of processes with real sockets: it ends and restarts one process after another and partitions the
-// network in the first of every three rounds.
+// MeasureMembersOnSockets measures a fleet of processes with real sockets: it ends and restarts one process after another and
+// partitions the network in the first of every three rounds.
 func MeasureMembersOnSockets(ctx context.Context, launch runner.Launch, balancers, times int) (m Members, err error) {
 	m = Members{Mates: balancers, Sockets: true, Seeds: times}
 	dir, err := os.MkdirTemp("", "members-")
--- a/internal/rehearsal/model/chance.go
+++ b/internal/rehearsal/model/chance.go
@@ -24,8 +24,8 @@
 	Constant    Distribution = "constant"
 )
 
-// RequestWork draws the work of a request. It depends only on the seed and the request, so each attempt takes the same work on any host
-// and in every run with the seed. Variation is the standard deviation divided by the mean; it is 1 for Exponential.
+// RequestWork draws the work of a request. It depends only on the seed and the request, so each attempt takes the same work on
+// any host and in every run with the seed. Variation is the standard deviation divided by the mean; it is 1 for Exponential.
 func RequestWork(seed uint64, id string, law Distribution, mean time.Duration, variation float64) time.Duration {
 	if law == Constant || mean <= 0 {
 		return mean
--- a/internal/rehearsal/model/model_test.go
+++ b/internal/rehearsal/model/model_test.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// The least recently used values are evicted once the total size is above the limit. Invalidate keeps a newer value, and CacheValue does not
-// replace a newer value by an older one.
+// The least recently used values are evicted once the total size is above the limit. Invalidate keeps a newer value, and
+// CacheValue does not replace a newer value by an older one.
 func TestNodeKeeps(t *testing.T) {
 	n := NewHost(plainTerms, 0, false, NewRand(1, "n"))
 	n.CacheValue("a", 1, 40)
--- a/internal/rehearsal/model/node.go
+++ b/internal/rehearsal/model/node.go
@@ -221,7 +221,8 @@
 	}
 }
 
-// SetSlowdown divides the speed of the host by a factor, from the time up to which Advance has been called; a factor of 1 restores it.
+// SetSlowdown divides the speed of the host by a factor, from the time up to which Advance has been called; a factor of 1
+// restores it.
 func (n *Host) SetSlowdown(factor float64) {
 	n.slowdown = max(factor, 1e-3)
 	n.setRate()
@@ -233,8 +234,8 @@
 	n.setRate()
 }
 
-// OverloadFailure reports whether the host failed from overload while it was cold, when, and the multiple of its capacity that it was
-// offered.
+// OverloadFailure reports whether the host failed from overload while it was cold, when, and the multiple of its capacity that it
+// was offered.
 func (n *Host) OverloadFailure() (at time.Duration, multiple float64, fallen bool) {
 	return n.failedAt, n.failedMultiple, n.failed
 }
--- a/internal/rehearsal/record/record.go
+++ b/internal/rehearsal/record/record.go
@@ -121,8 +121,8 @@
 	From, To time.Duration
 }
 
-// ConnectOutage is a span of time in which a balancer's connections to some server did not come up. Only the balancer sees the failed
-// attempts to connect.
+// ConnectOutage is a span of time in which a balancer's connections to some server did not come up. Only the balancer sees the
+// failed attempts to connect.
 type ConnectOutage struct {
 	Balancer int
 	From, To time.Duration // To 0: until the end of the run
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -53,7 +53,8 @@
 	}
 }
 
-// stop ends the host's process and with it the attempts in flight. If silent, no connection is reset, so balancers get no answer at all.
+// stop ends the host's process and with it the attempts in flight. If silent, no connection is reset, so balancers get no answer
+// at all.
 func (h *cacheHost) stop(silent bool) {
 	if h.model == nil {
 		return
