--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -5,7 +5,7 @@
 	"io"
 	"time"
 
-	"streamrail/internal/rehearsal/gather"
+	"streamrail/internal/rehearsal/membersim"
 	"streamrail/internal/rehearsal/report"
 	"streamrail/internal/rehearsal/scenario"
 	"streamrail/internal/rehearsal/virtual"
@@ -17,9 +17,9 @@
 	Asked        float64 // offered load as a fraction of the fleet's capacity
 	Mates, Seeds int
 	Equal, Moved LimitsSide
-	Follows      gather.Spread // from a move of the tenant's requests to another balancer until that one has nine tenths of its allowance
-	Sum          float64       // highest sum of the shares of the tenant's allowance
-	Bytes        float64       // bytes per second that a balancer sends to the others, for all purposes
+	Follows      membersim.Spread // from a move of the tenant's requests to another balancer until that one has nine tenths of its allowance
+	Sum          float64          // highest sum of the shares of the tenant's allowance
+	Bytes        float64          // bytes per second that a balancer sends to the others, for all purposes
 }
 
 // LimitsSide holds the results with equal or with moving shares, as means over the seeds where nothing else is stated.
@@ -111,7 +111,7 @@
 	if err != nil {
 		return result, err
 	}
-	result.report, result.followDelay = report.New(res), gather.Never
+	result.report, result.followDelay = report.New(res), membersim.Never
 	sums := map[time.Duration]float64{}
 	for _, x := range res.Record.LimitShares {
 		if x.Limit != "allowance of kiosks" {
@@ -164,7 +164,7 @@
 			l.Sum, l.Bytes = max(l.Sum, p.maxSum), l.Bytes+p.bytesPerS/float64(seeds)
 		}
 		if kind.move > 0 {
-			l.Follows = gather.NewSpread(followDelays)
+			l.Follows = membersim.NewSpread(followDelays)
 		}
 		all = append(all, l)
 	}
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"streamrail/internal/rehearsal/gather"
+	"streamrail/internal/rehearsal/membersim"
 	"streamrail/internal/rehearsal/model"
 	"streamrail/internal/rehearsal/runner"
 	"streamrail/internal/rehearsal/scenario"
@@ -19,24 +19,24 @@
 	Mates       int
 	Sockets     bool
 	Seeds       int
-	First, Last gather.Spread // from the end of a process until the first and until the last view has it as dead
-	Birth       gather.Spread // from the start of a process until all views have it
-	Heal        gather.Spread // from the end of a partition into three sides until all views are equal
-	Calm        []Calm        // without deaths; in virtual time
-	CPU         time.Duration // processor time of one balancer per second; on sockets
-	Bytes       float64       // bytes that one balancer sends per second; on sockets
+	First, Last membersim.Spread // from the end of a process until the first and until the last view has it as dead
+	Birth       membersim.Spread // from the start of a process until all views have it
+	Heal        membersim.Spread // from the end of a partition into three sides until all views are equal
+	Calm        []Calm           // without deaths; in virtual time
+	CPU         time.Duration    // processor time of one balancer per second; on sockets
+	Bytes       float64          // bytes that one balancer sends per second; on sockets
 }
 
 // Calm holds the measurements of a fleet in which no process ends.
 type Calm struct {
 	Loss  float64
 	Stall time.Duration // longest pause of a process; every 100 ms one pauses
-	gather.QuietResult
+	membersim.QuietResult
 }
 
 // defaultTerms returns a fleet with the defaults of the operator's file.
-func defaultTerms(members int, seed uint64, loss float64) gather.Config {
-	return gather.Config{Members: members, Zones: 3, Seeds: 3, ProbePeriod: 400 * time.Millisecond, SuspicionTimeout: 2 * time.Second, GossipBytesPerSecond: 3000, Seed: seed,
+func defaultTerms(members int, seed uint64, loss float64) membersim.Config {
+	return membersim.Config{Members: members, Zones: 3, Seeds: 3, ProbePeriod: 400 * time.Millisecond, SuspicionTimeout: 2 * time.Second, GossipBytesPerSecond: 3000, Seed: seed,
 		Links: model.LinkConfig{LossRatio: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
 
@@ -54,13 +54,13 @@
 		RunParallel(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
 	}
 	forEachSeed(seeds, func(seed uint64) {
-		f, l := gather.DeathDetection(defaultTerms(members, seed, 0))
-		b, h := gather.JoinTime(defaultTerms(members, seed, 0)), gather.PartitionRecovery(defaultTerms(members, seed, 0), 3)
+		f, l := membersim.DeathDetection(defaultTerms(members, seed, 0))
+		b, h := membersim.JoinTime(defaultTerms(members, seed, 0)), membersim.PartitionRecovery(defaultTerms(members, seed, 0), 3)
 		mu.Lock()
 		defer mu.Unlock()
 		first, last, birth, heal = append(first, f), append(last, l), append(birth, b), append(heal, h)
 	})
-	m.First, m.Last, m.Birth, m.Heal = gather.NewSpread(first), gather.NewSpread(last), gather.NewSpread(birth), gather.NewSpread(heal)
+	m.First, m.Last, m.Birth, m.Heal = membersim.NewSpread(first), membersim.NewSpread(last), membersim.NewSpread(birth), membersim.NewSpread(heal)
 	m.Calm = append(m.Calm, Calm{}, Calm{Loss: 0.05}, Calm{Loss: 0.3}, Calm{Loss: 0.05, Stall: time.Second})
 	for i := range m.Calm {
 		c := &m.Calm[i]
@@ -70,7 +70,7 @@
 		}
 		runs := max(workers, int((length+maxQuietRun-1)/maxQuietRun))
 		forEachSeed(runs, func(seed uint64) {
-			result := gather.RunWithoutDeaths(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
+			result := membersim.RunWithoutDeaths(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
 			mu.Lock()
 			defer mu.Unlock()
 			c.Suspicions, c.Deaths, c.Played = c.Suspicions+result.Suspicions, c.Deaths+result.Deaths, c.Played+result.Played
@@ -87,9 +87,9 @@
 	if m.Sockets {
 		clock = "sockets"
 	}
-	formatSpread := func(s gather.Spread) string {
+	formatSpread := func(s membersim.Spread) string {
 		formatSeconds := func(d time.Duration) string {
-			if d >= gather.Never/2 {
+			if d >= membersim.Never/2 {
 				return "never"
 			}
 			return fmt.Sprintf("%.2f", d.Seconds())
@@ -162,7 +162,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		return gather.Never
+		return membersim.Never
 	}
 	var first, last, birth, heal []time.Duration
 	awaitEqualViews()
@@ -186,9 +186,9 @@
 	for i := range times {
 		b := (7*i + 3) % balancers
 		session.Kill(b, 9*time.Second)
-		killedAt, firstDelay, lastDelay := time.Now(), gather.Never, gather.Never
+		killedAt, firstDelay, lastDelay := time.Now(), membersim.Never, membersim.Never
 		for n := balancers; n > 0 && time.Since(killedAt) < 9*time.Second && ctx.Err() == nil; {
-			if n, _ = countViews(b); n < balancers-1 && firstDelay == gather.Never {
+			if n, _ = countViews(b); n < balancers-1 && firstDelay == membersim.Never {
 				firstDelay = time.Since(killedAt)
 			}
 			if n == 0 {
@@ -209,6 +209,6 @@
 			heal = append(heal, awaitEqualViews())
 		}
 	}
-	m.First, m.Last, m.Birth, m.Heal = gather.NewSpread(first), gather.NewSpread(last), gather.NewSpread(birth), gather.NewSpread(heal)
+	m.First, m.Last, m.Birth, m.Heal = membersim.NewSpread(first), membersim.NewSpread(last), membersim.NewSpread(birth), membersim.NewSpread(heal)
 	return m, ctx.Err()
 }
--- a/internal/rehearsal/gather/day.go
+++ b/internal/rehearsal/membersim/day.go
@@ -1,4 +1,4 @@
-package gather
+package membersim
 
 import (
 	"fmt"
--- a/internal/rehearsal/gather/play.go
+++ b/internal/rehearsal/membersim/play.go
@@ -1,7 +1,7 @@
-// Package gather simulates the membership protocol of a fleet of balancers in virtual time. It runs the production state
+// Package membersim simulates the membership protocol of a fleet of balancers in virtual time. It runs the production state
 // machines of packages member and share on one simulated clock, over links that can delay, lose, duplicate or cut
 // datagrams. The same seed always gives the same simulation.
-package gather
+package membersim
 
 import (
 	"math/rand/v2"
--- a/internal/rehearsal/virtual/day.go
+++ b/internal/rehearsal/virtual/day.go
@@ -7,9 +7,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"streamrail/internal/rehearsal/gather"
 	"streamrail/internal/rehearsal/judge"
 	"streamrail/internal/rehearsal/load"
+	"streamrail/internal/rehearsal/membersim"
 	"streamrail/internal/rehearsal/model"
 	"streamrail/internal/rehearsal/record"
 	"streamrail/internal/rehearsal/runner"
@@ -34,8 +34,8 @@
 	latency          *hdrhistogram.Histogram
 	trace            io.Writer // receives one line for each event; nil: no trace
 	deliberateFaults deliberateFaults
-	members          *gather.Simulation   // nil: balancers do not communicate
-	observations     *observationExchange // nil: balancers do not exchange observations of hosts
+	members          *membersim.Simulation // nil: balancers do not communicate
+	observations     *observationExchange  // nil: balancers do not exchange observations of hosts
 }
 
 // deliberateFaults gives the deciders false input, to check that the judge reports the rules that are broken by it. The zero
@@ -90,7 +90,7 @@
 	}
 	d.discovery.Advance(0)
 	if s.Membership.Enabled {
-		d.members = gather.NewSimulation(s, d.rec, nil)
+		d.members = membersim.NewSimulation(s, d.rec, nil)
 	}
 	for _, b := range d.balancers {
 		b.start()
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -23,7 +23,7 @@
 
 // observationExchange simulates the exchange of observations of hosts between balancers, with the delay, loss and cuts that
 // the scenario sets between balancers. All balancers know at once which others run; the effect of outdated member views is
-// simulated in package gather.
+// simulated in package membersim.
 type observationExchange struct {
 	d            *Simulation
 	rng          *rand.Rand
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"streamrail/internal/discovery"
-	"streamrail/internal/rehearsal/gather"
+	"streamrail/internal/rehearsal/membersim"
 	"streamrail/internal/rehearsal/model"
 	"streamrail/internal/rehearsal/record"
 	"streamrail/internal/rehearsal/scenario"
@@ -109,7 +109,7 @@
 			d.at(from, func() { d.balancers[b].endTrafficAfter(restartNoticeDelay) })
 			d.at(from, func() {
 				startCount := d.balancers[b].startCount
-				d.after(gather.RestartAfter, func() {
+				d.after(membersim.RestartAfter, func() {
 					if d.balancers[b].startCount == startCount && d.balancers[b].decider != nil { // otherwise another fault has ended or restarted it
 						d.balancers[b].stop()
 						d.balancers[b].start()
