--- a/internal/balancer/discovery_watch.go
+++ b/internal/balancer/discovery_watch.go
@@ -23,7 +23,7 @@
 	if len(saved) > 0 && string(saved) != "null" {
 		var err error
 		if list, err = b.discoveryNames().Parse(saved); err != nil {
-			b.log.Warn().Err(err).Str("key", "known").Msg("the last known host list is not readable, ignored")
+			b.log.Warn().Err(err).Str("key", "known").Msg("the list last known is not readable, left out")
 			list = discovery.List{}
 		}
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	if unreadable := len(list.Unusable); unreadable > 0 {
-		b.log.Warn().Err(list.Unusable[0].Err).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the host list cannot be read, their hosts stay unchanged")
+		b.log.Warn().Err(list.Unusable[0].Err).Int("entries", unreadable).Str("discovery", b.listSource.addr).Msg("entries of the list cannot be read, their hosts stay as they were")
 	}
 	if !list.IsSelfContained(b.listSource.generation) {
 		list = list.CompleteFrom(b.listSource.snapshot())
--- a/internal/balancer/exclusions.go
+++ b/internal/balancer/exclusions.go
@@ -26,7 +26,7 @@
 	if err == nil || b.exclusions.retrying {
 		return err
 	}
-	b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("could not save the excluded hosts, retrying")
+	b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the hosts out by hand are not kept in a file, trying again")
 	b.exclusions.retrying = true
 	go b.retrySavingExclusions()
 	return err
@@ -48,7 +48,7 @@
 			return
 		}
 		if b.retrySaveOnce() {
-			b.log.Info().Str("file", b.exclusionFile()).Msg("the excluded hosts are saved again")
+			b.log.Info().Str("file", b.exclusionFile()).Msg("the hosts out by hand are kept in a file again")
 			return
 		}
 	}
--- a/internal/balancer/phases.go
+++ b/internal/balancer/phases.go
@@ -118,7 +118,7 @@
 	case <-b.listSource.ready:
 	case <-b.phaseChanged: // shutdown was ordered before it served
 	case <-time.After(maxHostListWait):
-		b.log.Warn().Msg("no host list from discovery yet, serving with the last known one")
+		b.log.Warn().Msg("no list from discovery yet, serving with the one last known")
 	}
 }
 
--- a/internal/balancer/upgrade.go
+++ b/internal/balancer/upgrade.go
@@ -99,7 +99,7 @@
 		var err error
 		if err = handover.Load(b.exclusionFile(), &excluded); err != nil {
 			excluded = nil
-			b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the saved exclusions are not readable, no host is excluded")
+			b.log.Warn().Err(err).Str("file", b.exclusionFile()).Msg("the hosts out by hand are not readable, none is out")
 		}
 	}
 	for _, id := range excluded {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -131,7 +131,7 @@
 		case w.lastUnusable:
 			err = fmt.Errorf("%w: %w", ErrRetryNow, err)
 		default:
-			err = fmt.Errorf("no complete response in time, %w: %w", ErrRetryNow, err)
+			err = fmt.Errorf("the watch has fallen silent, %w: %w", ErrRetryNow, err)
 		}
 		return List{}, err
 	}
@@ -203,7 +203,7 @@
 		return l, err
 	}
 	if _, err = w.reader.Peek(1); err != nil {
-		return l, fmt.Errorf("no response within %v: %w", timeout, err)
+		return l, fmt.Errorf("nothing for %v: %w", timeout, err)
 	}
 	firstByteAt := time.Now()
 	timed.bodyDeadline, timed.readTimeout = firstByteAt.Add(w.Timeouts.Body), w.Timeouts.Read // a long list may arrive in many parts
