--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -29,7 +29,7 @@
 
 // Only failures of listed tests are ignored. Failures of other tests, panics, packages that do not build, and a run without
 // any test still fail.
-func TestJudge(t *testing.T) {
+func TestCheck(t *testing.T) {
 	const (
 		passes = `{"Action":"pass","Package":"p","Test":"TestA"}` + "\n"
 		fails  = `{"Action":"fail","Package":"p","Test":"TestB/sub"}` + "\n" + `{"Action":"fail","Package":"p","Test":"TestB"}` + "\n"
