--- a/internal/upstream/answer_end_test.go
+++ b/internal/upstream/answer_end_test.go
@@ -15,7 +15,7 @@
 // does not complete an answer, not even one without a length.
 func TestAnswersCutAtEachByte(t *testing.T) {
 	const read, write = "mg k v Oa Pc=read,d=900", "ms k 5 Oa Pc=pay,d=900,k=7"
-	head := func(more string) string { return "HTTP/1.1 200 OK\r\n" + more + "\r\n" }
+	header := func(more string) string { return "HTTP/1.1 200 OK\r\n" + more + "\r\n" }
 	for name, row := range map[string]struct {
 		origin          bool
 		command, text   string
@@ -29,12 +29,12 @@
 		"a receipt":          {command: write, text: "HD Oa cdone\r\n", body: "done", whole: policy.Fulfilled},
 		"turned away":        {command: write, text: "SERVER_ERROR busy\r\n", whole: policy.Rejected},
 		"failed":             {command: write, text: "SERVER_ERROR failed\r\n", whole: policy.Errored},
-		"a length":           {origin: true, command: read, text: head("Content-Length: 5\r\n") + "hello", body: "hello", whole: policy.Fulfilled},
-		"chunks":             {origin: true, command: read, text: head("Transfer-Encoding: chunked\r\n") + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nX-T: 1\r\n\r\n", body: "hello", whole: policy.Fulfilled},
-		"no length":          {origin: true, command: read, text: head("Connection: close\r\n") + "hello", body: "hello", whole: policy.Fulfilled, closeEndsAnswer: true},
-		"a receipt, length":  {origin: true, command: write, text: head("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
+		"a length":           {origin: true, command: read, text: header("Content-Length: 5\r\n") + "hello", body: "hello", whole: policy.Fulfilled},
+		"chunks":             {origin: true, command: read, text: header("Transfer-Encoding: chunked\r\n") + "2\r\nhe\r\n3;x=y\r\nllo\r\n0\r\nX-T: 1\r\n\r\n", body: "hello", whole: policy.Fulfilled},
+		"no length":          {origin: true, command: read, text: header("Connection: close\r\n") + "hello", body: "hello", whole: policy.Fulfilled, closeEndsAnswer: true},
+		"a receipt, length":  {origin: true, command: write, text: header("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
 		"never ran":          {origin: true, command: write, text: "HTTP/1.1 503 Busy\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n", whole: policy.Rejected},
-		"an interim, and it": {origin: true, command: write, text: "HTTP/1.1 100 Continue\r\n\r\n" + head("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
+		"an interim, and it": {origin: true, command: write, text: "HTTP/1.1 100 Continue\r\n\r\n" + header("Content-Length: 4\r\n") + "done", body: "done", whole: policy.Fulfilled},
 	} {
 		for _, how := range []string{"closed", "reset"} {
 			t.Run(name+", "+how, func(t *testing.T) {
--- a/internal/upstream/fault_test.go
+++ b/internal/upstream/fault_test.go
@@ -60,10 +60,10 @@
 			expectOutcome(t, ended, want)
 		})
 		t.Run("write "+errno.Error(), func(t *testing.T) {
-			for _, room := range []int{0, 1, 10} {
+			for _, writable := range []int{0, 1, 10} {
 				a, _ := newAttempt(t, "mg k v O1 Pc=read,d=900", "", time.Minute)
 				hs := New(testConfig, -1)
-				c := &conn{hosts: hs, host: &host{}, net: &failingWrites{truncatedConn{remaining: room}, os.NewSyscallError("write", errno)}}
+				c := &conn{hosts: hs, host: &host{}, net: &failingWrites{truncatedConn{remaining: writable}, os.NewSyscallError("write", errno)}}
 				c.reader = newReader(c.net)
 				expectExchange(t, c, a, want)
 				hs.Close()
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -120,10 +120,10 @@
 	a, _ := newAttempt(t, line, value, time.Minute)
 	whole.Write(a.Command.AppendForwarded(nil, a.Deadline.Remaining()))
 	total := whole.Len() + len(value) + 2
-	for room, want := range map[int]policy.Outcome{0: policy.ConnectFailed, total - 1: policy.ConnectFailed, total: policy.Reset} {
+	for writable, want := range map[int]policy.Outcome{0: policy.ConnectFailed, total - 1: policy.ConnectFailed, total: policy.Reset} {
 		a, _ := newAttempt(t, line, value, time.Minute)
 		hs := New(testConfig, -1)
-		c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: room}}
+		c := &conn{hosts: hs, host: &host{}, net: &truncatedConn{remaining: writable}}
 		c.reader = newReader(c.net)
 		expectExchange(t, c, a, want)
 		hs.Close()
