--- a/internal/balancer/accept_test.go
+++ b/internal/balancer/accept_test.go
@@ -25,19 +25,19 @@
 		cs.add(c)
 		return c
 	}
-	carryRequest := func(c *clientConn) { c.carriedCommand.Store(true); c.carriedRequest.Store(true) }
+	recordRequest := func(c *clientConn) { c.carriedCommand.Store(true); c.carriedRequest.Store(true) }
 	slow := func(stopped time.Duration) func(c *clientConn) {
 		return func(c *clientConn) { c.inCommand.Store(true); c.lastReadNanos.Store(int64(4*time.Second - stopped)) }
 	}
-	busy := add(3*time.Second, func(c *clientConn) { carryRequest(c); c.inFlight <- struct{}{} })
+	busy := add(3*time.Second, func(c *clientConn) { recordRequest(c); c.inFlight <- struct{}{} })
 	slowWriter := add(4*time.Second, slow(300*time.Millisecond))
-	reused := add(300*time.Millisecond, func(c *clientConn) { carryRequest(c); c.carriedSeveral.Store(true) })
+	reused := add(300*time.Millisecond, func(c *clientConn) { recordRequest(c); c.carriedSeveral.Store(true) })
 	fresh := add(0, func(*clientConn) {})
 	order := []*clientConn{
 		add(time.Second, func(*clientConn) {}),          // silent
-		add(100*time.Millisecond, func(*clientConn) {}), // silent, younger
-		add(900*time.Millisecond, carryRequest),         // idle
-		add(50*time.Millisecond, carryRequest),          // idle, younger
+		add(100*time.Millisecond, func(*clientConn) {}), // silent, opened later
+		add(900*time.Millisecond, recordRequest),        // idle
+		add(50*time.Millisecond, recordRequest),         // idle for a shorter time
 		add(4*time.Second, slow(1500*time.Millisecond)), // stalled within a command
 	}
 	for i, want := range order {
@@ -56,7 +56,7 @@
 }
 
 // The two processes of an upgrade may together hold no more than one alone, whatever each holds and whichever of them ends.
-func TestPortions(t *testing.T) {
+func TestProcessShares(t *testing.T) {
 	for _, row := range [][2]int64{{0, 0}, {40, 0}, {30, 60}, {50, 50}, {80, 60}} {
 		a, b := row[0], row[1]
 		for _, sum := range []int64{processShare(100, a, b, false) + processShare(100, b, a, false), // both stay
--- a/internal/balancer/client_close_test.go
+++ b/internal/balancer/client_close_test.go
@@ -104,17 +104,17 @@
 				x.received[name] = append(x.received[name], line)
 				x.mu.Unlock()
 				x.lines <- name + " " + line
-				words := strings.Fields(line)
-				if n := 0; words[0] == "ms" {
-					fmt.Sscan(words[2], &n)
+				fields := strings.Fields(line)
+				if n := 0; fields[0] == "ms" {
+					fmt.Sscan(fields[2], &n)
 					if _, err := io.CopyN(io.Discard, in, int64(n)+2); err != nil {
 						return
 					}
 				}
 				id := ""
-				for _, word := range words {
-					if word[0] == 'O' {
-						id = word[1:]
+				for _, field := range fields {
+					if field[0] == 'O' {
+						id = field[1:]
 					}
 				}
 				if answer != "" {
@@ -276,7 +276,7 @@
 	}
 }
 
-// The time of a request that was read ahead behind others counts from its own arrival. Counted from the arrival of those before it, it
+// The time of a request that was read ahead after others counts from its own arrival. Counted from the arrival of those before it, it
 // would be rate-limited too early; counted from when it is handled, it would be answered too late.
 func TestTimeOfWhatIsReadAhead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/balancer/deadline_test.go
+++ b/internal/balancer/deadline_test.go
@@ -52,7 +52,7 @@
 	mu       sync.Mutex
 	requests map[string]sentRequest
 	attempts []recordedAttempt
-	harmless map[[2]string]bool // by request and server: the answer said that nothing ran there
+	harmless map[[2]string]bool // by request and server: the answer promised that nothing ran there
 }
 
 func newAttemptLog() *attemptLog {
@@ -164,37 +164,37 @@
 	if !found {
 		return a, 0
 	}
-	words := strings.Fields(string(line))
+	fields := strings.Fields(string(line))
 	if strings.HasSuffix(string(line), "HTTP/1.1") {
-		return parseOriginAttempt(text, words[0] == "PUT")
+		return parseOriginAttempt(text, fields[0] == "PUT")
 	}
 	size = len(line) + 2
-	if words[0] == "ms" {
-		length, _ := strconv.Atoi(words[2])
+	if fields[0] == "ms" {
+		length, _ := strconv.Atoi(fields[2])
 		size += length + 2
 		a.write = true
 	}
 	if len(text) < size {
 		return a, 0
 	}
-	for _, word := range words[1:] {
-		switch word[0] {
+	for _, field := range fields[1:] {
+		switch field[0] {
 		case 'O':
-			a.id = word[1:]
+			a.id = field[1:]
 		case 'P':
-			a.sentTimeout = timeoutIn(word[1:])
+			a.sentTimeout = timeoutIn(field[1:])
 		}
 	}
 	return a, size
 }
 
 func parseOriginAttempt(text []byte, write bool) (a recordedAttempt, size int) {
-	head, _, found := bytes.Cut(text, []byte("\r\n\r\n"))
+	header, _, found := bytes.Cut(text, []byte("\r\n\r\n"))
 	if !found {
 		return a, 0
 	}
-	a.write, size = write, len(head)+4
-	for _, line := range strings.Split(string(head), "\r\n")[1:] {
+	a.write, size = write, len(header)+4
+	for _, line := range strings.Split(string(header), "\r\n")[1:] {
 		name, value, _ := strings.Cut(line, ": ")
 		switch strings.ToLower(name) {
 		case "x-request-id":
@@ -342,15 +342,15 @@
 		if err != nil {
 			return false
 		}
-		words := strings.Fields(line)
+		fields := strings.Fields(line)
 		id := ""
-		for _, word := range words[1:] {
-			if word[0] == 'O' {
-				id = word[1:]
+		for _, field := range fields[1:] {
+			if field[0] == 'O' {
+				id = field[1:]
 			}
 		}
-		if words[0] == "ms" {
-			length, _ := strconv.Atoi(words[2])
+		if fields[0] == "ms" {
+			length, _ := strconv.Atoi(fields[2])
 			if _, err = io.CopyN(io.Discard, in, int64(length)+2); err != nil {
 				return false
 			}
@@ -384,7 +384,7 @@
 	})
 }
 
-// respond does one of the things that a server may do; false if the connection ends.
+// respond carries out the given behaviour of a server. It returns false if the connection is to be closed.
 func (f *faultyHosts) respond(conn net.Conn, behaviour string, responses map[string]string) bool {
 	if rest, isSlow := strings.CutPrefix(behaviour, "slow "); isSlow {
 		time.Sleep(f.random.durationUpTo(400 * time.Millisecond))
@@ -518,8 +518,8 @@
 	}
 }
 
-// TestDeadlinesToldToServers injects random faults and delays: no attempt may send a server a longer timeout than its client has left.
-func TestDeadlinesToldToServers(t *testing.T) {
+// TestDeadlinesSentToServers injects random faults and delays: no attempt may send a server a longer timeout than its client has left.
+func TestDeadlinesSentToServers(t *testing.T) {
 	answers := []string{"hit", "receipt", "miss", "failed", "busy", "close", "hang", "slow failed", "slow miss", "slow busy"}
 	origin := []string{"hit", "failed", "busy", "close", "slow hit", "slow busy"}
 	kinds := map[string]injectedFaults{
@@ -561,7 +561,7 @@
 		f := newFaultyHosts(t, 1, answers)
 		f.clients.setLimits(0, 0)
 		time.Sleep(50 * time.Millisecond) // the accept loop waits for a connection by now, or for room
-		first := sendOne(f, t, "before")  // accepted by the call in progress
+		first := sendOne(f, t, "before")  // accepted by the Accept call in progress
 		time.Sleep(50 * time.Millisecond)
 		queued := sendOne(f, t, "queued")
 		time.Sleep(delay)
--- a/internal/balancer/discovery_watch_test.go
+++ b/internal/balancer/discovery_watch_test.go
@@ -31,10 +31,10 @@
 	draining  bool
 	down      bool // refuses connections
 	callTimes []time.Duration
-	waits     []time.Duration // the longest that each call may wait
+	waits     []time.Duration // the longest time for which each request may wait
 	changed   chan struct{}
 	done      chan struct{}
-	respond   func(n int, to net.Conn, text string) bool // sends the answer of the n-th call; false: the connection stays open without a further answer
+	respond   func(n int, to net.Conn, text string) bool // sends the answer to the n-th request; false: the connection stays open without a further answer
 }
 
 func (d *fakeDiscovery) list(after int) (text string) {
@@ -122,7 +122,7 @@
 	return n
 }
 
-// TestDrainingHostAvoidedInTime makes calls to discovery fail in many ways while a host starts to drain. The balancer must avoid the
+// TestDrainingHostAvoidedInTime makes requests to discovery fail in many ways while a host starts to drain. The balancer must avoid the
 // host at most six seconds and most of the grace after discovery lists it as draining and can be reached; with pushed lists, some
 // faults allow only the grace.
 func TestDrainingHostAvoidedInTime(t *testing.T) {
@@ -130,7 +130,7 @@
 		_, err := io.WriteString(to, text)
 		return err == nil
 	}
-	// faultsFromSecond injects a fault into the given number of calls from the second on; the first call returns the complete list.
+	// faultsFromSecond injects a fault into the given number of requests from the second on; the first one returns the complete list.
 	faultsFromSecond := func(times int, fault func(to net.Conn, text string) bool) func(int, net.Conn, string) bool {
 		return func(n int, to net.Conn, text string) bool {
 			if n >= 2 && n < 2+times {
@@ -217,12 +217,12 @@
 							time.Sleep(time.Until(d.began.Add(knownAt + grace*9/10)))
 							synctest.Wait()
 							if b.avoidedHosts() != 1 {
-								t.Errorf("host not avoided %v after it began to drain, known after %v; calls at %v", time.Since(d.began)-row.drainsAt, knownAt-row.drainsAt, d.callTimes)
+								t.Errorf("host not avoided %v after it began to drain, known after %v; requests at %v", time.Since(d.began)-row.drainsAt, knownAt-row.drainsAt, d.callTimes)
 							}
 							d.mu.Lock()
 							defer d.mu.Unlock()
 							if n, most := len(d.callTimes), 5+int(time.Since(d.began)/(1750*time.Millisecond))+int(8*row.downTo/grace); n > most {
-								t.Errorf("%d calls to discovery, at %v", n, d.callTimes)
+								t.Errorf("%d requests to discovery, at %v", n, d.callTimes)
 							}
 						})
 					})
@@ -232,16 +232,16 @@
 	}
 }
 
-// TestDiscoveryCallRate bounds the load on discovery where the policy subscribes: without changes, 300 balancers must make at most three
-// calls each in 10 s, and a watch without an answer must be reopened within six seconds.
-func TestDiscoveryCallRate(t *testing.T) {
+// TestDiscoveryRequestRate bounds the load on discovery where the policy subscribes: without changes, 300 balancers must make at most three
+// requests each in 10 s, and a watch without an answer must be reopened within six seconds.
+func TestDiscoveryRequestRate(t *testing.T) {
 	for _, grace := range []time.Duration{100 * time.Millisecond, time.Second, 10 * time.Second} {
 		p := discovery.NewTimeouts(grace*9/10, false)
 		if sum := p.LongPoll + p.ResponseGrace + p.Connect; sum > 6*time.Second {
 			t.Errorf("grace %v: a watch without an answer is reopened after %v", grace, sum)
 		}
 		if minInterval := p.LongPoll * 7 / 8; 300/minInterval.Seconds() > 300*3/10.0 {
-			t.Errorf("grace %v: 300 balancers call %.0f times a second", grace, 300/minInterval.Seconds())
+			t.Errorf("grace %v: 300 balancers send %.0f requests a second", grace, 300/minInterval.Seconds())
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -254,17 +254,17 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		if n := len(d.callTimes); n > 175 {
-			t.Errorf("%d calls in ten minutes without changes", n)
+			t.Errorf("%d requests in ten minutes without changes", n)
 		}
 	})
 }
 
 // TestNewAddressFollowedInTime reloads the configuration with a new discovery address while the previous watch is open, silent or being
-// reopened, and also with a first call to the new address that gets no answer. The new list must be in force within the grace and four
+// reopened, and also with a first request to the new address that gets no answer. The new list must be in force within the grace and four
 // seconds after the reload with pushed lists, and within the grace and six seconds otherwise.
 func TestNewAddressFollowedInTime(t *testing.T) {
 	for name, row := range map[string]struct {
-		before, after func(n int) bool // whether the n-th call at the old address, and at the new one, is answered
+		before, after func(n int) bool // whether the n-th request at the old address, and at the new one, is answered
 	}{
 		"open":             {func(int) bool { return true }, func(int) bool { return true }},
 		"silent before":    {func(n int) bool { return n < 2 }, func(int) bool { return true }},
@@ -302,7 +302,7 @@
 						time.Sleep(limit + grace*9/10)
 						synctest.Wait()
 						if b.avoidedHosts() != 1 {
-							t.Errorf("host not avoided; calls at %v", moved.callTimes)
+							t.Errorf("host not avoided; requests at %v", moved.callTimes)
 						}
 					})
 				})
