--- a/cmd/streamrail/admin_test.go
+++ b/cmd/streamrail/admin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// callAdmin calls the admin API over a new connection.
+// callAdmin sends one request to the admin API over a new connection.
 func callAdmin(t *testing.T, adminAddr, method, path, body string) (status int, text string) {
 	t.Helper()
 	r, err := http.NewRequest(method, "http://"+adminAddr+path, strings.NewReader(body))
@@ -40,8 +40,8 @@
 	return -1
 }
 
-// TestAdminAPI checks that a call which the admin API does not understand changes nothing and is answered with an error, and that
-// clients which hold all its connections do not keep it from answering.
+// TestAdminAPI checks that an invalid request to the admin API changes nothing and is answered with an error, and that clients which
+// hold all its connections do not keep it from answering.
 func TestAdminAPI(t *testing.T) {
 	h := newHost(t, "h", answerHit)
 	d := newDiscoveryServer(t)
@@ -80,7 +80,7 @@
 		`app_deferred_total{group="marked"}`: 0, "app_sends_total": 2, "app_current": 0, "app_cluster_size": 1, "app_cluster_unhealthy": 0} {
 		got := metric(t, adminAddr, name)
 		for began := time.Now(); got != want && time.Since(began) < waitTimeout; got = metric(t, adminAddr, name) {
-			time.Sleep(5 * time.Millisecond) // an answer is counted once it is written: a client may read it before
+			time.Sleep(5 * time.Millisecond) // an answer is counted once it is written: a client may read it before that
 		}
 		if got != want {
 			t.Errorf("%s: %d, expected %d", name, got, want)
--- a/cmd/streamrail/changed_settings_test.go
+++ b/cmd/streamrail/changed_settings_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestChangedSettingsKeepValidState upgrades to a process with other settings. The newer process still avoids a failing host in the
-// first seconds, but does not if that host has been restarted since. Limits that were shares for another number of balancers do not
-// carry over.
+// first seconds, but does not if that host has been restarted since. Limits that were shares for another number of balancers are
+// not taken over.
 func TestChangedSettingsKeepValidState(t *testing.T) {
 	for _, row := range []struct {
 		name                     string
--- a/cmd/streamrail/connection_end_test.go
+++ b/cmd/streamrail/connection_end_test.go
@@ -11,7 +11,7 @@
 )
 
 // clientDepartures are the ways in which a client can go away. Ending only the sending direction counts as well: the balancer cannot
-// tell it from a close.
+// distinguish it from a close.
 var clientDepartures = map[string]func(c *net.TCPConn){
 	"closes":       func(c *net.TCPConn) { c.Close() },
 	"resets":       func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
@@ -65,7 +65,7 @@
 				}
 				expect(t, p.dial(t).ask(getRequest("k", "after", 900)), "VA 10 Oafter|value of k")
 				if n := h.count(); n != row.n+1 {
-					t.Errorf("%d attempts besides the other client's one, expected %d", n-1, row.n)
+					t.Errorf("%d attempts in addition to the other client's one, expected %d", n-1, row.n)
 				}
 			})
 		}
--- a/cmd/streamrail/deadline_test.go
+++ b/cmd/streamrail/deadline_test.go
@@ -60,8 +60,8 @@
 }
 
 // TestStoppedProcesses stops several processes repeatedly, for 0.1 to 2 s, while clients go on sending. Servers must receive no more
-// time than is left, whether a request came before or during a stop or its first attempt had ended before. One process is killed in
-// each round.
+// time than is left, whether a request arrived before or during a stop, and also if its first attempt had ended before the stop. One
+// process is killed in each round.
 func TestStoppedProcesses(t *testing.T) {
 	t.Parallel()
 	const (
--- a/cmd/streamrail/descriptors_test.go
+++ b/cmd/streamrail/descriptors_test.go
@@ -14,7 +14,7 @@
 )
 
 // TestIdleClientsFillTheDescriptors fills all client connections with idle clients while discovery is down, with no more descriptors
-// than the settings allow. Calls to discovery, attempts at hosts, a reload and the admin address must still get a descriptor.
+// than the settings allow. Requests to discovery, attempts at hosts, a reload and the admin address must still get a descriptor.
 func TestIdleClientsFillTheDescriptors(t *testing.T) {
 	const sockets = 96
 	h, second := newHost(t, "h", answerHit), newHost(t, "second", answerHit)
--- a/cmd/streamrail/evidence_test.go
+++ b/cmd/streamrail/evidence_test.go
@@ -54,7 +54,7 @@
 	}
 	before := bad.count()
 	if before < 3 {
-		t.Fatalf("%d requests at the bad host", before)
+		t.Fatalf("%d attempts at the bad host", before)
 	}
 	if e := f.members[3].waitForBadHost(t, "bad"); e.Hosts[0].BadReporters < 2 {
 		t.Errorf("%+v", e)
@@ -65,8 +65,8 @@
 	for _, m := range f.members[3:] {
 		sendRequests(m, 60)
 	}
-	if n := bad.count() - before; n > 2 { // without observations each would send at least its first one there; a few trials are random
-		t.Errorf("%d requests at the bad host from the two balancers that had received the observations", n)
+	if n := bad.count() - before; n > 2 { // without observations each would make at least its first attempt there; a few trial attempts are random
+		t.Errorf("%d attempts at the bad host by the two balancers that had received the observations", n)
 	}
 	f.members[1].Process.Signal(syscall.SIGCONT)
 	for _, m := range f.members {
--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestMembersStall checks that a process that is stopped briefly does not become dead and declares nobody dead when it resumes. One
-// that is stopped for long becomes dead, reports its standstill when it resumes, and returns with the same process id.
+// TestMembersStall checks that a process that is stopped briefly does not become dead and declares no member dead when it resumes.
+// One that is stopped for long becomes dead, reports its standstill when it resumes, and returns with the same process id.
 func TestMembersStall(t *testing.T) {
 	f := newFleet(t, 5, "", nil)
 	stop := func(m *fleetMember, d time.Duration) {
@@ -304,8 +304,8 @@
 	return old
 }
 
-// TestMembersUpgrade checks that the two processes of an upgrade are one member: the process id stays and nobody becomes dead. If
-// the newer process is killed after it has become the member, the older one takes that role again with the same process id.
+// TestMembersUpgrade checks that the two processes of an upgrade are one member: the process id stays and no member becomes
+// dead. If the newer process is killed after it has become the member, the older one takes that role again with the same process id.
 func TestMembersUpgrade(t *testing.T) {
 	f := newFleet(t, 5, "", nil)
 	m := f.members[1]
--- a/cmd/streamrail/long_list_harness_test.go
+++ b/cmd/streamrail/long_list_harness_test.go
@@ -26,7 +26,7 @@
 	lateTolerance           = 50 * time.Millisecond   // beyond the timeout: a later answer counts as late
 	lostTolerance           = 500 * time.Millisecond  // beyond the timeout: a request without an answer counts as lost
 	longListTermPeriod      = 3700 * time.Millisecond // from SIGTERM to SIGKILL: the longest client timeout and 0.7 s
-	longListFrontDelay      = 400 * time.Millisecond  // from SIGTERM to the last new connection
+	longListFrontDelay      = 400 * time.Millisecond  // from SIGTERM until the load balancer in front opens no new connections
 	longListKillDelay       = 200 * time.Millisecond  // within which a process has ended after SIGKILL: the next one starts later
 	schedulingPeriod        = 20 * time.Millisecond   // of which a process runs for its share
 	raceCostFactor          = 8                       // the race detector multiplies the processor time by about this
--- a/cmd/streamrail/main_test.go
+++ b/cmd/streamrail/main_test.go
@@ -266,9 +266,9 @@
 	}
 }
 
-// TestIDInHand checks that a request whose id is in use by another client's request is rejected and reaches no host, which would take
+// TestIDInUse checks that a request whose id is in use by another client's request is rejected and reaches no host, which would take
 // it for a repeat of the first one. The id is free again once the first request is answered.
-func TestIDInHand(t *testing.T) {
+func TestIDInUse(t *testing.T) {
 	release := make(chan struct{})
 	h := newHost(t, "h", func(cmd command) string {
 		if cmd.fields[1] == "held" {
@@ -294,7 +294,7 @@
 	}
 }
 
-// TestClientGone checks that the attempts of a client that closes its connection are cancelled: nobody would use their results.
+// TestClientGone checks that the attempts of a client that closes its connection are cancelled, as their results would go unused.
 func TestClientGone(t *testing.T) {
 	h := newHost(t, "h", answerWith(""))
 	p, _ := startWithHosts(t, nil, nil, h)
@@ -306,7 +306,7 @@
 }
 
 // TestSilentHost checks that a request to a host that does not answer is answered before the client timeout, and that the host's late
-// answer reaches nobody.
+// answer reaches no client.
 func TestSilentHost(t *testing.T) {
 	late := make(chan command, 1)
 	h := newHost(t, "h", func(cmd command) string {
@@ -328,7 +328,7 @@
 }
 
 // TestTimeoutsAreDecided lets twenty requests to a silent host time out while the periodic tick is off. Each final answer must be that
-// of the routing decisions, which know that a read can be retried, and not the fallback for decisions that come too late.
+// of the routing decisions, which take into account that a read can be retried, and not the fallback for decisions that come too late.
 func TestTimeoutsAreDecided(t *testing.T) {
 	p, _ := startWithHosts(t, map[string]any{"tickNs": 0}, nil, newHost(t, "h", answerWith("")))
 	answers := make(chan string)
@@ -343,9 +343,9 @@
 	}
 }
 
-// TestKeptConnectionClosed checks that no write is sent over an idle connection that the host has closed: it would count as one that
+// TestIdleConnectionClosed checks that no write is sent over an idle connection that the host has closed: it would count as one that
 // may have run.
-func TestKeptConnectionClosed(t *testing.T) {
+func TestIdleConnectionClosed(t *testing.T) {
 	h := newHost(t, "h", nil)
 	h.answer = func(cmd command) string {
 		io.WriteString(cmd.conn, answerHit(cmd))
@@ -570,7 +570,7 @@
 			t.Errorf("the silent or the idle connection was closed after %v", time.Since(c.dialedAt))
 		}
 	}
-	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // idle connections may still be closed for it
+	for began := time.Now(); ; time.Sleep(5 * time.Millisecond) { // idle connections may still be closed to make room for new ones
 		if got := p.dial(t).ask(getRequest("k", "more", 900)); got == "SERVER_ERROR busy" {
 			break
 		} else if time.Since(began) > 500*time.Millisecond {
@@ -599,7 +599,7 @@
 	d := newDiscoveryServer(t)
 	d.setHost("h", h.addr, "cache", "active")
 	cfg := deploymentConfig(d, freeAddr(t), nil)
-	cfg["limits"] = map[string]any{"sockets": 80} // 20 connections that have carried a request are kept, 35 connections are served
+	cfg["limits"] = map[string]any{"sockets": 80} // 35 connections are served; at most 20 of those that have sent a request are kept
 	p := launchServing(t, cfg)
 	var all []*client
 	for i := range 30 {
@@ -731,7 +731,7 @@
 	close(stop)
 	expect(t, await(t, answers, "the end of the work"), "all")
 	if x.count() != before {
-		t.Errorf("%d requests to a host that only the old address lists", x.count()-before)
+		t.Errorf("%d attempts at a host that only the old address lists", x.count()-before)
 	}
 	c := p.dial(t)
 	expect(t, c.ask("mn\r\n"), "MN")
--- a/cmd/streamrail/orders_test.go
+++ b/cmd/streamrail/orders_test.go
@@ -12,7 +12,7 @@
 	"streamrail/internal/admin"
 )
 
-// postExclusion posts an exclude or include call to a balancer's admin API and returns the answer text.
+// postExclusion posts an exclude or include request to a balancer's admin API and returns the answer text.
 func (m *fleetMember) postExclusion(t *testing.T, action, host, extraFields string) string {
 	t.Helper()
 	status, text := callAdmin(t, m.adminAddr, "POST", "/api/"+action, fmt.Sprintf(`{"member":%q%s}`, host, extraFields))
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestOrdersOff checks that without orders = true an exclusion holds at one balancer only, and that the admin API answers calls that
-// need fleet-wide orders with an error.
+// TestOrdersOff checks that without orders = true an exclusion holds at one balancer only, and that the admin API answers requests
+// that need fleet-wide orders with an error.
 func TestOrdersOff(t *testing.T) {
 	m := newFleet(t, 2, "", nil).members[0]
 	if status, text := callAdmin(t, m.adminAddr, "GET", "/api/orders", ""); status != 404 || !strings.Contains(text, "orders = true") {
--- a/cmd/streamrail/restart_test.go
+++ b/cmd/streamrail/restart_test.go
@@ -15,7 +15,7 @@
 
 // TestRestarts starts the program while discovery is unavailable or silent, with an earlier list that is absent, old, damaged or from
 // another deployment. With a usable host in that list the process gets ready within two seconds and answers MN only then, as a load
-// balancer sends requests to a process that does. Without one it rejects requests at once and gets ready when discovery is back.
+// balancer sends requests to a process that answers MN. Without one it rejects requests at once and gets ready when discovery is back.
 func TestRestarts(t *testing.T) {
 	type discoveryFault struct {
 		name  string
@@ -73,7 +73,7 @@
 							t.Errorf("the address is open after %v, while the process should still wait for the list", after)
 						}
 						if got := p.dial(t).ask("mn\r\n"); got == "MN" || strings.HasPrefix(got, "SERVER_ERROR") {
-							firstAnswer = got // before it listens there is no answer of the process itself
+							firstAnswer = got // any other text is not the process's answer, as it is not listening yet
 						}
 					}
 				}
--- a/cmd/streamrail/scale_test.go
+++ b/cmd/streamrail/scale_test.go
@@ -33,7 +33,7 @@
 			cfg := deploymentConfig(d, freeAddr(t), map[string]any{"balancers": n})
 			p := launchServing(t, cfg, "STREAMRAIL_FILE="+operatorFile)
 			c := p.dial(t)
-			ask := func(from int) (fulfilled int) {
+			sendRequests := func(from int) (fulfilled int) {
 				for i := from; i < from+300; i++ {
 					if strings.HasPrefix(c.ask(getRequest(fmt.Sprint("key", i), fmt.Sprint("a", i), 900)), "VA ") {
 						fulfilled++
@@ -41,7 +41,7 @@
 				}
 				return fulfilled
 			}
-			if got := ask(0); got < 295 {
+			if got := sendRequests(0); got < 295 {
 				t.Errorf("%d of 300 requests fulfilled", got)
 			}
 			d.mu.Lock()
@@ -57,11 +57,11 @@
 			d.mu.Unlock()
 			d.waitForWatch(t)
 			before := hosts[0].count() + hosts[1].count() + hosts[2].count()
-			if got := ask(300); got < 295 {
+			if got := sendRequests(300); got < 295 {
 				t.Errorf("with half of the hosts leaving %d of 300 requests fulfilled", got)
 			}
 			if after := hosts[0].count() + hosts[1].count() + hosts[2].count(); after != before {
-				t.Errorf("%d requests to leaving hosts", after-before)
+				t.Errorf("%d attempts at leaving hosts", after-before)
 			}
 		})
 	}
--- a/cmd/streamrail/upgrade_test.go
+++ b/cmd/streamrail/upgrade_test.go
@@ -129,19 +129,19 @@
 	older, olderAddr := launchReady(t, c, dir)
 	newer, newerAddr := launchReady(t, c, dir)
 	adminAddrs := map[string]string{"older": olderAddr, "newer": newerAddr}
-	for asked, adminAddr := range adminAddrs {
+	for receiver, adminAddr := range adminAddrs {
 		for _, action := range []string{"exclude", "include"} {
 			if status, text := callAdmin(t, adminAddr, "POST", "/api/"+action, `{"member":"h"}`); status != 200 {
-				t.Errorf("%s at the %s: %s", action, asked, text)
+				t.Errorf("%s at the %s process: %s", action, receiver, text)
 			}
 			for checked, checkedAddr := range adminAddrs {
 				if n := metric(t, checkedAddr, "app_cluster_unhealthy"); n != map[string]int{"exclude": 1, "include": 0}[action] {
-					t.Errorf("%s at the %s process: the %s one has %d hosts excluded", action, asked, checked, n)
+					t.Errorf("%s at the %s process: the %s one has %d hosts excluded", action, receiver, checked, n)
 				}
 			}
 		}
 		if status, _ := callAdmin(t, adminAddr, "POST", "/api/exclude", `{"member":"nobody"}`); status != 404 {
-			t.Errorf("nobody at the %s: %d", asked, status)
+			t.Errorf("exclude with an unknown id at the %s process: status %d", receiver, status)
 		}
 	}
 	callAdmin(t, newerAddr, "POST", "/api/exclude", `{"member":"h"}`)
