--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -28,7 +28,7 @@
 	fleetSettings, tempDir     string // further lines of the [fleet] section; the TMPDIR of the process
 }
 
-// freeUDP returns a free UDP port on a loopback address that no other call returns.
+// freeUDP returns an address with a free UDP port. Each result has its own loopback IP address.
 func freeUDP(t *testing.T) string {
 	n := loopbackAddrs.Add(1)
 	c, err := net.ListenPacket("udp", fmt.Sprintf("127.78.%d.%d:0", n/250, n%250+1))
--- a/cmd/streamrail/harness_test.go
+++ b/cmd/streamrail/harness_test.go
@@ -329,8 +329,8 @@
 
 var loopbackAddrs atomic.Uint32
 
-// freeAddr returns a free port on a loopback address that no other call returns: on a shared address another test could take
-// the port first.
+// freeAddr returns an address with a free TCP port. Each result has its own loopback IP address: on a shared one another test could
+// take the port first.
 func freeAddr(t *testing.T) string {
 	n := loopbackAddrs.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", n/250, n%250+1))
