--- a/cmd/streamrail/fleet_test.go
+++ b/cmd/streamrail/fleet_test.go
@@ -28,7 +28,7 @@
 	fleetSettings, tempDir     string // further lines of the [fleet] section; the TMPDIR of the process
 }
 
-// freeUDP returns a free UDP port on a loopback address that no other call returns.
+// freeUDP returns an address with a free UDP port. Each result has its own loopback IP address.
 func freeUDP(t *testing.T) string {
 	n := loopbackAddrs.Add(1)
 	c, err := net.ListenPacket("udp", fmt.Sprintf("127.78.%d.%d:0", n/250, n%250+1))
@@ -225,8 +225,8 @@
 	}
 }
 
-// TestMembersStall checks that a process that is stopped briefly does not become dead and declares nobody dead when it resumes. One
-// that is stopped for long becomes dead, reports its standstill when it resumes, and returns with the same process id.
+// TestMembersStall checks that a process that is stopped briefly does not become dead and declares no member dead when it resumes.
+// One that is stopped for long becomes dead, reports its standstill when it resumes, and returns with the same process id.
 func TestMembersStall(t *testing.T) {
 	f := newFleet(t, 5, "", nil)
 	stop := func(m *fleetMember, d time.Duration) {
@@ -304,8 +304,8 @@
 	return old
 }
 
-// TestMembersUpgrade checks that the two processes of an upgrade are one member: the process id stays and nobody becomes dead. If
-// the newer process is killed after it has become the member, the older one takes that role again with the same process id.
+// TestMembersUpgrade checks that the two processes of an upgrade are one member: the process id stays and no member becomes
+// dead. If the newer process is killed after it has become the member, the older one takes that role again with the same process id.
 func TestMembersUpgrade(t *testing.T) {
 	f := newFleet(t, 5, "", nil)
 	m := f.members[1]
