--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -22,11 +22,11 @@
 	decider          *policy.Balancer // nil while the process is down
 	startCount       uint64
 	requests         map[policy.RequestID]*request
-	generation       int64 // generation of its host list
-	listedUp         map[string]bool
+	generation       int64           // of its host list
+	listedUp         map[string]bool // by host: whether the balancer was last notified that it is up
 	lifeRecord       record.ProcessRun
-	getsTraffic      bool // the load balancing in front of the fleet considers it alive
-	noticeSeq        int
+	getsTraffic      bool                   // the load balancing in front of the fleet considers it alive
+	noticeSeq        int                    // incremented by a start and by endTrafficAfter, so that an outdated delay has no effect
 	pausedUntil      time.Duration          // the process is stalled until then
 	observations     *evidence.Machine      // nil before the first exchange
 	peerObservations []evidence.HostSummary // what was last reported to the decider
@@ -59,7 +59,7 @@
 	answered            bool
 	record              *record.Request
 	onAnswer            func(reply record.Reply, retryAfter time.Duration)
-	missedHosts         []*cacheHost
+	missedHosts         []*cacheHost // hosts that did not have the value; the origin's answer is cached there
 }
 
 // attempt is one sending of a request to a cache host or the origin.
@@ -126,17 +126,17 @@
 	b.requests = nil
 }
 
-func sorted(calls map[policy.RequestID]*request) []policy.RequestID {
-	ids := make([]policy.RequestID, 0, len(calls))
-	for id := range calls {
+func sorted(requests map[policy.RequestID]*request) []policy.RequestID {
+	ids := make([]policy.RequestID, 0, len(requests))
+	for id := range requests {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
 	return ids
 }
 
-// endTrafficAfter keeps new requests coming to a balancer that ends for the given time, until the load balancing in front of
-// the fleet notices. A restart within that time cancels it.
+// endTrafficAfter stops the traffic to a balancer after the given delay, which is how long the load balancing in front of the
+// fleet takes to notice that the balancer ends. A restart within the delay cancels it.
 func (b *balancer) endTrafficAfter(delay time.Duration) {
 	b.noticeSeq++
 	seq := b.noticeSeq
@@ -154,7 +154,7 @@
 	}
 }
 
-// applyList fetches the list or its changes and hands them to the decider.
+// applyList fetches the list or its changes and passes them to the decider.
 func (b *balancer) applyList(whole bool) {
 	if b.d.discovery.Silent(b.index) {
 		return
@@ -222,7 +222,7 @@
 	}
 }
 
-// clientGone handles a client that left before its request was answered.
+// clientGone handles a client that has given up before its request was answered.
 func (b *balancer) clientGone(req *request) {
 	if req.answered {
 		return
@@ -382,7 +382,7 @@
 		return
 	}
 	d := a.balancer.d
-	if a.endedAt == 0 || a.endedAt > d.now { // an answer still in transit proves nothing, since nobody waits for it any more
+	if a.endedAt == 0 || a.endedAt > d.now { // an answer still in transit proves nothing, since the balancer no longer waits for it
 		// As on sockets, the end of a connection is recorded when it is closed, whatever the network delay.
 		a.endedAt, a.answerComplete, a.proof = d.now, false, record.NothingProven
 	}
@@ -397,7 +397,7 @@
 	})
 }
 
-// deliver hands an attempt's outcome to its balancer, which handles it once it is not stalled.
+// deliver passes an attempt's outcome to its balancer, which handles it once it is not stalled.
 func (a *attempt) deliver(outcome policy.Outcome, cacheResult int) {
 	if a.balancer.decider == nil || a.balancer.startCount != a.startCount {
 		a.complete(outcome, cacheResult)
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -28,7 +28,7 @@
 	d            *Simulation
 	rng          *rand.Rand
 	alterReports AlterReports
-	sentMessages int // number of messages
+	sentMessages int // including lost ones
 }
 
 // startObservationExchange schedules each balancer's periodic exchange, with a random offset.
@@ -47,7 +47,7 @@
 
 func (e *observationExchange) zone(i int) string { return e.d.Fleet.Zones[e.d.balancers[i].zone] }
 
-// tick sends a balancer's observations, hands those received to its decider and schedules the next tick.
+// tick sends a balancer's observations, passes those received to its decider and schedules the next tick.
 func (e *observationExchange) tick(i int) {
 	d, b := e.d, e.d.balancers[i]
 	if d.now < d.Length.Duration() {
--- a/internal/rehearsal/virtual/faults.go
+++ b/internal/rehearsal/virtual/faults.go
@@ -26,10 +26,10 @@
 	}
 }
 
-// restartNoticeDelay is how long a balancer that was asked to end still gets new requests.
+// restartNoticeDelay is how long a balancer that is restarted on request still gets new requests before it ends.
 const restartNoticeDelay = 300 * time.Millisecond
 
-// scheduleFault schedules the begin and end of a fault of the scenario.
+// scheduleFault schedules the begin and end of the scenario's i-th fault.
 func (d *Simulation) scheduleFault(i int) {
 	f := &d.Faults[i]
 	from, to := f.At.Duration(), (f.At + f.Length).Duration()
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -19,9 +19,9 @@
 	unreachable bool        // requests get neither an answer nor a refused connection
 	startedAt   time.Duration
 	cold        bool
-	scheduledAt time.Duration
-	inFlight    []*attempt // in the order of their arrival
-	links       []link     // by index of the balancer
+	scheduledAt time.Duration // of the next advance of the model; never: none is scheduled
+	inFlight    []*attempt    // in the order of their arrival
+	links       []link        // by index of the balancer
 	rng         *rand.Rand
 
 	spoilProbability, resetProbability, failProbability float64
--- a/internal/rehearsal/virtual/simulation.go
+++ b/internal/rehearsal/virtual/simulation.go
@@ -29,8 +29,8 @@
 	discovery        *model.Discovery
 	balancers        []*balancer
 	attempts         []*attempt
-	retry            model.RetryPolicy
-	roundRobin       int
+	retry            model.RetryPolicy // of the clients
+	roundRobin       int               // number of balancer choices so far
 	latency          *hdrhistogram.Histogram
 	trace            io.Writer // receives one line for each event; nil: no trace
 	deliberateFaults deliberateFaults
@@ -62,28 +62,28 @@
 }
 
 // simulate is Simulate with deliberate faults.
-func simulate(s *scenario.Scenario, trace io.Writer, w deliberateFaults) (*runner.Result, error) {
+func simulate(s *scenario.Scenario, trace io.Writer, faults deliberateFaults) (*runner.Result, error) {
 	began := time.Now()
 	arrivals, err := model.Arrivals(s.Seed, s.LoadConfig())
 	if err != nil {
 		return nil, err
 	}
 	d := &Simulation{Scenario: s, rec: record.New(), hosts: map[string]*cacheHost{}, currentHost: map[string]*cacheHost{}, retry: s.RetryPolicy(),
-		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: w}
-	late := [2]time.Duration{s.Discovery.Delay[0].Duration(), s.Discovery.Delay[1].Duration()}
-	d.discovery = model.NewDiscovery(s.Fleet.Balancers, late, model.NewRand(s.Seed, "register"))
+		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: faults}
+	delays := [2]time.Duration{s.Discovery.Delay[0].Duration(), s.Discovery.Delay[1].Duration()}
+	d.discovery = model.NewDiscovery(s.Fleet.Balancers, delays, model.NewRand(s.Seed, "register"))
 	d.origin = &origin{d: d, model: model.NewOrigin(s.OriginConfig(), 0), scheduledAt: never, rng: model.NewRand(s.Seed, "faults gateway")}
 	for b := range s.Fleet.Balancers {
 		d.balancers = append(d.balancers, &balancer{d: d, index: b, zone: b % len(s.Fleet.Zones)})
 	}
 	ids, groups := s.HostIDs()
 	for _, id := range ids {
-		n := d.addHost(id, groups[id], false)
-		d.currentHost[id] = n
+		h := d.addHost(id, groups[id], false)
+		d.currentHost[id] = h
 		for k := range int(s.Load.WarmRatio * float64(s.Load.Keys)) {
-			n.model.CacheValue(model.KeyName(k), 0, s.Load.ValueSize)
+			h.model.CacheValue(model.KeyName(k), 0, s.Load.ValueSize)
 		}
-		d.discovery.Set(0, n.listEntry(model.Active))
+		d.discovery.Set(0, h.listEntry(model.Active))
 	}
 	if s.Fleet.Mode == scenario.ModeAside {
 		d.discovery.Set(0, model.Entry{Host: record.Origin, Zone: s.Fleet.Zones[0], MachineType: "origin", Lifecycle: model.Active, Weight: 1})
@@ -96,7 +96,7 @@
 		b.start()
 	}
 	if s.Membership.Enabled && s.Membership.ShareObservations {
-		d.startObservationExchange(w.alterReports)
+		d.startObservationExchange(faults.alterReports)
 	}
 	for i := range s.Faults {
 		d.scheduleFault(i)
@@ -249,8 +249,8 @@
 	if t.CacheAside {
 		t.OriginKind = 1
 	}
-	for _, n := range d.Hosts {
-		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, n.ColdCapacity), max(t.WarmUpTime, policy.Nanos(n.WarmUpTime))
+	for _, h := range d.Hosts {
+		t.ColdCapacityFraction, t.WarmUpTime = min(t.ColdCapacityFraction, h.ColdCapacity), max(t.WarmUpTime, policy.Nanos(h.WarmUpTime))
 	}
 	for _, p := range d.Products {
 		t.Products = append(t.Products, policy.ProductConfig{LatencySLO: policy.Nanos(p.LatencySLO), BilledValue: p.BilledValue,
@@ -262,7 +262,7 @@
 	return t
 }
 
-// result completes the record and has it judged.
+// result completes the record and checks it with package judge.
 func (d *Simulation) result(began time.Time) *runner.Result {
 	for _, b := range d.balancers {
 		b.stop()
--- a/internal/rehearsal/virtual/virtual_test.go
+++ b/internal/rehearsal/virtual/virtual_test.go
@@ -56,7 +56,7 @@
 			}
 			return o
 		}}, []judge.Rule{judge.NoRepeat, judge.OneEffect}},
-		"resets reported as turned away": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
+		"resets reported as rejected": {"spoilt", deliberateFaults{alterOutcome: func(o policy.Outcome) policy.Outcome {
 			if o == policy.Reset {
 				return policy.Rejected
 			}
