--- a/internal/rehearsal/search/search.go
+++ b/internal/rehearsal/search/search.go
@@ -71,7 +71,8 @@
 	return res, failed
 }
 
-// add counts a simulated scenario and keeps it if it belongs to those to be kept.
+// add counts a simulated scenario and keeps it if it is one of the first maxKept that broke a rule, by seed, or one of the maxKept
+// with the lowest service.
 func (r *Result) add(f RunResult, verdict *judge.Verdict) {
 	r.Simulated++
 	for _, x := range verdict.Findings {
@@ -120,7 +121,7 @@
 	"scan", "hot"}
 
 // maxFaults is the most faults that are added to a scenario. With more, faults overlap so much that their effects cannot be
-// told apart.
+// distinguished.
 const maxFaults = 4
 
 // Draw returns a copy of the base scenario with the given seed and one to maxFaults random faults, of any kind, size and time,
@@ -190,8 +191,8 @@
 }
 
 // Shrink reduces a scenario as long as it still shows the problem, by removing faults, removing balancers or shortening it.
-// If the scenario broke rules, the first of them must still be broken. Otherwise the service may rise by at most a tenth of
-// what was missing to 1.
+// If the scenario broke rules before a step, the first of them must still be broken after it. Otherwise a step may raise the
+// service by at most a tenth of what was missing to 1.
 func Shrink(f RunResult) (RunResult, error) {
 	reproduces := func(x RunResult) bool {
 		if len(f.Broken) > 0 {
