--- a/internal/rehearsal/membersim/faulty_member_test.go
+++ b/internal/rehearsal/membersim/faulty_member_test.go
@@ -43,7 +43,7 @@
 		return slices.IndexFunc(p.Members, func(m *Member) bool { return m.Machine != nil && m.ProcessID() == l })
 	}
 	for name, row := range map[string]struct {
-		twist func(p *Fleet, index int, in bool, msg *member.Message)
+		alter func(p *Fleet, index int, in bool, msg *member.Message)
 		want  []judge.Rule
 	}{
 		"correct": {func(*Fleet, int, bool, *member.Message) {}, nil},
@@ -91,7 +91,7 @@
 	} {
 		rec := record.New()
 		NewSimulation(sc, rec, func(p *Fleet) {
-			p.AlterMessage = func(index int, in bool, msg *member.Message) { row.twist(p, index, in, msg) }
+			p.AlterMessage = func(index int, in bool, msg *member.Message) { row.alter(p, index, in, msg) }
 		}).RunTo(sc.Length.Duration())
 		v := judge.Judge(rec, runner.JudgeConfig(sc))
 		if got := v.BrokenRules(); !slices.Equal(got, row.want) {
--- a/internal/rehearsal/membersim/fleet.go
+++ b/internal/rehearsal/membersim/fleet.go
@@ -53,17 +53,17 @@
 	eventCount     uint64
 	starts         uint64
 	nameOverrides  map[int]int // by member: the member whose name it uses by mistake
-	nextSeedsWrong bool        // the next start gets seed addresses that nobody listens on
+	nextSeedsWrong bool        // the next start gets seed addresses at which no member listens
 	rng            *rand.Rand
 }
 
 // Limits are the limits of a fleet whose shares move between its members. The slices are indexed by limit.
 type Limits struct {
 	Names   []string
-	Limit   []float64
-	Step    []float64
-	Minimum []float64
-	Lease   time.Duration
+	Limit   []float64                                        // value of the whole limit, in its own unit
+	Step    []float64                                        // what a single request or connection adds to the demand
+	Minimum []float64                                        // fraction of a member's home share that is never lent
+	Lease   time.Duration                                    // how long a share is lent
 	Demand  func(index, name int, now time.Duration) float64 // recent demand at a member, in the limit's unit
 }
 
@@ -139,8 +139,8 @@
 	for name := range p.Limits.Names {
 		m.Share.SetNeed(p.Now, name, p.Limits.Demand(i, name, p.Now))
 	}
-	lives, _ := m.Machine.AliveMembers()
-	m.Share.Tick(p.Now, lives)
+	alive, _ := m.Machine.AliveMembers()
+	m.Share.Tick(p.Now, alive)
 	p.flushShare(i)
 	if p.AlterShare != nil {
 		p.AlterShare(i, m.Share)
--- a/internal/rehearsal/membersim/measure.go
+++ b/internal/rehearsal/membersim/measure.go
@@ -48,7 +48,8 @@
 	return Never
 }
 
-// ViewsEqual reports whether the running ones of the given members list exactly each other in their views; nil means all members.
+// ViewsEqual reports whether the views of all running members among the given ones list exactly these running members; nil means
+// all members of the fleet.
 func (p *Fleet) ViewsEqual(members []int) bool {
 	if members == nil {
 		for i := range p.Members {
@@ -139,10 +140,10 @@
 // QuietResult is the result of a simulation in which no member dies: the false suspicions and false deaths, and the traffic that
 // each member sends.
 type QuietResult struct {
-	Suspicions, Deaths int     // state changes in a member's view that follow from its own probes
-	BytesPerS          float64 // per member
-	PerS               float64 // datagrams per second and member
-	Played             time.Duration
+	Suspicions, Deaths int           // state changes in a member's view that follow from its own probes
+	BytesPerS          float64       // per member
+	PerS               float64       // datagrams per second and member
+	Played             time.Duration // simulated time
 }
 
 // RunWithoutDeaths simulates a complete fleet for the given length. Unless stallEvery is 0, a random member is stalled at that
--- a/internal/rehearsal/membersim/membersim_test.go
+++ b/internal/rehearsal/membersim/membersim_test.go
@@ -18,7 +18,7 @@
 
 // The same seed must give the same simulation, so that findings of a search can be reproduced.
 func TestSameSeed(t *testing.T) {
-	play := func() uint64 {
+	eventHash := func() uint64 {
 		h := fnv.New64a()
 		p := New(testTerms(12, 5, 0.1))
 		p.OnEvent = func(i int, e member.Event) { fmt.Fprintln(h, p.Now, i, e) }
@@ -28,7 +28,7 @@
 		p.Run(p.Now + 20*time.Second)
 		return h.Sum64()
 	}
-	if a, b := play(), play(); a != b {
+	if a, b := eventHash(), eventHash(); a != b {
 		t.Errorf("the same seed gave different event logs: hashes %x and %x", a, b)
 	}
 }
--- a/internal/rehearsal/membersim/simulation.go
+++ b/internal/rehearsal/membersim/simulation.go
@@ -31,23 +31,23 @@
 
 // requestCounter counts a tenant's requests at one balancer over the last intervals of length share.TickInterval.
 type requestCounter struct {
-	turn   int
-	counts [share.NeedTicks + 1]int // ring buffer by interval, including the unfinished current one
+	interval int                      // index of the current interval
+	counts   [share.NeedTicks + 1]int // ring buffer by interval, including the unfinished current one
 }
 
 // advance moves the counter to the current interval and clears the intervals that it enters.
 func (a *requestCounter) advance(now time.Duration) {
-	turn := int(now / share.TickInterval)
-	for k := a.turn + 1; k <= min(turn, a.turn+len(a.counts)); k++ {
+	interval := int(now / share.TickInterval)
+	for k := a.interval + 1; k <= min(interval, a.interval+len(a.counts)); k++ {
 		a.counts[k%len(a.counts)] = 0
 	}
-	a.turn = turn
+	a.interval = interval
 }
 
 // perS returns the rate of requests per second over the finished intervals.
 func (a *requestCounter) perS(now time.Duration) float64 {
 	a.advance(now)
-	sum := -a.counts[a.turn%len(a.counts)]
+	sum := -a.counts[a.interval%len(a.counts)]
 	for _, n := range a.counts {
 		sum += n
 	}
@@ -57,7 +57,7 @@
 // viewInterval is how often the members' views are recorded. A rehearsal on sockets polls the admin APIs at the same interval.
 const viewInterval = 250 * time.Millisecond
 
-// RestartAfter is how long a balancer that is asked to end goes on running, because clients still use their open connections.
+// RestartAfter is how long a balancer that is restarted on request goes on running, because clients still use their open connections.
 const RestartAfter = 3 * time.Second
 
 // NewSimulation starts the balancers of a scenario, schedules the scenario's faults and records the results in rec. If configure is
@@ -103,19 +103,19 @@
 	if d.Limits != nil {
 		a := &d.requestCounts[balancer][tenant]
 		a.advance(d.Now)
-		a.counts[a.turn%len(a.counts)]++
+		a.counts[a.interval%len(a.counts)]++
 	}
 }
 
 // QuotaShares calls yield with the fraction of each tenant's quota that the balancer may use now. It does nothing if shares do
 // not move between balancers.
-func (d *Simulation) QuotaShares(balancer int, yield func(tenant int, part float64)) {
+func (d *Simulation) QuotaShares(balancer int, yield func(tenant int, fraction float64)) {
 	m := d.Members[balancer]
 	if m.Share == nil {
 		return
 	}
-	for t, bound := range d.Limits.Limit {
-		yield(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/bound)
+	for t, limit := range d.Limits.Limit {
+		yield(t, m.Share.Part(d.Now, t).Of(m.Share.Limit(t))/limit)
 	}
 }
 
@@ -185,7 +185,7 @@
 	}
 }
 
-// scheduleFault schedules a fault of the scenario. Faults that do not concern the balancers themselves or the links between
+// scheduleFault schedules the scenario's i-th fault. Faults that do not concern the balancers themselves or the links between
 // them have no effect here.
 func (d *Simulation) scheduleFault(i int) {
 	f := &d.scenario.Faults[i]
@@ -244,7 +244,7 @@
 // changeLinks applies a fault to the links that it concerns, or ends it there.
 func (d *Simulation) changeLinks(i int, end bool) {
 	change := d.scenario.LinkChange(i, end)
-	for _, w := range d.scenario.AffectedLinks(i) {
-		change(&d.Link(w[0], w[1]).LinkConfig)
+	for _, link := range d.scenario.AffectedLinks(i) {
+		change(&d.Link(link[0], link[1]).LinkConfig)
 	}
 }
