--- a/internal/rehearsal/judge/judge.go
+++ b/internal/rehearsal/judge/judge.go
@@ -35,7 +35,7 @@
 type Config struct {
 	Products          []Product
 	MaxAttempts       int              // maximum number of attempts per request
-	DrainGrace        time.Duration    // how long a draining host may still get attempts after the notice
+	DrainGrace        time.Duration    // how long after the notice a draining host may still get attempts
 	Slack             time.Duration    // added to each time limit for the time that bytes are in transit
 	PromptTimeout     time.Duration    // how soon a request that is given up must be answered, in addition to Slack
 	ColdMissThreshold float64          // share of misses at cold hosts in the origin's load from which its outage counts as a breach
@@ -123,7 +123,7 @@
 	return slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.Breaches > 0 })
 }
 
-// Unsure reports whether any case is doubtful because the rehearsal itself ran late.
+// Unsure reports whether any case is doubtful, that is, may have come about because the rehearsal itself ran late.
 func (v *Verdict) Unsure() bool {
 	return slices.ContainsFunc(v.Findings, func(f Finding) bool { return f.Doubtful > 0 })
 }
@@ -456,8 +456,8 @@
 	return 0
 }
 
-// checkDrains checks that a host gets no new attempts once the grace is over. The grace starts at the first notice to the
-// balancer that the host leaves or is excluded, and ends with the notice that it is back.
+// checkDrains checks that a host which leaves or is excluded gets no new attempts once the grace is over. The grace is counted
+// from the first notice of it to the balancer; a notice that the host is available again ends the restriction.
 func (c *checker) checkDrains() {
 	type pair struct {
 		balancer int
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -19,8 +19,8 @@
 	return record.Request{ID: "a", FirstID: "a", Try: 1, Product: product, ScheduledAt: sent, Sent: sent, Timeout: timeout, Answered: answered, Reply: reply}
 }
 
-func attempt(server string, came, ended time.Duration, proof record.Proof) record.Attempt {
-	return record.Attempt{RequestID: "a", Server: server, FirstByteAt: came, ArrivedAt: came, Ended: ended, Proof: proof, Answered: proof != record.NothingProven}
+func attempt(server string, arrived, ended time.Duration, proof record.Proof) record.Attempt {
+	return record.Attempt{RequestID: "a", Server: server, FirstByteAt: arrived, ArrivedAt: arrived, Ended: ended, Proof: proof, Answered: proof != record.NothingProven}
 }
 
 // Each row is one request with its attempts and the rule that it breaks, if any. A case just beyond a bound is a breach, a
@@ -33,44 +33,44 @@
 		return s
 	}
 	for name, row := range map[string]struct {
-		call     record.Request
-		attempts []record.Attempt
-		notices  []record.HostNotice
-		dark     bool
-		want     Rule
+		request       record.Request
+		attempts      []record.Attempt
+		notices       []record.HostNotice
+		connectOutage bool
+		want          Rule
 	}{
-		"served":                {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms)}},
-		"served by nobody":      {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}, want: RightAnswer},
-		"after its time":        {call: call(0, 0, 900*ms, 960*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}, want: OneAnswer},
-		"within the slack":      {call: call(0, 0, 900*ms, 940*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}},
-		"closed":                {call: call(0, 0, 900*ms, 0, record.Closed), want: OneAnswer},
-		"cut by its server":     {call: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}},
-		"cut on the way":        {call: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{served(1*ms, 29*ms)}, want: OneAnswer},
-		"an attempt afterwards": {call: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms), served(90*ms, 99*ms)}, want: NothingLate},
-		"held back":             {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, want: PromptGiveUp},
-		"its attempt was out":   {call: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 705*ms, record.NothingProven)}},
-		"dark connections":      {call: call(0, 0, 1900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, dark: true},
-		"held in the dark":      {call: call(0, 0, 1900*ms, 1700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, dark: true, want: PromptGiveUp},
-		"pay again":             {call: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(30*ms, 50*ms)}, want: NoRepeat},
-		"pay that never ran":    {call: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NeverRan), served(30*ms, 50*ms)}},
-		"pay, rate-limited":     {call: call(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven)}, want: HarmlessRetry},
-		"once in its window":    {call: call(2, 0, 5000*ms, 1960*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(1930*ms, 1950*ms)}},
-		"once after it":         {call: call(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(2100*ms, 2150*ms)}, want: NoRepeat},
-		"two at a time":         {call: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.NothingProven), served(30*ms, 150*ms)}, want: AttemptsInSequence},
-		"a drained host": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
+		"served":                             {request: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms)}},
+		"served by no server":                {request: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}, want: RightAnswer},
+		"after its timeout":                  {request: call(0, 0, 900*ms, 960*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}, want: OneAnswer},
+		"within the slack":                   {request: call(0, 0, 900*ms, 940*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}},
+		"closed":                             {request: call(0, 0, 900*ms, 0, record.Closed), want: OneAnswer},
+		"cut short by its server":            {request: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}},
+		"cut short by the balancer":          {request: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{served(1*ms, 29*ms)}, want: OneAnswer},
+		"an attempt after the answer":        {request: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms), served(90*ms, 99*ms)}, want: NothingLate},
+		"given up late":                      {request: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, want: PromptGiveUp},
+		"given up with an attempt in flight": {request: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 705*ms, record.NothingProven)}},
+		"given up during a connect outage":   {request: call(0, 0, 1900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, connectOutage: true},
+		"given up late in a connect outage":  {request: call(0, 0, 1900*ms, 1700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, connectOutage: true, want: PromptGiveUp},
+		"non-idempotent, sent again":         {request: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(30*ms, 50*ms)}, want: NoRepeat},
+		"non-idempotent, never ran":          {request: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NeverRan), served(30*ms, 50*ms)}},
+		"non-idempotent, rate-limited":       {request: call(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven)}, want: HarmlessRetry},
+		"deduplicated, within its window":    {request: call(2, 0, 5000*ms, 1960*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(1930*ms, 1950*ms)}},
+		"deduplicated, after its window":     {request: call(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(2100*ms, 2150*ms)}, want: NoRepeat},
+		"two attempts in flight":             {request: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.NothingProven), served(30*ms, 150*ms)}, want: AttemptsInSequence},
+		"a drained host": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}}, want: Drains},
-		"told twice": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
+		"drain noticed twice": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}, {Host: "n", At: 1500 * ms}}, want: Drains},
-		"back again": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
+		"drained host available again": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 500 * ms}, {Host: "n", Available: true, At: 1500 * ms}}},
-		"told what is left":     {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 690*ms)}},
-		"told the client's own": {call: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 691*ms)}, want: Deadlines},
-		"within the grace": {call: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2040*ms, 2100*ms)},
+		"server timeout within the slack": {request: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 690*ms)}},
+		"server timeout beyond the slack": {request: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 691*ms)}, want: Deadlines},
+		"within the drain grace": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2040*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}}},
 	} {
 		rec := record.New()
-		rec.Requests, rec.Attempts, rec.HostNotices = []record.Request{row.call}, row.attempts, row.notices
-		if row.dark {
+		rec.Requests, rec.Attempts, rec.HostNotices = []record.Request{row.request}, row.attempts, row.notices
+		if row.connectOutage {
 			rec.ConnectOutages = []record.ConnectOutage{{To: 100 * ms}}
 		}
 		var got Rule
@@ -131,24 +131,24 @@
 		notices    []record.HostNotice
 		attempts   []record.Attempt
 		upgrades   []record.Upgrade
-		calls      []record.Request
+		requests   []record.Request
 		adminCalls []record.AdminCall
 		want       Rule
 	}{
-		"out and back":                 {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
-		"sent to though it is out":     {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
+		"excluded and included":        {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(1500 * ms), attemptAt(6 * second)}},
+		"sent to while excluded":       {notices: []record.HostNotice{excluded, listed, included}, attempts: []record.Attempt{attemptAt(3 * second), attemptAt(6 * second)}, want: Drains},
 		"sent to by a newer process":   {notices: []record.HostNotice{excluded}, attempts: []record.Attempt{attemptAt(3500 * ms)}, upgrades: []record.Upgrade{upgrade}, want: Drains},
-		"left unused":                  {notices: []record.HostNotice{excluded, included}, want: IncludedHostUsed},
-		"used too late":                {notices: []record.HostNotice{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: IncludedHostUsed},
-		"two turned back":              {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms)}},
-		"three turned back":            {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: UpgradeTurnsNoneAway},
-		"three closed at another time": {upgrades: []record.Upgrade{upgrade}, calls: []record.Request{closed("b", 8*second), closed("c", 8*second), closed("d", 8*second)}},
+		"included but not used":        {notices: []record.HostNotice{excluded, included}, want: IncludedHostUsed},
+		"included and used too late":   {notices: []record.HostNotice{excluded, included}, attempts: []record.Attempt{attemptAt(11 * second)}, want: IncludedHostUsed},
+		"two turned away":              {upgrades: []record.Upgrade{upgrade}, requests: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms)}},
+		"three turned away":            {upgrades: []record.Upgrade{upgrade}, requests: []record.Request{closed("b", 3200*ms), closed("c", 3300*ms), closed("d", 3400*ms)}, want: UpgradeTurnsNoneAway},
+		"three closed at another time": {upgrades: []record.Upgrade{upgrade}, requests: []record.Request{closed("b", 8*second), closed("c", 8*second), closed("d", 8*second)}},
 		"never ready":                  {upgrades: []record.Upgrade{{From: second, To: 9 * second}}, want: UpgradeTurnsNoneAway},
-		"a no at the door":             {adminCalls: []record.AdminCall{{What: "x", Took: 5 * ms}}, want: AdminInTime},
-		"a late yes":                   {adminCalls: []record.AdminCall{{What: "x", Took: 1100 * ms, OK: true}}, want: AdminInTime},
+		"admin call fails":             {adminCalls: []record.AdminCall{{What: "x", Took: 5 * ms}}, want: AdminInTime},
+		"admin call succeeds late":     {adminCalls: []record.AdminCall{{What: "x", Took: 1100 * ms, OK: true}}, want: AdminInTime},
 	} {
 		rec := record.New()
-		rec.Requests, rec.HostNotices, rec.Upgrades, rec.AdminCalls = append(row.calls, lastRequest), row.notices, row.upgrades, row.adminCalls
+		rec.Requests, rec.HostNotices, rec.Upgrades, rec.AdminCalls = append(row.requests, lastRequest), row.notices, row.upgrades, row.adminCalls
 		rec.Attempts = row.attempts
 		for i := range rec.Attempts { // give each attempt a request of its own that it answered
 			c := call(0, rec.Attempts[i].FirstByteAt-ms, rec.Attempts[i].FirstByteAt+second, rec.Attempts[i].Ended+ms, record.Fulfilled)
--- a/internal/rehearsal/judge/limits.go
+++ b/internal/rehearsal/judge/limits.go
@@ -68,8 +68,8 @@
 	aloneSince := map[int]time.Duration{} // by balancer: since when it alone has gotten nearly all of the quota's requests
 	for i := range shares {
 		p := &shares[i]
-		around := 3 * c.config.Membership.Balancers
-		othersNeed := slices.ContainsFunc(shares[max(0, i-around):min(len(shares), i+around)], func(o record.LimitShare) bool {
+		samplesAround := 3 * c.config.Membership.Balancers
+		othersNeed := slices.ContainsFunc(shares[max(0, i-samplesAround):min(len(shares), i+samplesAround)], func(o record.LimitShare) bool {
 			return o.Balancer != p.Balancer && o.At > p.At-500*time.Millisecond && o.At < p.At+300*time.Millisecond && o.Demand > 0.02*o.Quota
 		})
 		since, ok := aloneSince[p.Balancer]
@@ -97,8 +97,8 @@
 		}
 	}
 	for b := range c.config.Membership.Balancers {
-		if !c.ranThroughout(b, since-lease, to) || b != from && slices.ContainsFunc(c.rec.LinkOutages, func(w record.LinkOutage) bool {
-			return (w.From == from && w.To == b || w.From == b && w.To == from) && w.Begin < to && w.End > since-c.config.Membership.ConvergenceTime()
+		if !c.ranThroughout(b, since-lease, to) || b != from && slices.ContainsFunc(c.rec.LinkOutages, func(outage record.LinkOutage) bool {
+			return (outage.From == from && outage.To == b || outage.From == b && outage.To == from) && outage.Begin < to && outage.End > since-c.config.Membership.ConvergenceTime()
 		}) {
 			return false
 		}
--- a/internal/rehearsal/judge/membership.go
+++ b/internal/rehearsal/judge/membership.go
@@ -22,20 +22,20 @@
 // 0 means that the balancers do not exchange messages.
 type MembershipConfig struct {
 	Balancers                     int
-	ProbePeriod, SuspicionTimeout time.Duration // between probes; from suspicion to death
-	GossipBytesPerSecond          int           // gossip bytes a second
+	ProbePeriod, SuspicionTimeout time.Duration // time between probes; time from suspicion to declared death
+	GossipBytesPerSecond          int           // budget of each balancer for gossip
 	LossRatio                     float64       // share of datagrams that get lost
-	Lease                         time.Duration // for which shares of limits are lent
+	Lease                         time.Duration // how long shares of limits are lent
 }
 
-// ConvergenceTime bounds how long after the last disturbance between two balancers each of their views holds the other. It allows
+// ConvergenceTime bounds how long after the last disturbance between two balancers each of their views lists the other. It allows
 // for one contact attempt of each in 5 periods, the refutation, suspicions that began by then, and indirect paths where datagrams
 // get lost.
 func (m MembershipConfig) ConvergenceTime() time.Duration {
 	return time.Duration(float64(20*m.ProbePeriod+2*m.SuspicionTimeout)*(1+4*m.LossRatio)) + time.Second
 }
 
-// FailureDetectionTime bounds how long an ended process may be alive in a view; docs/notes/members.md derives the bound.
+// FailureDetectionTime bounds how long a view may list an ended process as alive; docs/notes/members.md derives the bound.
 func (m MembershipConfig) FailureDetectionTime() time.Duration {
 	bound := 2.1*float64(m.Balancers-1)*float64(m.ProbePeriod) + 3*float64(m.ProbePeriod+2*m.SuspicionTimeout) + 8*float64(m.ProbePeriod)
 	return time.Duration(bound*(1+4*m.LossRatio)) + time.Second
@@ -59,7 +59,7 @@
 	if m.ProbePeriod == 0 {
 		return
 	}
-	healTime, deathTime := m.ConvergenceTime(), m.FailureDetectionTime()
+	convergenceTime, detectionTime := m.ConvergenceTime(), m.FailureDetectionTime()
 	processIDAt := func(b int, at time.Duration) (processID string) {
 		for _, l := range c.rec.Memberships {
 			if l.Balancer == b && l.From <= at && (l.To == 0 || at <= l.To) {
@@ -68,11 +68,11 @@
 		}
 		return processID
 	}
-	notComparable := make([]bool, len(c.rec.Views)) // views that break another rule by themselves, or are of too new a process to be checked
+	notComparable := make([]bool, len(c.rec.Views)) // views that break another rule by themselves, or whose process started too recently
 	for i, v := range c.rec.Views {
 		notComparable[i] = true
-		if processIDAt(v.Balancer, v.At) != v.ProcessID || !c.ranThroughout(v.Balancer, v.At-healTime, v.At) {
-			continue // the process has just started, or has another's name
+		if processIDAt(v.Balancer, v.At) != v.ProcessID || !c.ranThroughout(v.Balancer, v.At-convergenceTime, v.At) {
+			continue // the process has just started, or shares its name with another one
 		}
 		entries := map[string]record.Member{}
 		for _, entry := range v.Members {
@@ -84,16 +84,16 @@
 				continue
 			}
 			entry, known := entries[record.BalancerName(b)]
-			if c.ranThroughout(b, v.At-healTime, v.At) && c.canReach(v.Balancer, b, v.At-healTime, v.At) {
+			if c.ranThroughout(b, v.At-convergenceTime, v.At) && c.canReach(v.Balancer, b, v.At-convergenceTime, v.At) {
 				c.checked[MembersKnown]++
 				c.checked[NoFalseDeath]++
 				switch processID := processIDAt(b, v.At); {
 				case !known || entry.ProcessID != processID:
 					notComparable[i] = true
-					c.addBreach(MembersKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, entry.ProcessID, b+1, processID, healTime)
+					c.addBreach(MembersKnown, "", v.At, 0, "balancer %d holds life %q of balancer %d, which is %q for %v", v.Balancer+1, entry.ProcessID, b+1, processID, convergenceTime)
 				case !entry.Present():
 					notComparable[i] = true
-					c.addBreach(NoFalseDeath, "", v.At, 0, "balancer %d holds balancer %d %s, which lives and could be reached for %v", v.Balancer+1, b+1, entry.State, healTime)
+					c.addBreach(NoFalseDeath, "", v.At, 0, "balancer %d holds balancer %d %s, which lives and could be reached for %v", v.Balancer+1, b+1, entry.State, convergenceTime)
 				}
 			}
 			if !known || !entry.Present() {
@@ -102,7 +102,7 @@
 			for _, l := range c.rec.Memberships {
 				if l.Balancer == b && l.ProcessID == entry.ProcessID && l.To > 0 && l.To < v.At && c.ranThroughout(v.Balancer, l.To, v.At) {
 					c.checked[DeathDetected]++
-					if over := v.At - l.To - deathTime; over > 0 {
+					if over := v.At - l.To - detectionTime; over > 0 {
 						notComparable[i] = true
 						c.addBreach(DeathDetected, "", v.At, over, "balancer %d holds balancer %d %s, which ended %v before", v.Balancer+1, b+1, entry.State, v.At-l.To)
 					}
@@ -111,9 +111,9 @@
 		}
 	}
 	for i := range c.rec.Views {
-		c.checkSameViews(i, notComparable, healTime, max(healTime, deathTime))
+		c.checkSameViews(i, notComparable, convergenceTime, max(convergenceTime, detectionTime))
 	}
-	c.checkNameConflicts(healTime)
+	c.checkNameConflicts(convergenceTime)
 	c.checkTraffic()
 }
 
@@ -122,14 +122,14 @@
 
 // checkSameViews compares a view with those of balancers that could reach its owner, provided that nothing disturbed the
 // fleet for quietTime.
-func (c *checker) checkSameViews(index int, notComparable []bool, healTime, quietTime time.Duration) {
+func (c *checker) checkSameViews(index int, notComparable []bool, convergenceTime, quietTime time.Duration) {
 	v := c.rec.Views[index]
 	if notComparable[index] || !c.unchanged(v.At-quietTime, v.At+viewCompareWindow) {
 		return
 	}
 	for i := index + 1; i < len(c.rec.Views) && c.rec.Views[i].At <= v.At+viewCompareWindow; i++ {
 		o := c.rec.Views[i]
-		if notComparable[i] || o.Balancer == v.Balancer || !c.canReach(v.Balancer, o.Balancer, v.At-healTime, o.At) {
+		if notComparable[i] || o.Balancer == v.Balancer || !c.canReach(v.Balancer, o.Balancer, v.At-convergenceTime, o.At) {
 			continue
 		}
 		c.checked[ViewsEqual]++
@@ -153,8 +153,8 @@
 			return false
 		}
 	}
-	for _, w := range c.rec.LinkOutages {
-		if in(w.Begin) || in(w.End) {
+	for _, outage := range c.rec.LinkOutages {
+		if in(outage.Begin) || in(outage.End) {
 			return false
 		}
 	}
@@ -177,8 +177,8 @@
 // that ran throughout.
 func (c *checker) canReach(a, b int, from, to time.Duration) bool {
 	open := func(x, y int) bool {
-		return !slices.ContainsFunc(c.rec.LinkOutages, func(w record.LinkOutage) bool {
-			return (w.From == x && w.To == y || w.From == y && w.To == x) && w.Begin < to && w.End > from
+		return !slices.ContainsFunc(c.rec.LinkOutages, func(outage record.LinkOutage) bool {
+			return (outage.From == x && outage.To == y || outage.From == y && outage.To == x) && outage.Begin < to && outage.End > from
 		})
 	}
 	if open(a, b) {
@@ -193,17 +193,17 @@
 }
 
 // checkNameConflicts checks that of two processes with one name each reports the conflict in time.
-func (c *checker) checkNameConflicts(healTime time.Duration) {
+func (c *checker) checkNameConflicts(convergenceTime time.Duration) {
 	for _, s := range c.rec.Pauses {
-		if s.SameNameAs == 0 || s.To-s.From < healTime {
+		if s.SameNameAs == 0 || s.To-s.From < convergenceTime {
 			continue
 		}
 		for _, b := range []int{s.Balancer, s.SameNameAs - 1} {
 			c.checked[NameConflictReported]++
 			if !slices.ContainsFunc(c.rec.Views, func(v record.MembershipView) bool {
-				return v.Balancer == b && v.NameConflict && v.At > s.From && v.At <= s.From+healTime
+				return v.Balancer == b && v.NameConflict && v.At > s.From && v.At <= s.From+convergenceTime
 			}) {
-				c.addBreach(NameConflictReported, "", s.From+healTime, 0, "balancer %d never tells that another one has its name", b+1)
+				c.addBreach(NameConflictReported, "", s.From+convergenceTime, 0, "balancer %d never tells that another one has its name", b+1)
 			}
 		}
 	}
