--- a/internal/rehearsal/record/record.go
+++ b/internal/rehearsal/record/record.go
@@ -44,7 +44,7 @@
 	RetryAfter        time.Duration // the time to wait before a retry that a rate-limited answer gave
 	ExtraAnswers      int           // number of further answers after the final one
 	BalancerStopped   bool          // the balancer was killed or stopped on purpose while it had the request
-	ClosedConnections int           // how often it met an idle connection that the balancer had closed
+	ClosedConnections int           // how often it was sent on an idle connection that the balancer had closed
 	NotSent           bool          // not sent: no connection to the balancer came up, or the clients had too many open requests
 }
 
