--- a/internal/rehearsal/report/report.go
+++ b/internal/rehearsal/report/report.go
@@ -58,7 +58,7 @@
 	Servers   []Server         `json:"servers"`
 	Faults    []record.Band    `json:"faults"`
 	Seconds   []Second         `json:"seconds"`
-	Once      Share            `json:"wanted_once"`
+	Once      Share            `json:"wanted_once"` // requests for keys that no other request uses
 }
 
 // Machine describes the machine on which the rehearsal ran.
@@ -326,12 +326,12 @@
 	if r.Once.Of > 0 {
 		fmt.Fprintf(to, "keys wanted once: %d of %d in time\n", r.Once.Good, r.Once.Of)
 	}
-	var tries []string
+	var counts []string
 	for outcome, n := range r.Outcomes {
-		tries = append(tries, fmt.Sprintf("%s %d", outcome, n))
+		counts = append(counts, fmt.Sprintf("%s %d", outcome, n))
 	}
-	slices.Sort(tries)
-	fmt.Fprintf(to, "tries: %s\n", strings.Join(tries, ", "))
+	slices.Sort(counts)
+	fmt.Fprintf(to, "tries: %s\n", strings.Join(counts, ", "))
 	l := r.Latency
 	fmt.Fprintf(to, "fulfilled after p50 %v, p90 %v, p99 %v, p99.9 %v\n", l.P50, l.P90, l.P99, l.P999)
 	fmt.Fprintf(to, "the kit sent late by p99 %v, p99.9 %v, at most %v; ran late by at most %v\n", r.Late.P99, r.Late.P999, r.Late.Max,
