--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -20,7 +20,7 @@
 	Restart(balancer int)                                // ends its process with a drain and starts it again
 	Reload(balancer int) error                           // gives it a new configuration with another discovery address
 	MalformedClient(i int)                               // runs a client that sends malformed input; returns when it has ended
-	SetExcluded(host string, out bool)                   // excludes a host, or includes it again, at every balancer's admin API
+	SetExcluded(host string, excluded bool)              // excludes a host, or includes it again, at every balancer's admin API
 	Upgrade(balancer int) error                          // has a newer process take over
 	Pause(balancer int, length time.Duration)            // pauses its process
 	RestartWithWrongPeers(balancer int)                  // kills it and starts it with wrong addresses of the other balancers
@@ -48,7 +48,7 @@
 	run func()
 }
 
-// New returns the timeline of a scenario's faults.
+// New returns the timeline of the faults of w's scenario.
 func New(w *standin.Environment, b BalancerControl) *Timeline {
 	t := &Timeline{world: w, balancers: b, currentID: map[string]string{}}
 	for i := range w.Scenario.Faults {
@@ -88,21 +88,21 @@
 	}
 }
 
-// hostAt returns the host that now has the place of one that existed at the start: itself or its latest replacement.
-func (t *Timeline) hostAt(place string) *standin.Host {
+// hostAt returns the current host for one that existed at the start, by the id of the latter: itself or its latest replacement.
+func (t *Timeline) hostAt(initialID string) *standin.Host {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if id, ok := t.currentID[place]; ok {
+	if id, ok := t.currentID[initialID]; ok {
 		return t.world.Host(id)
 	}
-	return t.world.Host(place)
+	return t.world.Host(initialID)
 }
 
 // addInterval schedules one action on hosts for a fault's begin and another for its end.
-func (t *Timeline) addInterval(fault *scenario.Fault, places []string, begin, end func(n *standin.Host)) {
-	for _, p := range places {
-		t.addStep(fault.At.Duration(), func() { begin(t.hostAt(p)) })
-		t.addStep((fault.At + fault.Length).Duration(), func() { end(t.hostAt(p)) })
+func (t *Timeline) addInterval(fault *scenario.Fault, hostIDs []string, begin, end func(n *standin.Host)) {
+	for _, hostID := range hostIDs {
+		t.addStep(fault.At.Duration(), func() { begin(t.hostAt(hostID)) })
+		t.addStep((fault.At + fault.Length).Duration(), func() { end(t.hostAt(hostID)) })
 	}
 }
 
@@ -110,27 +110,27 @@
 func (t *Timeline) schedule(i int) {
 	fault := &t.world.Scenario.Faults[i]
 	from, to := fault.At.Duration(), (fault.At + fault.Length).Duration()
-	places, balancers := t.world.Scenario.AffectedHosts(i), t.world.Scenario.AffectedBalancers(i)
+	hostIDs, balancers := t.world.Scenario.AffectedHosts(i), t.world.Scenario.AffectedBalancers(i)
 	description := fault.Kind
 	switch fault.Kind {
 	case "slow":
-		t.addInterval(fault, places, func(n *standin.Host) { n.SetSlowdown(fault.Factor) }, func(n *standin.Host) { n.SetSlowdown(1) })
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { n.SetSlowdown(fault.Factor) }, func(n *standin.Host) { n.SetSlowdown(1) })
 	case "stall":
-		t.addInterval(fault, places, func(n *standin.Host) { n.SetStalled(true) }, func(n *standin.Host) { n.SetStalled(false) })
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { n.SetStalled(true) }, func(n *standin.Host) { n.SetStalled(false) })
 	case "spoil":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Corrupt(fault.Share) }, func(n *standin.Host) { n.Corrupt(0) })
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { n.Corrupt(fault.Share) }, func(n *standin.Host) { n.Corrupt(0) })
 	case "reset":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Reset(fault.Share) }, func(n *standin.Host) { n.Reset(0) })
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { n.Reset(fault.Share) }, func(n *standin.Host) { n.Reset(0) })
 	case "fail":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Fail(fault.Share) }, func(n *standin.Host) { n.Fail(0) })
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { n.Fail(fault.Share) }, func(n *standin.Host) { n.Fail(0) })
 	case "kill":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Stop(); t.setCondition(n, model.Left) },
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { n.Stop(); t.setCondition(n, model.Left) },
 			func(n *standin.Host) { t.check(n.Start(true)); t.setCondition(n, model.Active) })
 	case "vanish", "zone-dark":
-		t.addInterval(fault, places, func(n *standin.Host) { n.Disconnect(); t.setCondition(n, model.Left) },
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { n.Disconnect(); t.setCondition(n, model.Left) },
 			func(n *standin.Host) { t.check(n.Reconnect()); t.setCondition(n, model.Active) })
 	case "link-delay":
-		t.addLinkFault(fault, places, balancers, func(n *standin.Host, b int, active bool) {
+		t.addLinkFault(fault, hostIDs, balancers, func(n *standin.Host, b int, active bool) {
 			if active {
 				n.Delay(b, fault.Delay.Duration())
 			} else {
@@ -138,9 +138,9 @@
 			}
 		})
 	case "link-cut":
-		t.addLinkFault(fault, places, balancers, func(n *standin.Host, b int, active bool) { t.check(n.Cut(b, active)) })
+		t.addLinkFault(fault, hostIDs, balancers, func(n *standin.Host, b int, active bool) { t.check(n.Cut(b, active)) })
 	case "deploy":
-		t.deploy(fault, places)
+		t.deploy(fault, hostIDs)
 	case "register-silent":
 		for _, b := range balancers {
 			t.addStep(from, func() { t.world.Discovery.SetSilent(b, true) })
@@ -176,15 +176,15 @@
 			t.addStep(from, func() { t.check(t.balancers.Reload(b)) })
 		}
 	case "by-hand":
-		for _, p := range places {
-			t.addStep(from, func() { t.balancers.SetExcluded(t.hostAt(p).ID, true) })
+		for _, hostID := range hostIDs {
+			t.addStep(from, func() { t.balancers.SetExcluded(t.hostAt(hostID).ID, true) })
 			t.addStep((from+to)/2, func() {
-				n := t.hostAt(p)
+				n := t.hostAt(hostID)
 				n.Stop()
 				t.check(n.Start(true))
 				t.setCondition(n, model.Active)
 			})
-			t.addStep(to, func() { t.balancers.SetExcluded(t.hostAt(p).ID, false) })
+			t.addStep(to, func() { t.balancers.SetExcluded(t.hostAt(hostID).ID, false) })
 		}
 	case "balancer-stall":
 		for _, b := range balancers {
@@ -205,19 +205,19 @@
 			t.addStep(from, func() { t.pending.Go(func() { t.check(t.balancers.Upgrade(b)) }) })
 		}
 	case "crowd", "rude":
-		play := t.balancers.MalformedClient
+		runClient := t.balancers.MalformedClient
 		if fault.Kind == "crowd" {
-			play = t.balancers.CrowdConnection
+			runClient = t.balancers.CrowdConnection
 		}
 		for n := range fault.Count {
-			t.addStep(from+fault.Length.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { play(n) }) })
+			t.addStep(from+fault.Length.Duration()*time.Duration(n)/time.Duration(fault.Count), func() { t.pending.Go(func() { runClient(n) }) })
 		}
 	}
 	if strings.HasPrefix(fault.Kind, "mate-") {
 		t.scheduleBalancerLinks(i, fault)
 	}
 	if strings.Contains(" slow stall kill vanish link-delay link-cut deploy by-hand ", " "+fault.Kind+" ") {
-		description += " " + strings.Join(places, " ")
+		description += " " + strings.Join(hostIDs, " ")
 	} else if fault.Zone != "" || fault.Tenant != "" {
 		description += " " + fault.Zone + fault.Tenant
 	}
@@ -248,23 +248,23 @@
 }
 
 // LinkOutages returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
-// reorders or corrupts datagrams, or loses few of them, cuts nothing.
-func LinkOutages(fault *scenario.Fault, links [][2]int) (cuts []record.LinkOutage) {
+// reorders or corrupts datagrams, or loses few of them, causes no outage.
+func LinkOutages(fault *scenario.Fault, links [][2]int) (outages []record.LinkOutage) {
 	if fault.Kind != "mate-cut" && fault.Kind != "mate-flap" && !(fault.Kind == "mate-loss" && fault.Share > maxUsableLoss) && fault.Kind != "mate-narrow" {
 		return nil
 	}
 	for _, link := range links {
-		cuts = append(cuts, record.LinkOutage{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.Length).Duration()})
+		outages = append(outages, record.LinkOutage{From: link[0], To: link[1], Begin: fault.At.Duration(), End: (fault.At + fault.Length).Duration()})
 	}
-	return cuts
+	return outages
 }
 
 // maxUsableLoss is the share of lost datagrams up to which a link between balancers counts as usable.
 const maxUsableLoss = 0.35
 
-func (t *Timeline) addLinkFault(fault *scenario.Fault, places []string, balancers []int, apply func(n *standin.Host, b int, active bool)) {
+func (t *Timeline) addLinkFault(fault *scenario.Fault, hostIDs []string, balancers []int, apply func(n *standin.Host, b int, active bool)) {
 	for _, b := range balancers {
-		t.addInterval(fault, places, func(n *standin.Host) { apply(n, b, true) }, func(n *standin.Host) { apply(n, b, false) })
+		t.addInterval(fault, hostIDs, func(n *standin.Host) { apply(n, b, true) }, func(n *standin.Host) { apply(n, b, false) })
 	}
 }
 
@@ -281,28 +281,28 @@
 // deploy replaces hosts in waves. The successor starts cold when the old host begins to leave, or, where it takes over the old
 // one's address, after the old one has ended. The old host goes on until every balancer must have been notified, and then for
 // the fault's drain time.
-func (t *Timeline) deploy(fault *scenario.Fault, places []string) {
-	waves := (len(places) + fault.AtOnce - 1) / fault.AtOnce
-	for i, p := range places {
+func (t *Timeline) deploy(fault *scenario.Fault, hostIDs []string) {
+	waves := (len(hostIDs) + fault.AtOnce - 1) / fault.AtOnce
+	for i, hostID := range hostIDs {
 		at := fault.At.Duration() + fault.Length.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
 		stopDelay := t.world.Scenario.Discovery.Delay[1].Duration() + fault.Drain.Duration()
 		var old, next *standin.Host
 		t.addStep(at, func() {
-			old = t.hostAt(p)
+			old = t.hostAt(hostID)
 			t.setCondition(old, model.Leaving)
 			if !fault.SameAddress {
-				next = t.startSuccessor(p, old, false)
+				next = t.startSuccessor(hostID, old, false)
 			}
 		})
 		t.addStep(at+stopDelay, func() {
 			old.Stop()
 			t.setCondition(old, model.Left)
 			if fault.SameAddress {
-				next = t.startSuccessor(p, old, true)
+				next = t.startSuccessor(hostID, old, true)
 			}
 			if next != nil {
 				t.mu.Lock()
-				t.currentID[p] = next.ID
+				t.currentID[hostID] = next.ID
 				t.mu.Unlock()
 			}
 		})
@@ -310,8 +310,8 @@
 }
 
 // startSuccessor starts a cold host in place of an old one and lists it as active.
-func (t *Timeline) startSuccessor(place string, old *standin.Host, sameAddress bool) *standin.Host {
-	id := fmt.Sprintf("%s.%d", place, strings.Count(old.ID, ".")+2)
+func (t *Timeline) startSuccessor(initialID string, old *standin.Host, sameAddress bool) *standin.Host {
+	id := fmt.Sprintf("%s.%d", initialID, strings.Count(old.ID, ".")+2)
 	var inherit *standin.Host
 	if sameAddress {
 		inherit = old
