--- a/internal/rehearsal/model/arrivals.go
+++ b/internal/rehearsal/model/arrivals.go
@@ -102,20 +102,20 @@
 			}
 			keep := r.Float64() < usualRate*t.rateMultiple(at, tenant.Name)/maxRate
 			a := Arrival{At: at, Tenant: i, Product: pickProduct(r), Zone: pickZone(r)}
-			key, focusDraw, focusKeyDraw := pickKey(r), r.Float64(), r.Uint64()
-			giveUpPart := t.GiveUpRange[0] + (t.GiveUpRange[1]-t.GiveUpRange[0])*r.Float64()
+			key, hotDraw, hotKeyDraw := pickKey(r), r.Float64(), r.Uint64()
+			giveUpFraction := t.GiveUpRange[0] + (t.GiveUpRange[1]-t.GiveUpRange[0])*r.Float64()
 			if !keep {
 				continue
 			}
 			n++
 			p := t.Products[a.Product]
 			a.ID = fmt.Sprintf("%x-%x", i, n)
-			a.Key, a.Timeout = KeyName(key), time.Duration(giveUpPart*float64(p.ClientTimeout))
+			a.Key, a.Timeout = KeyName(key), time.Duration(giveUpFraction*float64(p.ClientTimeout))
 			if p.Deduplicated {
 				a.DedupToken = "m" + a.ID
 			}
 			if !p.Write {
-				t.applyFocus(&a, focusDraw, focusKeyDraw)
+				t.applyFocus(&a, hotDraw, hotKeyDraw)
 			}
 			if all = append(all, a); len(all) > MaxArrivals {
 				return nil, fmt.Errorf("more than %d requests in the run", MaxArrivals)
@@ -151,7 +151,7 @@
 	return multiple
 }
 
-// applyFocus replaces the key of a read if a focus applies to it.
+// applyFocus replaces the key of a read if an element of HotKeys applies to it.
 func (t *LoadConfig) applyFocus(a *Arrival, draw float64, keyDraw uint64) {
 	for i, f := range t.HotKeys {
 		if a.At < f.From || a.At >= f.To || draw >= f.Share {
@@ -197,16 +197,17 @@
 type RetryPolicy struct {
 	MaxRetries    int           // maximum number of retries
 	InitialDelay  time.Duration // mean delay before the first retry, doubled for each further one
-	HonourRatio   float64       // probability that the client waits as long as the answer asks it to
+	HonourRatio   float64       // probability that the client waits as long as the answer requests
 	MaxRetryAfter time.Duration // upper limit of that wait
 }
 
-// NextDelay returns how long a client waits before its next retry, and whether it retries. It retries only if that is harmless.
-func (t RetryPolicy) NextDelay(r *rand.Rand, tries int, harmless bool, retryAfter time.Duration) (wait time.Duration, retry bool) {
-	if tries > t.MaxRetries || !harmless {
+// NextDelay returns how long a client waits before its next retry, and whether it retries. Sent is how often it has sent the
+// request. It retries only if that is harmless.
+func (t RetryPolicy) NextDelay(r *rand.Rand, sent int, harmless bool, retryAfter time.Duration) (wait time.Duration, retry bool) {
+	if sent > t.MaxRetries || !harmless {
 		return 0, false
 	}
-	wait = t.InitialDelay << (tries - 1)
+	wait = t.InitialDelay << (sent - 1)
 	wait = wait/2 + time.Duration(r.Float64()*float64(wait))
 	if retryAfter > 0 && r.Float64() < t.HonourRatio {
 		wait = max(wait, min(retryAfter, t.MaxRetryAfter))
--- a/internal/rehearsal/model/host.go
+++ b/internal/rehearsal/model/host.go
@@ -53,21 +53,22 @@
 // more memory than the values themselves.
 const maxCachedValues = 1 << 20
 
-// warmUpSteps is the number of steps in which a host warms up. Each step is 2% of the way, less than the variation of the work.
+// warmUpSteps is the number of steps in which a host warms up. Each step is 2% of the warm-up, which changes the capacity
+// by less than the variation of the work.
 const warmUpSteps = 50
 
 // NewHost starts a host. A cold host has an empty cache and warms up from now on; any other has its full capacity at once.
-func NewHost(terms HostConfig, now time.Duration, cold bool, rng *rand.Rand) *Host {
-	n := &Host{terms: terms, rng: rng, startedAt: now, startedCold: cold && terms.WarmUpTime > 0, slowdown: 1, pauseChangeAt: never, warmStepAt: never,
-		processor: processor{cores: terms.Cores, maxWaiting: terms.Queue, now: now}, loadRecordedUntil: now,
-		loadMeter: loadMeter{window: terms.OverloadWindow, startedAt: now}}
-	n.loadMeter.slot = int64(now) / max(1, int64(terms.OverloadWindow)/loadMeterSlots)
+func NewHost(config HostConfig, now time.Duration, cold bool, rng *rand.Rand) *Host {
+	n := &Host{terms: config, rng: rng, startedAt: now, startedCold: cold && config.WarmUpTime > 0, slowdown: 1, pauseChangeAt: never, warmStepAt: never,
+		processor: processor{cores: config.Cores, maxWaiting: config.Queue, now: now}, loadRecordedUntil: now,
+		loadMeter: loadMeter{window: config.OverloadWindow, startedAt: now}}
+	n.loadMeter.slot = int64(now) / max(1, int64(config.OverloadWindow)/loadMeterSlots)
 	n.cache, _ = simplelru.NewLRU[string, cachedValue](maxCachedValues, func(_ string, k cachedValue) { n.bytes -= int64(k.size) })
-	if terms.PauseInterval > 0 {
+	if config.PauseInterval > 0 {
 		n.pauseChangeAt = now + n.nextPause()
 	}
 	if n.startedCold {
-		n.warmStepAt = now + terms.WarmUpTime/warmUpSteps
+		n.warmStepAt = now + config.WarmUpTime/warmUpSteps
 	}
 	n.setRate()
 	return n
@@ -103,7 +104,7 @@
 	return n.terms.Speed * n.Warmth(now) / n.slowdown * float64(n.terms.Cores)
 }
 
-// recordLoad adds the capacity since the last call and the newly offered work to the load meter. It marks a cold host as failed
+// recordLoad adds the capacity since its previous use and the newly offered work to the load meter. It marks a cold host as failed
 // when the load is above OverloadMultiple.
 func (n *Host) recordLoad(now, work time.Duration) {
 	if !n.startedCold || n.failed || n.terms.OverloadMultiple <= 0 {
@@ -182,7 +183,7 @@
 	n.setRate()
 }
 
-// NextEvent returns the time of the next change that needs no call from outside.
+// NextEvent returns the time of the next change that occurs without a further method call.
 func (n *Host) NextEvent() time.Duration {
 	if n.failed {
 		return never
--- a/internal/rehearsal/model/model_test.go
+++ b/internal/rehearsal/model/model_test.go
@@ -48,13 +48,13 @@
 // A cold host that is offered more than three times its capacity for two seconds fails and stays down. The same load does not
 // make a warm host fail, nor does a lower load make a cold host fail.
 func TestColdNodeFalls(t *testing.T) {
-	terms := HostConfig{Cores: 2, Speed: 1, Queue: 1000, ColdCapacity: 0.2, WarmUpTime: 20 * s, OverloadMultiple: 3, OverloadWindow: 2 * s}
+	config := HostConfig{Cores: 2, Speed: 1, Queue: 1000, ColdCapacity: 0.2, WarmUpTime: 20 * s, OverloadMultiple: 3, OverloadWindow: 2 * s}
 	for _, row := range []struct {
 		cold       bool
 		perS       int
 		wantFailed bool
 	}{{true, 200, true}, {false, 200, false}, {true, 60, false}} {
-		n := NewHost(terms, 5*s, row.cold, NewRand(1, "n"))
+		n := NewHost(config, 5*s, row.cold, NewRand(1, "n"))
 		lost := 0
 		for at := 5 * s; at < 12*s; at += s / time.Duration(row.perS) {
 			for _, d := range n.Advance(at) {
@@ -77,9 +77,9 @@
 
 // A pause only delays the running jobs: over a minute the host does the work of its cores less the time of its pauses.
 func TestNodePauses(t *testing.T) {
-	terms := plainTerms
-	terms.PauseInterval, terms.PauseLength, terms.Queue = 2*s, 200*ms, 1<<20
-	n := NewHost(terms, 0, false, NewRand(7, "n"))
+	config := plainTerms
+	config.PauseInterval, config.PauseLength, config.Queue = 2*s, 200*ms, 1<<20
+	n := NewHost(config, 0, false, NewRand(7, "n"))
 	for range 20000 {
 		n.Offer(0, Job{WorkTime: 10 * ms})
 	}
@@ -182,16 +182,16 @@
 
 // The same seed gives the same requests. A surge of one tenant adds requests of that tenant and leaves the others unchanged.
 func TestArrivals(t *testing.T) {
-	terms := LoadConfig{Length: 20 * s, RequestsPerSecond: 500, Keys: 1000, Zipf: 1, Zones: []float64{1, 1}, GiveUpRange: [2]float64{0.5, 1},
+	config := LoadConfig{Length: 20 * s, RequestsPerSecond: 500, Keys: 1000, Zipf: 1, Zones: []float64{1, 1}, GiveUpRange: [2]float64{0.5, 1},
 		Products: []Product{{Name: "read", Share: 9, ClientTimeout: s}, {Name: "pay", Share: 1, ClientTimeout: s, Write: true, Deduplicated: true}},
 		Tenants:  []Tenant{{"a", 0.5}, {"b", 0.5}}, HotKeys: []HotKeys{{From: 5 * s, To: 10 * s, Share: 0.2}}}
-	first, err := Arrivals(3, terms)
+	first, err := Arrivals(3, config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, _ := Arrivals(3, terms)
-	terms.Surges = []Surge{{From: 5 * s, To: 10 * s, Tenant: "b", Factor: 3}}
-	withSurge, _ := Arrivals(3, terms)
+	second, _ := Arrivals(3, config)
+	config.Surges = []Surge{{From: 5 * s, To: 10 * s, Tenant: "b", Factor: 3}}
+	withSurge, _ := Arrivals(3, config)
 	expectEqual(t, first, second)
 	summarize := func(all []Arrival, tenant int) (n int, text string, once map[string]int) {
 		once = map[string]int{}
--- a/internal/rehearsal/model/origin.go
+++ b/internal/rehearsal/model/origin.go
@@ -45,9 +45,9 @@
 const maxVersionedKeys = 1 << 20
 
 // NewOrigin starts an origin.
-func NewOrigin(terms OriginConfig, now time.Duration) *Origin {
-	return &Origin{terms: terms, slowdown: 1, processor: processor{cores: terms.Slots, maxWaiting: terms.Queue, rate: 1, now: now}, loadRecordedUntil: now,
-		loadMeter: loadMeter{window: terms.OverloadWindow, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
+func NewOrigin(config OriginConfig, now time.Duration) *Origin {
+	return &Origin{terms: config, slowdown: 1, processor: processor{cores: config.Slots, maxWaiting: config.Queue, rate: 1, now: now}, loadRecordedUntil: now,
+		loadMeter: loadMeter{window: config.OverloadWindow, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
 }
 
 // SetSlowdown divides the speed of the origin by a factor; a factor of 1 restores it.
@@ -87,8 +87,8 @@
 	}
 }
 
-// Advance simulates the origin up to a given time and returns the jobs that ended or were lost, in order. The jobs that it has
-// when it stops are lost.
+// Advance simulates the origin up to a given time and returns the jobs that ended or were lost, in order. The jobs that are
+// queued or running when it stops are lost.
 func (g *Origin) Advance(now time.Duration) (done []Done) {
 	for {
 		if g.stopped {
@@ -159,7 +159,7 @@
 	}
 }
 
-// NextEvent returns the time of the next change that needs no call from outside.
+// NextEvent returns the time of the next change that occurs without a further method call.
 func (g *Origin) NextEvent() time.Duration {
 	if g.stopped {
 		return g.stoppedUntil
--- a/internal/rehearsal/model/processor.go
+++ b/internal/rehearsal/model/processor.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// never stands for a time that is not reached.
+// never is a time later than any event of a run.
 const never = time.Duration(math.MaxInt64)
 
 // Job is one unit of work at a cache host or the origin.
 type Job struct {
-	ID         string        // of the request that it belongs to; "" for work that nobody waits for
+	ID         string        // of the request that it belongs to; "" for work without a caller that waits for it
 	Key        string        // the key that it reads or writes
 	DedupToken string        // deduplication token of a deduplicated write
 	Write      bool          // whether it has an effect
@@ -135,7 +135,7 @@
 // seconds.
 const loadMeterSlots = 8
 
-// add records offered work and the capacity since the last call.
+// add records newly offered work and the capacity since its previous use.
 func (m *loadMeter) add(now time.Duration, offered, capacity float64) {
 	if m.window <= 0 {
 		return
--- a/internal/rehearsal/model/random.go
+++ b/internal/rehearsal/model/random.go
@@ -26,12 +26,12 @@
 
 // RequestWork draws the work of a request. It depends only on the seed and the request, so each attempt takes the same work on
 // any host and in every run with the seed. Variation is the standard deviation divided by the mean; it is 1 for Exponential.
-func RequestWork(seed uint64, id string, law Distribution, mean time.Duration, variation float64) time.Duration {
-	if law == Constant || mean <= 0 {
+func RequestWork(seed uint64, id string, distribution Distribution, mean time.Duration, variation float64) time.Duration {
+	if distribution == Constant || mean <= 0 {
 		return mean
 	}
 	r := NewRand(seed, "work "+id)
-	if law == Exponential {
+	if distribution == Exponential {
 		return time.Duration(r.ExpFloat64() * float64(mean))
 	}
 	s := math.Sqrt(math.Log(1 + variation*variation))
