--- a/internal/rehearsal/scenario/read.go
+++ b/internal/rehearsal/scenario/read.go
@@ -107,7 +107,7 @@
 }
 
 const (
-	maxHosts     = 1 << 16 // only catches typing errors; whether the machine is large enough is checked at the start of a rehearsal
+	maxHosts     = 1 << 16 // catches typing errors; the start of a rehearsal checks whether the machine is large enough
 	maxBalancers = 1 << 16 // as maxHosts
 	maxLength    = Span(time.Hour)
 	maxDuration  = Span(time.Minute) // of any single timeout, delay or processing time
@@ -438,7 +438,7 @@
 }
 
 // AffectedLinks returns the directed links between balancers, counted from 0, that a fault affects: from each of BALANCERS to each
-// of TO, and back unless the fault is one-way. A list that is left out means all balancers.
+// of TO, and back unless the fault is one-way. An empty list means all balancers.
 func (sc *Scenario) AffectedLinks(i int) (pairs [][2]int) {
 	f := &sc.Faults[i]
 	choose := func(list []int) (selected []int) {
--- a/internal/rehearsal/scenario/scenario.go
+++ b/internal/rehearsal/scenario/scenario.go
@@ -43,7 +43,7 @@
 	Membership Membership `toml:"mates"`
 	Faults     []Fault    `toml:"fault,omitempty"`
 
-	Operator string `toml:"operator"` // text of the operator's file that each balancer is started with
+	Operator string `toml:"operator"` // content of the operator's file that each balancer is started with
 }
 
 // Fleet describes the zones, the delays between them and the resources of each balancer.
@@ -55,8 +55,8 @@
 	MemoryMB       int      `toml:"memory_mb"` // of each balancer
 	Sockets        int      `toml:"sockets"`
 	Attempts       int      `toml:"shots"`   // maximum attempts per request
-	Mode           string   `toml:"mode"`    // aside: cache nodes report a miss and the balancer asks the gateway; through: cache nodes ask the gateway themselves
-	LoadReports    bool     `toml:"reports"` // cache nodes add their load to answers
+	Mode           string   `toml:"mode"`    // ModeAside or ModeThrough
+	LoadReports    bool     `toml:"reports"` // cache hosts add their load to answers
 }
 
 // Host describes a group of identical cache hosts, named NAME-1, NAME-2 and so on.
@@ -71,7 +71,7 @@
 	Connections           int     `toml:"connections"`
 	ConnectWork           Span    `toml:"connect_work"`
 	ProbeWork             Span    `toml:"probe_work"`
-	IdleTimeout           Span    `toml:"idle"`      // the node closes a connection that has been idle for this long
+	IdleTimeout           Span    `toml:"idle"`      // the host closes a connection that has been idle for this long
 	ConfiguredIdleTimeout Span    `toml:"idle_told"` // the idle timeout that balancers are configured with; IdleTimeout by default
 	PauseInterval         Span    `toml:"pause_every"`
 	PauseLength           Span    `toml:"pause_for"`
@@ -111,7 +111,7 @@
 type Clients struct {
 	MaxRetries         int        `toml:"tries"` // client retries, not counting the first request
 	RetryDelay         Span       `toml:"wait"`
-	HonourRatio        float64    `toml:"honour"` // share of the requested waiting times that clients obey
+	HonourRatio        float64    `toml:"honour"` // share of the waiting times named in answers that clients obey
 	MaxRetryAfter      Span       `toml:"come_back"`
 	GiveUpAt           [2]float64 `toml:"give_up_at"`
 	FailureNoticeDelay Span       `toml:"notice"` // time until clients stop using a balancer that has ended
@@ -148,7 +148,7 @@
 	OverloadWindow    Span    `toml:"fall_for"`
 	Slack             Span    `toml:"slack"`      // tolerance added to each time limit of the judge for transit
 	PromptTimeout     Span    `toml:"prompt"`     // time within which a request that was given up must be answered
-	ColdMissThreshold float64 `toml:"cold_blame"` // a stopped gateway is a breach if at least this share of its load was misses at cold nodes
+	ColdMissThreshold float64 `toml:"cold_blame"` // an origin outage is a breach if at least this share of its load was misses at cold hosts
 }
 
 // Membership describes the membership protocol between balancers and the links that it uses. Without Enabled, balancers do not
@@ -303,16 +303,17 @@
 	if betweenBalancers {
 		return
 	}
-	concernsHosts := f.Share == 0 || f.Kind == "reset" || f.Kind == "spoil" || f.Kind == "fail" // for these, part is a share of the answers, not of the hosts
-	if concernsHosts && len(f.Hosts) == 0 {
+	// For these three kinds, part is a share of the answers and does not select hosts.
+	allByDefault := f.Share == 0 || f.Kind == "reset" || f.Kind == "spoil" || f.Kind == "fail"
+	if allByDefault && len(f.Hosts) == 0 {
 		f.Hosts = []string{"*"}
 	}
 }
 
-// Modes of the fleet: which process asks the origin after a cache miss.
+// Modes of the fleet: which process contacts the origin after a cache miss.
 const (
-	ModeAside   = "aside"
-	ModeThrough = "through"
+	ModeAside   = "aside"   // cache hosts report a miss and the balancer contacts the origin
+	ModeThrough = "through" // cache hosts contact the origin themselves
 )
 
 // Effects of a product: whether a request may be executed again.
@@ -452,7 +453,7 @@
 // ErrFaulty is wrapped by all errors about a file's content.
 var ErrFaulty = errors.New("faulty scenario")
 
-// Text returns the text of a scenario file that parses to the same scenario.
+// Text returns the text of a scenario file from which Parse reads the same scenario.
 func (sc *Scenario) Text() ([]byte, error) {
 	withoutFaults := *sc
 	withoutFaults.Faults = nil
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// A faulty file is refused, and the error lists each mistake with file, line and key.
+// A faulty file is rejected, and the error lists each mistake with file, line and key.
 func TestFaultyFiles(t *testing.T) {
 	for _, row := range []struct{ text, want string }{
 		{"lenght = \"5s\"", "day.toml:1: lenght: unknown key"},
