--- a/internal/rehearsal/standin/discovery.go
+++ b/internal/rehearsal/standin/discovery.go
@@ -31,11 +31,11 @@
 	server         *http.Server
 	changed        chan struct{}   // closed at the next change; guarded by Discovery.mu
 	watchesStalled chan struct{}   // closed to make all open watches stop answering; guarded by Discovery.mu
-	notifiedBy     time.Duration   // when changes missed by a stalled watch count as known to the balancer; guarded by Discovery.mu
+	notifiedBy     time.Duration   // when changes missed by a stalled watch count as known; guarded by Discovery.mu
 	available      map[string]bool // by host: whether last reported to the balancer as active; guarded by Discovery.mu
 }
 
-// AddDiscovery adds discovery.
+// AddDiscovery starts the discovery stand-in, with one agent for each balancer.
 func (w *Environment) AddDiscovery() error {
 	delay := [2]time.Duration{w.Scenario.Discovery.Delay[0].Duration(), w.Scenario.Discovery.Delay[1].Duration()}
 	r := &Discovery{world: w, model: model.NewDiscovery(w.Scenario.Fleet.Balancers, delay, model.NewRand(w.Scenario.Seed, "register"))}
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// A change that has reached an agent counts as known to its balancer, whether or not the balancer asked for it. A change
+// A change that has reached an agent counts as known to its balancer, whether or not the balancer requested it. A change
 // missed by a stalled watch counts as known notifiedAfterStall after the watch stalled, or notifiedAfterWait after the end
 // of the wait that the watch had requested, whichever is later.
 const (
@@ -118,7 +118,7 @@
 	a.changed = make(chan struct{})
 }
 
-// assumeNotified records that a balancer knows that a host is no longer active, even if it never asked for the change.
+// assumeNotified records that a balancer knows that a host is no longer active, even if it never requested the change.
 func (r *Discovery) assumeNotified(balancer int, host string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -146,7 +146,7 @@
 	r.wakeWatches(balancer)
 	if a := r.agents[balancer]; !on {
 		for host, available := range a.available {
-			if available { // hosts that are no longer active count as known to be so now
+			if available { // if the host is no longer active, the balancer now counts as informed of that
 				time.AfterFunc(0, func() { r.assumeNotified(balancer, host) })
 			}
 		}
@@ -170,7 +170,7 @@
 	r.wakeWatches(balancer)
 }
 
-// BalancerRestarted is called when a balancer restarts and knows no hosts.
+// BalancerRestarted clears what was reported to a balancer. It is called before a new process of the balancer starts.
 func (r *Discovery) BalancerRestarted(balancer int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/rehearsal/standin/host.go
+++ b/internal/rehearsal/standin/host.go
@@ -51,7 +51,7 @@
 	return n, n.Start(cold)
 }
 
-// Start brings the host up as a new process.
+// Start starts the host as a new process.
 func (n *Host) Start(cold bool) error {
 	n.mu.Lock()
 	now := n.world.Now()
@@ -86,7 +86,7 @@
 	n.stopModel()
 }
 
-// Reconnect brings a vanished host back as a new process.
+// Reconnect makes a disconnected host reachable again, as a new process.
 func (n *Host) Reconnect() error {
 	for _, l := range n.links {
 		if err := l.restore(n.world, true); err != nil {
@@ -113,11 +113,11 @@
 // Addr returns the address at which a balancer reaches the host.
 func (n *Host) Addr(balancer int) string { return n.links[balancer].addr.String() }
 
-// Entry returns the host's entry in the host list, with the given condition.
-func (n *Host) Entry(condition model.Lifecycle) model.Entry {
+// Entry returns the host's entry in the host list, with the given lifecycle state.
+func (n *Host) Entry(lifecycle model.Lifecycle) model.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return model.Entry{Host: n.ID, Zone: n.Zone, MachineType: "cache", Lifecycle: condition, Weight: n.Group.Speed * float64(n.Group.Cores), StartedAt: n.startedAt}
+	return model.Entry{Host: n.ID, Zone: n.Zone, MachineType: "cache", Lifecycle: lifecycle, Weight: n.Group.Speed * float64(n.Group.Cores), StartedAt: n.startedAt}
 }
 
 // SetSlowdown slows the host's work down by a factor. It and the following methods inject faults; a zero argument ends them.
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -176,7 +176,7 @@
 		l.backlogFiller = nil
 	}
 	l.recordBacklog(w, outage)
-	// Closing the old listener resets connections that were established in its backlog and that nobody accepted.
+	// Closing the old listener resets connections that were established in its backlog and never accepted.
 	old := l.listener
 	old.Close()
 	close(l.restored)
--- a/internal/rehearsal/standin/origin.go
+++ b/internal/rehearsal/standin/origin.go
@@ -97,7 +97,7 @@
 	return g.resetRatio > 0 && g.random.Float64() < g.resetRatio, g.failRatio > 0 && g.random.Float64() < g.failRatio
 }
 
-// submit passes a job to the model. onDone is called with its result, without the origin's lock held.
+// submit passes a job to the model. The result is passed to onDone while the origin's lock is not held.
 func (g *Origin) submit(job model.Job, onDone func(result)) {
 	job.WorkTime = model.RequestWork(g.world.Scenario.Seed, "gateway "+job.ID, model.Exponential, g.world.Scenario.Origin.ServiceTime.Duration(), 1)
 	job.Tag = onDone
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -125,7 +125,7 @@
 		}
 		via := r
 		if netip.AddrPortFrom(from.Addr().Unmap(), from.Port()) == r.target {
-			via = r.owner.relays[r.to][r.from] // the receiver answered to the datagram's source address: this goes over the link back
+			via = r.owner.relays[r.to][r.from] // a reply to the datagram's source address takes the link in the other direction
 		}
 		via.forward(append([]byte(nil), buf[:n]...))
 	}
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -40,7 +40,7 @@
 	text                              string // the whole answer to a probe or an invalid command
 }
 
-// finish sets the attempt's answer. Only the first call has an effect.
+// finish sets the attempt's answer, unless it has one already.
 func (att *attempt) finish(a answer) { att.once.Do(func() { att.done <- a }) }
 
 // maxPending is how many unanswered commands of a connection are queued; more are read once earlier ones are answered.
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -175,8 +175,8 @@
 	}
 }
 
-// Discovery stops answering when silenced. After its generations start over, it sends the full list to a watch that asks
-// for a later generation.
+// Discovery stops answering when silenced. After its generations start over, it sends the full list to a watch that names
+// a later generation.
 func TestDiscoveryAgent(t *testing.T) {
 	w, _ := newWorld(t, "")
 	get := func(query string, wait time.Duration) string {
