--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -99,7 +99,7 @@
 const maxClosedConns = 100
 
 // closeRaceWindow is how soon after a request's last byte was sent the close of an idle connection counts as having crossed
-// the request on the way. A later close counts as the answer to the request.
+// the request in transit. A later close counts as the answer to the request.
 const closeRaceWindow = 50 * time.Millisecond
 
 // exchange sends a request over a connection and reads its answer. It returns true if the balancer had closed the
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -1,6 +1,6 @@
 // Package load simulates the clients of a rehearsal. Requests arrive in an open loop, that is, independently of earlier
 // answers, over connections that are reused. Clients give up at their deadline and retry, after the time that a
-// rate-limited answer names.
+// rate-limited answer requests.
 package load
 
 import (
@@ -37,7 +37,7 @@
 	tally     Tally
 }
 
-// Tally counts the outcomes of requests so far; each client retry counts as one more.
+// Tally counts the outcomes of requests so far; each client retry counts as a further request.
 type Tally struct {
 	Finished, Fulfilled, RateLimited, Errored, Lost int
 }
@@ -79,8 +79,8 @@
 	target.addr, target.up, target.stopping = addr, true, false
 }
 
-// BalancerDown marks a balancer that has ended or was ordered to end at once; it is not blamed for the requests it loses. Clients
-// notice after a delay and send to it until then.
+// BalancerDown marks a balancer that has ended or was ordered to end at once; the requests that it
+// loses do not count as its mistake. Clients notice after a delay and send to it until then.
 func (c *Clients) BalancerDown(balancer int) {
 	target := c.targets[balancer]
 	target.mu.Lock()
@@ -120,7 +120,7 @@
 // Run sends the planned requests and returns when the last one has been answered or given up, or earlier when stopped.
 func (c *Clients) Run(stop <-chan struct{}) {
 	defer c.running.Wait()
-	// Sleeps by system call on a thread of its own, as the Go runtime's timers are up to a millisecond late.
+	// Sleeps with a system call on a locked thread, because timers of the Go runtime fire up to a millisecond late.
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	for i := range c.arrivals {
@@ -150,11 +150,11 @@
 	p := &c.world.Scenario.Products[arrival.Product]
 	random := model.NewRand(c.world.Scenario.Seed, "client "+arrival.ID)
 	due := arrival.At
-	for try := 1; ; try++ {
-		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: try, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
+	for sending := 1; ; sending++ {
+		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: sending, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
 			ScheduledAt: due, Timeout: due + arrival.Timeout}
-		if try > 1 {
-			req.ID = fmt.Sprintf("%s.%d", arrival.ID, try)
+		if sending > 1 {
+			req.ID = fmt.Sprintf("%s.%d", arrival.ID, sending)
 		}
 		c.world.ExpectRequest(req.ID, standin.ExpectedRequest{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
 		if c.inFlight.Add(1) > maxInFlight {
@@ -167,9 +167,9 @@
 		if req.Reply == record.Fulfilled {
 			return
 		}
-		// A retry is harmless if no balancer took the request, if it was rate-limited, or if the product is idempotent.
+		// A retry is harmless if the request was not sent, if it was rate-limited, or if the product is idempotent.
 		harmless := req.Reply == record.RateLimited || req.NotSent || p.Effect == scenario.Idempotent
-		wait, retry := c.retryPolicy.NextDelay(random, try, harmless, req.RetryAfter)
+		wait, retry := c.retryPolicy.NextDelay(random, sending, harmless, req.RetryAfter)
 		if !retry {
 			return
 		}
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -14,7 +14,7 @@
 	"streamrail/internal/rehearsal/standin"
 )
 
-// After a pause a balancer may close more idle connections than a client is willing to try. Their close must not be counted as
+// After a pause a balancer may close more idle connections than a client tries for one request. Their close must not be counted as
 // the answer to a request: the client opens a new connection instead.
 func TestManyIdleConnectionsClosed(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/rehearsal/load/malformed_clients.go
+++ b/internal/rehearsal/load/malformed_clients.go
@@ -11,7 +11,7 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// malformedInputs is what clients with malformed input send; %s stands for an existing product.
+// malformedInputs lists what clients with malformed input send; %s is replaced by the name of an existing product.
 var malformedInputs = []struct{ name, text string }{
 	{"noise", "\x00\x01\xfe\xff\r\n\r\n\x13\r\n"},
 	{"a line without an end", strings.Repeat("mg ", 4000)},
--- a/internal/rehearsal/load/many_connections.go
+++ b/internal/rehearsal/load/many_connections.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// crowdConnTimeout is how long a connection of a simulated crowd stays open unless the balancer closes it.
+// crowdConnTimeout is how long a connection opened by CrowdConnection stays open unless the balancer closes it.
 const crowdConnTimeout = 10 * time.Second
 
-// CrowdConnection simulates the i-th connection of a crowd. One in three sends one request and stays open, one sends part of a
+// CrowdConnection simulates the i-th of many connections that are opened within a short time. One in three sends one request and stays open, one sends part of a
 // command and one sends nothing. Their requests are not recorded.
 func (c *Clients) CrowdConnection(i int) {
 	_, addr := c.targets[i%len(c.targets)].state()
