--- a/internal/rehearsal/runner/admin.go
+++ b/internal/rehearsal/runner/admin.go
@@ -12,10 +12,10 @@
 	"streamrail/internal/rehearsal/record"
 )
 
-// adminClient calls the admin API of balancers, with a new connection for each call.
+// adminClient calls the admin API of balancers, with a new connection for each request.
 var adminClient = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// callAdmin makes one call of an admin API and reports whether it succeeded. The JSON answer is decoded into result
+// callAdmin sends one request to an admin API and reports whether it succeeded. The JSON answer is decoded into result
 // unless that is nil.
 func callAdmin(ctx context.Context, method, addr, path, body string, result any) bool {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, strings.NewReader(body))
@@ -57,14 +57,14 @@
 // upgradeTimeout limits the wait for the newer process of an upgrade; it is longer than an upgrade may take.
 const upgradeTimeout = 8 * time.Second
 
-// Upgrade starts a newer process of a balancer and stops the older one once the newer one is ready.
+// Upgrade starts a newer process for a balancer and stops the older one once the newer one is ready.
 func (s *Stage) Upgrade(b int) error {
 	s.mu.Lock()
-	l := s.slots[b]
-	old, oldRun := l.instance, l.run
+	slot := s.slots[b]
+	old, oldRun := slot.instance, slot.run
 	oldRun.Ordered = true
 	err := s.launchAt(b)
-	addr := l.adminAddr
+	addr := slot.adminAddr
 	s.mu.Unlock()
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	u.To = s.Environment.Now()
 	s.Record.Add(func() { s.Record.Upgrades = append(s.Record.Upgrades, u) })
 	s.mu.Lock()
-	l.run.Ready = u.From
+	slot.run.Ready = u.From
 	s.mu.Unlock()
 	return nil
 }
--- a/internal/rehearsal/runner/config.go
+++ b/internal/rehearsal/runner/config.go
@@ -18,11 +18,11 @@
 const timerResolutionNs = 5_000_000
 
 // writeConfig writes the configuration file of a balancer.
-func writeConfig(path string, w *standin.Environment, balancer int, name, listen, adminAddr string, seed uint64) error {
-	sc := w.Scenario
+func writeConfig(path string, env *standin.Environment, balancer int, name, listen, adminAddr string, seed uint64) error {
+	sc := env.Scenario
 	zone := 0
 	for i, z := range sc.Fleet.Zones {
-		if z == w.ZoneOf(balancer) {
+		if z == env.ZoneOf(balancer) {
 			zone = i
 		}
 	}
@@ -53,9 +53,9 @@
 			"fallNs": int64(sc.Rules.OverloadWindow), "drainGraceNs": int64(sc.Rules.DrainGrace), "askEveryNs": int64(10 * time.Second)},
 		"products": products, "customers": customers,
 	}
-	text, err := json.Marshal(m{"name": name, "listen": listen, "admin_addr": adminAddr, "discovery": w.Discovery.Addr(balancer),
+	text, err := json.Marshal(m{"name": name, "listen": listen, "admin_addr": adminAddr, "discovery": env.Discovery.Addr(balancer),
 		"seed": fmt.Sprintf("%016x", seed), "limits": m{"cores": 1.0, "memory_mb": sc.Fleet.MemoryMB, "sockets": sc.Fleet.Sockets},
-		"known": w.Discovery.FullList(balancer), "settings": settings})
+		"known": env.Discovery.FullList(balancer), "settings": settings})
 	if err != nil {
 		return err
 	}
--- a/internal/rehearsal/runner/faulty_balancer_test.go
+++ b/internal/rehearsal/runner/faulty_balancer_test.go
@@ -199,8 +199,8 @@
 			value = value[:cmd.Length]
 		}
 		answer := b.handle(&cmd, value, time.Now().Add(cmd.Timeout-20*time.Millisecond))
-		// Only answers with a request id are repeated: a client takes one without an id for the answer to its next request,
-		// and this may break further rules.
+		// Only answers with a request id are repeated: a client would take one without an id as the answer to its next
+		// request, and this might break further rules.
 		namesRequest := !strings.HasPrefix(answer, "SERVER_ERROR")
 		if b.defect == "twice" && namesRequest && b.everyNth(20) {
 			answer += answer
@@ -211,7 +211,7 @@
 	}
 }
 
-// everyNth reports true on every nth call.
+// everyNth returns true every n-th time that it is called.
 func (b *faultyBalancer) everyNth(n int64) bool { return b.counter.Add(1)%n == 0 }
 
 const busy, failed = "SERVER_ERROR busy\r\n", "SERVER_ERROR failed\r\n"
@@ -223,7 +223,8 @@
 		time.Sleep(10 * time.Second)
 		return ""
 	case b.defect == "hold" && b.everyNth(50):
-		time.Sleep(time.Until(until) - 200*time.Millisecond) // the margin keeps this a late answer, not a missing one, on a busy machine
+		// The margin ensures that even on a busy machine the answer is late, not missing.
+		time.Sleep(time.Until(until) - 200*time.Millisecond)
 		return busy
 	}
 	if !cmd.Write {
--- a/internal/rehearsal/runner/membership.go
+++ b/internal/rehearsal/runner/membership.go
@@ -20,8 +20,8 @@
 type membership struct {
 	links      *standin.Relays
 	addrs      []netip.AddrPort
-	wrongNames map[int]int  // for balancers started under the name of another one: that one's number
-	wrongPeers map[int]bool // balancers started with peer addresses that nobody listens on
+	wrongNames map[int]int  // by balancer started under the name of another one: the number of that other one
+	wrongPeers map[int]bool // balancers started with peer addresses on which no process listens
 }
 
 // openLinks chooses addresses for the balancers and starts the relays between them.
@@ -57,7 +57,7 @@
 		via = append(via, fmt.Sprintf("%s = %q", record.BalancerName(o), to))
 		if len(peers) < 3 {
 			if m.wrongPeers[b] {
-				to = netip.AddrPortFrom(to.Addr(), 9) // nobody listens on this port
+				to = netip.AddrPortFrom(to.Addr(), 9) // no process listens on this port
 			}
 			peers = append(peers, fmt.Sprintf("%q", to))
 		}
@@ -77,7 +77,7 @@
 // Links returns the links between balancers, or nil if they do not communicate with each other.
 func (s *Stage) Links() *standin.Relays { return s.membership.links }
 
-// pollInterval is how often each balancer is asked for its membership view.
+// pollInterval is the time between two requests for a balancer's membership view.
 const pollInterval = 250 * time.Millisecond
 
 // pollMembers records the membership views, limit shares and traffic of all balancers until stop is closed.
@@ -109,7 +109,7 @@
 	}
 }
 
-// MembershipView asks a balancer for its membership view and records it.
+// MembershipView requests a balancer's membership view and records it.
 func (s *Stage) MembershipView(b int) (v admin.Members, ok bool) {
 	if !s.fetchAdmin(b, "/api/members", &v) {
 		return v, false
@@ -122,7 +122,7 @@
 	return v, true
 }
 
-// pollLimits asks a balancer for its shares of fleet-wide limits and records them.
+// pollLimits requests a balancer's shares of fleet-wide limits and records them.
 func (s *Stage) pollLimits(b int) {
 	var all admin.Limits
 	if !s.fetchAdmin(b, "/api/limits", &all) {
@@ -136,7 +136,8 @@
 	})
 }
 
-// fetchAdmin calls a balancer's admin API with a short timeout, because a paused balancer does not answer.
+// fetchAdmin sends a GET request to a balancer's admin API and reports whether it succeeded. The timeout is short, because a
+// paused balancer does not answer.
 func (s *Stage) fetchAdmin(b int, path string, result any) bool {
 	s.mu.Lock()
 	addr := s.slots[b].adminAddr
@@ -149,27 +150,27 @@
 // recordMemberships records under which process id each run of a balancer took part in the fleet.
 func recordMemberships(rec *record.Record) {
 	slices.SortFunc(rec.Views, func(a, b record.MembershipView) int { return int(a.At - b.At) })
-	for _, l := range rec.ProcessRuns {
+	for _, run := range rec.ProcessRuns {
 		i := slices.IndexFunc(rec.Views, func(v record.MembershipView) bool {
-			return v.Balancer == l.Balancer && v.At >= l.Ready && (l.End == 0 || v.At <= l.End)
+			return v.Balancer == run.Balancer && v.At >= run.Ready && (run.End == 0 || v.At <= run.End)
 		})
-		if i < 0 || l.Ready == 0 {
+		if i < 0 || run.Ready == 0 {
 			continue
 		}
-		life := rec.Views[i].ProcessID
-		if k := slices.IndexFunc(rec.Memberships, func(m record.Membership) bool { return m.Balancer == l.Balancer && m.ProcessID == life }); k >= 0 {
+		processID := rec.Views[i].ProcessID
+		if k := slices.IndexFunc(rec.Memberships, func(m record.Membership) bool { return m.Balancer == run.Balancer && m.ProcessID == processID }); k >= 0 {
 			m := &rec.Memberships[k] // both processes of an upgrade have the same process id
-			m.From, m.To = min(m.From, l.Ready), max(m.To, l.End)
+			m.From, m.To = min(m.From, run.Ready), max(m.To, run.End)
 			continue
 		}
-		rec.Memberships = append(rec.Memberships, record.Membership{Balancer: l.Balancer, ProcessID: life, From: l.Ready, To: l.End})
+		rec.Memberships = append(rec.Memberships, record.Membership{Balancer: run.Balancer, ProcessID: processID, From: run.Ready, To: run.End})
 	}
 }
 
 // pauser is an Instance that can be paused.
 type pauser interface{ Pause(on bool) }
 
-// Pause pauses a balancer for a time.
+// Pause pauses a balancer's process for the given time and records the pause. It does nothing if the Instance cannot be paused.
 func (s *Stage) Pause(b int, length time.Duration) {
 	s.mu.Lock()
 	inst := s.slots[b].instance
@@ -192,7 +193,7 @@
 	})
 }
 
-// RestartWithWrongPeers kills a balancer and starts it again with peer addresses that nobody listens on.
+// RestartWithWrongPeers kills a balancer and starts it again with peer addresses on which no process listens.
 func (s *Stage) RestartWithWrongPeers(b int) {
 	s.mu.Lock()
 	s.membership.wrongPeers[b] = true
@@ -200,7 +201,7 @@
 	s.Kill(b, 0)
 }
 
-// RestartAs restarts a balancer under the name of another one, and later under its own.
+// RestartAs restarts a balancer under the name of another one and, after length, under its own name again.
 func (s *Stage) RestartAs(b, other int, length time.Duration) {
 	s.mu.Lock()
 	s.membership.wrongNames[b] = other
@@ -220,17 +221,17 @@
 		delete(s.membership.wrongNames, b)
 		s.mu.Unlock()
 		s.Kill(b, 0)
-		s.Kill(other, 0) // it takes no part in the fleet until it is started again
+		s.Kill(other, 0) // after the name conflict it takes no part in the fleet until it is started again
 	})
 }
 
 // UpgradeKill starts the newer process of an upgrade and kills it some time after it is ready; the older one continues.
 func (s *Stage) UpgradeKill(b int, after time.Duration) error {
 	s.mu.Lock()
-	l := s.slots[b]
-	old, oldRun, oldAdminAddr := l.instance, l.run, l.adminAddr
+	slot := s.slots[b]
+	old, oldRun, oldAdminAddr := slot.instance, slot.run, slot.adminAddr
 	err := s.launchAt(b)
-	next, nextRun, addr := l.instance, l.run, l.adminAddr
+	next, nextRun, addr := slot.instance, slot.run, slot.adminAddr
 	nextRun.Ordered = true
 	s.mu.Unlock()
 	if err != nil {
@@ -247,11 +248,11 @@
 	s.Clients.BalancerDown(b)
 	s.mu.Lock()
 	nextRun.Ready = ready
-	l.instance, l.run, l.adminAddr = old, oldRun, oldAdminAddr
+	slot.instance, slot.run, slot.adminAddr = old, oldRun, oldAdminAddr
 	s.mu.Unlock()
 	next.Kill()
 	<-next.Done()
-	s.Clients.BalancerUp(b, l.addr)
+	s.Clients.BalancerUp(b, slot.addr)
 	return nil
 }
 
--- a/internal/rehearsal/runner/process.go
+++ b/internal/rehearsal/runner/process.go
@@ -22,7 +22,7 @@
 	Usage() Usage          // returns its current usage, or its CPU time once it has ended
 }
 
-// Usage is what a balancer uses of the machine; unknown values are zero.
+// Usage is the resource usage of a balancer's process; unknown values are zero.
 type Usage struct {
 	MB      float64
 	Sockets int
@@ -32,11 +32,11 @@
 
 // Files names the files and the directory that a balancer uses.
 type Files struct {
-	Config, Log string // files
+	Config, Log string // paths of files
 	TempDir     string // private temporary directory
 }
 
-// Launch starts a balancer with its Files.
+// Launch starts a process of a balancer, given by its number, with its Files.
 type Launch func(ctx context.Context, balancer int, at Files) (Instance, error)
 
 // Program returns a Launch that starts a binary.
@@ -54,7 +54,7 @@
 			cmd.Env[len(cmd.Env)-1] += operatorPath
 		}
 		cmd.Stderr, cmd.Stdout = out, out
-		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no balancer outlives this process
+		cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // the kernel kills the balancer when this process ends
 		if err := cmd.Start(); err != nil {
 			return nil, fmt.Errorf("balancer %d: %w", balancer+1, err)
 		}
@@ -77,7 +77,7 @@
 	return err == nil
 }
 
-// process is an Instance that runs as a process of the system.
+// process is an Instance that runs as a separate operating system process.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
--- a/internal/rehearsal/runner/resources.go
+++ b/internal/rehearsal/runner/resources.go
@@ -18,7 +18,7 @@
 // Resources that a rehearsal needs, as upper estimates from rehearsals with 2 to 16 balancers.
 const (
 	runnerDescriptors      = 256 // log files, first connections of clients, Go runtime
-	descriptorsPerPair     = 3   // for a balancer and a cache host: the host's listener for this balancer and one or two accepted connections
+	descriptorsPerPair     = 3   // per balancer and cache host: the listener and one or two accepted connections
 	descriptorsPerBalancer = 40  // discovery stand-in, links to other balancers, client connections
 	memoryPerBalancerMB    = 16  // a process that handles some hundred requests per second
 	memoryPerPairKB        = 24  // listener and connections with their buffers and goroutines
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// availableResources returns what this machine has available.
+// availableResources returns the descriptors that this process may open and the free memory of this machine.
 func availableResources() (available Resources) {
 	var limit syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) == nil {
--- a/internal/rehearsal/runner/resources_test.go
+++ b/internal/rehearsal/runner/resources_test.go
@@ -14,21 +14,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	needs := RequiredResources(sc)
+	required := RequiredResources(sc)
 	for _, row := range []struct {
 		has  Resources
 		want string
 	}{
 		{Resources{}, ""},
-		{needs, ""},
-		{Resources{needs.Descriptors - 1, needs.MemoryMB}, "descriptors"},
-		{Resources{needs.Descriptors, needs.MemoryMB - 1}, "memory"},
+		{required, ""},
+		{Resources{required.Descriptors - 1, required.MemoryMB}, "descriptors"},
+		{Resources{required.Descriptors, required.MemoryMB - 1}, "memory"},
 	} {
-		if err := row.has.check(needs, sc); (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) {
+		if err := row.has.check(required, sc); (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) {
 			t.Errorf("%+v: %v", row.has, err)
 		}
 	}
-	if needs.Descriptors < 1025*1025 || needs.MemoryMB < 1025 {
-		t.Errorf("needs only %+v", needs)
+	if required.Descriptors < 1025*1025 || required.MemoryMB < 1025 {
+		t.Errorf("needs only %+v", required)
 	}
 }
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -60,7 +60,7 @@
 	return up(ctx, sc, launch, dir, (*Stage).addHosts)
 }
 
-// StartWithEchoNodes is Start with cache hosts that answer all reads immediately.
+// StartWithEchoNodes does the same as Start, but with cache hosts that answer all reads immediately.
 func StartWithEchoNodes(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
 	return up(ctx, sc, launch, dir, func(s *Stage) error {
 		ids, groups := sc.HostIDs()
@@ -132,7 +132,7 @@
 		if err != nil {
 			return err
 		}
-		// Every warm host holds all popular keys, because the balancers decide which host is asked for which key.
+		// Every warm host holds all popular keys, because the balancers decide which host serves which key.
 		for k := range int(sc.Load.WarmRatio * float64(sc.Load.Keys)) {
 			n.Preload(model.KeyName(k))
 		}
@@ -165,16 +165,16 @@
 	if s.ended {
 		return nil
 	}
-	l := s.slots[b]
-	if l.addr == "" {
-		if l.addr, err = s.Environment.FreeAddr(); err != nil {
+	slot := s.slots[b]
+	if slot.addr == "" {
+		if slot.addr, err = s.Environment.FreeAddr(); err != nil {
 			return err
 		}
-		l.configFile = filepath.Join(s.dir, fmt.Sprintf("balancer-%d.json", b+1))
+		slot.configFile = filepath.Join(s.dir, fmt.Sprintf("balancer-%d.json", b+1))
 	}
-	os.RemoveAll(l.tempDir)
-	// The system's temporary directory is used because the path of s.dir may be too long for a Unix socket.
-	if l.tempDir, err = os.MkdirTemp("", "b"); err != nil {
+	os.RemoveAll(slot.tempDir)
+	// The directory is in the system's temporary directory because the path of s.dir may be too long for a Unix socket.
+	if slot.tempDir, err = os.MkdirTemp("", "b"); err != nil {
 		return err
 	}
 	return s.launchAt(b)
@@ -182,26 +182,26 @@
 
 // launchAt starts a process for a balancer and keeps its temporary directory, which an upgrade needs. The caller holds s.mu.
 func (s *Stage) launchAt(b int) (err error) {
-	l := s.slots[b]
+	slot := s.slots[b]
 	if s.Environment.Scenario.NeedsAdminAPI() {
-		if l.adminAddr, err = s.Environment.FreeAddr(); err != nil {
+		if slot.adminAddr, err = s.Environment.FreeAddr(); err != nil {
 			return err
 		}
 	}
 	s.Environment.Discovery.BalancerRestarted(b)
-	l.starts++
-	if err = s.writeOperatorFile(l.configFile, b); err != nil {
+	slot.starts++
+	if err = s.writeOperatorFile(slot.configFile, b); err != nil {
 		return err
 	}
-	if err = writeConfig(l.configFile, s.Environment, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.Environment.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err = writeConfig(slot.configFile, s.Environment, b, s.nameOf(b), slot.addr, slot.adminAddr, model.NewRand(s.Environment.Scenario.Seed, fmt.Sprint("balancer ", b, slot.starts)).Uint64()); err != nil {
 		return err
 	}
-	if l.instance, err = s.launch(s.ctx, b, Files{l.configFile, s.log(b), l.tempDir}); err != nil {
+	if slot.instance, err = s.launch(s.ctx, b, Files{slot.configFile, s.log(b), slot.tempDir}); err != nil {
 		return err
 	}
-	l.run = &record.ProcessRun{Balancer: b, Start: s.Environment.Now()}
+	slot.run = &record.ProcessRun{Balancer: b, Start: s.Environment.Now()}
 	s.background.Add(1)
-	go s.monitor(b, l.run, l.instance)
+	go s.monitor(b, slot.run, slot.instance)
 	return nil
 }
 
@@ -241,8 +241,8 @@
 // ready waits until a balancer answers and then directs clients to it.
 func (s *Stage) ready(b int) bool {
 	s.mu.Lock()
-	l := s.slots[b]
-	inst, addr := l.instance, l.addr
+	slot := s.slots[b]
+	inst, addr := slot.instance, slot.addr
 	s.mu.Unlock()
 	for began := time.Now(); time.Since(began) < readyTimeout; time.Sleep(5 * time.Millisecond) {
 		select {
@@ -252,7 +252,7 @@
 		}
 		if alive(addr) {
 			s.mu.Lock()
-			l.run.Ready = max(1, s.Environment.Now())
+			slot.run.Ready = max(1, s.Environment.Now())
 			s.mu.Unlock()
 			s.Clients.BalancerUp(b, addr)
 			return true
@@ -304,16 +304,17 @@
 		return err
 	}
 	s.mu.Lock()
-	l := s.slots[b]
+	slot := s.slots[b]
 	s.mu.Unlock()
-	if err := writeConfig(l.configFile, s.Environment, b, s.nameOf(b), l.addr, l.adminAddr, model.NewRand(s.Environment.Scenario.Seed, fmt.Sprint("balancer ", b, l.starts)).Uint64()); err != nil {
+	if err := writeConfig(slot.configFile, s.Environment, b, s.nameOf(b), slot.addr, slot.adminAddr, model.NewRand(s.Environment.Scenario.Seed, fmt.Sprint("balancer ", b, slot.starts)).Uint64()); err != nil {
 		return err
 	}
-	l.instance.Reload()
+	slot.instance.Reload()
 	return nil
 }
 
-// CrowdConnection runs one connection of a crowd, most of which never finish a request.
+// CrowdConnection runs the i-th of many connections that are opened within a short time and of which most never finish a
+// request.
 func (s *Stage) CrowdConnection(i int) { s.Clients.CrowdConnection(i) }
 
 // MalformedClient runs one client that sends malformed input or nothing.
@@ -346,10 +347,10 @@
 	}()
 }
 
-// settleDelay is the time given to attempts that are still running when the last request is over.
+// settleDelay is the time that attempts which still run after the last request have to end.
 const settleDelay = 300 * time.Millisecond
 
-// Run runs load and faults of the scenario, which starts now, to its end.
+// Run starts the scenario's clock and runs its load and faults to the end.
 func (s *Stage) Run(ctx context.Context) error {
 	s.Environment.Begin()
 	stop := ctx.Done()
@@ -379,8 +380,8 @@
 // latenessInterval is how often measureLateness checks that this process gets the processor in time.
 const latenessInterval = 5 * time.Millisecond
 
-// measureLateness records how late this process's timers fire, also while no request or fault is scheduled. The judge
-// needs it to tell late balancers from a late rehearsal.
+// measureLateness records how late this process's timers fire, also while no request or fault is scheduled. With
+// it the judge distinguishes delays caused by the balancers from delays caused by a busy machine.
 func (s *Stage) measureLateness(stop <-chan struct{}) {
 	t := time.NewTimer(0)
 	defer t.Stop()
@@ -400,16 +401,16 @@
 func (s *Stage) End() {
 	s.mu.Lock()
 	s.ended = true
-	for _, l := range s.slots {
-		if l.run != nil {
-			l.run.Ordered = true
+	for _, slot := range s.slots {
+		if slot.run != nil {
+			slot.run.Ordered = true
 		}
 	}
 	s.mu.Unlock()
 	s.cancel()
 	s.background.Wait()
-	for _, l := range s.slots {
-		os.RemoveAll(l.tempDir)
+	for _, slot := range s.slots {
+		os.RemoveAll(slot.tempDir)
 	}
 	for _, n := range s.Environment.Hosts() {
 		n.Stop()
@@ -420,7 +421,7 @@
 	if s.Environment.Origin != nil {
 		s.Environment.Origin.RecordLoad()
 	}
-	time.Sleep(20 * time.Millisecond) // until the ends of the last attempts are recorded
+	time.Sleep(20 * time.Millisecond) // lets the ends of the last attempts be recorded
 }
 
 // BypassBalancers makes clients send requests directly to a cache host instead of the balancers.
@@ -458,7 +459,8 @@
 	Elapsed  time.Duration
 }
 
-// Run runs a rehearsal from its start to the verdict. If watch is not nil, it runs beside the rehearsal.
+// Run runs a rehearsal from its start to the verdict. If watch is not nil, it runs concurrently in a
+// goroutine of its own.
 func Run(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, watch func(*Stage)) (*Result, error) {
 	began := time.Now()
 	if err := os.MkdirAll(dir, 0o700); err != nil {
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -93,7 +93,8 @@
 drain = "3s"
 `
 
-// silentScenario stops all watches of the host list before most cache hosts leave; these hosts continue to serve for long.
+// silentScenario stops all watches of the host list before most cache hosts leave; these hosts continue to serve for
+// several seconds.
 const silentScenario = `
 length = "10s"
 [fleet]
