--- a/internal/rehearsal/measure/closed_loop.go
+++ b/internal/rehearsal/measure/closed_loop.go
@@ -56,13 +56,13 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			h, calls, good, e := runClient(session.Addr(0), i, sc.Products[0].Name, sc.Tenants[0].Name, end)
+			h, requests, fulfilled, e := runClient(session.Addr(0), i, sc.Products[0].Name, sc.Tenants[0].Name, end)
 			mu.Lock()
 			defer mu.Unlock()
 			if e != nil && err == nil {
 				err = e
 			}
-			c.Calls, c.Fulfilled = c.Calls+calls, c.Fulfilled+good
+			c.Calls, c.Fulfilled = c.Calls+requests, c.Fulfilled+fulfilled
 			if h != nil {
 				merged.Merge(h)
 			}
@@ -80,7 +80,7 @@
 
 // runClient sends requests as one client until a given time. It returns the latencies in microseconds and the counts of all and
 // of fulfilled requests.
-func runClient(addr string, client int, product, tenant string, end time.Time) (h *hdrhistogram.Histogram, calls, good int64, err error) {
+func runClient(addr string, client int, product, tenant string, end time.Time) (h *hdrhistogram.Histogram, requests, fulfilled int64, err error) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return nil, 0, 0, err
@@ -91,29 +91,29 @@
 	h = hdrhistogram.New(1, 60_000_000, 3)
 	out := make([]byte, 0, 256)
 	for now := time.Now(); now.Before(end); {
-		out = fmt.Appendf(out[:0], "mg line-%d v Oc%x.%x Pc=%s,t=%s,d=2000\r\n", (int64(client)*7919+calls)%1000, client, calls, product, tenant)
+		out = fmt.Appendf(out[:0], "mg line-%d v Oc%x.%x Pc=%s,t=%s,d=2000\r\n", (int64(client)*7919+requests)%1000, client, requests, product, tenant)
 		if _, err = conn.Write(out); err != nil {
-			return h, calls, good, err
+			return h, requests, fulfilled, err
 		}
 		line, err := in.ReadSlice('\n')
 		if err != nil {
-			return h, calls, good, err
+			return h, requests, fulfilled, err
 		}
 		if a, err := memcache.ParseAnswer(line[:len(line)-2]); err == nil && a.Reply == memcache.Value {
 			if _, err = in.Discard(a.Length + 2); err != nil {
-				return h, calls, good, err
+				return h, requests, fulfilled, err
 			}
-			good++
+			fulfilled++
 		}
-		calls++
+		requests++
 		after := time.Now()
 		h.RecordValue(max(1, after.Sub(now).Microseconds()))
 		now = after
 	}
-	return h, calls, good, nil
+	return h, requests, fulfilled, nil
 }
 
-// PrintClosedLoopHead writes the head of the table whose rows ClosedLoop.PrintRow writes.
+// PrintClosedLoopHead writes the column headings of the table whose rows ClosedLoop.PrintRow writes.
 func PrintClosedLoopHead(to io.Writer) {
 	fmt.Fprintf(to, "%7s %6s %9s %9s  %8s %8s %8s  %9s %7s %6s\n", "clients", "hosts", "calls/s", "CPU/call", "p50", "p99", "p99.9", "fulfilled", "sockets", "MB")
 }
--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -80,7 +80,7 @@
 }
 
 // alternatingFaults makes a tenth of the hosts faulty for some seconds and later another tenth.
-func alternatingFaults(do string, part float64) []scenario.Fault {
+func alternatingFaults(kind string, share float64) []scenario.Fault {
 	group := func(k int) (hosts []string) {
 		for i := range hostsPerZone / 10 {
 			for _, zone := range []string{"e", "w"} {
@@ -90,7 +90,7 @@
 		return hosts
 	}
 	s := func(n int) scenario.Span { return scenario.Span(time.Duration(n) * time.Second) }
-	return []scenario.Fault{{Kind: do, At: s(5), Length: s(9), Share: part, Hosts: group(0)}, {Kind: do, At: s(20), Length: s(12), Share: part, Hosts: group(1)}}
+	return []scenario.Fault{{Kind: kind, At: s(5), Length: s(9), Share: share, Hosts: group(0)}, {Kind: kind, At: s(20), Length: s(12), Share: share, Hosts: group(1)}}
 }
 
 // alteredByThreeInEight makes three in eight balancers alter the observations that they report.
@@ -107,7 +107,8 @@
 	}
 }
 
-// requestsPerBalancer is the number of requests per second at each balancer, and hostsPerZone the number of cache hosts of a zone.
+// requestsPerBalancer is the number of requests per second at each balancer, and hostsPerZone the number of cache hosts per
+// zone.
 const (
 	requestsPerBalancer = 8
 	hostsPerZone        = 30
@@ -115,15 +116,15 @@
 
 // MeasureEvidence measures all cases with a number of balancers and seeds, on a number of concurrent workers.
 func MeasureEvidence(balancers, seeds, workers int) (all []Evidence, err error) {
-	for _, kind := range evidenceCases {
+	for _, testCase := range evidenceCases {
 		results := make([]EvidenceResult, 2*seeds)
 		err := RunParallel(len(results), workers, func(i int) error {
 			sc, err := scenario.Parse("measure", fmt.Appendf(nil, evidenceScenario, balancers, i%2 == 1, hostsPerZone, float64(requestsPerBalancer*balancers)))
 			if err != nil {
 				return err
 			}
-			sc.Seed, sc.Faults = uint64(i/2+1), kind.faults
-			res, err := virtual.SimulateFalseReports(sc, kind.alter)
+			sc.Seed, sc.Faults = uint64(i/2+1), testCase.faults
+			res, err := virtual.SimulateFalseReports(sc, testCase.alter)
 			if err != nil {
 				return err
 			}
@@ -133,7 +134,7 @@
 				if s.Server != record.Origin && s.Proof != record.Served && s.Proof != record.CacheMiss {
 					p.Vain++
 				}
-				for _, f := range kind.faults {
+				for _, f := range testCase.faults {
 					if slices.Contains(f.Hosts, s.Server) && s.ArrivedAt >= f.At.Duration() && s.ArrivedAt < (f.At+f.Length).Duration() {
 						p.AtBad++
 					}
@@ -144,7 +145,7 @@
 		if err != nil {
 			return nil, err
 		}
-		e := Evidence{Name: kind.name, Mates: balancers, Seeds: seeds}
+		e := Evidence{Name: testCase.name, Mates: balancers, Seeds: seeds}
 		for i, p := range results {
 			if i%2 == 0 {
 				e.Alone.add(p, seeds)
--- a/internal/rehearsal/measure/limits.go
+++ b/internal/rehearsal/measure/limits.go
@@ -62,7 +62,7 @@
 `
 
 // demandFactors are the offered loads as fractions of the fleet's capacity. All allowances together are allowanceFactor of the
-// offered load, so that the tenants ask for about a quarter more than theirs, except for the one that keeps within its own.
+// offered load, so that the tenants exceed theirs by about a quarter, except for the one that keeps within its own.
 var demandFactors = []float64{0.5, 1}
 
 const allowanceFactor = 0.78
@@ -134,25 +134,25 @@
 // MeasureLimits measures all cases with a number of balancers and seeds, on a number of concurrent workers.
 func MeasureLimits(balancers, seeds, workers int) (all []Limits, err error) {
 	for k := range len(limitsCases) * len(demandFactors) {
-		kind, demand := limitsCases[k%len(limitsCases)], demandFactors[k/len(limitsCases)]
-		faults := kind.faults
-		if kind.cut {
+		testCase, demand := limitsCases[k%len(limitsCases)], demandFactors[k/len(limitsCases)]
+		faults := testCase.faults
+		if testCase.cut {
 			names := "1"
 			for i := 2; i <= balancers; i++ {
 				names += fmt.Sprintf(", %d", i)
 			}
 			faults = fmt.Sprintf(faults, names)
 		}
-		text := limitsScenarioText(balancers, kind.at, faults)
+		text := limitsScenarioText(balancers, testCase.at, faults)
 		results := make([]limitsResult, 2*seeds) // for each seed with equal shares, then with moving ones
 		err := RunParallel(len(results), workers, func(i int) (err error) {
-			results[i], err = simulateLimits(text, uint64(i/2+1), i%2 == 1, demand, kind.move)
+			results[i], err = simulateLimits(text, uint64(i/2+1), i%2 == 1, demand, testCase.move)
 			return err
 		})
 		if err != nil {
 			return nil, err
 		}
-		l := Limits{Name: kind.name, Asked: demand, Mates: balancers, Seeds: seeds, Equal: LimitsSide{Worst10: 1}, Moved: LimitsSide{Worst10: 1}}
+		l := Limits{Name: testCase.name, Asked: demand, Mates: balancers, Seeds: seeds, Equal: LimitsSide{Worst10: 1}, Moved: LimitsSide{Worst10: 1}}
 		var followDelays []time.Duration
 		for i, p := range results {
 			if i%2 == 0 {
@@ -163,7 +163,7 @@
 			followDelays = append(followDelays, p.followDelay)
 			l.Sum, l.Bytes = max(l.Sum, p.maxSum), l.Bytes+p.bytesPerS/float64(seeds)
 		}
-		if kind.move > 0 {
+		if testCase.move > 0 {
 			l.Follows = membersim.NewSpread(followDelays)
 		}
 		all = append(all, l)
@@ -172,18 +172,18 @@
 }
 
 // add adds the report of one of the given number of runs.
-func (s *LimitsSide) add(r *report.Report, days float64) {
-	for name, part := range r.Service.ByTenant {
+func (s *LimitsSide) add(r *report.Report, runs float64) {
+	for name, service := range r.Service.ByTenant {
 		if name == "kiosks" {
-			s.Tenant += part / days
+			s.Tenant += service / runs
 			continue
 		}
-		s.Others += part / days / 4
+		s.Others += service / runs / 4
 	}
-	s.Service += r.Service.Whole / days
+	s.Service += r.Service.Whole / runs
 	s.Worst10 = min(s.Worst10, r.Service.Worst10s)
-	s.Refused += float64(r.Outcomes["rate-limited"]) / days
-	s.Took += r.Took / time.Duration(days)
+	s.Refused += float64(r.Outcomes["rate-limited"]) / runs
+	s.Took += r.Took / time.Duration(runs)
 	s.Broken += len(r.Verdict.BrokenRules())
 }
 
--- a/internal/rehearsal/measure/measure.go
+++ b/internal/rehearsal/measure/measure.go
@@ -1,4 +1,4 @@
-// Package measure measures the rehearsals themselves and single properties of balancers: the rate that the load generator
+// Package measure measures the rehearsals themselves and individual properties of balancers: the rate that the load generator
 // reaches on a machine, the latency and processor time that a balancer adds to a request, its throughput and memory, and the
 // behaviour of fleets of balancers that exchange membership, limits and observations of hosts.
 package measure
@@ -44,7 +44,7 @@
 
 // baseScenario returns a scenario with one balancer, one product and hosts that answer immediately.
 func baseScenario(perS float64, length time.Duration, seed uint64) *scenario.Scenario {
-	d := &scenario.Scenario{Name: fmt.Sprintf("%.0f-per-s", perS), Length: scenario.Span(length), Seed: seed,
+	sc := &scenario.Scenario{Name: fmt.Sprintf("%.0f-per-s", perS), Length: scenario.Span(length), Seed: seed,
 		Fleet: scenario.Fleet{Zones: []string{"here"}, Balancers: 1, MemoryMB: 1024, Sockets: 8192, Attempts: 4, Mode: scenario.ModeAside},
 		Hosts: []scenario.Host{{Name: "n", Zone: "here", Count: hostCount, Cores: 64, Speed: 1, Queue: 1 << 16, CacheMB: 64, Connections: 1 << 15,
 			IdleTimeout: scenario.Span(time.Minute), ColdCapacity: 1}},
@@ -55,7 +55,7 @@
 		Tenants:  []scenario.Tenant{{Name: "all", Share: 1, Usage: 1}},
 		Rules:    scenario.Rules{DrainGrace: scenario.Span(time.Second), OverloadMultiple: 3, OverloadWindow: scenario.Span(2 * time.Second)},
 	}
-	return d
+	return sc
 }
 
 // Rates measures request rates one after the other, each directly and through a balancer and each repeated. The results are the
@@ -68,7 +68,7 @@
 		row := RateRow{PerS: perS}
 		for i := range repeats {
 			for _, isDirect := range []bool{true, false} {
-				latency, late, cpu, good, err := measureOnce(ctx, launch, baseScenario(perS, length, uint64(i+1)), isDirect)
+				latency, late, cpu, fulfilled, err := measureOnce(ctx, launch, baseScenario(perS, length, uint64(i+1)), isDirect)
 				switch {
 				case err != nil:
 					return rows, err
@@ -76,7 +76,7 @@
 					direct, lateDirect = append(direct, latency), append(lateDirect, late.P999)
 				default:
 					through, lateThrough = append(through, latency), append(lateThrough, late.P999)
-					row.CPU, row.Fulfilled = cpu, good
+					row.CPU, row.Fulfilled = cpu, fulfilled
 				}
 			}
 		}
@@ -106,15 +106,15 @@
 }
 
 // measureOnce runs a scenario, with the requests sent directly to a cache host or through the balancer.
-func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Scenario, direct bool) (latency, late load.Percentiles, cpu time.Duration, good FulfilledCount, err error) {
+func measureOnce(ctx context.Context, launch runner.Launch, sc *scenario.Scenario, direct bool) (latency, late load.Percentiles, cpu time.Duration, fulfilled FulfilledCount, err error) {
 	dir, err := os.MkdirTemp("", "rehearse-")
 	if err != nil {
-		return latency, late, 0, good, err
+		return latency, late, 0, fulfilled, err
 	}
 	defer os.RemoveAll(dir)
 	session, err := runner.Start(ctx, sc, launch, filepath.Clean(dir))
 	if err != nil {
-		return latency, late, 0, good, err
+		return latency, late, 0, fulfilled, err
 	}
 	if direct {
 		session.BypassBalancers("n-1")
@@ -122,11 +122,11 @@
 	err = session.Run(ctx)
 	session.End()
 	tally := session.Clients.Tally()
-	good = FulfilledCount{Of: tally.Finished, Good: tally.Fulfilled}
-	for _, l := range session.Record.ProcessRuns {
-		cpu += l.CPU
+	fulfilled = FulfilledCount{Of: tally.Finished, Good: tally.Fulfilled}
+	for _, run := range session.Record.ProcessRuns {
+		cpu += run.CPU
 	}
-	return session.Clients.Latency(), session.Clients.Lateness(), cpu / time.Duration(max(1, tally.Finished)), good, err
+	return session.Clients.Latency(), session.Clients.Lateness(), cpu / time.Duration(max(1, tally.Finished)), fulfilled, err
 }
 
 // PrintHead writes the head of the table whose rows PrintRow writes.
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -19,8 +19,8 @@
 	Mates       int
 	Sockets     bool
 	Seeds       int
-	First, Last membersim.Spread // from the end of a process until the first and until the last view has it as dead
-	Birth       membersim.Spread // from the start of a process until all views have it
+	First, Last membersim.Spread // from the end of a process until the first and until the last view lists it as dead
+	Birth       membersim.Spread // from the start of a process until all views list it
 	Heal        membersim.Spread // from the end of a partition into three sides until all views are equal
 	Calm        []Calm           // without deaths; in virtual time
 	CPU         time.Duration    // processor time of one balancer per second; on sockets
@@ -44,8 +44,8 @@
 const maxQuietRun = 25 * time.Minute
 
 // MeasureMembersSimulated measures fleets of one size in virtual time, with a number of seeds on a number of concurrent workers.
-// The runs without deaths last for quiet in total, those with pauses of processes for stalled. Each run that ends is noted in
-// note.
+// The runs without deaths last for quiet in total, those with pauses of processes for stalled. A line for each finished run is
+// written to note.
 func MeasureMembersSimulated(members, seeds, workers int, quiet, stalled time.Duration, note io.Writer) Members {
 	m := Members{Mates: members, Seeds: seeds}
 	var mu sync.Mutex
--- a/internal/rehearsal/measure/sizes.go
+++ b/internal/rehearsal/measure/sizes.go
@@ -84,12 +84,12 @@
 	text, _ := json.Marshal(m{"name": "n", "listen": addr, "discovery": listener.Addr().String(), "seed": "1", "limits": m{"memory_mb": 192, "sockets": 1024},
 		"settings": m{"balancers": balancers, "areas": []string{"here"}, "hostTypes": []string{"cache"}, "discovery": "automatic", "extra": m{"mode": "through", "originKind": -1},
 			"rules": m{"drainGraceNs": int64(time.Second)}, "products": []m{{"name": "read", "effect": "idempotent", "latencySloNs": int64(time.Second)}}}})
-	place := runner.Files{Config: filepath.Join(dir, "config.json"), Log: filepath.Join(dir, "log"), TempDir: dir}
-	if err = os.WriteFile(place.Config, text, 0o600); err != nil {
+	files := runner.Files{Config: filepath.Join(dir, "config.json"), Log: filepath.Join(dir, "log"), TempDir: dir}
+	if err = os.WriteFile(files.Config, text, 0o600); err != nil {
 		return s, err
 	}
 	start := time.Now()
-	process, err := launch(ctx, 0, place)
+	process, err := launch(ctx, 0, files)
 	if err != nil {
 		return s, err
 	}
