--- a/cmd/rehearse/commands.go
+++ b/cmd/rehearse/commands.go
@@ -86,45 +86,45 @@
 
 // openScenario reads a scenario and applies the changes from the command line.
 func (p *runOptions) openScenario(name string) (*scenario.Scenario, error) {
-	d, err := scenario.Open(name)
+	sc, err := scenario.Open(name)
 	if err != nil {
 		return nil, err
 	}
 	if p.Seed != 0 {
-		d.Seed = p.Seed
+		sc.Seed = p.Seed
 	}
 	if p.Balancers != 0 {
-		d.Fleet.Balancers = p.Balancers
+		sc.Fleet.Balancers = p.Balancers
 	}
 	switch p.Operator {
 	case "":
 	case "none":
-		d.Operator = ""
+		sc.Operator = ""
 	default:
 		text, err := os.ReadFile(p.Operator)
 		if err != nil {
 			return nil, err
 		}
-		d.Operator = string(text)
+		sc.Operator = string(text)
 	}
 	if p.For != 0 {
 		if p.For < time.Second {
 			return nil, fmt.Errorf("--for: %w: expected a second at least, got %v", scenario.ErrFaulty, p.For)
 		}
-		d.SetLength(p.For)
+		sc.SetLength(p.For)
 	}
-	return d, nil
+	return sc, nil
 }
 
 // prepare finds the balancer program and reads a scenario.
-func (p *runOptions) prepare(name string) (program string, d *scenario.Scenario, err error) {
+func (p *runOptions) prepare(name string) (program string, sc *scenario.Scenario, err error) {
 	if program, err = p.findBalancer(); err == nil {
-		d, err = p.openScenario(name)
+		sc, err = p.openScenario(name)
 	}
-	return program, d, err
+	return program, sc, err
 }
 
-// outputDir creates the directory for a scenario's files. The returned cleanup removes it unless --out asked for the files.
+// outputDir creates the directory for a scenario's files. The returned cleanup removes it unless --out is set.
 func (p *runOptions) outputDir(name string) (dir string, cleanup func(), err error) {
 	if p.Out != "" {
 		dir = filepath.Join(p.Out, name)
@@ -135,15 +135,15 @@
 }
 
 // runOne runs a scenario and writes its report if --out is set.
-func (p *runOptions) runOne(ctx context.Context, d *scenario.Scenario, program string, monitor func(*runner.Stage)) (*report.Report, error) {
-	dir, cleanup, err := p.outputDir(d.Name)
+func (p *runOptions) runOne(ctx context.Context, sc *scenario.Scenario, program string, monitor func(*runner.Stage)) (*report.Report, error) {
+	dir, cleanup, err := p.outputDir(sc.Name)
 	if err != nil {
 		return nil, err
 	}
 	defer cleanup()
-	res, err := runner.Run(ctx, d, runner.Program(program), dir, monitor)
+	res, err := runner.Run(ctx, sc, runner.Program(program), dir, monitor)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", d.Name, err)
+		return nil, fmt.Errorf("%s: %w", sc.Name, err)
 	}
 	r := report.New(res)
 	if p.Out == "" {
@@ -168,7 +168,7 @@
 }
 
 func (c runCommand) Run() error {
-	program, d, err := c.prepare(c.Name)
+	program, sc, err := c.prepare(c.Name)
 	if err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 	if isTerminal(os.Stderr) {
 		monitor = showProgress
 	}
-	r, err := c.runOne(ctx, d, program, monitor)
+	r, err := c.runOne(ctx, sc, program, monitor)
 	if err != nil {
 		return err
 	}
@@ -207,7 +207,7 @@
 	return nil
 }
 
-// isTerminal says whether a file is a terminal.
+// isTerminal reports whether a file is a terminal.
 func isTerminal(f *os.File) bool {
 	s, err := f.Stat()
 	return err == nil && s.Mode()&os.ModeCharDevice != 0
@@ -232,43 +232,43 @@
 }
 
 func (c upCommand) Run() error {
-	program, d, err := c.prepare(c.Name)
+	program, sc, err := c.prepare(c.Name)
 	if err != nil {
 		return err
 	}
-	dir, cleanup, err := c.outputDir(d.Name)
+	dir, cleanup, err := c.outputDir(sc.Name)
 	if err != nil {
 		return err
 	}
 	defer cleanup()
 	ctx, stop := interruptContext()
 	defer stop()
-	s, err := runner.Start(ctx, d, runner.Program(program), dir)
+	s, err := runner.Start(ctx, sc, runner.Program(program), dir)
 	if err != nil {
 		return err
 	}
 	defer s.End()
 	s.Environment.Begin()
 	s.Environment.AcceptAll() // accept requests that are not part of the scenario
-	for b := range d.Fleet.Balancers {
+	for b := range sc.Fleet.Balancers {
 		fmt.Printf("balancer %d serves at %s\n", b+1, s.Addr(b))
 	}
-	if d.Membership.Enabled {
-		printMemberViews(s, d.Fleet.Balancers)
+	if sc.Membership.Enabled {
+		printMemberViews(s, sc.Fleet.Balancers)
 	}
-	readRequest := fmt.Sprintf("mg line-1 v Otry1 Pc=%s,t=%s,d=1000", d.Products[0].Name, d.Tenants[0].Name)
+	readRequest := fmt.Sprintf("mg line-1 v Otry1 Pc=%s,t=%s,d=1000", sc.Products[0].Name, sc.Tenants[0].Name)
 	if !c.Try {
 		host, port, _ := net.SplitHostPort(s.Addr(0))
 		fmt.Printf("to read a key, with a new request id each time:\n  printf '%s\\r\\nquit\\r\\n' | nc %s %s\ninterrupt this program to stop\n", readRequest, host, port)
 		<-ctx.Done()
 		return nil
 	}
-	return tryRequests(s.Addr(0), d, readRequest)
+	return tryRequests(s.Addr(0), sc, readRequest)
 }
 
 // printMemberViews prints the balancers' views of each other: one line per balancer, one column per member.
 func printMemberViews(s *runner.Stage, n int) {
-	time.Sleep(2 * time.Second) // the balancers find each other within this time
+	time.Sleep(2 * time.Second) // the balancers learn of each other within this time
 	for b := range n {
 		v, ok := s.MembershipView(b)
 		if !ok {
@@ -284,7 +284,7 @@
 }
 
 // tryRequests sends some requests to a balancer and prints the requests and the answers.
-func tryRequests(addr string, d *scenario.Scenario, readRequest string) error {
+func tryRequests(addr string, sc *scenario.Scenario, readRequest string) error {
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		return err
@@ -293,9 +293,9 @@
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
 	in := bufio.NewReader(conn)
 	lines := []string{"mn", readRequest, strings.NewReplacer("line-1 ", "line-2 ", "try1", "try2").Replace(readRequest)}
-	for _, p := range d.Products {
+	for _, p := range sc.Products {
 		if p.Write {
-			lines = append(lines, fmt.Sprintf("ms line-1 5 Otry%d Pc=%s,t=%s,d=2000,k=mark%d\r\nhello", len(lines), p.Name, d.Tenants[0].Name, len(lines)))
+			lines = append(lines, fmt.Sprintf("ms line-1 5 Otry%d Pc=%s,t=%s,d=2000,k=mark%d\r\nhello", len(lines), p.Name, sc.Tenants[0].Name, len(lines)))
 		}
 	}
 	lines = append(lines, strings.Replace(readRequest, "try1", "try9", 1))
@@ -342,11 +342,11 @@
 	}
 	var scenarios []*scenario.Scenario
 	for _, n := range names {
-		d, err := c.openScenario(n)
+		sc, err := c.openScenario(n)
 		if err != nil {
 			return err
 		}
-		scenarios = append(scenarios, d)
+		scenarios = append(scenarios, sc)
 	}
 	ctx, stop := interruptContext()
 	defer stop()
@@ -582,11 +582,11 @@
 			c.Seed = seed
 			// The programs run alternately, so that a drift of the machine's speed favours neither.
 			for i, program := range []string{c.A, c.B} {
-				d, err := c.openScenario(name)
+				sc, err := c.openScenario(name)
 				if err != nil {
 					return err
 				}
-				r, err := c.runOne(ctx, d, program, nil)
+				r, err := c.runOne(ctx, sc, program, nil)
 				if err != nil {
 					return err
 				}
@@ -601,7 +601,7 @@
 	return report.Compare(os.Stdout, a, b)
 }
 
-// isExecutable says whether a path is an executable file.
+// isExecutable reports whether a path is an executable file.
 func isExecutable(path string) bool {
 	s, err := os.Stat(path)
 	return err == nil && !s.IsDir() && s.Mode()&0o111 != 0
--- a/cmd/rehearse/simulate.go
+++ b/cmd/rehearse/simulate.go
@@ -93,15 +93,15 @@
 
 // simulateSeed runs the scenario with one seed.
 func (c simulateCommand) simulateSeed(seed uint64, trace io.Writer) (*report.Report, error) {
-	d, err := scenario.Open(c.Name)
+	sc, err := scenario.Open(c.Name)
 	if err != nil {
 		return nil, err
 	}
-	d.Seed = seed
+	sc.Seed = seed
 	if c.Balancers != 0 {
-		d.Fleet.Balancers = c.Balancers
+		sc.Fleet.Balancers = c.Balancers
 	}
-	res, err := virtual.Simulate(d, trace)
+	res, err := virtual.Simulate(sc, trace)
 	if err != nil {
 		return nil, err
 	}
