--- a/internal/rehearsal/model/host.go
+++ b/internal/rehearsal/model/host.go
@@ -237,7 +237,7 @@
 
 // OverloadFailure reports whether the host failed from overload while it was cold, when, and the multiple of its capacity that it
 // was offered.
-func (n *Host) OverloadFailure() (at time.Duration, multiple float64, fallen bool) {
+func (n *Host) OverloadFailure() (at time.Duration, multiple float64, failed bool) {
 	return n.failedAt, n.failedMultiple, n.failed
 }
 
--- a/internal/rehearsal/model/link.go
+++ b/internal/rehearsal/model/link.go
@@ -41,7 +41,7 @@
 // beyond it are lost.
 const maxQueueDelay = 500 * time.Millisecond
 
-// Send returns the copies of a datagram that arrive, and when. The result is valid until the next call.
+// Send returns the copies of a datagram that arrive, and when. The result is valid until Send is called again.
 func (w *Link) Send(now time.Duration, bytes int) []Delivery {
 	w.arrivals = w.arrivals[:0]
 	if w.Cut || w.occurs(w.LossRatio) {
--- a/internal/rehearsal/model/model_test.go
+++ b/internal/rehearsal/model/model_test.go
@@ -114,8 +114,8 @@
 	expectEqual(t, n.bytes, 10)
 }
 
-// Writes with the same deduplication token are applied once within the window and again after it. Three times its capacity stops
-// the origin: its jobs are lost, and it works again after the stop.
+// Writes with the same deduplication token are applied once within the window and again after it. More than three times its
+// capacity stops the origin: its jobs are lost, and it works again after the outage.
 func TestGateway(t *testing.T) {
 	g := NewOrigin(OriginConfig{Slots: 2, ServiceTime: 10 * ms, Queue: 1000, OverloadMultiple: 3, OverloadWindow: s, OutageLength: 2 * s, DedupWindow: s}, 0)
 	write := func(id string, at time.Duration) uint64 {
@@ -135,8 +135,8 @@
 		g.Offer(at, Job{WorkTime: 10 * ms}) // five times its capacity
 	}
 	expectEqual(t, len(g.Outages()), 1)
-	if stop := g.Outages()[0]; lost == 0 || stop.At < 2500*ms || stop.At > 3*s {
-		t.Errorf("%d jobs lost, stopped at %v", lost, stop.At)
+	if outage := g.Outages()[0]; lost == 0 || outage.At < 2500*ms || outage.At > 3*s {
+		t.Errorf("%d jobs lost, stopped at %v", lost, outage.At)
 	}
 	g.Advance(6 * s)
 	expectEqual(t, g.Offer(6*s, Job{WorkTime: ms}), true)
--- a/internal/rehearsal/model/origin.go
+++ b/internal/rehearsal/model/origin.go
@@ -28,7 +28,7 @@
 	slowdown          float64
 	loadMeter         loadMeter
 	loadRecordedUntil time.Duration
-	stoppedUntil      time.Duration // end of the current stop
+	stoppedUntil      time.Duration // end of the current outage
 	stops             []Outage
 	appliedTokens     map[string]Effect
 	versions          map[string]uint64
@@ -42,6 +42,7 @@
 	LoadMultiple float64 // offered work as a multiple of its capacity
 }
 
+// maxVersionedKeys limits the number of keys whose versions are kept.
 const maxVersionedKeys = 1 << 20
 
 // NewOrigin starts an origin.
@@ -128,7 +129,7 @@
 			return d
 		}
 	}
-	if len(g.versions) < maxVersionedKeys { // above the limit versions stay as they are; a run uses far fewer keys
+	if len(g.versions) < maxVersionedKeys { // at the limit versions no longer change; a run uses far fewer keys
 		g.versions[j.Key]++
 	}
 	d.Version = g.versions[j.Key]
@@ -152,9 +153,9 @@
 
 // removeExpiredTokens removes the deduplication tokens whose window has passed.
 func (g *Origin) removeExpiredTokens(now time.Duration) {
-	for m, e := range g.appliedTokens {
+	for token, e := range g.appliedTokens {
 		if now-e.At >= g.terms.DedupWindow {
-			delete(g.appliedTokens, m)
+			delete(g.appliedTokens, token)
 		}
 	}
 }
