--- a/internal/rehearsal/standin/host.go
+++ b/internal/rehearsal/standin/host.go
@@ -208,7 +208,7 @@
 			att.finish(answer{failed: true})
 		case n.world.Scenario.Fleet.Mode == scenario.ModeThrough && (d.Write || !d.Hit):
 			n.forwardToOrigin(att, d)
-		case d.Write: // the caches take no writes if balancers contact the origin themselves
+		case d.Write: // cache hosts accept no writes if balancers contact the origin themselves
 			att.finish(answer{failed: true})
 		case d.Hit:
 			att.finish(answer{value: n.world.Value(d.Key, d.Version, d.ID), hit: true})
@@ -217,7 +217,7 @@
 			att.finish(answer{miss: true})
 		}
 	}
-	if at, multiple, fell := n.model.OverloadFailure(); fell && n.cold {
+	if at, multiple, failed := n.model.OverloadFailure(); failed && n.cold {
 		n.cold = false // recorded only once
 		n.world.Record.Add(func() {
 			n.world.Record.OverloadFailures = append(n.world.Record.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
@@ -234,7 +234,8 @@
 func (n *Host) forwardToOrigin(att *attempt, d model.Done) {
 	job := model.Job{ID: d.ID, Key: d.Key, DedupToken: d.DedupToken, Write: d.Write}
 	if d.Write {
-		go n.world.Origin.submit(job, func(r result) { // in its own goroutine, as the origin's lock must be taken before a host's
+		// In its own goroutine, because the origin's lock must not be acquired while a host's lock is held.
+		go n.world.Origin.submit(job, func(r result) {
 			att.finish(answer{failed: r.lost, busy: r.refused, receipt: !r.lost && !r.refused})
 		})
 		return
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -196,7 +196,7 @@
 	return l.cut
 }
 
-// waitRestored waits while the link is cut. It returns false if the connection whose closed channel is passed ends first.
+// waitRestored waits while the link is cut. It returns false if closed, the channel of a connection, is closed first.
 func (l *link) waitRestored(closed <-chan struct{}) bool {
 	for {
 		l.mu.Lock()
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -103,7 +103,7 @@
 	answered.Wait()
 }
 
-// minDelay is the shortest delay that is simulated; timers are less accurate than that.
+// minDelay is the shortest delay that is simulated; timers cannot measure shorter ones accurately.
 const minDelay = 20 * time.Microsecond
 
 // afterDelay calls f after a delay.
@@ -290,11 +290,11 @@
 	case a.receipt:
 		text = fmt.Appendf(nil, "HD O%s cr-%s%s\r\n", att.id, att.id, report)
 	default:
-		dedupToken := "h0"
+		hitFlag := "h0"
 		if a.hit {
-			dedupToken = "h1"
+			hitFlag = "h1"
 		}
-		text = fmt.Appendf(nil, "VA %d O%s %s%s\r\n%s\r\n", len(a.value), att.id, dedupToken, report, a.value)
+		text = fmt.Appendf(nil, "VA %d O%s %s%s\r\n%s\r\n", len(a.value), att.id, hitFlag, report, a.value)
 	}
 	if reset {
 		conn.Write(text[:len(text)/2])
@@ -307,7 +307,7 @@
 	return !corrupt && err == nil, err == nil
 }
 
-// corruptions are ways to corrupt an answer so that nothing in it can be trusted.
+// corruptions are functions that corrupt an answer so that nothing in it can be trusted.
 var corruptions = []func(text []byte) []byte{
 	func([]byte) []byte { return []byte("\x00\xff\x13 noise\r\n") },
 	func(text []byte) []byte { return bytes.Replace(text, []byte(" O"), []byte(" Ox"), 1) },
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -21,18 +21,18 @@
 // newWorld starts a cache host, the origin and discovery for one balancer.
 func newWorld(t *testing.T, settings string) (*Environment, *Host) {
 	t.Helper()
-	d, err := scenario.Parse("test", []byte("[fleet]\nbalancers = 1\nsame = \"0s\"\n"+settings))
+	sc, err := scenario.Parse("test", []byte("[fleet]\nbalancers = 1\nsame = \"0s\"\n"+settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := NewEnvironment(d, record.New())
+	w := NewEnvironment(sc, record.New())
 	if err := w.AddDiscovery(); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.AddOrigin(); err != nil {
 		t.Fatal(err)
 	}
-	n, err := w.AddHost("node-1", &d.Hosts[0], false, nil)
+	n, err := w.AddHost("node-1", &sc.Hosts[0], false, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,8 +85,8 @@
 	}
 }
 
-// A balancer that closes its connection does not stop an attempt that is already running: the record must show that it ran,
-// and its effect.
+// A balancer that closes its connection does not stop an attempt that is already running: the record must show that the
+// attempt ran and its effect.
 func TestGivenUpStillRuns(t *testing.T) {
 	w, n := newWorld(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
 	w.ExpectRequest("w1", ExpectedRequest{Key: "k", Product: 2})
