--- a/internal/rehearsal/runner/resources_test.go
+++ b/internal/rehearsal/runner/resources_test.go
@@ -16,16 +16,16 @@
 	}
 	required := RequiredResources(sc)
 	for _, row := range []struct {
-		has  Resources
-		want string
+		available Resources
+		want      string
 	}{
 		{Resources{}, ""},
 		{required, ""},
 		{Resources{required.Descriptors - 1, required.MemoryMB}, "descriptors"},
 		{Resources{required.Descriptors, required.MemoryMB - 1}, "memory"},
 	} {
-		if err := row.has.check(required, sc); (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) {
-			t.Errorf("%+v: %v", row.has, err)
+		if err := row.available.check(required, sc); (err == nil) != (row.want == "") || err != nil && !strings.Contains(err.Error(), row.want) {
+			t.Errorf("%+v: %v", row.available, err)
 		}
 	}
 	if required.Descriptors < 1025*1025 || required.MemoryMB < 1025 {
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -73,6 +73,7 @@
 	})
 }
 
+// up starts a rehearsal with the cache hosts that addHosts adds.
 func up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, addHosts func(*Stage) error) (*Stage, error) {
 	if err := availableResources().check(RequiredResources(sc), sc); err != nil {
 		return nil, err
@@ -104,6 +105,7 @@
 	return s, nil
 }
 
+// setUp starts the stand-ins and plans the clients' requests.
 func (s *Stage) setUp(addHosts func(*Stage) error) error {
 	sc := s.Environment.Scenario
 	if err := s.Environment.AddDiscovery(); err != nil {
