--- a/internal/rehearsal/model/host.go
+++ b/internal/rehearsal/model/host.go
@@ -15,7 +15,7 @@
 	CacheBytes       int64         // limit of the cached values' total size
 	ColdCapacity     float64       // fraction of its full capacity that a freshly started host has
 	WarmUpTime       time.Duration // time until it has its full capacity; 0: it starts warm
-	OverloadMultiple float64       // a cold host fails when it is offered more than this multiple of its capacity over OverloadWindow; 0: never
+	OverloadMultiple float64       // a cold host offered more than this multiple of its capacity over OverloadWindow fails; 0: never
 	OverloadWindow   time.Duration
 	PauseInterval    time.Duration // average time between pauses, in which it does no work; 0: no pauses
 	PauseLength      time.Duration
