--- a/internal/rehearsal/load/many_connections.go
+++ b/internal/rehearsal/load/many_connections.go
@@ -10,8 +10,8 @@
 // crowdConnTimeout is how long a connection opened by CrowdConnection stays open unless the balancer closes it.
 const crowdConnTimeout = 10 * time.Second
 
-// CrowdConnection simulates the i-th of many connections that are opened within a short time. One in three sends one request and stays open, one sends part of a
-// command and one sends nothing. Their requests are not recorded.
+// CrowdConnection simulates the i-th of many connections that are opened within a short time. One in
+// three sends one request and stays open, one sends part of a command and one sends nothing. Their requests are not recorded.
 func (c *Clients) CrowdConnection(i int) {
 	_, addr := c.targets[i%len(c.targets)].state()
 	n, err := net.DialTimeout("tcp", addr, time.Second)
