--- a/internal/rehearsal/model/origin.go
+++ b/internal/rehearsal/model/origin.go
@@ -28,7 +28,7 @@
 	slowdown          float64
 	loadMeter         loadMeter
 	loadRecordedUntil time.Duration
-	stoppedUntil      time.Duration // end of the current stop
+	stoppedUntil      time.Duration // end of the current outage
 	stops             []Outage
 	appliedTokens     map[string]Effect
 	versions          map[string]uint64
@@ -42,12 +42,13 @@
 	LoadMultiple float64 // offered work as a multiple of its capacity
 }
 
+// maxVersionedKeys limits the number of keys whose versions are kept.
 const maxVersionedKeys = 1 << 20
 
 // NewOrigin starts an origin.
-func NewOrigin(terms OriginConfig, now time.Duration) *Origin {
-	return &Origin{terms: terms, slowdown: 1, processor: processor{cores: terms.Slots, maxWaiting: terms.Queue, rate: 1, now: now}, loadRecordedUntil: now,
-		loadMeter: loadMeter{window: terms.OverloadWindow, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
+func NewOrigin(config OriginConfig, now time.Duration) *Origin {
+	return &Origin{terms: config, slowdown: 1, processor: processor{cores: config.Slots, maxWaiting: config.Queue, rate: 1, now: now}, loadRecordedUntil: now,
+		loadMeter: loadMeter{window: config.OverloadWindow, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
 }
 
 // SetSlowdown divides the speed of the origin by a factor; a factor of 1 restores it.
@@ -87,8 +88,8 @@
 	}
 }
 
-// Advance simulates the origin up to a given time and returns the jobs that ended or were lost, in order. The jobs that it has
-// when it stops are lost.
+// Advance simulates the origin up to a given time and returns the jobs that ended or were lost, in order. The jobs that are
+// queued or running when it stops are lost.
 func (g *Origin) Advance(now time.Duration) (done []Done) {
 	for {
 		if g.stopped {
@@ -128,7 +129,7 @@
 			return d
 		}
 	}
-	if len(g.versions) < maxVersionedKeys { // above the limit versions stay as they are; a run uses far fewer keys
+	if len(g.versions) < maxVersionedKeys { // at the limit versions no longer change; a run uses far fewer keys
 		g.versions[j.Key]++
 	}
 	d.Version = g.versions[j.Key]
@@ -152,14 +153,14 @@
 
 // removeExpiredTokens removes the deduplication tokens whose window has passed.
 func (g *Origin) removeExpiredTokens(now time.Duration) {
-	for m, e := range g.appliedTokens {
+	for token, e := range g.appliedTokens {
 		if now-e.At >= g.terms.DedupWindow {
-			delete(g.appliedTokens, m)
+			delete(g.appliedTokens, token)
 		}
 	}
 }
 
-// NextEvent returns the time of the next change that needs no call from outside.
+// NextEvent returns the time of the next change that occurs without a further method call.
 func (g *Origin) NextEvent() time.Duration {
 	if g.stopped {
 		return g.stoppedUntil
--- a/internal/rehearsal/standin/host.go
+++ b/internal/rehearsal/standin/host.go
@@ -51,7 +51,7 @@
 	return n, n.Start(cold)
 }
 
-// Start brings the host up as a new process.
+// Start starts the host as a new process.
 func (n *Host) Start(cold bool) error {
 	n.mu.Lock()
 	now := n.world.Now()
@@ -86,7 +86,7 @@
 	n.stopModel()
 }
 
-// Reconnect brings a vanished host back as a new process.
+// Reconnect makes a disconnected host reachable again, as a new process.
 func (n *Host) Reconnect() error {
 	for _, l := range n.links {
 		if err := l.restore(n.world, true); err != nil {
@@ -113,11 +113,11 @@
 // Addr returns the address at which a balancer reaches the host.
 func (n *Host) Addr(balancer int) string { return n.links[balancer].addr.String() }
 
-// Entry returns the host's entry in the host list, with the given condition.
-func (n *Host) Entry(condition model.Lifecycle) model.Entry {
+// Entry returns the host's entry in the host list, with the given lifecycle state.
+func (n *Host) Entry(lifecycle model.Lifecycle) model.Entry {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return model.Entry{Host: n.ID, Zone: n.Zone, MachineType: "cache", Lifecycle: condition, Weight: n.Group.Speed * float64(n.Group.Cores), StartedAt: n.startedAt}
+	return model.Entry{Host: n.ID, Zone: n.Zone, MachineType: "cache", Lifecycle: lifecycle, Weight: n.Group.Speed * float64(n.Group.Cores), StartedAt: n.startedAt}
 }
 
 // SetSlowdown slows the host's work down by a factor. It and the following methods inject faults; a zero argument ends them.
@@ -208,7 +208,7 @@
 			att.finish(answer{failed: true})
 		case n.world.Scenario.Fleet.Mode == scenario.ModeThrough && (d.Write || !d.Hit):
 			n.forwardToOrigin(att, d)
-		case d.Write: // the caches take no writes if balancers contact the origin themselves
+		case d.Write: // cache hosts accept no writes if balancers contact the origin themselves
 			att.finish(answer{failed: true})
 		case d.Hit:
 			att.finish(answer{value: n.world.Value(d.Key, d.Version, d.ID), hit: true})
@@ -217,7 +217,7 @@
 			att.finish(answer{miss: true})
 		}
 	}
-	if at, multiple, fell := n.model.OverloadFailure(); fell && n.cold {
+	if at, multiple, failed := n.model.OverloadFailure(); failed && n.cold {
 		n.cold = false // recorded only once
 		n.world.Record.Add(func() {
 			n.world.Record.OverloadFailures = append(n.world.Record.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
@@ -234,7 +234,8 @@
 func (n *Host) forwardToOrigin(att *attempt, d model.Done) {
 	job := model.Job{ID: d.ID, Key: d.Key, DedupToken: d.DedupToken, Write: d.Write}
 	if d.Write {
-		go n.world.Origin.submit(job, func(r result) { // in its own goroutine, as the origin's lock must be taken before a host's
+		// In its own goroutine, because the origin's lock must not be acquired while a host's lock is held.
+		go n.world.Origin.submit(job, func(r result) {
 			att.finish(answer{failed: r.lost, busy: r.refused, receipt: !r.lost && !r.refused})
 		})
 		return
--- a/internal/rehearsal/standin/link.go
+++ b/internal/rehearsal/standin/link.go
@@ -176,7 +176,7 @@
 		l.backlogFiller = nil
 	}
 	l.recordBacklog(w, outage)
-	// Closing the old listener resets connections that were established in its backlog and that nobody accepted.
+	// Closing the old listener resets connections that were established in its backlog and never accepted.
 	old := l.listener
 	old.Close()
 	close(l.restored)
@@ -196,7 +196,7 @@
 	return l.cut
 }
 
-// waitRestored waits while the link is cut. It returns false if the connection whose closed channel is passed ends first.
+// waitRestored waits while the link is cut. It returns false if closed, the channel of a connection, is closed first.
 func (l *link) waitRestored(closed <-chan struct{}) bool {
 	for {
 		l.mu.Lock()
