--- a/internal/rehearsal/measure/evidence.go
+++ b/internal/rehearsal/measure/evidence.go
@@ -176,7 +176,7 @@
 	for _, x := range []struct {
 		name string
 		s    EvidenceResult
-	}{{"alone", e.Alone}, {"shared", e.Told}} {
+	}{{"alone", e.Alone}, {"told", e.Told}} {
 		fmt.Fprintf(to, "  %-6s %7.0f attempts at faulty hosts, %7.0f without result; service %.4f, worst run %.4f, worst 10 s %.3f; %d rules broken; %v to simulate\n",
 			x.name, x.s.AtBad, x.s.Vain, x.s.Service, x.s.WorstDay, x.s.Worst10, x.s.Broken, x.s.Took.Round(time.Millisecond))
 	}
