--- a/internal/balancer/discovery_watch_test.go
+++ b/internal/balancer/discovery_watch_test.go
@@ -26,15 +26,15 @@
 // fakeDiscovery is a stand-in for discovery that is reached over pipes and uses the test's clock. Its list has one host, which is active
 // until the test sets draining.
 type fakeDiscovery struct {
-	mu        sync.Mutex
-	began     time.Time
-	draining  bool
-	down      bool // refuses connections
-	callTimes []time.Duration
-	waits     []time.Duration // the longest time for which each request may wait
-	changed   chan struct{}
-	done      chan struct{}
-	respond   func(n int, to net.Conn, text string) bool // sends the answer to the n-th request; false: the connection stays open without a further answer
+	mu           sync.Mutex
+	began        time.Time
+	draining     bool
+	down         bool // refuses connections
+	requestTimes []time.Duration
+	waits        []time.Duration // the longest time for which each request may wait
+	changed      chan struct{}
+	done         chan struct{}
+	respond      func(n int, to net.Conn, text string) bool // sends the answer to the n-th request; false: the connection stays open without a further answer
 }
 
 func (d *fakeDiscovery) list(after int) (text string) {
@@ -75,8 +75,8 @@
 			wait, _ = strconv.Atoi(r.URL.Query().Get("wait_ms"))
 		}
 		d.mu.Lock()
-		d.callTimes, d.waits = append(d.callTimes, time.Since(d.began)), append(d.waits, time.Duration(wait)*time.Millisecond)
-		n, changed := len(d.callTimes), d.changed
+		d.requestTimes, d.waits = append(d.requestTimes, time.Since(d.began)), append(d.waits, time.Duration(wait)*time.Millisecond)
+		n, changed := len(d.requestTimes), d.changed
 		d.mu.Unlock()
 		if strings.Contains(d.list(after), "[]") {
 			select {
@@ -217,12 +217,12 @@
 							time.Sleep(time.Until(d.began.Add(knownAt + grace*9/10)))
 							synctest.Wait()
 							if b.avoidedHosts() != 1 {
-								t.Errorf("host not avoided %v after it began to drain, known after %v; requests at %v", time.Since(d.began)-row.drainsAt, knownAt-row.drainsAt, d.callTimes)
+								t.Errorf("host not avoided %v after it began to drain, known after %v; requests at %v", time.Since(d.began)-row.drainsAt, knownAt-row.drainsAt, d.requestTimes)
 							}
 							d.mu.Lock()
 							defer d.mu.Unlock()
-							if n, most := len(d.callTimes), 5+int(time.Since(d.began)/(1750*time.Millisecond))+int(8*row.downTo/grace); n > most {
-								t.Errorf("%d requests to discovery, at %v", n, d.callTimes)
+							if n, most := len(d.requestTimes), 5+int(time.Since(d.began)/(1750*time.Millisecond))+int(8*row.downTo/grace); n > most {
+								t.Errorf("%d requests to discovery, at %v", n, d.requestTimes)
 							}
 						})
 					})
@@ -253,7 +253,7 @@
 		time.Sleep(10 * time.Minute)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		if n := len(d.callTimes); n > 175 {
+		if n := len(d.requestTimes); n > 175 {
 			t.Errorf("%d requests in ten minutes without changes", n)
 		}
 	})
@@ -302,7 +302,7 @@
 						time.Sleep(limit + grace*9/10)
 						synctest.Wait()
 						if b.avoidedHosts() != 1 {
-							t.Errorf("host not avoided; requests at %v", moved.callTimes)
+							t.Errorf("host not avoided; requests at %v", moved.requestTimes)
 						}
 					})
 				})
--- a/internal/fleet/transport/codec.go
+++ b/internal/fleet/transport/codec.go
@@ -46,24 +46,24 @@
 
 // packet is a message with the fields that the transport adds.
 type packet struct {
-	Kind       uint8    `cbor:"1,keyasint"`
-	From       uint64   `cbor:"2,keyasint"`
-	Counter    uint64   `cbor:"3,keyasint"` // numbers the sender's datagrams, so that a repeated one is detected
-	SentAtMs   int64    `cbor:"4,keyasint"` // when it was sent, in Unix milliseconds
-	To         uint64   `cbor:"5,keyasint,omitempty"`
-	Inc        uint32   `cbor:"6,keyasint,omitempty"`
-	Seq        uint32   `cbor:"7,keyasint,omitempty"`
-	Digest     uint64   `cbor:"8,keyasint,omitempty"`
-	Target     uint64   `cbor:"9,keyasint,omitempty"`
-	TargetAddr []byte   `cbor:"10,keyasint,omitempty"`
-	Flags      uint8    `cbor:"11,keyasint,omitempty"`
-	Updates    []update `cbor:"12,keyasint,omitempty"`
-	Records    []record `cbor:"13,keyasint,omitempty"`
-	Wants      []uint64 `cbor:"14,keyasint,omitempty"`
-	Sums       []uint32 `cbor:"15,keyasint,omitempty"`
-	Mask       uint64   `cbor:"16,keyasint,omitempty"`
-	Topic      uint8    `cbor:"17,keyasint,omitempty"` // of a payload: the package that it is for
-	Body       []byte   `cbor:"18,keyasint,omitempty"`
+	Kind           uint8    `cbor:"1,keyasint"`
+	From           uint64   `cbor:"2,keyasint"`
+	Counter        uint64   `cbor:"3,keyasint"` // numbers the sender's datagrams, so that a repeated one is detected
+	SentAtMs       int64    `cbor:"4,keyasint"` // when it was sent, in Unix milliseconds
+	To             uint64   `cbor:"5,keyasint,omitempty"`
+	Inc            uint32   `cbor:"6,keyasint,omitempty"`
+	Seq            uint32   `cbor:"7,keyasint,omitempty"`
+	Digest         uint64   `cbor:"8,keyasint,omitempty"`
+	Target         uint64   `cbor:"9,keyasint,omitempty"`
+	TargetAddr     []byte   `cbor:"10,keyasint,omitempty"`
+	Flags          uint8    `cbor:"11,keyasint,omitempty"`
+	Updates        []update `cbor:"12,keyasint,omitempty"`
+	Records        []record `cbor:"13,keyasint,omitempty"`
+	RecordRequests []uint64 `cbor:"14,keyasint,omitempty"`
+	BucketDigests  []uint32 `cbor:"15,keyasint,omitempty"`
+	WantedBuckets  uint64   `cbor:"16,keyasint,omitempty"`
+	Topic          uint8    `cbor:"17,keyasint,omitempty"` // of a payload: the package that it is for
+	Body           []byte   `cbor:"18,keyasint,omitempty"`
 }
 
 type update struct {
@@ -140,7 +140,7 @@
 func (c *codec) encode(m *member.Message, content payload, at time.Time) ([]byte, error) {
 	c.counter++
 	p := packet{Kind: uint8(m.Kind), From: uint64(m.From), Counter: c.counter, SentAtMs: at.UnixMilli(), To: uint64(m.To), Inc: uint32(m.Inc), Seq: m.Seq,
-		Digest: m.Digest, Target: uint64(m.Target), Sums: m.BucketDigests, Mask: m.WantedBuckets}
+		Digest: m.Digest, Target: uint64(m.Target), BucketDigests: m.BucketDigests, WantedBuckets: m.WantedBuckets}
 	if content.topic != 0 {
 		p.Kind, p.Topic, p.Body = kindPayload, content.topic, content.body
 	}
@@ -161,7 +161,7 @@
 		p.Records = append(p.Records, record{Life: uint64(r.Life), Inc: uint32(r.Inc), Name: r.Name, Zone: r.Zone, Addr: addr})
 	}
 	for _, id := range m.RecordRequests {
-		p.Wants = append(p.Wants, uint64(id))
+		p.RecordRequests = append(p.RecordRequests, uint64(id))
 	}
 	body, err := cbor.Marshal(&p)
 	if err != nil {
@@ -253,7 +253,7 @@
 		return nil, false
 	}
 	m := &member.Message{Kind: member.Kind(p.Kind), From: member.ProcessID(p.From), To: member.ProcessID(p.To), Inc: member.Incarnation(p.Inc), Seq: p.Seq,
-		Digest: p.Digest, Target: member.ProcessID(p.Target), WantTable: p.Flags&flagWantTable != 0, WantRecords: p.Flags&flagWantRecords != 0, BucketDigests: p.Sums, WantedBuckets: p.Mask}
+		Digest: p.Digest, Target: member.ProcessID(p.Target), WantTable: p.Flags&flagWantTable != 0, WantRecords: p.Flags&flagWantRecords != 0, BucketDigests: p.BucketDigests, WantedBuckets: p.WantedBuckets}
 	if len(p.TargetAddr) > 0 && m.TargetAddr.UnmarshalBinary(p.TargetAddr) != nil {
 		return nil, false
 	}
@@ -271,7 +271,7 @@
 		}
 		m.Records = append(m.Records, member.Record{Life: member.ProcessID(r.Life), Inc: member.Incarnation(r.Inc), Name: r.Name, Zone: r.Zone, Addr: addr})
 	}
-	for _, id := range p.Wants {
+	for _, id := range p.RecordRequests {
 		m.RecordRequests = append(m.RecordRequests, member.ProcessID(id))
 	}
 	return m, true
--- a/internal/fleet/transport/evidence.go
+++ b/internal/fleet/transport/evidence.go
@@ -11,9 +11,9 @@
 
 // observations is the encoded form of evidence.Message.
 type observations struct {
-	N    uint64           `cbor:"1,keyasint"`
-	At   int64            `cbor:"2,keyasint"`
-	Rows []observationRow `cbor:"3,keyasint,omitempty"`
+	Sequence uint64           `cbor:"1,keyasint"`
+	SentAt   int64            `cbor:"2,keyasint"`
+	Hosts    []observationRow `cbor:"3,keyasint,omitempty"`
 }
 
 type observationRow struct {
@@ -24,9 +24,9 @@
 
 // EncodeObservations encodes a message of package evidence.
 func EncodeObservations(m *evidence.Message) []byte {
-	out := observations{N: m.Sequence, At: int64(m.SentAt)}
+	out := observations{Sequence: m.Sequence, SentAt: int64(m.SentAt)}
 	for _, r := range m.Hosts {
-		out.Rows = append(out.Rows, observationRow{Host: r.Host, Good: uint32(r.Good), Bad: uint32(r.Bad)})
+		out.Hosts = append(out.Hosts, observationRow{Host: r.Host, Good: uint32(r.Good), Bad: uint32(r.Bad)})
 	}
 	data, _ := cbor.Marshal(&out) // cannot fail for numbers and strings
 	return data
@@ -38,8 +38,8 @@
 	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
 	}
-	m := &evidence.Message{Sequence: s.N, SentAt: evidence.Moment(s.At)}
-	for _, r := range s.Rows {
+	m := &evidence.Message{Sequence: s.Sequence, SentAt: evidence.Moment(s.SentAt)}
+	for _, r := range s.Hosts {
 		if r.Host == "" || len(r.Host) > evidence.MaxHostNameBytes || r.Good > 1<<30 || r.Bad > 1<<30 {
 			return nil, false
 		}
--- a/internal/fleet/transport/orders.go
+++ b/internal/fleet/transport/orders.go
@@ -12,9 +12,9 @@
 
 // orderMessage is the encoded form of order.Message.
 type orderMessage struct {
-	Sum    uint64           `cbor:"1,keyasint"`
-	Answer bool             `cbor:"2,keyasint,omitempty"`
-	Orders []exclusionOrder `cbor:"3,keyasint,omitempty"`
+	Digest  uint64           `cbor:"1,keyasint"`
+	IsReply bool             `cbor:"2,keyasint,omitempty"`
+	Orders  []exclusionOrder `cbor:"3,keyasint,omitempty"`
 }
 
 type exclusionOrder struct {
@@ -30,7 +30,7 @@
 
 // EncodeOrders encodes a message of package order.
 func EncodeOrders(m *order.Message) []byte {
-	out := orderMessage{Sum: m.Digest, Answer: m.IsReply}
+	out := orderMessage{Digest: m.Digest, IsReply: m.IsReply}
 	for _, o := range m.Orders {
 		row := exclusionOrder{Host: o.Host, Count: o.Count, By: uint64(o.By), Out: o.Out, Force: o.Force, Door: o.Door}
 		for _, p := range o.Past {
@@ -48,7 +48,7 @@
 	if decodeMode.Unmarshal(data, &s) != nil {
 		return nil, false
 	}
-	m := &order.Message{Digest: s.Sum, IsReply: s.Answer}
+	m := &order.Message{Digest: s.Digest, IsReply: s.IsReply}
 	for _, row := range s.Orders {
 		o := order.Order{Host: row.Host, ID: order.ID{Count: row.Count, By: member.ProcessID(row.By)}, Out: row.Out, Force: row.Force, Door: row.Door}
 		for k := 1; k < len(row.Past); k += 2 {
--- a/internal/rehearsal/faults/faults.go
+++ b/internal/rehearsal/faults/faults.go
@@ -32,10 +32,10 @@
 
 // Timeline holds the faults of a scenario as steps to run at given times.
 type Timeline struct {
-	world     *standin.Environment
-	balancers BalancerControl
-	steps     []step
-	pending   sync.WaitGroup
+	environment *standin.Environment
+	balancers   BalancerControl
+	steps       []step
+	pending     sync.WaitGroup
 
 	mu        sync.Mutex
 	currentID map[string]string // by id of a host at the start: the id of the host that has replaced it
@@ -50,7 +50,7 @@
 
 // New returns the timeline of the faults of w's scenario.
 func New(w *standin.Environment, b BalancerControl) *Timeline {
-	t := &Timeline{world: w, balancers: b, currentID: map[string]string{}}
+	t := &Timeline{environment: w, balancers: b, currentID: map[string]string{}}
 	for i := range w.Scenario.Faults {
 		t.schedule(i)
 	}
@@ -63,10 +63,10 @@
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	for _, s := range t.steps {
-		timer.Reset(max(0, s.at-t.world.Now()))
+		timer.Reset(max(0, s.at-t.environment.Now()))
 		select {
 		case <-timer.C:
-			t.world.RecordLateness(s.at, t.world.Now())
+			t.environment.RecordLateness(s.at, t.environment.Now())
 			s.run()
 		case <-stop:
 			return t.err
@@ -93,9 +93,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if id, ok := t.currentID[initialID]; ok {
-		return t.world.Host(id)
+		return t.environment.Host(id)
 	}
-	return t.world.Host(initialID)
+	return t.environment.Host(initialID)
 }
 
 // addInterval schedules one action on hosts for a fault's begin and another for its end.
@@ -108,9 +108,9 @@
 
 // schedule adds the steps of the scenario's i-th fault to the timeline, and the fault to the record.
 func (t *Timeline) schedule(i int) {
-	fault := &t.world.Scenario.Faults[i]
+	fault := &t.environment.Scenario.Faults[i]
 	from, to := fault.At.Duration(), (fault.At + fault.Length).Duration()
-	hostIDs, balancers := t.world.Scenario.AffectedHosts(i), t.world.Scenario.AffectedBalancers(i)
+	hostIDs, balancers := t.environment.Scenario.AffectedHosts(i), t.environment.Scenario.AffectedBalancers(i)
 	description := fault.Kind
 	switch fault.Kind {
 	case "slow":
@@ -143,26 +143,26 @@
 		t.deploy(fault, hostIDs)
 	case "register-silent":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Discovery.SetSilent(b, true) })
-			t.addStep(to, func() { t.world.Discovery.SetSilent(b, false) })
+			t.addStep(from, func() { t.environment.Discovery.SetSilent(b, true) })
+			t.addStep(to, func() { t.environment.Discovery.SetSilent(b, false) })
 		}
 	case "watch-silent":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Discovery.StallWatches(b) })
+			t.addStep(from, func() { t.environment.Discovery.StallWatches(b) })
 		}
 	case "register-rewind":
 		for _, b := range balancers {
-			t.addStep(from, func() { t.world.Discovery.ResetGenerations(b) })
+			t.addStep(from, func() { t.environment.Discovery.ResetGenerations(b) })
 		}
 	case "gateway-slow":
-		t.addStep(from, func() { t.world.Origin.SetSlowdown(fault.Factor) })
-		t.addStep(to, func() { t.world.Origin.SetSlowdown(1) })
+		t.addStep(from, func() { t.environment.Origin.SetSlowdown(fault.Factor) })
+		t.addStep(to, func() { t.environment.Origin.SetSlowdown(1) })
 	case "gateway-reset":
-		t.addStep(from, func() { t.world.Origin.Reset(fault.Share) })
-		t.addStep(to, func() { t.world.Origin.Reset(0) })
+		t.addStep(from, func() { t.environment.Origin.Reset(fault.Share) })
+		t.addStep(to, func() { t.environment.Origin.Reset(0) })
 	case "gateway-fail":
-		t.addStep(from, func() { t.world.Origin.Fail(fault.Share) })
-		t.addStep(to, func() { t.world.Origin.Fail(0) })
+		t.addStep(from, func() { t.environment.Origin.Fail(fault.Share) })
+		t.addStep(to, func() { t.environment.Origin.Fail(0) })
 	case "balancer-kill":
 		for _, b := range balancers {
 			t.addStep(from, func() { t.balancers.Kill(b, fault.Length.Duration()) })
@@ -221,17 +221,17 @@
 	} else if fault.Zone != "" || fault.Tenant != "" {
 		description += " " + fault.Zone + fault.Tenant
 	}
-	t.world.Record.Add(func() {
-		t.world.Record.Faults = append(t.world.Record.Faults, record.Band{Text: description, From: from, To: to})
+	t.environment.Record.Add(func() {
+		t.environment.Record.Faults = append(t.environment.Record.Faults, record.Band{Text: description, From: from, To: to})
 	})
 }
 
 // scheduleBalancerLinks schedules a fault of the links between balancers.
 func (t *Timeline) scheduleBalancerLinks(i int, fault *scenario.Fault) {
-	from, to, links := fault.At.Duration(), (fault.At + fault.Length).Duration(), t.world.Scenario.AffectedLinks(i)
+	from, to, links := fault.At.Duration(), (fault.At + fault.Length).Duration(), t.environment.Scenario.AffectedLinks(i)
 	change := func(end bool) {
 		for _, link := range links {
-			t.balancers.Links().AlterLink(link[0], link[1], t.world.Scenario.LinkChange(i, end))
+			t.balancers.Links().AlterLink(link[0], link[1], t.environment.Scenario.LinkChange(i, end))
 		}
 	}
 	if fault.Kind == "mate-flap" {
@@ -244,7 +244,9 @@
 		t.addStep(from, func() { change(false) })
 	}
 	t.addStep(to, func() { change(true) })
-	t.world.Record.Add(func() { t.world.Record.LinkOutages = append(t.world.Record.LinkOutages, LinkOutages(fault, links)...) })
+	t.environment.Record.Add(func() {
+		t.environment.Record.LinkOutages = append(t.environment.Record.LinkOutages, LinkOutages(fault, links)...)
+	})
 }
 
 // LinkOutages returns the links between balancers that a fault makes unusable, for the judge. A fault that only delays, repeats,
@@ -275,7 +277,7 @@
 }
 
 func (t *Timeline) setCondition(n *standin.Host, c model.Lifecycle) {
-	t.world.Discovery.Update(n.Entry(c))
+	t.environment.Discovery.Update(n.Entry(c))
 }
 
 // deploy replaces hosts in waves. The successor starts cold when the old host begins to leave, or, where it takes over the old
@@ -285,7 +287,7 @@
 	waves := (len(hostIDs) + fault.AtOnce - 1) / fault.AtOnce
 	for i, hostID := range hostIDs {
 		at := fault.At.Duration() + fault.Length.Duration()*time.Duration(i/fault.AtOnce)/time.Duration(waves)
-		stopDelay := t.world.Scenario.Discovery.Delay[1].Duration() + fault.Drain.Duration()
+		stopDelay := t.environment.Scenario.Discovery.Delay[1].Duration() + fault.Drain.Duration()
 		var old, next *standin.Host
 		t.addStep(at, func() {
 			old = t.hostAt(hostID)
@@ -316,7 +318,7 @@
 	if sameAddress {
 		inherit = old
 	}
-	n, err := t.world.AddHost(id, old.Group, true, inherit)
+	n, err := t.environment.AddHost(id, old.Group, true, inherit)
 	if err != nil {
 		t.recordError(err)
 		return nil
--- a/internal/rehearsal/judge/judge_test.go
+++ b/internal/rehearsal/judge/judge_test.go
@@ -15,7 +15,7 @@
 		PromptTimeout: 300 * ms, ColdMissThreshold: 0.3, OverloadWindow: 2000 * ms, ConnectTimeout: 200 * ms}
 }
 
-func call(product int, sent, timeout, answered time.Duration, reply record.Reply) record.Request {
+func newRequest(product int, sent, timeout, answered time.Duration, reply record.Reply) record.Request {
 	return record.Request{ID: "a", FirstID: "a", Try: 1, Product: product, ScheduledAt: sent, Sent: sent, Timeout: timeout, Answered: answered, Reply: reply}
 }
 
@@ -39,33 +39,33 @@
 		connectOutage bool
 		want          Rule
 	}{
-		"served":                             {request: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms)}},
-		"served by no server":                {request: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}, want: RightAnswer},
-		"after its timeout":                  {request: call(0, 0, 900*ms, 960*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}, want: OneAnswer},
-		"within the slack":                   {request: call(0, 0, 900*ms, 940*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}},
-		"closed":                             {request: call(0, 0, 900*ms, 0, record.Closed), want: OneAnswer},
-		"cut short by its server":            {request: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}},
-		"cut short by the balancer":          {request: call(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{served(1*ms, 29*ms)}, want: OneAnswer},
-		"an attempt after the answer":        {request: call(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms), served(90*ms, 99*ms)}, want: NothingLate},
-		"given up late":                      {request: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, want: PromptGiveUp},
-		"given up with an attempt in flight": {request: call(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 705*ms, record.NothingProven)}},
-		"given up during a connect outage":   {request: call(0, 0, 1900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, connectOutage: true},
-		"given up late in a connect outage":  {request: call(0, 0, 1900*ms, 1700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, connectOutage: true, want: PromptGiveUp},
-		"non-idempotent, sent again":         {request: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(30*ms, 50*ms)}, want: NoRepeat},
-		"non-idempotent, never ran":          {request: call(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NeverRan), served(30*ms, 50*ms)}},
-		"non-idempotent, rate-limited":       {request: call(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven)}, want: HarmlessRetry},
-		"deduplicated, within its window":    {request: call(2, 0, 5000*ms, 1960*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(1930*ms, 1950*ms)}},
-		"deduplicated, after its window":     {request: call(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(2100*ms, 2150*ms)}, want: NoRepeat},
-		"two attempts in flight":             {request: call(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.NothingProven), served(30*ms, 150*ms)}, want: AttemptsInSequence},
-		"a drained host": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
+		"served":                             {request: newRequest(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms)}},
+		"served by no server":                {request: newRequest(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}, want: RightAnswer},
+		"after its timeout":                  {request: newRequest(0, 0, 900*ms, 960*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}, want: OneAnswer},
+		"within the slack":                   {request: newRequest(0, 0, 900*ms, 940*ms, record.Errored), attempts: []record.Attempt{attempt("n", 1*ms, 900*ms, record.NothingProven)}},
+		"closed":                             {request: newRequest(0, 0, 900*ms, 0, record.Closed), want: OneAnswer},
+		"cut short by its server":            {request: newRequest(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{attempt("n", 1*ms, 29*ms, record.NothingProven)}},
+		"cut short by the balancer":          {request: newRequest(0, 0, 900*ms, 30*ms, record.CutShort), attempts: []record.Attempt{served(1*ms, 29*ms)}, want: OneAnswer},
+		"an attempt after the answer":        {request: newRequest(0, 0, 900*ms, 30*ms, record.Fulfilled), attempts: []record.Attempt{served(1*ms, 29*ms), served(90*ms, 99*ms)}, want: NothingLate},
+		"given up late":                      {request: newRequest(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, want: PromptGiveUp},
+		"given up with an attempt in flight": {request: newRequest(0, 0, 900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 705*ms, record.NothingProven)}},
+		"given up during a connect outage":   {request: newRequest(0, 0, 1900*ms, 700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, connectOutage: true},
+		"given up late in a connect outage":  {request: newRequest(0, 0, 1900*ms, 1700*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 300*ms, record.NeverRan)}, connectOutage: true, want: PromptGiveUp},
+		"non-idempotent, sent again":         {request: newRequest(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(30*ms, 50*ms)}, want: NoRepeat},
+		"non-idempotent, never ran":          {request: newRequest(1, 0, 900*ms, 60*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NeverRan), served(30*ms, 50*ms)}},
+		"non-idempotent, rate-limited":       {request: newRequest(1, 0, 900*ms, 25*ms, record.RateLimited), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven)}, want: HarmlessRetry},
+		"deduplicated, within its window":    {request: newRequest(2, 0, 5000*ms, 1960*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(1930*ms, 1950*ms)}},
+		"deduplicated, after its window":     {request: newRequest(2, 0, 5000*ms, 2200*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 20*ms, record.NothingProven), served(2100*ms, 2150*ms)}, want: NoRepeat},
+		"two attempts in flight":             {request: newRequest(0, 0, 900*ms, 160*ms, record.Fulfilled), attempts: []record.Attempt{attempt("n", 1*ms, 150*ms, record.NothingProven), served(30*ms, 150*ms)}, want: AttemptsInSequence},
+		"a drained host": {request: newRequest(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}}, want: Drains},
-		"drain noticed twice": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
+		"drain noticed twice": {request: newRequest(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}, {Host: "n", At: 1500 * ms}}, want: Drains},
-		"drained host available again": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
+		"drained host available again": {request: newRequest(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2060*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 500 * ms}, {Host: "n", Available: true, At: 1500 * ms}}},
-		"server timeout within the slack": {request: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 690*ms)}},
-		"server timeout beyond the slack": {request: call(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 691*ms)}, want: Deadlines},
-		"within the drain grace": {request: call(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2040*ms, 2100*ms)},
+		"server timeout within the slack": {request: newRequest(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 690*ms)}},
+		"server timeout beyond the slack": {request: newRequest(0, 0, 900*ms, 390*ms, record.Fulfilled), attempts: []record.Attempt{servedWithTimeLeft(360*ms, 380*ms, 691*ms)}, want: Deadlines},
+		"within the drain grace": {request: newRequest(0, 2000*ms, 2900*ms, 2130*ms, record.Fulfilled), attempts: []record.Attempt{served(2040*ms, 2100*ms)},
 			notices: []record.HostNotice{{Host: "n", At: 1000 * ms}}},
 	} {
 		rec := record.New()
@@ -90,7 +90,7 @@
 // case that depends on counts alone is a breach regardless of lateness. A rule without a case counts nothing as checked.
 func TestDoubt(t *testing.T) {
 	rec := record.New()
-	rec.Requests = []record.Request{call(0, 0, 900*ms, 970*ms, record.Errored)}
+	rec.Requests = []record.Request{newRequest(0, 0, 900*ms, 970*ms, record.Errored)}
 	rec.Attempts = []record.Attempt{attempt("n", 1*ms, 960*ms, record.NothingProven)}
 	rec.Latenesses = []record.Lateness{{At: 500 * ms, By: 15 * ms}}
 	v := Judge(rec, testConfig())
@@ -120,10 +120,10 @@
 	included := record.HostNotice{Host: "n", At: 5 * second, ByOperator: true, Available: true}
 	listed := record.HostNotice{Host: "n", At: 2 * second, Available: true}
 	upgrade := record.Upgrade{From: 3 * second, To: 4 * second, Ready: second}
-	lastRequest := call(0, 20*second, 21*second, 20*second+30*ms, record.RateLimited) // so that the run goes on long enough for reuseTimeout
+	lastRequest := newRequest(0, 20*second, 21*second, 20*second+30*ms, record.RateLimited) // so that the run goes on long enough for reuseTimeout
 	attemptAt := func(when time.Duration) record.Attempt { return attempt("n", when, when+5*ms, record.Served) }
 	closed := func(id string, when time.Duration) record.Request {
-		c := call(0, when, when+second, 0, record.Closed)
+		c := newRequest(0, when, when+second, 0, record.Closed)
 		c.ID, c.BalancerStopped = id, true
 		return c
 	}
@@ -151,7 +151,7 @@
 		rec.Requests, rec.HostNotices, rec.Upgrades, rec.AdminCalls = append(row.requests, lastRequest), row.notices, row.upgrades, row.adminCalls
 		rec.Attempts = row.attempts
 		for i := range rec.Attempts { // give each attempt a request of its own that it answered
-			c := call(0, rec.Attempts[i].FirstByteAt-ms, rec.Attempts[i].FirstByteAt+second, rec.Attempts[i].Ended+ms, record.Fulfilled)
+			c := newRequest(0, rec.Attempts[i].FirstByteAt-ms, rec.Attempts[i].FirstByteAt+second, rec.Attempts[i].Ended+ms, record.Fulfilled)
 			c.ID = "attempt" + string(rune('0'+i))
 			rec.Attempts[i].RequestID = c.ID
 			rec.Requests = append(rec.Requests, c)
--- a/internal/rehearsal/load/conn.go
+++ b/internal/rehearsal/load/conn.go
@@ -81,7 +81,7 @@
 		co, addr := target.checkout(req.ClosedConnections < maxClosedConns)
 		if co == nil {
 			var err error
-			if co, err = dial(addr, max(time.Millisecond, req.Timeout-c.world.Now())); err != nil {
+			if co, err = dial(addr, max(time.Millisecond, req.Timeout-c.environment.Now())); err != nil {
 				req.NotSent = true
 				return
 			}
@@ -107,8 +107,8 @@
 func (c *Clients) exchange(co *conn, req *record.Request, write bool, target *balancerTarget) (closedWhileIdle bool) {
 	fresh := !co.used
 	co.used = true
-	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.world.Scenario.Products[req.Product].Name, c.world.Scenario.Tenants[req.Tenant].Name,
-		max(1, (req.Timeout-c.world.Now()).Milliseconds()))
+	attrs := fmt.Sprintf("c=%s,t=%s,d=%d", c.environment.Scenario.Products[req.Product].Name, c.environment.Scenario.Tenants[req.Tenant].Name,
+		max(1, (req.Timeout-c.environment.Now()).Milliseconds()))
 	text := make([]byte, 0, 256)
 	if write {
 		if req.DedupToken != "" {
@@ -119,18 +119,18 @@
 		text = fmt.Appendf(text, "mg %s v O%s P%s\r\n", req.Key, req.ID, attrs)
 	}
 	if req.Sent == 0 {
-		c.recordLateness(req.ScheduledAt, c.world.Now())
+		c.recordLateness(req.ScheduledAt, c.environment.Now())
 	}
-	co.net.SetDeadline(time.Now().Add(req.Timeout - c.world.Now()))
+	co.net.SetDeadline(time.Now().Add(req.Timeout - c.environment.Now()))
 	_, err := co.net.Write(text)
-	req.Sent = c.world.Now()
+	req.Sent = c.environment.Now()
 	if err != nil {
 		co.net.Close()
 		return !fresh
 	}
 	for {
 		r, err := co.read()
-		now := c.world.Now()
+		now := c.environment.Now()
 		if err == nil && r.id != "" && r.id != req.ID && r.id == co.lastID {
 			c.recordExtraAnswer(r.id) // an extra answer to the previous request
 			continue
@@ -172,5 +172,5 @@
 		return string(r.body) == "r-"+req.ID
 	}
 	words := bytes.SplitN(r.body, []byte(" "), 4)
-	return len(words) == 4 && string(words[0]) == req.Key && string(words[2]) == req.ID && len(r.body) == c.world.Scenario.Load.ValueSize
+	return len(words) == 4 && string(words[0]) == req.Key && string(words[2]) == req.ID && len(r.body) == c.environment.Scenario.Load.ValueSize
 }
--- a/internal/rehearsal/load/load.go
+++ b/internal/rehearsal/load/load.go
@@ -22,7 +22,7 @@
 
 // Clients simulates all clients of a rehearsal.
 type Clients struct {
-	world       *standin.Environment
+	environment *standin.Environment
 	arrivals    []model.Arrival
 	retryPolicy model.RetryPolicy
 	targets     []*balancerTarget // indexed by balancer
@@ -58,7 +58,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c := &Clients{world: w, arrivals: arrivals, retryPolicy: w.Scenario.RetryPolicy(),
+	c := &Clients{environment: w, arrivals: arrivals, retryPolicy: w.Scenario.RetryPolicy(),
 		lateness:  hdrhistogram.New(minMicros, maxMicros, significantDigits),
 		latencies: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 	for range w.Scenario.Fleet.Balancers {
@@ -88,7 +88,7 @@
 	target.stopping = true
 	target.stateChanges++
 	stateChanges := target.stateChanges
-	time.AfterFunc(c.world.Scenario.Clients.FailureNoticeDelay.Duration(), func() {
+	time.AfterFunc(c.environment.Scenario.Clients.FailureNoticeDelay.Duration(), func() {
 		target.mu.Lock()
 		defer target.mu.Unlock()
 		if target.stopping && target.stateChanges == stateChanges {
@@ -125,7 +125,7 @@
 	defer runtime.UnlockOSThread()
 	for i := range c.arrivals {
 		arrival := &c.arrivals[i]
-		for wait := arrival.At - c.world.Now(); wait > 0; wait = arrival.At - c.world.Now() {
+		for wait := arrival.At - c.environment.Now(); wait > 0; wait = arrival.At - c.environment.Now() {
 			ts := syscall.NsecToTimespec(int64(min(wait, maxSleep)))
 			syscall.Nanosleep(&ts, nil)
 			select {
@@ -147,8 +147,8 @@
 
 // runRequest sends one planned request and its client retries until it is fulfilled or the client gives up.
 func (c *Clients) runRequest(arrival *model.Arrival) {
-	p := &c.world.Scenario.Products[arrival.Product]
-	random := model.NewRand(c.world.Scenario.Seed, "client "+arrival.ID)
+	p := &c.environment.Scenario.Products[arrival.Product]
+	random := model.NewRand(c.environment.Scenario.Seed, "client "+arrival.ID)
 	due := arrival.At
 	for sending := 1; ; sending++ {
 		req := record.Request{ID: arrival.ID, FirstID: arrival.ID, Try: sending, Tenant: arrival.Tenant, Product: arrival.Product, Key: arrival.Key, DedupToken: arrival.DedupToken, KeyUsedOnce: arrival.KeyUsedOnce,
@@ -156,7 +156,7 @@
 		if sending > 1 {
 			req.ID = fmt.Sprintf("%s.%d", arrival.ID, sending)
 		}
-		c.world.ExpectRequest(req.ID, standin.ExpectedRequest{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
+		c.environment.ExpectRequest(req.ID, standin.ExpectedRequest{Key: arrival.Key, Product: arrival.Product, Tenant: arrival.Tenant})
 		if c.inFlight.Add(1) > maxInFlight {
 			req.NotSent = true
 		} else {
@@ -173,14 +173,14 @@
 		if !retry {
 			return
 		}
-		due = c.world.Now() + wait
+		due = c.environment.Now() + wait
 		time.Sleep(wait)
 	}
 }
 
 // recordResult adds the outcome of one sending to the record and to the tally.
 func (c *Clients) recordResult(req record.Request, due time.Duration) {
-	c.world.Record.Add(func() { c.world.Record.Requests = append(c.world.Record.Requests, req) })
+	c.environment.Record.Add(func() { c.environment.Record.Requests = append(c.environment.Record.Requests, req) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.tally.Finished++
@@ -199,7 +199,7 @@
 
 // recordLateness records how late a request was sent.
 func (c *Clients) recordLateness(due, now time.Duration) {
-	c.world.RecordLateness(due, now)
+	c.environment.RecordLateness(due, now)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lateness.RecordValue(min(maxMicros, max(minMicros, (now-due).Microseconds())))
@@ -241,7 +241,7 @@
 // pickBalancer chooses the balancer for a request, in rotation among those believed to be up: first those that its tenant
 // uses, then those of the client's zone, then any. If none is up it returns balancer 0.
 func (c *Clients) pickBalancer(zone, tenant int) int {
-	if allowed := c.world.Scenario.TenantBalancers(tenant, c.world.Now()); len(allowed) > 0 {
+	if allowed := c.environment.Scenario.TenantBalancers(tenant, c.environment.Now()); len(allowed) > 0 {
 		n := int(c.roundRobin.Add(1))
 		for i := range allowed {
 			if b := allowed[(n+i)%len(allowed)]; c.targets[b].isUp() {
@@ -249,7 +249,7 @@
 			}
 		}
 	}
-	zones := len(c.world.Scenario.Fleet.Zones)
+	zones := len(c.environment.Scenario.Fleet.Zones)
 	for _, sameZone := range []bool{true, false} {
 		n := int(c.roundRobin.Add(1))
 		for i := range c.targets {
@@ -331,9 +331,9 @@
 
 // recordExtraAnswer counts an additional answer to a request that was already answered.
 func (c *Clients) recordExtraAnswer(id string) {
-	c.world.Record.Add(func() {
-		for i := len(c.world.Record.Requests) - 1; i >= 0; i-- {
-			if req := &c.world.Record.Requests[i]; req.ID == id {
+	c.environment.Record.Add(func() {
+		for i := len(c.environment.Record.Requests) - 1; i >= 0; i-- {
+			if req := &c.environment.Record.Requests[i]; req.ID == id {
 				req.ExtraAnswers++
 				return
 			}
--- a/internal/rehearsal/load/load_test.go
+++ b/internal/rehearsal/load/load_test.go
@@ -53,7 +53,7 @@
 			}
 		}
 	}()
-	c := &Clients{world: w, targets: []*balancerTarget{target}, lateness: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
+	c := &Clients{environment: w, targets: []*balancerTarget{target}, lateness: hdrhistogram.New(minMicros, maxMicros, significantDigits)}
 	req := record.Request{ID: "a-1", Key: "k", Timeout: w.Now() + 5*time.Second}
 	c.sendRequest(&req, 0, false)
 	if req.Reply != record.RateLimited || req.ClosedConnections != maxClosedConns {
--- a/internal/rehearsal/load/malformed_clients.go
+++ b/internal/rehearsal/load/malformed_clients.go
@@ -46,7 +46,7 @@
 	defer n.Close()
 	r := record.MalformedClient{Input: input.name}
 	defer func() {
-		c.world.Record.Add(func() { c.world.Record.MalformedClients = append(c.world.Record.MalformedClients, r) })
+		c.environment.Record.Add(func() { c.environment.Record.MalformedClients = append(c.environment.Record.MalformedClients, r) })
 	}()
 	wait := answerTimeout
 	if input.name == "a value of 60 MB" {
@@ -56,11 +56,11 @@
 	go func() {
 		text := input.text
 		if strings.Contains(text, "%s") {
-			text = fmt.Sprintf(text, c.world.Scenario.Products[0].Name)
+			text = fmt.Sprintf(text, c.environment.Scenario.Products[0].Name)
 		}
 		io.WriteString(n, text)
 		if wait == hugeValueTimeout {
-			fmt.Fprintf(n, "ms k %d Orude Pc=%s,d=500\r\n", hugeValueBytes, c.world.Scenario.Products[0].Name)
+			fmt.Fprintf(n, "ms k %d Orude Pc=%s,d=500\r\n", hugeValueBytes, c.environment.Scenario.Products[0].Name)
 			chunk := bytes.Repeat([]byte("x"), 1<<16)
 			for sent := 0; sent < hugeValueBytes; sent += len(chunk) {
 				if _, err := n.Write(chunk); err != nil {
--- a/internal/rehearsal/load/many_connections.go
+++ b/internal/rehearsal/load/many_connections.go
@@ -20,7 +20,7 @@
 	}
 	defer n.Close()
 	n.SetDeadline(time.Now().Add(crowdConnTimeout))
-	switch p := c.world.Scenario.Products[0].Name; i % 3 {
+	switch p := c.environment.Scenario.Products[0].Name; i % 3 {
 	case 0:
 		fmt.Fprintf(n, "mg crowd v Ocrowd%d Pc=%s,t=none,d=500\r\n", i, p)
 	case 1:
--- a/internal/rehearsal/measure/closed_loop.go
+++ b/internal/rehearsal/measure/closed_loop.go
@@ -40,7 +40,7 @@
 	defer os.RemoveAll(dir)
 	sc := baseScenario(1, time.Hour, 1)
 	sc.Hosts = []scenario.Host{{Name: "n", Zone: "here", Count: hosts, Cores: 64, Speed: 1, Connections: 1 << 15, IdleTimeout: scenario.Span(time.Minute), ColdCapacity: 1}}
-	session, err := runner.StartWithEchoNodes(ctx, sc, launch, dir)
+	session, err := runner.StartWithEchoHosts(ctx, sc, launch, dir)
 	if err != nil {
 		return c, err
 	}
--- a/internal/rehearsal/measure/members.go
+++ b/internal/rehearsal/measure/members.go
@@ -34,8 +34,8 @@
 	membersim.QuietResult
 }
 
-// defaultTerms returns a fleet with the defaults of the operator's file.
-func defaultTerms(members int, seed uint64, loss float64) membersim.Config {
+// defaultConfig returns a fleet with the defaults of the operator's file.
+func defaultConfig(members int, seed uint64, loss float64) membersim.Config {
 	return membersim.Config{Members: members, Zones: 3, Seeds: 3, ProbePeriod: 400 * time.Millisecond, SuspicionTimeout: 2 * time.Second, GossipBytesPerSecond: 3000, Seed: seed,
 		Links: model.LinkConfig{LossRatio: loss, Delay: time.Millisecond, Jitter: 9 * time.Millisecond}}
 }
@@ -54,8 +54,8 @@
 		RunParallel(n, workers, func(i int) error { do(uint64(i + 1)); return nil })
 	}
 	forEachSeed(seeds, func(seed uint64) {
-		f, l := membersim.DeathDetection(defaultTerms(members, seed, 0))
-		b, h := membersim.JoinTime(defaultTerms(members, seed, 0)), membersim.PartitionRecovery(defaultTerms(members, seed, 0), 3)
+		f, l := membersim.DeathDetection(defaultConfig(members, seed, 0))
+		b, h := membersim.JoinTime(defaultConfig(members, seed, 0)), membersim.PartitionRecovery(defaultConfig(members, seed, 0), 3)
 		mu.Lock()
 		defer mu.Unlock()
 		first, last, birth, heal = append(first, f), append(last, l), append(birth, b), append(heal, h)
@@ -70,7 +70,7 @@
 		}
 		runs := max(workers, int((length+maxQuietRun-1)/maxQuietRun))
 		forEachSeed(runs, func(seed uint64) {
-			result := membersim.RunWithoutDeaths(defaultTerms(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
+			result := membersim.RunWithoutDeaths(defaultConfig(members, seed, c.Loss), length/time.Duration(runs), stallInterval, c.Stall)
 			mu.Lock()
 			defer mu.Unlock()
 			c.Suspicions, c.Deaths, c.Played = c.Suspicions+result.Suspicions, c.Deaths+result.Deaths, c.Played+result.Played
--- a/internal/rehearsal/membersim/fleet.go
+++ b/internal/rehearsal/membersim/fleet.go
@@ -45,7 +45,7 @@
 	Limits     *Limits
 	AlterShare func(index int, m *share.Machine)
 
-	terms          Config
+	config         Config
 	links          map[[2]int]*model.Link
 	defaultLink    *model.Link
 	cut            func(from, to int) bool
@@ -84,7 +84,7 @@
 
 // New returns a fleet in which no process runs yet.
 func New(t Config) *Fleet {
-	p := &Fleet{terms: t, links: map[[2]int]*model.Link{}, rng: model.NewRand(t.Seed, "gather")}
+	p := &Fleet{config: t, links: map[[2]int]*model.Link{}, rng: model.NewRand(t.Seed, "gather")}
 	p.defaultLink = model.NewLink(t.Links, p.rng)
 	for range t.Members {
 		p.Members = append(p.Members, &Member{})
@@ -109,16 +109,16 @@
 	}
 	m.Starts++
 	p.starts++
-	t := member.Config{ExpectedMembers: p.terms.Members, ProbeInterval: p.terms.ProbePeriod, SuspicionTimeout: p.terms.SuspicionTimeout, GossipBytesPerSecond: p.terms.GossipBytesPerSecond,
-		MaxMembers: 4*p.terms.Members + 64, Seed: p.rng.Uint64()}
+	t := member.Config{ExpectedMembers: p.config.Members, ProbeInterval: p.config.ProbePeriod, SuspicionTimeout: p.config.SuspicionTimeout, GossipBytesPerSecond: p.config.GossipBytesPerSecond,
+		MaxMembers: 4*p.config.Members + 64, Seed: p.rng.Uint64()}
 	name := record.BalancerName(i)
 	if other, ok := p.nameOverrides[i]; ok {
 		name = record.BalancerName(other)
 	}
-	t.Self = member.Record{Life: member.NewProcessID(p.Now.Milliseconds()+1, p.starts), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.terms.Zones)), Addr: addr(i)}
-	for s := range min(p.terms.Seeds, p.terms.Members) {
+	t.Self = member.Record{Life: member.NewProcessID(p.Now.Milliseconds()+1, p.starts), Name: name, Zone: "z" + strconv.Itoa(i%max(1, p.config.Zones)), Addr: addr(i)}
+	for s := range min(p.config.Seeds, p.config.Members) {
 		if p.nextSeedsWrong {
-			s += p.terms.Members
+			s += p.config.Members
 		}
 		t.Seeds = append(t.Seeds, addr(s))
 	}
@@ -127,7 +127,7 @@
 	m.StalledUntil, m.queued, m.timerAt = 0, nil, 0
 	p.flush(i)
 	if s := p.Limits; s != nil {
-		m.Share = share.New(share.Config{Self: m.Machine.ProcessID(), Balancers: p.terms.Members, Names: s.Names, Limits: s.Limit, NeedPerItem: s.Step, ReservedFraction: s.Minimum, Lease: s.Lease,
+		m.Share = share.New(share.Config{Self: m.Machine.ProcessID(), Balancers: p.config.Members, Names: s.Names, Limits: s.Limit, NeedPerItem: s.Step, ReservedFraction: s.Minimum, Lease: s.Lease,
 			FirstAskNumber: uint64(p.Now/time.Microsecond) + 1, Seed: p.rng.Uint64()}, p.Now)
 		p.push(event{at: p.Now + time.Duration(p.rng.Int64N(int64(share.TickInterval))), kind: shareTick, to: int32(i), generation: m.generation})
 	}
@@ -217,7 +217,7 @@
 func (p *Fleet) Link(from, to int) *model.Link {
 	link := p.links[[2]int{from, to}]
 	if link == nil {
-		link = model.NewLink(p.terms.Links, p.rng)
+		link = model.NewLink(p.config.Links, p.rng)
 		p.links[[2]int{from, to}] = link
 	}
 	return link
--- a/internal/rehearsal/model/arrivals.go
+++ b/internal/rehearsal/model/arrivals.go
@@ -115,7 +115,7 @@
 				a.DedupToken = "m" + a.ID
 			}
 			if !p.Write {
-				t.applyFocus(&a, hotDraw, hotKeyDraw)
+				t.applyHotKeys(&a, hotDraw, hotKeyDraw)
 			}
 			if all = append(all, a); len(all) > MaxArrivals {
 				return nil, fmt.Errorf("more than %d requests in the run", MaxArrivals)
@@ -151,8 +151,8 @@
 	return multiple
 }
 
-// applyFocus replaces the key of a read if an element of HotKeys applies to it.
-func (t *LoadConfig) applyFocus(a *Arrival, draw float64, keyDraw uint64) {
+// applyHotKeys replaces the key of a read if an element of HotKeys applies to it.
+func (t *LoadConfig) applyHotKeys(a *Arrival, draw float64, keyDraw uint64) {
 	for i, f := range t.HotKeys {
 		if a.At < f.From || a.At >= f.To || draw >= f.Share {
 			continue
--- a/internal/rehearsal/model/host.go
+++ b/internal/rehearsal/model/host.go
@@ -25,7 +25,7 @@
 
 // Host models a cache host. It is not safe for concurrent use. The times passed to its methods must not decrease.
 type Host struct {
-	terms             HostConfig
+	config            HostConfig
 	processor         processor
 	cache             *simplelru.LRU[string, cachedValue]
 	bytes             int64
@@ -59,7 +59,7 @@
 
 // NewHost starts a host. A cold host has an empty cache and warms up from now on; any other has its full capacity at once.
 func NewHost(config HostConfig, now time.Duration, cold bool, rng *rand.Rand) *Host {
-	n := &Host{terms: config, rng: rng, startedAt: now, startedCold: cold && config.WarmUpTime > 0, slowdown: 1, pauseChangeAt: never, warmStepAt: never,
+	n := &Host{config: config, rng: rng, startedAt: now, startedCold: cold && config.WarmUpTime > 0, slowdown: 1, pauseChangeAt: never, warmStepAt: never,
 		processor: processor{cores: config.Cores, maxWaiting: config.Queue, now: now}, loadRecordedUntil: now,
 		loadMeter: loadMeter{window: config.OverloadWindow, startedAt: now}}
 	n.loadMeter.slot = int64(now) / max(1, int64(config.OverloadWindow)/loadMeterSlots)
@@ -76,7 +76,7 @@
 
 // nextPause draws the time until the next pause, so that the hosts do not all pause at the same time.
 func (n *Host) nextPause() time.Duration {
-	return uniform(n.rng, n.terms.PauseInterval/2, n.terms.PauseInterval*3/2)
+	return uniform(n.rng, n.config.PauseInterval/2, n.config.PauseInterval*3/2)
 }
 
 // Warmth returns the fraction of its full capacity that the host has.
@@ -84,16 +84,16 @@
 	if !n.Cold(now) {
 		return 1
 	}
-	return n.terms.ColdCapacity + (1-n.terms.ColdCapacity)*float64(now-n.startedAt)/float64(n.terms.WarmUpTime)
+	return n.config.ColdCapacity + (1-n.config.ColdCapacity)*float64(now-n.startedAt)/float64(n.config.WarmUpTime)
 }
 
 // Cold reports whether the host is still warming up.
 func (n *Host) Cold(now time.Duration) bool {
-	return n.startedCold && now-n.startedAt < n.terms.WarmUpTime
+	return n.startedCold && now-n.startedAt < n.config.WarmUpTime
 }
 
 func (n *Host) setRate() {
-	n.processor.rate = n.terms.Speed * n.Warmth(n.processor.now) / n.slowdown
+	n.processor.rate = n.config.Speed * n.Warmth(n.processor.now) / n.slowdown
 	if n.stalled || n.paused || n.failed {
 		n.processor.rate = 0
 	}
@@ -101,18 +101,18 @@
 
 // capacity returns the work that the host can do per second at a given time. Pauses do not reduce it.
 func (n *Host) capacity(now time.Duration) float64 {
-	return n.terms.Speed * n.Warmth(now) / n.slowdown * float64(n.terms.Cores)
+	return n.config.Speed * n.Warmth(now) / n.slowdown * float64(n.config.Cores)
 }
 
 // recordLoad adds the capacity since its previous use and the newly offered work to the load meter. It marks a cold host as failed
 // when the load is above OverloadMultiple.
 func (n *Host) recordLoad(now, work time.Duration) {
-	if !n.startedCold || n.failed || n.terms.OverloadMultiple <= 0 {
+	if !n.startedCold || n.failed || n.config.OverloadMultiple <= 0 {
 		return
 	}
 	n.loadMeter.add(now, float64(work), n.capacity(now)*float64(now-n.loadRecordedUntil))
 	n.loadRecordedUntil = now
-	if n.Cold(now) && n.loadMeter.multiple(now) > n.terms.OverloadMultiple {
+	if n.Cold(now) && n.loadMeter.multiple(now) > n.config.OverloadMultiple {
 		n.failed, n.failedAt, n.failedMultiple = true, now, n.loadMeter.multiple(now)
 	}
 }
@@ -124,8 +124,8 @@
 	if n.failed || !n.processor.hasRoom() {
 		return false
 	}
-	if n.terms.MissWorkRatio > 0 && !j.Write && j.Key != "" && !n.cache.Contains(j.Key) {
-		j.WorkTime = time.Duration(float64(j.WorkTime) * n.terms.MissWorkRatio)
+	if n.config.MissWorkRatio > 0 && !j.Write && j.Key != "" && !n.cache.Contains(j.Key) {
+		j.WorkTime = time.Duration(float64(j.WorkTime) * n.config.MissWorkRatio)
 	}
 	n.processor.add(j)
 	return true
@@ -168,7 +168,7 @@
 // applyChange begins or ends a pause, takes a step of the warm-up, or both.
 func (n *Host) applyChange(at time.Duration) {
 	if at == n.warmStepAt {
-		n.warmStepAt = at + n.terms.WarmUpTime/warmUpSteps
+		n.warmStepAt = at + n.config.WarmUpTime/warmUpSteps
 		if !n.Cold(at) {
 			n.warmStepAt = never
 		}
@@ -177,7 +177,7 @@
 		n.paused = !n.paused
 		n.pauseChangeAt = at + n.nextPause()
 		if n.paused {
-			n.pauseChangeAt = at + uniform(n.rng, n.terms.PauseLength/2, n.terms.PauseLength*3/2)
+			n.pauseChangeAt = at + uniform(n.rng, n.config.PauseLength/2, n.config.PauseLength*3/2)
 		}
 	}
 	n.setRate()
@@ -197,7 +197,7 @@
 
 // Abandon notifies the host that the caller no longer waits for a job. It returns true if that removed the job.
 func (n *Host) Abandon(id string) bool {
-	return n.terms.DropsAbandoned && n.processor.removeWaiting(id)
+	return n.config.DropsAbandoned && n.processor.removeWaiting(id)
 }
 
 // CacheValue caches a value, unless a newer version is cached.
@@ -210,7 +210,7 @@
 	}
 	n.bytes += int64(size)
 	n.cache.Add(key, cachedValue{version, size})
-	for n.bytes > n.terms.CacheBytes && n.cache.Len() > 0 {
+	for n.bytes > n.config.CacheBytes && n.cache.Len() > 0 {
 		n.cache.RemoveOldest()
 	}
 }
@@ -253,7 +253,7 @@
 // Load returns the current load.
 func (n *Host) Load() Load {
 	return Load{InFlight: len(n.processor.running) + len(n.processor.waiting), Queue: len(n.processor.waiting),
-		Utilization: float64(len(n.processor.running)) / float64(max(1, n.terms.Cores))}
+		Utilization: float64(len(n.processor.running)) / float64(max(1, n.config.Cores))}
 }
 
 // BusyTime returns the core time that the host has spent on jobs.
--- a/internal/rehearsal/model/model_test.go
+++ b/internal/rehearsal/model/model_test.go
@@ -11,7 +11,7 @@
 
 const ms, s = time.Millisecond, time.Second
 
-var plainTerms = HostConfig{Cores: 2, Speed: 1, Queue: 3, CacheBytes: 100}
+var testHostConfig = HostConfig{Cores: 2, Speed: 1, Queue: 3, CacheBytes: 100}
 
 func formatDone(done []Done) (text string) {
 	for _, d := range done {
@@ -29,8 +29,8 @@
 
 // With two cores and a queue of three, further jobs are rejected and the accepted ones end in order: later while the host is
 // slowed down, and none while it is stalled.
-func TestNodeQueues(t *testing.T) {
-	n := NewHost(plainTerms, 0, false, NewRand(1, "n"))
+func TestHostQueues(t *testing.T) {
+	n := NewHost(testHostConfig, 0, false, NewRand(1, "n"))
 	for i, want := range []bool{true, true, true, true, true, false} {
 		expectEqual(t, n.Offer(0, Job{ID: string(rune('a' + i)), WorkTime: 10 * ms}), want)
 	}
@@ -47,7 +47,7 @@
 
 // A cold host that is offered more than three times its capacity for two seconds fails and stays down. The same load does not
 // make a warm host fail, nor does a lower load make a cold host fail.
-func TestColdNodeFalls(t *testing.T) {
+func TestColdHostFails(t *testing.T) {
 	config := HostConfig{Cores: 2, Speed: 1, Queue: 1000, ColdCapacity: 0.2, WarmUpTime: 20 * s, OverloadMultiple: 3, OverloadWindow: 2 * s}
 	for _, row := range []struct {
 		cold       bool
@@ -76,8 +76,8 @@
 }
 
 // A pause only delays the running jobs: over a minute the host does the work of its cores less the time of its pauses.
-func TestNodePauses(t *testing.T) {
-	config := plainTerms
+func TestHostPauses(t *testing.T) {
+	config := testHostConfig
 	config.PauseInterval, config.PauseLength, config.Queue = 2*s, 200*ms, 1<<20
 	n := NewHost(config, 0, false, NewRand(7, "n"))
 	for range 20000 {
@@ -94,8 +94,8 @@
 
 // The least recently used values are evicted once the total size is above the limit. Invalidate keeps a newer value, and
 // CacheValue does not replace a newer value by an older one.
-func TestNodeKeeps(t *testing.T) {
-	n := NewHost(plainTerms, 0, false, NewRand(1, "n"))
+func TestHostKeepsValues(t *testing.T) {
+	n := NewHost(testHostConfig, 0, false, NewRand(1, "n"))
 	n.CacheValue("a", 1, 40)
 	n.CacheValue("b", 1, 40)
 	n.Offer(0, Job{ID: "r", Key: "a", WorkTime: ms}) // makes a the most recently used
@@ -116,7 +116,7 @@
 
 // Writes with the same deduplication token are applied once within the window and again after it. More than three times its
 // capacity stops the origin: its jobs are lost, and it works again after the outage.
-func TestGateway(t *testing.T) {
+func TestOrigin(t *testing.T) {
 	g := NewOrigin(OriginConfig{Slots: 2, ServiceTime: 10 * ms, Queue: 1000, OverloadMultiple: 3, OverloadWindow: s, OutageLength: 2 * s, DedupWindow: s}, 0)
 	write := func(id string, at time.Duration) uint64 {
 		g.Advance(at)
@@ -143,7 +143,7 @@
 }
 
 // An agent returns each change within the delay, in generations that never decrease, and never an older state after a newer one.
-func TestRegister(t *testing.T) {
+func TestDiscovery(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := NewDiscovery(2, [2]time.Duration{100 * ms, 900 * ms}, NewRand(rapid.Uint64().Draw(t, "seed"), "r"))
 		r.Set(0, Entry{Host: "a", Lifecycle: Active})
--- a/internal/rehearsal/model/origin.go
+++ b/internal/rehearsal/model/origin.go
@@ -23,7 +23,7 @@
 
 // Origin models the origin, the slow store behind all cache hosts. It is not safe for concurrent use.
 type Origin struct {
-	terms             OriginConfig
+	config            OriginConfig
 	processor         processor
 	slowdown          float64
 	loadMeter         loadMeter
@@ -47,7 +47,7 @@
 
 // NewOrigin starts an origin.
 func NewOrigin(config OriginConfig, now time.Duration) *Origin {
-	return &Origin{terms: config, slowdown: 1, processor: processor{cores: config.Slots, maxWaiting: config.Queue, rate: 1, now: now}, loadRecordedUntil: now,
+	return &Origin{config: config, slowdown: 1, processor: processor{cores: config.Slots, maxWaiting: config.Queue, rate: 1, now: now}, loadRecordedUntil: now,
 		loadMeter: loadMeter{window: config.OverloadWindow, startedAt: now}, appliedTokens: map[string]Effect{}, versions: map[string]uint64{}}
 }
 
@@ -76,14 +76,14 @@
 }
 
 func (g *Origin) recordLoad(now, work time.Duration) {
-	if g.terms.OverloadMultiple <= 0 || g.stopped {
+	if g.config.OverloadMultiple <= 0 || g.stopped {
 		return
 	}
-	g.loadMeter.add(now, float64(work), float64(now-g.loadRecordedUntil)*float64(g.terms.Slots)/g.slowdown)
+	g.loadMeter.add(now, float64(work), float64(now-g.loadRecordedUntil)*float64(g.config.Slots)/g.slowdown)
 	g.loadRecordedUntil = now
-	if m := g.loadMeter.multiple(now); m > g.terms.OverloadMultiple {
+	if m := g.loadMeter.multiple(now); m > g.config.OverloadMultiple {
 		g.stops = append(g.stops, Outage{now, m})
-		g.stopped, g.stoppedUntil = true, now+g.terms.OutageLength
+		g.stopped, g.stoppedUntil = true, now+g.config.OutageLength
 		g.setRate()
 	}
 }
@@ -102,8 +102,8 @@
 			}
 			g.processor.now = max(g.processor.now, g.stoppedUntil)
 			g.stopped = false
-			g.loadRecordedUntil, g.loadMeter = g.stoppedUntil, loadMeter{window: g.terms.OverloadWindow, startedAt: g.stoppedUntil, highest: g.loadMeter.highest,
-				slot: int64(g.stoppedUntil) / max(1, int64(g.terms.OverloadWindow)/loadMeterSlots)}
+			g.loadRecordedUntil, g.loadMeter = g.stoppedUntil, loadMeter{window: g.config.OverloadWindow, startedAt: g.stoppedUntil, highest: g.loadMeter.highest,
+				slot: int64(g.stoppedUntil) / max(1, int64(g.config.OverloadWindow)/loadMeterSlots)}
 			g.setRate()
 		}
 		until := min(now, g.processor.nextEnd())
@@ -124,7 +124,7 @@
 		return d
 	}
 	if j.DedupToken != "" {
-		if old, ok := g.appliedTokens[j.DedupToken]; ok && d.At-old.At < g.terms.DedupWindow {
+		if old, ok := g.appliedTokens[j.DedupToken]; ok && d.At-old.At < g.config.DedupWindow {
 			d.Version = old.Version
 			return d
 		}
@@ -145,8 +145,8 @@
 }
 
 func (g *Origin) maxTokens() int {
-	if g.terms.MaxTokens > 0 {
-		return g.terms.MaxTokens
+	if g.config.MaxTokens > 0 {
+		return g.config.MaxTokens
 	}
 	return 1 << 20
 }
@@ -154,7 +154,7 @@
 // removeExpiredTokens removes the deduplication tokens whose window has passed.
 func (g *Origin) removeExpiredTokens(now time.Duration) {
 	for token, e := range g.appliedTokens {
-		if now-e.At >= g.terms.DedupWindow {
+		if now-e.At >= g.config.DedupWindow {
 			delete(g.appliedTokens, token)
 		}
 	}
--- a/internal/rehearsal/runner/resources_test.go
+++ b/internal/rehearsal/runner/resources_test.go
@@ -9,7 +9,7 @@
 
 // A scenario may be larger than the machine can run. The rehearsal is then refused with an error that names the resource
 // that is insufficient.
-func TestRoom(t *testing.T) {
+func TestInsufficientResources(t *testing.T) {
 	sc, err := scenario.Parse("day", []byte("name = \"big\"\nlength = \"10s\"\n[fleet]\nzones = [\"a\"]\nbalancers = 1025\n[[node]]\nname = \"n\"\ncount = 1025\n"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rehearsal/runner/runner.go
+++ b/internal/rehearsal/runner/runner.go
@@ -57,12 +57,12 @@
 
 // Start starts the stand-ins and the balancers of a scenario and waits until all balancers serve.
 func Start(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
-	return up(ctx, sc, launch, dir, (*Stage).addHosts)
+	return startStage(ctx, sc, launch, dir, (*Stage).addHosts)
 }
 
-// StartWithEchoNodes does the same as Start, but with cache hosts that answer all reads immediately.
-func StartWithEchoNodes(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
-	return up(ctx, sc, launch, dir, func(s *Stage) error {
+// StartWithEchoHosts does the same as Start, but with cache hosts that answer all reads immediately.
+func StartWithEchoHosts(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string) (*Stage, error) {
+	return startStage(ctx, sc, launch, dir, func(s *Stage) error {
 		ids, groups := sc.HostIDs()
 		for _, id := range ids {
 			if _, err := s.Environment.AddEcho(id, groups[id]); err != nil {
@@ -73,8 +73,8 @@
 	})
 }
 
-// up starts a rehearsal with the cache hosts that addHosts adds.
-func up(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, addHosts func(*Stage) error) (*Stage, error) {
+// startStage starts a rehearsal with the cache hosts that addHosts adds.
+func startStage(ctx context.Context, sc *scenario.Scenario, launch Launch, dir string, addHosts func(*Stage) error) (*Stage, error) {
 	if err := availableResources().check(RequiredResources(sc), sc); err != nil {
 		return nil, err
 	}
@@ -289,7 +289,7 @@
 	inst := s.expectExit(b)
 	s.Clients.BalancerDown(b)
 	inst.Kill()
-	s.startAgain(b, inst, restartDelay)
+	s.restartAfterExit(b, inst, restartDelay)
 }
 
 // Restart shuts a balancer down gracefully and starts it again.
@@ -297,7 +297,7 @@
 	inst := s.expectExit(b)
 	s.Clients.BalancerDraining(b)
 	inst.Shutdown()
-	s.startAgain(b, inst, 0)
+	s.restartAfterExit(b, inst, 0)
 }
 
 // Reload moves a balancer's discovery stand-in to another address and makes the balancer reload its configuration.
@@ -322,8 +322,8 @@
 // MalformedClient runs one client that sends malformed input or nothing.
 func (s *Stage) MalformedClient(i int) { s.Clients.MalformedClient(i) }
 
-// startAgain waits until a process has ended and starts the balancer again after a delay.
-func (s *Stage) startAgain(b int, inst Instance, delay time.Duration) {
+// restartAfterExit waits until a process has ended and starts the balancer again after a delay.
+func (s *Stage) restartAfterExit(b int, inst Instance, delay time.Duration) {
 	s.background.Add(1)
 	go func() {
 		defer s.background.Done()
--- a/internal/rehearsal/runner/runner_test.go
+++ b/internal/rehearsal/runner/runner_test.go
@@ -134,14 +134,14 @@
 // no other.
 func TestJudgeReportsUnabandonedWatch(t *testing.T) {
 	t.Parallel()
-	v := playScenario(t, launchFaulty("patient"), silentScenario).Verdict
+	v := runScenario(t, launchFaulty("patient"), silentScenario).Verdict
 	if got := v.BrokenRules(); !slices.Equal(got, []judge.Rule{judge.Drains}) {
 		t.Errorf("broken: %q\n%s", got, describeBreaches(v))
 	}
 }
 
-// playScenario runs a rehearsal from the text of a scenario file.
-func playScenario(t *testing.T, launch Launch, text string) *Result {
+// runScenario runs a rehearsal from the text of a scenario file.
+func runScenario(t *testing.T, launch Launch, text string) *Result {
 	t.Helper()
 	sc, err := scenario.Parse(t.Name(), []byte(text))
 	if err != nil {
@@ -189,7 +189,7 @@
 	} {
 		t.Run(defect, func(t *testing.T) {
 			t.Parallel()
-			v := playScenario(t, launchFaulty(defect), shortScenario).Verdict
+			v := runScenario(t, launchFaulty(defect), shortScenario).Verdict
 			if got := v.BrokenRules(); !slices.Equal(got, want) {
 				t.Errorf("broken: %q, expected %q\n%s", got, want, describeBreaches(v))
 			}
@@ -209,7 +209,7 @@
 func TestOneBalancerAloneOverloadsNothing(t *testing.T) {
 	t.Parallel()
 	half := strings.NewReplacer("balancers = 2", "balancers = 1", "per_s = 150.0", "per_s = 75.0").Replace(shortScenario)
-	if got := playScenario(t, launchFaulty("flood"), half).Verdict.BrokenRules(); got != nil {
+	if got := runScenario(t, launchFaulty("flood"), half).Verdict.BrokenRules(); got != nil {
 		t.Errorf("broken: %q", got)
 	}
 }
@@ -240,7 +240,7 @@
 					"[[fault]]\ndo = \"by-hand\"\nat = \"1s\"\nfor = \"3s\"\nnodes = [\"n-2\"]\n" +
 					"[[fault]]\ndo = \"upgrade\"\nat = \"2s\"\n[[fault]]\ndo = \"crowd\"\nat = \"5s\"\nfor = \"3s\"\ncount = 100\n"
 			}
-			res := playScenario(t, Program(program), text)
+			res := runScenario(t, Program(program), text)
 			for _, f := range res.Verdict.Findings {
 				if name == "operators" && slices.Contains([]judge.Rule{judge.IncludedHostUsed, judge.UpgradeTurnsNoneAway, judge.AdminInTime, judge.Drains}, f.Rule) && f.Checked == 0 ||
 					name == "silent" && f.Rule == judge.Drains && f.Checked < 3*5 {
--- a/internal/rehearsal/scenario/scenario_test.go
+++ b/internal/rehearsal/scenario/scenario_test.go
@@ -55,7 +55,7 @@
 }
 
 // The random share of hosts that a fault affects is the same in every run with the same seed.
-func TestHit(t *testing.T) {
+func TestAffectedHostsSameWithSameSeed(t *testing.T) {
 	text := "seed = 5\n[[node]]\nname = \"n\"\ncount = 8\n[[fault]]\ndo = \"slow\"\nat = \"1s\"\nfor = \"1s\"\nby = 2.0\npart = 0.25"
 	a, err := Parse("a", []byte(text))
 	if err != nil {
--- a/internal/rehearsal/standin/discovery.go
+++ b/internal/rehearsal/standin/discovery.go
@@ -16,8 +16,8 @@
 // Discovery is the stand-in for discovery. It serves the host list over HTTP/1.1 through one agent per balancer; each agent
 // answers with the changes that have reached it so far.
 type Discovery struct {
-	world  *Environment
-	agents []*discoveryAgent
+	environment *Environment
+	agents      []*discoveryAgent
 
 	mu    sync.Mutex
 	model *model.Discovery
@@ -38,7 +38,7 @@
 // AddDiscovery starts the discovery stand-in, with one agent for each balancer.
 func (w *Environment) AddDiscovery() error {
 	delay := [2]time.Duration{w.Scenario.Discovery.Delay[0].Duration(), w.Scenario.Discovery.Delay[1].Duration()}
-	r := &Discovery{world: w, model: model.NewDiscovery(w.Scenario.Fleet.Balancers, delay, model.NewRand(w.Scenario.Seed, "register"))}
+	r := &Discovery{environment: w, model: model.NewDiscovery(w.Scenario.Fleet.Balancers, delay, model.NewRand(w.Scenario.Seed, "register"))}
 	for b := range w.Scenario.Fleet.Balancers {
 		a := &discoveryAgent{discovery: r, balancer: b, changed: make(chan struct{}), watchesStalled: make(chan struct{}), available: map[string]bool{}}
 		if err := a.listen(); err != nil {
@@ -52,7 +52,7 @@
 
 // listen starts an HTTP server for the agent at a new address.
 func (a *discoveryAgent) listen() error {
-	l, err := a.discovery.world.Listen()
+	l, err := a.discovery.environment.Listen()
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
@@ -89,15 +89,15 @@
 
 // Update changes a host's entry. The model decides when the change reaches each agent.
 func (r *Discovery) Update(e model.Entry) {
-	now := r.world.Now()
+	now := r.environment.Now()
 	r.mu.Lock()
 	times := r.model.Set(now, e)
 	r.mu.Unlock()
 	r.advance()
 	for b, at := range times {
-		time.AfterFunc(max(0, at-r.world.Now()), r.advance)
+		time.AfterFunc(max(0, at-r.environment.Now()), r.advance)
 		if e.Lifecycle != model.Active {
-			time.AfterFunc(max(0, at-r.world.Now()), func() { r.assumeNotified(b, e.Host) })
+			time.AfterFunc(max(0, at-r.environment.Now()), func() { r.assumeNotified(b, e.Host) })
 		}
 	}
 }
@@ -106,7 +106,7 @@
 func (r *Discovery) advance() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, b := range r.model.Advance(r.world.Now()) {
+	for _, b := range r.model.Advance(r.environment.Now()) {
 		r.wakeWatches(b)
 	}
 }
@@ -125,7 +125,7 @@
 	if r.model.Silent(balancer) { // counts as known once the agent answers again
 		return
 	}
-	if wait := r.agents[balancer].notifiedBy - r.world.Now(); wait > 0 {
+	if wait := r.agents[balancer].notifiedBy - r.environment.Now(); wait > 0 {
 		time.AfterFunc(wait, func() { r.assumeNotified(balancer, host) })
 		return
 	}
@@ -184,9 +184,9 @@
 		return
 	}
 	a.available[host] = available
-	now := r.world.Now()
-	r.world.Record.Add(func() {
-		r.world.Record.HostNotices = append(r.world.Record.HostNotices, record.HostNotice{Balancer: balancer, Host: host, Available: available, At: now})
+	now := r.environment.Now()
+	r.environment.Record.Add(func() {
+		r.environment.Record.HostNotices = append(r.environment.Record.HostNotices, record.HostNotice{Balancer: balancer, Host: host, Available: available, At: now})
 	})
 }
 
@@ -209,13 +209,13 @@
 	for _, e := range entries {
 		addr := ""
 		if e.Host == record.Origin {
-			addr = r.world.Origin.Addr(balancer)
-		} else if n := r.world.Host(e.Host); n != nil {
+			addr = r.environment.Origin.Addr(balancer)
+		} else if n := r.environment.Host(e.Host); n != nil {
 			addr = n.Addr(balancer)
 		}
 		row := instance{InstanceID: e.Host, HostPort: addr, Zone: e.Zone, MachineType: e.MachineType, Cell: e.Cell, Lifecycle: string(e.Lifecycle), Weight: e.Weight}
 		if e.StartedAt > 0 {
-			row.StartedAtMs = r.world.UnixMilli(e.StartedAt)
+			row.StartedAtMs = r.environment.UnixMilli(e.StartedAt)
 		}
 		rows = append(rows, row)
 	}
@@ -242,7 +242,7 @@
 	}
 	after, full := int64(0), true
 	var timeout <-chan time.Time
-	waitEnds := a.discovery.world.Now()
+	waitEnds := a.discovery.environment.Now()
 	if s := req.URL.Query().Get("after"); s != "" {
 		n, err := strconv.ParseInt(s, 10, 64)
 		ms, err2 := strconv.ParseInt(req.URL.Query().Get("wait_ms"), 10, 64)
@@ -271,7 +271,7 @@
 			timedOut, timeout = true, nil
 		case <-stalled:
 			r.mu.Lock()
-			a.notifiedBy = max(r.world.Now()+notifiedAfterStall, waitEnds+notifiedAfterWait)
+			a.notifiedBy = max(r.environment.Now()+notifiedAfterStall, waitEnds+notifiedAfterWait)
 			r.mu.Unlock()
 			<-req.Context().Done()
 			return
--- a/internal/rehearsal/standin/echo.go
+++ b/internal/rehearsal/standin/echo.go
@@ -14,7 +14,7 @@
 // AddEcho adds a cache host that answers each read at once with a value and neither simulates nor records anything. It
 // uses as little CPU time as possible, so that measurements show the cost of the balancer.
 func (w *Environment) AddEcho(id string, g *scenario.Host) (*Host, error) {
-	n := &Host{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner()}
+	n := &Host{environment: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner()}
 	for b := range w.Scenario.Fleet.Balancers {
 		l := &link{balancer: b, hostID: id, serve: func(_ *link, c *net.TCPConn) { echo(c, w.Scenario.Load.ValueSize) }}
 		n.links = append(n.links, l)
--- a/internal/rehearsal/standin/host.go
+++ b/internal/rehearsal/standin/host.go
@@ -13,11 +13,11 @@
 
 // Host is the stand-in for a cache host: one model of the host, reached over one link per balancer.
 type Host struct {
-	world *Environment
-	ID    string
-	Zone  string
-	Group *scenario.Host
-	links []*link
+	environment *Environment
+	ID          string
+	Zone        string
+	Group       *scenario.Host
+	links       []*link
 	modelRunner
 
 	mu           sync.Mutex
@@ -36,7 +36,7 @@
 // AddHost adds a cache host and opens its links, at the addresses of the previous host if one is given. A host that is
 // not cold counts as having been up for a long time.
 func (w *Environment) AddHost(id string, g *scenario.Host, cold bool, previous *Host) (*Host, error) {
-	n := &Host{world: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.NewRand(w.Scenario.Seed, "faults "+id)}
+	n := &Host{environment: w, ID: id, Zone: g.Zone, Group: g, modelRunner: newModelRunner(), random: model.NewRand(w.Scenario.Seed, "faults "+id)}
 	for b := range w.Scenario.Fleet.Balancers {
 		l := &link{balancer: b, hostID: id, delay: w.linkDelay(b, g.Zone), serve: n.serve}
 		if previous != nil {
@@ -54,16 +54,16 @@
 // Start starts the host as a new process.
 func (n *Host) Start(cold bool) error {
 	n.mu.Lock()
-	now := n.world.Now()
-	n.model = model.NewHost(n.world.Scenario.HostConfig(n.Group), now, cold, model.NewRand(n.world.Scenario.Seed, "pauses "+n.ID))
+	now := n.environment.Now()
+	n.model = model.NewHost(n.environment.Scenario.HostConfig(n.Group), now, cold, model.NewRand(n.environment.Scenario.Seed, "pauses "+n.ID))
 	n.startedAt, n.cold, n.fetching, n.attempts = 0, cold, map[string][]*attempt{}, map[*attempt]struct{}{}
 	if cold {
 		n.startedAt = now
-		n.world.Record.Add(func() { n.world.Record.WarmAt[n.ID] = now + n.Group.WarmUpTime.Duration() })
+		n.environment.Record.Add(func() { n.environment.Record.WarmAt[n.ID] = now + n.Group.WarmUpTime.Duration() })
 	}
 	n.mu.Unlock()
 	for _, l := range n.links {
-		if err := l.open(n.world); err != nil {
+		if err := l.open(n.environment); err != nil {
 			return fmt.Errorf("node %s: %w", n.ID, err)
 		}
 	}
@@ -74,14 +74,14 @@
 func (n *Host) Stop() {
 	n.stopModel()
 	for _, l := range n.links {
-		l.close(n.world)
+		l.close(n.environment)
 	}
 }
 
 // Disconnect makes the host and its machine unreachable: nothing is answered and nothing is refused.
 func (n *Host) Disconnect() {
 	for _, l := range n.links {
-		l.blackhole(n.world)
+		l.blackhole(n.environment)
 	}
 	n.stopModel()
 }
@@ -89,7 +89,7 @@
 // Reconnect makes a disconnected host reachable again, as a new process.
 func (n *Host) Reconnect() error {
 	for _, l := range n.links {
-		if err := l.restore(n.world, true); err != nil {
+		if err := l.restore(n.environment, true); err != nil {
 			return err
 		}
 	}
@@ -103,7 +103,7 @@
 	if n.model == nil {
 		return
 	}
-	n.world.Record.RecordLoad(n.ID, n.model.MaxLoadMultiple())
+	n.environment.Record.RecordLoad(n.ID, n.model.MaxLoadMultiple())
 	n.model = nil
 	for att := range n.attempts {
 		att.finish(answer{lost: true})
@@ -137,23 +137,23 @@
 
 // Delay adds to the usual one-way delay of the link from a balancer.
 func (n *Host) Delay(balancer int, extra time.Duration) {
-	n.links[balancer].setDelay(n.world.linkDelay(balancer, n.Zone) + extra)
+	n.links[balancer].setDelay(n.environment.linkDelay(balancer, n.Zone) + extra)
 }
 
 // Cut makes the link from a balancer lose everything, or ends that.
 func (n *Host) Cut(balancer int, on bool) error {
 	if on {
-		n.links[balancer].blackhole(n.world)
+		n.links[balancer].blackhole(n.environment)
 		return nil
 	}
-	return n.links[balancer].restore(n.world, false)
+	return n.links[balancer].restore(n.environment, false)
 }
 
 // update advances the model to the present and then applies a change, unless the host is down.
 func (n *Host) update(apply func()) {
 	n.mu.Lock()
 	if n.model != nil {
-		n.advance(n.world.Now())
+		n.advance(n.environment.Now())
 		apply()
 	}
 	n.mu.Unlock()
@@ -165,7 +165,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.model != nil {
-		n.model.CacheValue(key, version, n.world.Scenario.Load.ValueSize)
+		n.model.CacheValue(key, version, n.environment.Scenario.Load.ValueSize)
 	}
 }
 
@@ -188,8 +188,8 @@
 	if n.model == nil {
 		return time.Hour
 	}
-	n.advance(n.world.Now())
-	return min(time.Hour, max(0, n.model.NextEvent()-n.world.Now()))
+	n.advance(n.environment.Now())
+	return min(time.Hour, max(0, n.model.NextEvent()-n.environment.Now()))
 }
 
 // advance runs the model up to the given time and finishes the attempts that are done. The caller holds n.mu.
@@ -200,31 +200,31 @@
 			continue
 		}
 		att.ran = !d.Lost
-		n.world.RecordLateness(d.At, now)
+		n.environment.RecordLateness(d.At, now)
 		switch {
 		case d.Lost:
 			att.finish(answer{lost: true})
 		case n.failRatio > 0 && n.random.Float64() < n.failRatio:
 			att.finish(answer{failed: true})
-		case n.world.Scenario.Fleet.Mode == scenario.ModeThrough && (d.Write || !d.Hit):
+		case n.environment.Scenario.Fleet.Mode == scenario.ModeThrough && (d.Write || !d.Hit):
 			n.forwardToOrigin(att, d)
 		case d.Write: // cache hosts accept no writes if balancers contact the origin themselves
 			att.finish(answer{failed: true})
 		case d.Hit:
-			att.finish(answer{value: n.world.Value(d.Key, d.Version, d.ID), hit: true})
+			att.finish(answer{value: n.environment.Value(d.Key, d.Version, d.ID), hit: true})
 		default:
-			n.world.recordMiss(d.ID, n)
+			n.environment.recordMiss(d.ID, n)
 			att.finish(answer{miss: true})
 		}
 	}
 	if at, multiple, failed := n.model.OverloadFailure(); failed && n.cold {
 		n.cold = false // recorded only once
-		n.world.Record.Add(func() {
-			n.world.Record.OverloadFailures = append(n.world.Record.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
+		n.environment.Record.Add(func() {
+			n.environment.Record.OverloadFailures = append(n.environment.Record.OverloadFailures, record.OverloadFailure{Server: n.ID, At: at, LoadMultiple: multiple})
 		})
 		go func() {
 			n.Stop()
-			n.world.Discovery.Update(n.Entry(model.Left))
+			n.environment.Discovery.Update(n.Entry(model.Left))
 		}()
 	}
 }
@@ -235,7 +235,7 @@
 	job := model.Job{ID: d.ID, Key: d.Key, DedupToken: d.DedupToken, Write: d.Write}
 	if d.Write {
 		// In its own goroutine, because the origin's lock must not be acquired while a host's lock is held.
-		go n.world.Origin.submit(job, func(r result) {
+		go n.environment.Origin.submit(job, func(r result) {
 			att.finish(answer{failed: r.lost, busy: r.refused, receipt: !r.lost && !r.refused})
 		})
 		return
@@ -245,12 +245,12 @@
 	if len(waiting) > 0 {
 		return
 	}
-	go n.world.Origin.submit(job, func(r result) {
+	go n.environment.Origin.submit(job, func(r result) {
 		n.mu.Lock()
 		waiting := n.fetching[job.Key]
 		delete(n.fetching, job.Key)
 		if n.model != nil && !r.lost && !r.refused {
-			n.model.CacheValue(job.Key, r.version, n.world.Scenario.Load.ValueSize)
+			n.model.CacheValue(job.Key, r.version, n.environment.Scenario.Load.ValueSize)
 		}
 		n.mu.Unlock()
 		for _, att := range waiting {
@@ -260,7 +260,7 @@
 			case r.lost:
 				att.finish(answer{failed: true})
 			default:
-				att.finish(answer{value: n.world.Value(job.Key, r.version, att.id)})
+				att.finish(answer{value: n.environment.Value(job.Key, r.version, att.id)})
 			}
 		}
 	})
@@ -274,7 +274,7 @@
 		att.finish(answer{lost: true})
 		return
 	}
-	now := n.world.Now()
+	now := n.environment.Now()
 	n.advance(now)
 	att.cold = n.model.Cold(now)
 	n.attempts[att] = struct{}{}
@@ -282,7 +282,7 @@
 	if !n.model.Offer(now, job) {
 		att.finish(answer{busy: true})
 	} else {
-		n.advance(n.world.Now()) // very short jobs are done by now and need no timer
+		n.advance(n.environment.Now()) // very short jobs are done by now and need no timer
 	}
 	n.mu.Unlock()
 	n.wake()
--- a/internal/rehearsal/standin/origin.go
+++ b/internal/rehearsal/standin/origin.go
@@ -18,8 +18,8 @@
 
 // Origin is the stand-in for the origin behind the cache hosts. It speaks HTTP/1.1: GET reads, PUT writes.
 type Origin struct {
-	world *Environment
-	addrs []string // by balancer
+	environment *Environment
+	addrs       []string // by balancer
 	modelRunner
 
 	mu              sync.Mutex
@@ -39,7 +39,7 @@
 
 // AddOrigin adds the origin, with one listener for each balancer.
 func (w *Environment) AddOrigin() error {
-	g := &Origin{world: w, modelRunner: newModelRunner(), model: model.NewOrigin(w.Scenario.OriginConfig(), 0),
+	g := &Origin{environment: w, modelRunner: newModelRunner(), model: model.NewOrigin(w.Scenario.OriginConfig(), 0),
 		random: model.NewRand(w.Scenario.Seed, "faults gateway")}
 	for b := range w.Scenario.Fleet.Balancers {
 		l, err := w.Listen()
@@ -69,7 +69,7 @@
 // SetSlowdown slows the origin down by a factor; 1 ends the slowdown.
 func (g *Origin) SetSlowdown(factor float64) {
 	g.mu.Lock()
-	g.advance(g.world.Now())
+	g.advance(g.environment.Now())
 	g.model.SetSlowdown(factor)
 	g.mu.Unlock()
 	g.wake()
@@ -99,10 +99,10 @@
 
 // submit passes a job to the model. The result is passed to onDone while the origin's lock is not held.
 func (g *Origin) submit(job model.Job, onDone func(result)) {
-	job.WorkTime = model.RequestWork(g.world.Scenario.Seed, "gateway "+job.ID, model.Exponential, g.world.Scenario.Origin.ServiceTime.Duration(), 1)
+	job.WorkTime = model.RequestWork(g.environment.Scenario.Seed, "gateway "+job.ID, model.Exponential, g.environment.Scenario.Origin.ServiceTime.Duration(), 1)
 	job.Tag = onDone
 	g.mu.Lock()
-	now := g.world.Now()
+	now := g.environment.Now()
 	g.advance(now)
 	ok := g.model.Offer(now, job)
 	g.mu.Unlock()
@@ -117,33 +117,33 @@
 func (g *Origin) step() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.advance(g.world.Now())
-	return min(time.Hour, max(0, g.model.NextEvent()-g.world.Now()))
+	g.advance(g.environment.Now())
+	return min(time.Hour, max(0, g.model.NextEvent()-g.environment.Now()))
 }
 
 // advance runs the model up to the given time. The caller holds g.mu; results are delivered in goroutines of their own,
 // without that lock.
 func (g *Origin) advance(now time.Duration) {
 	for _, d := range g.model.Advance(now) {
-		g.world.RecordLateness(d.At, now)
+		g.environment.RecordLateness(d.At, now)
 		if !d.Lost {
 			if d.Write {
-				g.world.invalidate(d.Key, d.Version)
+				g.environment.invalidate(d.Key, d.Version)
 			} else {
-				g.world.storeMissed(d.ID, d.Key, d.Version)
+				g.environment.storeMissed(d.ID, d.Key, d.Version)
 			}
 		}
 		go d.Tag.(func(result))(result{lost: d.Lost, version: d.Version})
 	}
 	for _, e := range g.model.Effects()[g.recordedEffects:] {
-		g.world.Record.Add(func() {
-			g.world.Record.Effects = append(g.world.Record.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
+		g.environment.Record.Add(func() {
+			g.environment.Record.Effects = append(g.environment.Record.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
 		})
 		g.recordedEffects++
 	}
 	for _, s := range g.model.Outages()[g.recordedStops:] {
-		g.world.Record.Add(func() {
-			g.world.Record.OverloadFailures = append(g.world.Record.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
+		g.environment.Record.Add(func() {
+			g.environment.Record.OverloadFailures = append(g.environment.Record.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
 		})
 		g.recordedStops++
 	}
@@ -153,7 +153,7 @@
 func (g *Origin) RecordLoad() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.world.Record.RecordLoad(record.Origin, g.model.MaxLoadMultiple())
+	g.environment.Record.RecordLoad(record.Origin, g.model.MaxLoadMultiple())
 }
 
 // maxBodyBytes limits the value of a write.
@@ -168,15 +168,15 @@
 
 // serve handles one attempt of a balancer.
 func (g *Origin) serve(balancer int, rw http.ResponseWriter, r *http.Request) {
-	observed := record.Attempt{RequestID: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Origin, FirstByteAt: g.world.Now(), Write: r.Method == http.MethodPut}
-	delay := g.world.Scenario.Fleet.SameZoneDelay.Duration()
+	observed := record.Attempt{RequestID: r.Header.Get(headerRequestID), Balancer: balancer, Server: record.Origin, FirstByteAt: g.environment.Now(), Write: r.Method == http.MethodPut}
+	delay := g.environment.Scenario.Fleet.SameZoneDelay.Duration()
 	key, err := url.PathUnescape(strings.TrimPrefix(r.URL.EscapedPath(), "/"))
 	_, readErr := io.Copy(io.Discard, io.LimitReader(r.Body, maxBodyBytes))
 	if readErr != nil {
 		return // an incomplete request does not count as sent
 	}
-	observed.ArrivedAt = g.world.Now()
-	if err != nil || !g.world.expected(observed.RequestID, key) {
+	observed.ArrivedAt = g.environment.Now()
+	if err != nil || !g.environment.expected(observed.RequestID, key) {
 		observed.Unexpected = fmt.Sprintf("the id %q with the key %q", observed.RequestID, key)
 	}
 	if delay >= minDelay {
@@ -194,10 +194,10 @@
 	}
 	reset, fail := g.drawFaults()
 	addRecord := func() {
-		g.world.Record.Add(func() { g.world.Record.Attempts = append(g.world.Record.Attempts, observed) })
+		g.environment.Record.Add(func() { g.environment.Record.Attempts = append(g.environment.Record.Attempts, observed) })
 	}
 	if fail {
-		observed.Ended, observed.Answered = g.world.Now(), true
+		observed.Ended, observed.Answered = g.environment.Now(), true
 		addRecord()
 		rw.WriteHeader(http.StatusInternalServerError)
 		return
@@ -208,7 +208,7 @@
 	select {
 	case res = <-outcome:
 	case <-r.Context().Done(): // the balancer gave up: a queued job is dropped, a running one continues
-		observed.Ended = g.world.Now()
+		observed.Ended = g.environment.Now()
 		g.mu.Lock()
 		dropped := g.model.Abandon(observed.RequestID)
 		g.mu.Unlock()
@@ -224,7 +224,7 @@
 	if delay >= minDelay {
 		time.Sleep(delay)
 	}
-	observed.Ended, observed.Answered = g.world.Now(), true
+	observed.Ended, observed.Answered = g.environment.Now(), true
 	switch {
 	case res.lost || reset && !res.refused:
 		observed.Answered, observed.Ran = false, !res.lost
@@ -242,6 +242,6 @@
 	if observed.Write {
 		io.WriteString(rw, "r-"+observed.RequestID)
 	} else {
-		rw.Write(g.world.Value(key, res.version, observed.RequestID))
+		rw.Write(g.environment.Value(key, res.version, observed.RequestID))
 	}
 }
--- a/internal/rehearsal/standin/relay.go
+++ b/internal/rehearsal/standin/relay.go
@@ -33,7 +33,7 @@
 }
 
 // NewRelays opens a link for each ordered pair of balancers; targets are their addresses.
-func NewRelays(targets []netip.AddrPort, terms model.LinkConfig, random *rand.Rand) (*Relays, error) {
+func NewRelays(targets []netip.AddrPort, config model.LinkConfig, random *rand.Rand) (*Relays, error) {
 	rs := &Relays{startedAt: time.Now()}
 	for from := range targets {
 		row := make([]*relay, len(targets))
@@ -48,7 +48,7 @@
 				return nil, fmt.Errorf("link between balancers: %w", err)
 			}
 			row[to] = &relay{owner: rs, from: from, to: to, conn: conn, target: targets[to],
-				link: model.NewLink(terms, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
+				link: model.NewLink(config, rand.New(rand.NewPCG(random.Uint64(), random.Uint64())))}
 		}
 	}
 	for _, row := range rs.relays {
--- a/internal/rehearsal/standin/serve.go
+++ b/internal/rehearsal/standin/serve.go
@@ -48,19 +48,19 @@
 
 // serve reads the commands of one connection, starts each as it arrives and answers them in order.
 func (n *Host) serve(l *link, conn *net.TCPConn) {
-	now := n.world.Now()
+	now := n.environment.Now()
 	n.mu.Lock()
 	n.openConns++
 	tooMany := n.openConns > n.Group.Connections
 	up := n.model != nil
 	if up && n.Group.ConnectWork > 0 {
 		n.advance(now)
-		n.model.Offer(n.world.Now(), model.Job{WorkTime: n.Group.ConnectWork.Duration()})
+		n.model.Offer(n.environment.Now(), model.Job{WorkTime: n.Group.ConnectWork.Duration()})
 	}
 	n.mu.Unlock()
 	defer func() { n.mu.Lock(); n.openConns--; n.mu.Unlock() }()
-	n.world.Record.Add(func() {
-		n.world.Record.Openings = append(n.world.Record.Openings, record.Opening{Server: n.ID, Balancer: l.balancer, At: now, Refused: tooMany})
+	n.environment.Record.Add(func() {
+		n.environment.Record.Openings = append(n.environment.Record.Openings, record.Opening{Server: n.ID, Balancer: l.balancer, At: now, Refused: tooMany})
 	})
 	queue := make(chan *attempt, maxPending)
 	var pending atomic.Int32
@@ -117,14 +117,14 @@
 
 // read reads the next command.
 func (n *Host) read(l *link, conn *net.TCPConn, in *bufio.Reader) (*attempt, error) {
-	att := &attempt{startedAt: n.world.Now(), done: make(chan answer, 1)}
+	att := &attempt{startedAt: n.environment.Now(), done: make(chan answer, 1)}
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second)) // for the rest of a command whose first byte has arrived
 	line, err := in.ReadSlice('\n')
 	if err != nil {
 		return nil, err
 	}
 	line = bytes.TrimRight(line, "\r\n")
-	att.receivedAt = n.world.Now()
+	att.receivedAt = n.environment.Now()
 	if string(line) == "stats load" {
 		att.key = "stats"
 		return att, nil
@@ -143,12 +143,12 @@
 		if _, err = in.Discard(cmd.Length + 2); err != nil {
 			return nil, err
 		}
-		att.receivedAt = n.world.Now()
+		att.receivedAt = n.environment.Now()
 	}
-	if !n.world.expected(att.id, att.key) {
+	if !n.environment.expected(att.id, att.key) {
 		att.unexpected = fmt.Sprintf("the id %q with the key %q", att.id, att.key)
 	}
-	att.work = n.world.drawWork(att.id)
+	att.work = n.environment.drawWork(att.id)
 	return att, nil
 }
 
@@ -160,8 +160,8 @@
 		att.finish(answer{lost: true})
 		return
 	}
-	n.advance(n.world.Now())
-	n.model.Offer(n.world.Now(), model.Job{WorkTime: n.Group.ProbeWork.Duration()})
+	n.advance(n.environment.Now())
+	n.model.Offer(n.environment.Now(), model.Job{WorkTime: n.Group.ProbeWork.Duration()})
 	text := memcache.NoopAnswer
 	if att.key == "stats" {
 		l := n.model.Load()
@@ -200,7 +200,7 @@
 	if d := l.oneWayDelay(); d >= minDelay {
 		time.Sleep(d)
 	}
-	ended := n.world.Now()
+	ended := n.environment.Now()
 	if a.text != "" {
 		_, err := io.WriteString(conn, a.text)
 		return err != nil
@@ -216,7 +216,7 @@
 
 // abandon handles an attempt that the balancer gave up. The attempt may still run; it is recorded once its result is known.
 func (n *Host) abandon(l *link, att *attempt, a *answer) {
-	ended := n.world.Now()
+	ended := n.environment.Now()
 	if a != nil {
 		n.finishAttempt(l, att, *a, false, ended)
 		return
@@ -243,7 +243,7 @@
 
 // recordEnded records an attempt that ends now.
 func (n *Host) recordEnded(l *link, att *attempt, a answer, complete bool) {
-	n.recordAttempt(l, att, a, complete, n.world.Now())
+	n.recordAttempt(l, att, a, complete, n.environment.Now())
 }
 
 // recordAttempt records an attempt that ended at the given time, with what its answer proves to the balancer.
@@ -261,7 +261,7 @@
 	default:
 		r.Proof = record.Served
 	}
-	n.world.Record.Add(func() { n.world.Record.Attempts = append(n.world.Record.Attempts, r) })
+	n.environment.Record.Add(func() { n.environment.Record.Attempts = append(n.environment.Record.Attempts, r) })
 }
 
 // sendAnswer writes an answer, subject to the host's injected faults. complete reports that the balancer can read the
@@ -271,7 +271,7 @@
 	corrupt, reset := n.corruptRatio > 0 && n.random.Float64() < n.corruptRatio, n.resetRatio > 0 && n.random.Float64() < n.resetRatio
 	kind := n.random.IntN(len(corruptions))
 	report := ""
-	if n.world.Scenario.Fleet.LoadReports && n.model != nil {
+	if n.environment.Scenario.Fleet.LoadReports && n.model != nil {
 		load := n.model.Load()
 		report = fmt.Sprintf(" Linflight=%d,queue=%d,util=%.2f", load.InFlight, load.Queue, load.Utilization)
 	}
--- a/internal/rehearsal/standin/standin_test.go
+++ b/internal/rehearsal/standin/standin_test.go
@@ -18,8 +18,8 @@
 // waitTimeout limits every wait. It only matters if an expected event never happens.
 const waitTimeout = 10 * time.Second
 
-// newWorld starts a cache host, the origin and discovery for one balancer.
-func newWorld(t *testing.T, settings string) (*Environment, *Host) {
+// newEnvironment starts a cache host, the origin and discovery for one balancer.
+func newEnvironment(t *testing.T, settings string) (*Environment, *Host) {
 	t.Helper()
 	sc, err := scenario.Parse("test", []byte("[fleet]\nbalancers = 1\nsame = \"0s\"\n"+settings))
 	if err != nil {
@@ -88,7 +88,7 @@
 // A balancer that closes its connection does not stop an attempt that is already running: the record must show that the
 // attempt ran and its effect.
 func TestGivenUpStillRuns(t *testing.T) {
-	w, n := newWorld(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
+	w, n := newEnvironment(t, "mode = \"through\"\n[[node]]\nname = \"node\"\n[gateway]\ntime = \"5ms\"")
 	w.ExpectRequest("w1", ExpectedRequest{Key: "k", Product: 2})
 	c, _ := dial(t, n.Addr(0))
 	n.SetStalled(true)
@@ -107,7 +107,7 @@
 
 // Over a cut link no connection is established and nothing is answered; after the cut, new connections work again.
 func TestCutLink(t *testing.T) {
-	w, n := newWorld(t, "[[node]]\nname = \"node\"\n[load]\nwarm = 0.1")
+	w, n := newEnvironment(t, "[[node]]\nname = \"node\"\n[load]\nwarm = 0.1")
 	n.Preload("k")
 	for _, id := range []string{"a", "b", "c"} {
 		w.ExpectRequest(id, ExpectedRequest{Key: "k"})
@@ -143,7 +143,7 @@
 
 // A cache host rejects commands on connections above its limit. A successor at the same address counts as a new process.
 func TestConnections(t *testing.T) {
-	w, n := newWorld(t, "[[node]]\nname = \"node\"\nconnections = 1\nwarm_for = \"10s\"")
+	w, n := newEnvironment(t, "[[node]]\nname = \"node\"\nconnections = 1\nwarm_for = \"10s\"")
 	w.ExpectRequest("a", ExpectedRequest{Key: "k"})
 	c, in := dial(t, n.Addr(0))
 	if got := roundTrip(t, c, in, "mn\r\n"); got != "MN" {
@@ -178,7 +178,7 @@
 // Discovery stops answering when silenced. After its generations start over, it sends the full list to a watch that names
 // a later generation.
 func TestDiscoveryAgent(t *testing.T) {
-	w, _ := newWorld(t, "")
+	w, _ := newEnvironment(t, "")
 	get := func(query string, wait time.Duration) string {
 		c := http.Client{Timeout: wait}
 		r, err := c.Get("http://" + w.Discovery.Addr(0) + "/api/targets" + query)
--- a/internal/rehearsal/virtual/balancer.go
+++ b/internal/rehearsal/virtual/balancer.go
@@ -16,7 +16,7 @@
 // balancer is a simulated balancer: the production decision code (decider) and the simulated process around it, which gives
 // the decider its input and carries out its decisions.
 type balancer struct {
-	d                *Simulation
+	simulation       *Simulation
 	index            int
 	zone             int
 	decider          *policy.Balancer // nil while the process is down
@@ -36,11 +36,11 @@
 // has ended by then, it calls ended instead, unless that is nil.
 func (b *balancer) whenRunning(do, ended func()) {
 	startCount := b.startCount
-	if b.d.now >= b.pausedUntil && b.decider != nil {
+	if b.simulation.now >= b.pausedUntil && b.decider != nil {
 		do()
 		return
 	}
-	b.d.at(b.pausedUntil, func() {
+	b.simulation.at(b.pausedUntil, func() {
 		if b.decider != nil && b.startCount == startCount {
 			do()
 		} else if ended != nil {
@@ -96,9 +96,9 @@
 	b.startCount++
 	b.pausedUntil = 0
 	b.requests, b.listedUp, b.generation, b.observations, b.peerObservations = map[policy.RequestID]*request{}, map[string]bool{}, 0, nil, nil
-	b.lifeRecord = record.ProcessRun{Balancer: b.index, Start: b.d.now, Ready: max(1, b.d.now)}
-	seed := model.NewRand(b.d.Seed, fmt.Sprint("balancer ", b.index, b.startCount)).Uint64()
-	b.decider = policy.New(policyHost{b, b.startCount}, b.d.policyTerms(b.zone), seed)
+	b.lifeRecord = record.ProcessRun{Balancer: b.index, Start: b.simulation.now, Ready: max(1, b.simulation.now)}
+	seed := model.NewRand(b.simulation.Seed, fmt.Sprint("balancer ", b.index, b.startCount)).Uint64()
+	b.decider = policy.New(policyHost{b, b.startCount}, b.simulation.policyTerms(b.zone), seed)
 	b.pollDiscovery(true)
 	b.getsTraffic = true
 	b.noticeSeq++
@@ -110,8 +110,8 @@
 		return
 	}
 	b.decider = nil
-	b.lifeRecord.End, b.lifeRecord.Ordered = b.d.now, true
-	b.d.rec.ProcessRuns = append(b.d.rec.ProcessRuns, b.lifeRecord)
+	b.lifeRecord.End, b.lifeRecord.Ordered = b.simulation.now, true
+	b.simulation.rec.ProcessRuns = append(b.simulation.rec.ProcessRuns, b.lifeRecord)
 	for _, id := range sorted(b.requests) {
 		req := b.requests[id]
 		for _, a := range req.attempts {
@@ -140,7 +140,7 @@
 func (b *balancer) endTrafficAfter(delay time.Duration) {
 	b.noticeSeq++
 	seq := b.noticeSeq
-	b.d.after(delay, func() {
+	b.simulation.after(delay, func() {
 		if b.noticeSeq == seq {
 			b.getsTraffic = false
 		}
@@ -156,10 +156,10 @@
 
 // applyList fetches the list or its changes and passes them to the decider.
 func (b *balancer) applyList(whole bool) {
-	if b.d.discovery.Silent(b.index) {
+	if b.simulation.discovery.Silent(b.index) {
 		return
 	}
-	generation, reset, entries := b.d.discovery.List(b.index, b.generation, whole)
+	generation, reset, entries := b.simulation.discovery.List(b.index, b.generation, whole)
 	if generation == b.generation && !reset {
 		return
 	}
@@ -169,12 +169,12 @@
 	for _, e := range entries {
 		named[e.Host] = true
 		b.recordNotice(e.Host, e.Lifecycle == model.Active)
-		list = append(list, b.d.policyEntry(e))
+		list = append(list, b.simulation.policyEntry(e))
 	}
 	kind := policy.ListUpdate
 	if reset {
 		kind = policy.ListReplace
-		for _, h := range b.d.hostsInOrder {
+		for _, h := range b.simulation.hostsInOrder {
 			if b.listedUp[h.id] && !named[h.id] {
 				b.recordNotice(h.id, false)
 			}
@@ -189,24 +189,24 @@
 		return
 	}
 	b.listedUp[hostID] = up
-	b.d.tracef("told %d %s %v", b.index, hostID, up)
-	b.d.rec.HostNotices = append(b.d.rec.HostNotices, record.HostNotice{Balancer: b.index, Host: hostID, Available: up, At: b.d.now})
+	b.simulation.tracef("told %d %s %v", b.index, hostID, up)
+	b.simulation.rec.HostNotices = append(b.simulation.rec.HostNotices, record.HostNotice{Balancer: b.index, Host: hostID, Available: up, At: b.simulation.now})
 }
 
 // receive passes a client's request to the decider. A request without time left is rate-limited at once.
 func (b *balancer) receive(req *request) {
 	b.requests[policy.RequestID(req.id)] = req
 	req.balancer = b
-	left := req.record.Timeout - b.d.now - replyReserve
+	left := req.record.Timeout - b.simulation.now - replyReserve
 	if left <= 0 {
 		req.answer(record.RateLimited, 0)
 		delete(b.requests, policy.RequestID(req.id))
 		return
 	}
-	if b.d.members != nil {
-		b.d.members.RunTo(b.d.now)
-		b.d.members.CountRequest(b.index, req.record.Tenant)
-		b.d.members.QuotaShares(b.index, func(tenant int, share float64) {
+	if b.simulation.members != nil {
+		b.simulation.members.RunTo(b.simulation.now)
+		b.simulation.members.CountRequest(b.index, req.record.Tenant)
+		b.simulation.members.QuotaShares(b.index, func(tenant int, share float64) {
 			b.decider.SetQuotaShare(policy.Customer(tenant), max(share, math.SmallestNonzeroFloat64))
 		})
 	}
@@ -236,7 +236,7 @@
 func (r *request) answer(reply record.Reply, retryAfter time.Duration) {
 	if !r.answered {
 		r.answered = true
-		r.balancer.d.after(r.balancer.d.Fleet.SameZoneDelay.Duration(), func() { r.onAnswer(reply, retryAfter) })
+		r.balancer.simulation.after(r.balancer.simulation.Fleet.SameZoneDelay.Duration(), func() { r.onAnswer(reply, retryAfter) })
 	}
 }
 
@@ -247,12 +247,12 @@
 	startCount uint64
 }
 
-func (h policyHost) Now() policy.Nanos { return epoch + policy.Nanos(h.b.d.now) }
+func (h policyHost) Now() policy.Nanos { return epoch + policy.Nanos(h.b.simulation.now) }
 
 func (h policyHost) Subscribe() {}
 
 func (h policyHost) SetTimer(after policy.Nanos, id policy.TimerID) {
-	h.b.d.after(time.Duration(after), func() {
+	h.b.simulation.after(time.Duration(after), func() {
 		if h.b.decider != nil && h.b.startCount == h.startCount {
 			h.b.whenRunning(func() { h.b.decider.TimerFired(id) }, nil)
 		}
@@ -269,7 +269,7 @@
 func (h policyHost) answer(id policy.RequestID, reply record.Reply, retryAfter time.Duration) {
 	if req := h.b.requests[id]; req != nil {
 		req.answer(reply, retryAfter)
-		h.b.d.after(0, func() { h.b.forgetIfDone(req) })
+		h.b.simulation.after(0, func() { h.b.forgetIfDone(req) })
 	}
 }
 
@@ -279,7 +279,7 @@
 		return
 	}
 	// Reported by a later event, as on sockets, so that the decider is not called from within its own call.
-	h.b.d.after(0, func() {
+	h.b.simulation.after(0, func() {
 		if a := req.attempts[attempt]; !a.done && h.b.startCount == h.startCount {
 			a.cancel()
 			a.complete(policy.Cancelled, 0)
@@ -288,7 +288,7 @@
 }
 
 func (h policyHost) Send(id policy.RequestID, to policy.HostID, deadline, _ policy.Nanos) {
-	b, d := h.b, h.b.d
+	b, d := h.b, h.b.simulation
 	req := b.requests[id]
 	if req == nil {
 		return
@@ -336,7 +336,7 @@
 
 // baseDelay is the one-way network delay without what a fault adds to it.
 func (a *attempt) baseDelay() time.Duration {
-	d := a.balancer.d
+	d := a.balancer.simulation
 	if a.host == nil || a.host.group.Zone == d.Fleet.Zones[a.balancer.zone] {
 		return d.Fleet.SameZoneDelay.Duration()
 	}
@@ -353,13 +353,13 @@
 
 // refuse reports that the connection was refused. The attempt is still recorded, because the balancer chose to make it.
 func (a *attempt) refuse() {
-	a.endedAt, a.proof = a.balancer.d.now+a.baseDelay(), record.NeverRan
-	a.balancer.d.after(a.baseDelay(), func() { a.deliver(policy.ConnectFailed, 0) })
+	a.endedAt, a.proof = a.balancer.simulation.now+a.baseDelay(), record.NeverRan
+	a.balancer.simulation.after(a.baseDelay(), func() { a.deliver(policy.ConnectFailed, 0) })
 }
 
 // answer sends a server's answer to the balancer.
 func (a *attempt) answer(outcome policy.Outcome, cacheResult int) {
-	d := a.balancer.d
+	d := a.balancer.simulation
 	if a.host != nil && a.host.links[a.balancer.index].cut {
 		return // lost in transit: for the balancer the attempt remains in flight
 	}
@@ -381,7 +381,7 @@
 	if a.done {
 		return
 	}
-	d := a.balancer.d
+	d := a.balancer.simulation
 	if a.endedAt == 0 || a.endedAt > d.now { // an answer still in transit proves nothing, since the balancer no longer waits for it
 		// As on sockets, the end of a connection is recorded when it is closed, whatever the network delay.
 		a.endedAt, a.answerComplete, a.proof = d.now, false, record.NothingProven
@@ -416,23 +416,23 @@
 	if b.decider == nil || b.startCount != a.startCount {
 		return
 	}
-	if b.d.deliberateFaults.alterOutcome != nil {
-		outcome = b.d.deliberateFaults.alterOutcome(outcome)
+	if b.simulation.deliberateFaults.alterOutcome != nil {
+		outcome = b.simulation.deliberateFaults.alterOutcome(outcome)
 	}
 	req := a.request
 	req.inFlight--
-	b.d.tracef("end %s/%d %d %d", req.id, a.index, outcome, cacheResult)
+	b.simulation.tracef("end %s/%d %d %d", req.id, a.index, outcome, cacheResult)
 	won := outcome == policy.Fulfilled && !req.answered
 	if won {
 		req.answer(record.Fulfilled, 0)
 	}
 	if b.observations != nil && a.host != nil {
-		slo := policy.Nanos(b.d.Products[req.record.Product].LatencySLO)
-		if good, conclusive := evidence.Classify(outcome, policy.Nanos(b.d.now-a.sentAt), slo); conclusive {
-			b.observations.RecordAttempt(b.d.now, a.host.id, good)
+		slo := policy.Nanos(b.simulation.Products[req.record.Product].LatencySLO)
+		if good, conclusive := evidence.Classify(outcome, policy.Nanos(b.simulation.now-a.sentAt), slo); conclusive {
+			b.observations.RecordAttempt(b.simulation.now, a.host.id, good)
 		}
 	}
-	b.decider.AttemptEnded(policy.AttemptResult{RequestID: policy.RequestID(req.id), Attempt: a.index, Final: req.answered, Outcome: outcome, Duration: policy.Nanos(b.d.now - a.sentAt),
+	b.decider.AttemptEnded(policy.AttemptResult{RequestID: policy.RequestID(req.id), Attempt: a.index, Final: req.answered, Outcome: outcome, Duration: policy.Nanos(b.simulation.now - a.sentAt),
 		HostID: policy.HostID(a.serverName())})
 	b.forgetIfDone(req)
 }
--- a/internal/rehearsal/virtual/evidence.go
+++ b/internal/rehearsal/virtual/evidence.go
@@ -25,7 +25,7 @@
 // the scenario sets between balancers. All balancers know at once which others run; the effect of outdated member views is
 // simulated in package membersim.
 type observationExchange struct {
-	d            *Simulation
+	simulation   *Simulation
 	rng          *rand.Rand
 	alterReports AlterReports
 	sentMessages int // including lost ones
@@ -33,7 +33,7 @@
 
 // startObservationExchange schedules each balancer's periodic exchange, with a random offset.
 func (d *Simulation) startObservationExchange(alterReports AlterReports) {
-	e := &observationExchange{d: d, rng: model.NewRand(d.Seed, "evidence"), alterReports: alterReports}
+	e := &observationExchange{simulation: d, rng: model.NewRand(d.Seed, "evidence"), alterReports: alterReports}
 	d.observations = e
 	for i := range d.balancers {
 		d.at(time.Duration(e.rng.Int64N(int64(evidence.TickInterval))), func() { e.tick(i) })
@@ -42,14 +42,16 @@
 
 // processID identifies a balancer's current process in these messages.
 func (e *observationExchange) processID(i int) member.ProcessID {
-	return member.ProcessID(uint64(e.d.balancers[i].startCount)<<32 | uint64(i+1))
+	return member.ProcessID(uint64(e.simulation.balancers[i].startCount)<<32 | uint64(i+1))
 }
 
-func (e *observationExchange) zone(i int) string { return e.d.Fleet.Zones[e.d.balancers[i].zone] }
+func (e *observationExchange) zone(i int) string {
+	return e.simulation.Fleet.Zones[e.simulation.balancers[i].zone]
+}
 
 // tick sends a balancer's observations, passes those received to its decider and schedules the next tick.
 func (e *observationExchange) tick(i int) {
-	d, b := e.d, e.d.balancers[i]
+	d, b := e.simulation, e.simulation.balancers[i]
 	if d.now < d.Length.Duration() {
 		d.after(evidence.TickInterval, func() { e.tick(i) })
 	}
--- a/internal/rehearsal/virtual/servers.go
+++ b/internal/rehearsal/virtual/servers.go
@@ -12,7 +12,7 @@
 
 // cacheHost is a simulated cache host.
 type cacheHost struct {
-	d           *Simulation
+	simulation  *Simulation
 	id          string
 	group       *scenario.Host
 	model       *model.Host // nil while its process is down
@@ -37,7 +37,7 @@
 const never = time.Duration(1<<63 - 1)
 
 func (d *Simulation) addHost(id string, group *scenario.Host, cold bool) *cacheHost {
-	h := &cacheHost{d: d, id: id, group: group, rng: model.NewRand(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
+	h := &cacheHost{simulation: d, id: id, group: group, rng: model.NewRand(d.Seed, "faults "+id), links: make([]link, len(d.balancers))}
 	d.hosts[id] = h
 	d.hostsInOrder = append(d.hostsInOrder, h)
 	h.start(cold)
@@ -45,11 +45,11 @@
 }
 
 func (h *cacheHost) start(cold bool) {
-	h.model = model.NewHost(h.d.HostConfig(h.group), h.d.now, cold, model.NewRand(h.d.Seed, "pauses "+h.id))
+	h.model = model.NewHost(h.simulation.HostConfig(h.group), h.simulation.now, cold, model.NewRand(h.simulation.Seed, "pauses "+h.id))
 	h.unreachable, h.cold, h.scheduledAt, h.startedAt = false, cold, never, 0
 	if cold {
-		h.startedAt = h.d.now
-		h.d.rec.WarmAt[h.id] = h.d.now + h.group.WarmUpTime.Duration()
+		h.startedAt = h.simulation.now
+		h.simulation.rec.WarmAt[h.id] = h.simulation.now + h.group.WarmUpTime.Duration()
 	}
 }
 
@@ -59,7 +59,7 @@
 	if h.model == nil {
 		return
 	}
-	h.d.rec.RecordLoad(h.id, h.model.MaxLoadMultiple())
+	h.simulation.rec.RecordLoad(h.id, h.model.MaxLoadMultiple())
 	h.model, h.unreachable = nil, silent
 	inFlight := h.inFlight
 	h.inFlight = nil
@@ -86,7 +86,7 @@
 
 // receive handles an attempt that has arrived at the host.
 func (h *cacheHost) receive(a *attempt) {
-	a.receivedAt = h.d.now
+	a.receivedAt = h.simulation.now
 	switch {
 	case h.unreachable || h.links[a.balancer.index].cut:
 		a.dropped = true
@@ -100,8 +100,8 @@
 		a.answer(policy.Reset, 0)
 		return
 	}
-	a.cold = h.model.Cold(h.d.now)
-	if !h.model.Offer(h.d.now, model.Job{ID: a.request.id, Key: a.request.key, DedupToken: a.request.dedupToken, Write: a.request.write, WorkTime: a.work, Tag: a}) {
+	a.cold = h.model.Cold(h.simulation.now)
+	if !h.model.Offer(h.simulation.now, model.Job{ID: a.request.id, Key: a.request.key, DedupToken: a.request.dedupToken, Write: a.request.write, WorkTime: a.work, Tag: a}) {
 		a.answer(policy.Rejected, 0)
 	} else {
 		h.inFlight = append(h.inFlight, a)
@@ -111,7 +111,7 @@
 
 // advance runs the host's model up to the current time and answers the attempts that it has finished.
 func (h *cacheHost) advance() {
-	for _, done := range h.model.Advance(h.d.now) {
+	for _, done := range h.model.Advance(h.simulation.now) {
 		a, ok := done.Tag.(*attempt)
 		if !ok {
 			continue
@@ -127,7 +127,7 @@
 			a.answer(policy.Reset, 0)
 		case h.spoilProbability > 0 && h.rng.Float64() < h.spoilProbability:
 			a.answer(policy.MalformedAnswer, 0)
-		case h.d.Fleet.Mode == scenario.ModeThrough && (done.Write || !done.Hit):
+		case h.simulation.Fleet.Mode == scenario.ModeThrough && (done.Write || !done.Hit):
 			h.fetchFromOrigin(a, done)
 		case done.Write:
 			a.answer(policy.Errored, 0)
@@ -140,9 +140,9 @@
 	}
 	if at, multiple, fell := h.model.OverloadFailure(); fell && h.cold {
 		h.cold = false
-		h.d.rec.OverloadFailures = append(h.d.rec.OverloadFailures, record.OverloadFailure{Server: h.id, At: at, LoadMultiple: multiple})
+		h.simulation.rec.OverloadFailures = append(h.simulation.rec.OverloadFailures, record.OverloadFailure{Server: h.id, At: at, LoadMultiple: multiple})
 		h.stop(false)
-		h.d.setCondition(h, model.Left)
+		h.simulation.setCondition(h, model.Left)
 	}
 }
 
@@ -159,7 +159,7 @@
 // fetchFromOrigin gets the value of a read from the origin, or forwards a write to it. Concurrent fetches of the same key
 // are not merged.
 func (h *cacheHost) fetchFromOrigin(a *attempt, done model.Done) {
-	h.d.origin.submit(a.request, done.Write, func(r fetchResult) {
+	h.simulation.origin.submit(a.request, done.Write, func(r fetchResult) {
 		switch {
 		case r.rejected:
 			a.answer(policy.Rejected, 2)
@@ -167,7 +167,7 @@
 			a.answer(policy.Errored, 2)
 		default:
 			if h.model != nil && !done.Write {
-				h.model.CacheValue(a.request.key, r.version, h.d.Load.ValueSize)
+				h.model.CacheValue(a.request.key, r.version, h.simulation.Load.ValueSize)
 			}
 			a.answer(policy.Fulfilled, 2)
 		}
@@ -185,7 +185,7 @@
 	}
 	h.scheduledAt = due
 	m := h.model
-	h.d.at(due, func() {
+	h.simulation.at(due, func() {
 		if h.model != m || h.scheduledAt != due {
 			return // another process runs now, or the model was advanced earlier
 		}
@@ -197,7 +197,7 @@
 
 // origin is the simulated origin behind the caches.
 type origin struct {
-	d                                 *Simulation
+	simulation                        *Simulation
 	model                             *model.Origin
 	scheduledAt                       time.Duration
 	effectsRecorded, stopsRecorded    int
@@ -214,16 +214,16 @@
 // submit gives the origin a job; done is called with its result.
 func (o *origin) submit(req *request, write bool, done func(fetchResult)) {
 	o.advance()
-	work := model.RequestWork(o.d.Seed, "gateway "+req.id, model.Exponential, o.d.Origin.ServiceTime.Duration(), 1)
-	if !o.model.Offer(o.d.now, model.Job{ID: req.id, Key: req.key, DedupToken: req.dedupToken, Write: write, WorkTime: work, Tag: done}) {
-		o.d.after(0, func() { done(fetchResult{rejected: true}) })
+	work := model.RequestWork(o.simulation.Seed, "gateway "+req.id, model.Exponential, o.simulation.Origin.ServiceTime.Duration(), 1)
+	if !o.model.Offer(o.simulation.now, model.Job{ID: req.id, Key: req.key, DedupToken: req.dedupToken, Write: write, WorkTime: work, Tag: done}) {
+		o.simulation.after(0, func() { done(fetchResult{rejected: true}) })
 	}
 	o.scheduleAdvance()
 }
 
 // receive handles an attempt that a balancer has sent to the origin directly.
 func (o *origin) receive(a *attempt) {
-	a.receivedAt = o.d.now
+	a.receivedAt = o.simulation.now
 	if o.failProbability > 0 && o.rng.Float64() < o.failProbability {
 		a.answer(policy.Errored, 0)
 		return
@@ -242,7 +242,7 @@
 		if a.executed && !a.request.write {
 			for _, h := range a.request.missedHosts {
 				if h.model != nil {
-					h.model.CacheValue(a.request.key, r.version, o.d.Load.ValueSize)
+					h.model.CacheValue(a.request.key, r.version, o.simulation.Load.ValueSize)
 				}
 			}
 			a.request.missedHosts = nil
@@ -253,9 +253,9 @@
 // advance runs the origin's model up to the current time, reports finished jobs and records effects and stops. A finished
 // write invalidates the key in all cache hosts.
 func (o *origin) advance() {
-	for _, done := range o.model.Advance(o.d.now) {
+	for _, done := range o.model.Advance(o.simulation.now) {
 		if done.Write && !done.Lost {
-			for _, h := range o.d.hostsInOrder {
+			for _, h := range o.simulation.hostsInOrder {
 				if h.model != nil {
 					h.model.Invalidate(done.Key, done.Version)
 				}
@@ -264,11 +264,11 @@
 		done.Tag.(func(fetchResult))(fetchResult{lost: done.Lost, version: done.Version})
 	}
 	for _, e := range o.model.Effects()[o.effectsRecorded:] {
-		o.d.rec.Effects = append(o.d.rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
+		o.simulation.rec.Effects = append(o.simulation.rec.Effects, record.Effect{RequestID: e.ID, DedupToken: e.DedupToken, At: e.At})
 		o.effectsRecorded++
 	}
 	for _, s := range o.model.Outages()[o.stopsRecorded:] {
-		o.d.rec.OverloadFailures = append(o.d.rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
+		o.simulation.rec.OverloadFailures = append(o.simulation.rec.OverloadFailures, record.OverloadFailure{Server: record.Origin, At: s.At, LoadMultiple: s.LoadMultiple})
 		o.stopsRecorded++
 	}
 }
@@ -280,7 +280,7 @@
 		return
 	}
 	o.scheduledAt = due
-	o.d.at(due, func() {
+	o.simulation.at(due, func() {
 		if o.scheduledAt == due {
 			o.scheduledAt = never
 			o.advance()
--- a/internal/rehearsal/virtual/simulation.go
+++ b/internal/rehearsal/virtual/simulation.go
@@ -72,9 +72,9 @@
 		latency: hdrhistogram.New(1, 60_000_000, 3), trace: trace, deliberateFaults: faults}
 	delays := [2]time.Duration{s.Discovery.Delay[0].Duration(), s.Discovery.Delay[1].Duration()}
 	d.discovery = model.NewDiscovery(s.Fleet.Balancers, delays, model.NewRand(s.Seed, "register"))
-	d.origin = &origin{d: d, model: model.NewOrigin(s.OriginConfig(), 0), scheduledAt: never, rng: model.NewRand(s.Seed, "faults gateway")}
+	d.origin = &origin{simulation: d, model: model.NewOrigin(s.OriginConfig(), 0), scheduledAt: never, rng: model.NewRand(s.Seed, "faults gateway")}
 	for b := range s.Fleet.Balancers {
-		d.balancers = append(d.balancers, &balancer{d: d, index: b, zone: b % len(s.Fleet.Zones)})
+		d.balancers = append(d.balancers, &balancer{simulation: d, index: b, zone: b % len(s.Fleet.Zones)})
 	}
 	ids, groups := s.HostIDs()
 	for _, id := range ids {
